--- a/api/answers.cc
+++ b/api/answers.cc
@@ -19,7 +19,7 @@
 net::HttpResponse TryLater(std::string_view why, int status) {
   constexpr int kRetryAfter = 1;  // s
   net::HttpResponse response = Error(status, why);
-  response.retry_after_s = kRetryAfter;
+  response.retry_after_seconds = kRetryAfter;
   return response;
 }
 
--- a/api/api.cc
+++ b/api/api.cc
@@ -33,7 +33,7 @@
   const bool post = request.method == "POST";
   if (path == "/v1/report") {
     if (!post) co_return WrongMethod("POST");
-    co_return co_await Report(std::move(request.body));
+    co_return co_await OnHeartbeat(std::move(request.body));
   }
   if (path == "/ready") {
     if (!get) co_return WrongMethod("GET");
@@ -44,7 +44,7 @@
   }
   if (path == "/v2/leader") {
     if (!get) co_return WrongMethod("GET");
-    co_return Leader();
+    co_return CurrentLeader();
   }
   if (rollouts_ != nullptr && rollouts_->Takes(path)) {
     co_return co_await rollouts_->Handle(std::move(request));
@@ -77,12 +77,12 @@
                                          std::string why) {
   if (wire::ValidJobId(id)) {
     const Status known = co_await service_.Poll(id);
-    if (known.found == Status::Found::kYes) {
+    if (known.found == Status::JobPresence::kYes) {
       net::HttpResponse response;
       response.body = JobBody(id, known.status);
       co_return response;
     }
-    if (known.found == Status::Found::kCannotTell) {
+    if (known.found == Status::JobPresence::kCannotTell) {
       co_return TryLater("state unknown");
     }
   }
@@ -130,10 +130,11 @@
   // An id of another form was never accepted and never can be.
   if (!wire::ValidJobId(id)) co_return Error(404, "no such job");
   const Status status = co_await service_.Poll(id);
-  if (status.found == Status::Found::kCannotTell) {
+  if (status.found == Status::JobPresence::kCannotTell) {
     co_return TryLater("state unknown");
   }
-  if (status.found == Status::Found::kNo) co_return Error(404, "no such job");
+  if (status.found == Status::JobPresence::kNo)
+    co_return Error(404, "no such job");
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
@@ -152,17 +153,18 @@
 net::Task<net::HttpResponse> Api::Cancel(std::string id) {
   if (!wire::ValidJobId(id)) co_return Error(404, "no such job");
   const Status status = co_await service_.Cancel(id);
-  if (status.found == Status::Found::kCannotTell) {
+  if (status.found == Status::JobPresence::kCannotTell) {
     co_return TryLater("cannot be recorded now");
   }
-  if (status.found == Status::Found::kNo) co_return Error(404, "no such job");
+  if (status.found == Status::JobPresence::kNo)
+    co_return Error(404, "no such job");
   net::HttpResponse response;
   response.body = JobBody(id, status.status);
   co_return response;
 }
 
-net::HttpResponse Api::Leader() {
-  const LeaderView view = service_.Leader();
+net::HttpResponse Api::CurrentLeader() {
+  const LeaderView view = service_.CurrentLeader();
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
@@ -189,20 +191,21 @@
   return response;
 }
 
-net::Task<net::HttpResponse> Api::Report(std::string body) {
-  WorkerReport report;
-  if (!wire::ParseReport(body, &report)) co_return Error(400, "not a report");
-  Reported reported =
-      co_await service_.Report(std::move(report), std::move(body));
+net::Task<net::HttpResponse> Api::OnHeartbeat(std::string body) {
+  Heartbeat heartbeat;
+  if (!wire::ParseReport(body, &heartbeat))
+    co_return Error(400, "not a report");
+  HeartbeatAnswer reported =
+      co_await service_.OnHeartbeat(std::move(heartbeat), std::move(body));
   net::HttpResponse response;
   switch (reported.result) {
-    case Reported::Result::kAnswered:
+    case HeartbeatAnswer::Result::kAnswered:
       response.body = wire::EncodeReply(reported.reply);
       break;
-    case Reported::Result::kRelayed:
-      response.body = std::move(reported.relayed);
+    case HeartbeatAnswer::Result::kForwarded:
+      response.body = std::move(reported.forwarded);
       break;
-    case Reported::Result::kElsewhere: {
+    case HeartbeatAnswer::Result::kElsewhere: {
       response.status = 421;
       rapidjson::StringBuffer buffer;
       json::Writer w(buffer);
@@ -214,7 +217,7 @@
       response.body = json::Text(buffer);
       break;
     }
-    case Reported::Result::kUnavailable:
+    case HeartbeatAnswer::Result::kUnavailable:
       response = Error(503, "taking over");
       break;
   }
--- a/api/api.h
+++ b/api/api.h
@@ -9,7 +9,7 @@
 
 #include "api/record_routes.h"
 #include "api/rollout_routes.h"
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 #include "core/model/job.h"
 #include "net/http.h"
 #include "net/task.h"
@@ -17,8 +17,8 @@
 namespace oxbow::api {
 
 struct Status {
-  enum class Found { kYes, kNo, kCannotTell };
-  Found found = Found::kCannotTell;
+  enum class JobPresence { kYes, kNo, kCannotTell };
+  JobPresence found = JobPresence::kCannotTell;
   std::string status;  // a word of the wire
   uint32_t done = 0;
   uint32_t running = 0;
@@ -29,12 +29,12 @@
   Result result = Result::kTryLater;
 };
 
-struct Reported {
-  enum class Result { kAnswered, kRelayed, kElsewhere, kUnavailable };
+struct HeartbeatAnswer {
+  enum class Result { kAnswered, kForwarded, kElsewhere, kUnavailable };
   Result result = Result::kUnavailable;
-  ReportReply reply;
-  std::string relayed;  // the leader's answer, as it is to be given
-  std::string leader;   // empty when not known
+  HeartbeatResponse reply;
+  std::string forwarded;  // the leader's answer, as it is to be given
+  std::string leader;     // empty when not known
 };
 
 // Who leads, and what the leader does not do and why.
@@ -53,15 +53,16 @@
   virtual bool Ready() = 0;
   // Nothing while the machine types are unknown.
   virtual const std::map<std::string, MachineType>* Types() = 0;
-  virtual const std::vector<TeamSettings>& Teams() = 0;
+  virtual const std::vector<TeamQuota>& Teams() = 0;
   // Whether the job is known, from memory only.
   virtual bool KnownHere(const std::string& id) = 0;
   virtual net::Task<Status> Poll(std::string id) = 0;
   virtual net::Task<Submitted> Submit(std::shared_ptr<const JobSpec> spec) = 0;
   virtual net::Task<Status> Cancel(std::string id) = 0;
   // `body`: the same, as it came.
-  virtual net::Task<Reported> Report(WorkerReport report, std::string body) = 0;
-  virtual LeaderView Leader() = 0;
+  virtual net::Task<HeartbeatAnswer> OnHeartbeat(Heartbeat heartbeat,
+                                                 std::string body) = 0;
+  virtual LeaderView CurrentLeader() = 0;
 };
 
 class Api {
@@ -78,8 +79,8 @@
   net::Task<net::HttpResponse> Cancel(std::string id);
   net::Task<net::HttpResponse> Refuse(std::string id, int status,
                                       std::string why);
-  net::Task<net::HttpResponse> Report(std::string body);
-  net::HttpResponse Leader();
+  net::Task<net::HttpResponse> OnHeartbeat(std::string body);
+  net::HttpResponse CurrentLeader();
 
   Service& service_;
   RolloutRoutes* rollouts_;
--- a/api/rollout_routes.cc
+++ b/api/rollout_routes.cc
@@ -84,13 +84,13 @@
   }
   const std::string verb = id.substr(slash + 1);
   id.resize(slash);
-  RolloutWish wish = RolloutWish::kNone;
-  if (!wire::TermOf(wire::kRolloutWishes, verb, &wish) ||
-      wish == RolloutWish::kNone || !wire::ValidRolloutId(id)) {
+  RolloutRequest request = RolloutRequest::kNone;
+  if (!wire::TermOf(wire::kRolloutRequests, verb, &request) ||
+      request == RolloutRequest::kNone || !wire::ValidRolloutId(id)) {
     co_return Error(404, "no such route");
   }
   if (!post) co_return WrongMethod("POST");
-  co_return ResponseOf(co_await service_.Wish(std::move(id), wish));
+  co_return ResponseOf(co_await service_.Request(std::move(id), request));
 }
 
 }  // namespace oxbow::api
--- a/api/rollout_routes.h
+++ b/api/rollout_routes.h
@@ -1,4 +1,4 @@
-// The routes of roll-outs: /v2/rollouts and below.
+// The routes of rollouts: /v2/rollouts and below.
 #pragma once
 
 #include <optional>
@@ -34,12 +34,13 @@
 class RolloutService {
  public:
   virtual ~RolloutService() = default;
-  // False when the operators have not turned roll-outs on.
+  // False when the operators have not turned rollouts on.
   virtual bool Enabled() const = 0;
   virtual net::Task<RolloutAnswer> Declare(
       std::shared_ptr<const RolloutSpec> spec) = 0;
   virtual net::Task<RolloutAnswer> Get(std::string id) = 0;
-  virtual net::Task<RolloutAnswer> Wish(std::string id, RolloutWish wish) = 0;
+  virtual net::Task<RolloutAnswer> Request(std::string id,
+                                           RolloutRequest request) = 0;
   // Nothing while the state has not been read.
   virtual std::optional<std::vector<RolloutState>> List() = 0;
 };
--- a/app/calendar_cli.cc
+++ b/app/calendar_cli.cc
@@ -14,8 +14,8 @@
 #include "app/record_client.h"
 #include "app/recurrence.h"
 #include "app/settings.h"
-#include "core/calendar/calendar.h"
-#include "core/calendar/check.h"
+#include "core/maintenance/maintenance_calendar.h"
+#include "core/maintenance/window_validation.h"
 #include "net/loop.h"
 #include "wire/calendar_json.h"
 
@@ -23,7 +23,8 @@
 namespace {
 
 constexpr double kHorizon = 400 * 86400.0;  // s
-// Leaves room for what stands round the text within the state service's value.
+// Leaves room for what stands round the text within the key-value store's
+// value.
 constexpr size_t kMostText = 5000;
 
 std::string Utc(double wall) {
@@ -37,7 +38,7 @@
 }
 
 // The module stands beside the program.
-std::string WorkOut(const Horizon& horizon, Booking* booking) {
+std::string WorkOut(const Horizon& horizon, MaintenanceWindow* booking) {
   std::error_code error;
   const auto program = std::filesystem::read_symlink("/proc/self/exe", error);
   const std::string path =
@@ -54,16 +55,16 @@
 }
 
 // As many times as the record holds.
-std::string WorkOutWhatFits(double wall, double notice_s,
+std::string WorkOutWhatFits(double wall, double notice_seconds,
                             const std::vector<UtcInterval>& held,
-                            Booking* booking) {
+                            MaintenanceWindow* booking) {
   for (size_t most = kMostTimes; most > 0; most /= 2) {
     const std::string wrong = WorkOut({wall, kHorizon, most}, booking);
     if (!wrong.empty()) return wrong;
     if (!booking->rule.empty()) {
       // What a rule has too soon is left out, unless it was known before.
       std::erase_if(booking->times, [&](const UtcInterval& t) {
-        return t.from < wall + notice_s &&
+        return t.from < wall + notice_seconds &&
                std::none_of(
                    held.begin(), held.end(),
                    [&](const UtcInterval& o) { return o.from == t.from; });
@@ -74,14 +75,15 @@
   return "the booking is too large for a record";
 }
 
-std::string Read(const CalendarCommand& command, Booking* out) {
+std::string Read(const CalendarCommand& command, MaintenanceWindow* out) {
   std::ifstream file(command.file);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   if (!file || text.empty()) return "cannot read " + command.file;
-  return wire::ReadBooking(command.id, text, /*with_times=*/false, out);
+  return wire::ReadMaintenanceWindow(command.id, text, /*with_times=*/false,
+                                     out);
 }
 
-void PrintTimes(const Booking& booking, size_t most) {
+void PrintTimes(const MaintenanceWindow& booking, size_t most) {
   for (size_t i = 0; i < booking.times.size() && i < most; ++i) {
     const UtcInterval& t = booking.times[i];
     std::printf("  %s to %s (%.2f h)\n", Utc(t.from).c_str(), Utc(t.to).c_str(),
@@ -100,7 +102,7 @@
   return kRecordBadUse;
 }
 
-bool Bookings(RecordClient& client, std::vector<Booking>* out,
+bool Bookings(RecordClient& client, std::vector<MaintenanceWindow>* out,
               RecordClient::Named* records) {
   if (!client.List(std::string(wire::kCalendarPrefix), records)) {
     std::fprintf(stderr, "no answer\n");
@@ -108,10 +110,10 @@
   }
   std::erase_if(*records, [](const auto& r) { return r.second.withdrawn; });
   for (const auto& [name, record] : *records) {
-    Booking booking;
+    MaintenanceWindow booking;
     const std::string wrong =
-        wire::ReadBooking(name.substr(wire::kCalendarPrefix.size()),
-                          record.text, /*with_times=*/true, &booking);
+        wire::ReadMaintenanceWindow(name.substr(wire::kCalendarPrefix.size()),
+                                    record.text, /*with_times=*/true, &booking);
     if (!wrong.empty()) {
       std::fprintf(stderr, "%s: %s\n", name.c_str(), wrong.c_str());
     }
@@ -121,12 +123,12 @@
 }
 
 int List(RecordClient& client) {
-  std::vector<Booking> bookings;
+  std::vector<MaintenanceWindow> bookings;
   RecordClient::Named records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
   const double wall = net::WallNow();
   for (size_t i = 0; i < bookings.size(); ++i) {
-    const Booking& b = bookings[i];
+    const MaintenanceWindow& b = bookings[i];
     const auto next =
         std::find_if(b.times.begin(), b.times.end(),
                      [&](const UtcInterval& t) { return t.to > wall; });
@@ -158,8 +160,9 @@
               Utc(r.changed_wall).c_str(), r.withdrawn ? ", cancelled" : "");
   if (!r.note.empty()) std::printf("  %s\n", r.note.c_str());
   if (r.withdrawn) return kRecordOk;
-  Booking booking;
-  const std::string wrong = wire::ReadBooking(id, r.text, true, &booking);
+  MaintenanceWindow booking;
+  const std::string wrong =
+      wire::ReadMaintenanceWindow(id, r.text, true, &booking);
   if (!wrong.empty()) return BadUse(wrong);
   std::printf("  %s\n", r.text.substr(0, r.text.find("\"times\"")).c_str());
   PrintTimes(booking, 10);
@@ -175,16 +178,17 @@
     return RecordClient::Explain(answer);
   }
   *version = answer.record.version;
-  Booking booking;
+  MaintenanceWindow booking;
   if (!answer.record.withdrawn &&
-      wire::ReadBooking(id, answer.record.text, true, &booking).empty()) {
+      wire::ReadMaintenanceWindow(id, answer.record.text, true, &booking)
+          .empty()) {
     *held = booking.times;
   }
   return kRecordOk;
 }
 
 int Book(RecordClient& client, const CalendarCommand& command) {
-  Booking booking;
+  MaintenanceWindow booking;
   std::string wrong = Read(command, &booking);
   if (!wrong.empty()) return BadUse(wrong);
   uint64_t version = 0;
@@ -194,7 +198,8 @@
   // A tombstone is replaced by its version too: versions are never used twice.
   if (command.version > 0) version = static_cast<uint64_t>(command.version);
   if (command.version == 0 && !held.empty()) version = 0;
-  wrong = WorkOutWhatFits(net::WallNow(), command.notice_s, held, &booking);
+  wrong =
+      WorkOutWhatFits(net::WallNow(), command.notice_seconds, held, &booking);
   if (!wrong.empty()) return BadUse(wrong);
   const RecordClient::Answer answer =
       client.Put(NameOf(command.id), version, wire::WriteBooking(booking),
@@ -226,11 +231,11 @@
 
 // Without writing anything.
 int Check(RecordClient& client, const CalendarCommand& command) {
-  Booking booking;
+  MaintenanceWindow booking;
   std::string wrong = Read(command, &booking);
   if (!wrong.empty()) return BadUse(wrong);
   const double wall = net::WallNow();
-  wrong = WorkOutWhatFits(wall, command.notice_s, {}, &booking);
+  wrong = WorkOutWhatFits(wall, command.notice_seconds, {}, &booking);
   if (!wrong.empty()) return BadUse(wrong);
   PrintTimes(booking, 10);
   if (command.config.empty()) return kRecordOk;
@@ -243,7 +248,7 @@
   RecordClient::Named records;
   if (!Bookings(client, &context.others, &records)) return kRecordRefused;
   std::erase_if(context.others,
-                [&](const Booking& b) { return b.id == booking.id; });
+                [&](const MaintenanceWindow& b) { return b.id == booking.id; });
   wrong = WhyNoBooking(booking, context);
   if (!wrong.empty()) return BadUse(wrong);
   std::printf("good\n");
@@ -251,18 +256,19 @@
 }
 
 int Next(RecordClient& client, const CalendarCommand& command) {
-  std::vector<Booking> bookings;
+  std::vector<MaintenanceWindow> bookings;
   RecordClient::Named records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
-  Calendar calendar(1, 0);
+  MaintenanceCalendar calendar(1, 0);
   calendar.Confirmed(0, 0);
   calendar.ReadWall({net::WallNow(), 0, 0});
-  for (const Booking& booking : bookings) calendar.Take(booking, 1, 0);
+  for (const MaintenanceWindow& booking : bookings)
+    calendar.Take(booking, 1, 0);
   JobSpec spec;
   spec.job_class = command.job_class;
   spec.team = command.team;
   spec.need = {command.cores, command.accelerators, 0};
-  const Verdict verdict = calendar.MayStart(spec, "", command.run_s, 0);
+  const Verdict verdict = calendar.MayStart(spec, "", command.run_seconds, 0);
   if (!calendar.Names(spec, "")) {
     std::printf("no booking names this work\n");
   } else if (verdict.may()) {
@@ -278,17 +284,17 @@
 
 // Works the times of every rule out anew, as far ahead as a record holds.
 int Extend(RecordClient& client, const CalendarCommand& command) {
-  std::vector<Booking> bookings;
+  std::vector<MaintenanceWindow> bookings;
   RecordClient::Named records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
   int worst = kRecordOk;
   for (size_t i = 0; i < bookings.size(); ++i) {
-    Booking& b = bookings[i];
+    MaintenanceWindow& b = bookings[i];
     if (b.rule.empty() || b.known_until <= 0) continue;
     const std::vector<UtcInterval> held = b.times;
     const double before = b.known_until;
     const std::string wrong =
-        WorkOutWhatFits(net::WallNow(), command.notice_s, held, &b);
+        WorkOutWhatFits(net::WallNow(), command.notice_seconds, held, &b);
     if (!wrong.empty()) {
       std::fprintf(stderr, "%s: %s\n", b.id.c_str(), wrong.c_str());
       worst = kRecordBadUse;
--- a/app/calendar_cli.h
+++ b/app/calendar_cli.h
@@ -17,13 +17,14 @@
   // A booking is changed only if it still has this version; 0: a new one, and
   // negative: whatever is there now.
   int64_t version = 0;
-  double notice_s = 90;  // what begins sooner is left out of a rule's times
+  double notice_seconds =
+      90;  // what begins sooner is left out of a rule's times
   // Of the work that `next` is asked about.
   std::string job_class;
   std::string team;
   double cores = 0;  // of all tasks
   double accelerators = 0;
-  double run_s = 0;
+  double run_seconds = 0;
 };
 
 // Exit codes are those of app/record_client.h.
--- a/app/calendar_records.cc
+++ b/app/calendar_records.cc
@@ -2,7 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
-#include "core/calendar/check.h"
+#include "core/maintenance/window_validation.h"
 #include "net/loop.h"
 #include "wire/calendar_json.h"
 
@@ -20,22 +20,24 @@
 }  // namespace
 
 std::string CheckBooking(const Settings& settings, const Catalog& catalog,
-                         const Follower& follower, const std::string& name,
+                         const StoreWatcher& watcher, const std::string& name,
                          const std::string& text) {
-  Booking booking;
-  std::string wrong = wire::ReadBooking(IdOf(name), text, true, &booking);
+  MaintenanceWindow booking;
+  std::string wrong =
+      wire::ReadMaintenanceWindow(IdOf(name), text, true, &booking);
   if (!wrong.empty()) return wrong;
   BookingContext context;
   context.settings = &settings;
   context.wall = net::WallNow();
   for (const auto& [host, machine] : catalog.machines()) {
-    const auto type = follower.types().find(machine.type);
-    if (type != follower.types().end()) context.fleet += type->second.total;
+    const auto type = watcher.types().find(machine.type);
+    if (type != watcher.types().end()) context.fleet += type->second.total;
   }
   for (const auto& [other, record] : catalog.operators()) {
-    Booking known;
+    MaintenanceWindow known;
     if (!IsBooking(other) || record.withdrawn ||
-        !wire::ReadBooking(IdOf(other), record.text, true, &known).empty()) {
+        !wire::ReadMaintenanceWindow(IdOf(other), record.text, true, &known)
+             .empty()) {
       continue;
     }
     if (other == name) {
@@ -47,8 +49,8 @@
   return WhyNoBooking(booking, context);
 }
 
-void TellBooking(const Catalog& catalog, const std::string& name,
-                 Controller& controller, Time now) {
+void PublishMaintenanceWindow(const Catalog& catalog, const std::string& name,
+                              Leader& controller, Time now) {
   if (!IsBooking(name)) return;
   const auto it = catalog.operators().find(name);
   // A record that is missing proves nothing: the last known holds.
@@ -58,9 +60,9 @@
     controller.OnBookingWithdrawn(IdOf(name), record.version, now);
     return;
   }
-  Booking booking;
+  MaintenanceWindow booking;
   const std::string wrong =
-      wire::ReadBooking(IdOf(name), record.text, true, &booking);
+      wire::ReadMaintenanceWindow(IdOf(name), record.text, true, &booking);
   if (wrong.empty()) {
     controller.OnBooking(booking, record.version, now);
   } else {
@@ -68,9 +70,10 @@
   }
 }
 
-void TellBookings(const Catalog& catalog, Controller& controller, Time now) {
+void PublishMaintenanceWindows(const Catalog& catalog, Leader& controller,
+                               Time now) {
   for (const auto& [name, record] : catalog.operators()) {
-    TellBooking(catalog, name, controller, now);
+    PublishMaintenanceWindow(catalog, name, controller, now);
   }
 }
 
--- a/app/calendar_records.h
+++ b/app/calendar_records.h
@@ -4,20 +4,21 @@
 
 #include <string>
 
-#include "app/follower.h"
-#include "core/controller/controller.h"
+#include "app/store_watcher.h"
+#include "core/leader/leader.h"
 
 namespace oxbow::app {
 
 // Empty when the record may stand; else one line that names the value.
 std::string CheckBooking(const Settings& settings, const Catalog& catalog,
-                         const Follower& follower, const std::string& name,
+                         const StoreWatcher& watcher, const std::string& name,
                          const std::string& text);
 
 // Tells the leader of the record, if it is a booking. One that can't be read
 // leaves the version known before in force.
-void TellBooking(const Catalog& catalog, const std::string& name,
-                 Controller& controller, Time now);
-void TellBookings(const Catalog& catalog, Controller& controller, Time now);
+void PublishMaintenanceWindow(const Catalog& catalog, const std::string& name,
+                              Leader& controller, Time now);
+void PublishMaintenanceWindows(const Catalog& catalog, Leader& controller,
+                               Time now);
 
 }  // namespace oxbow::app
--- /dev/null
+++ b/app/controller_node.cc
@@ -0,0 +1,241 @@
+#include "app/controller_node.h"
+
+#include <spdlog/spdlog.h>
+
+#include <random>
+#include <utility>
+
+#include "app/calendar_records.h"
+#include "wire/calendar_json.h"
+#include "wire/tiers_json.h"
+
+namespace oxbow::app {
+namespace {
+
+using clients::PeerAnswer;
+using clients::PeerKind;
+using clients::PeerMessage;
+
+net::Address AddressOf(const std::string& text) {
+  net::Address out;
+  net::ParseAddress(text, &out);  // checked with the settings
+  return out;
+}
+
+LeaderHealthCoordinator::Peers PeersOf(net::Loop& loop,
+                                       const Settings& settings) {
+  LeaderHealthCoordinator::Peers peers;
+  for (const PeerSettings& peer : settings.peers) {
+    peers.push_back(std::make_unique<clients::PeerClient>(
+        loop, peer.name, AddressOf(peer.address)));
+  }
+  return peers;
+}
+
+std::string NewIncarnation() {
+  std::random_device device;
+  return std::to_string((static_cast<uint64_t>(device()) << 32) | device());
+}
+
+// The kinds of operators' records, one place for each subsystem to bring its
+// own.
+std::vector<RecordKind> RecordKinds(const Settings& settings,
+                                    const Tuning& tuning,
+                                    const Catalog& catalog,
+                                    const StoreWatcher& watcher) {
+  std::vector<RecordKind> kinds;
+  if (tuning.tiers > 0) {
+    const TierBounds bounds = TierBounds::From(settings);
+    kinds.push_back({std::string(wire::kTiersRecord), "tiers",
+                     [bounds](const std::string&, const std::string& text) {
+                       std::vector<Tier> tiers;
+                       return wire::ReadTiers(text, bounds, &tiers);
+                     }});
+  }
+  if (tuning.calendar_on > 0) {
+    kinds.push_back({std::string(wire::kCalendarPrefix), "booking",
+                     [&settings, &catalog, &watcher](const std::string& name,
+                                                     const std::string& text) {
+                       return CheckBooking(settings, catalog, watcher, name,
+                                           text);
+                     }});
+  }
+  return kinds;
+}
+
+net::HttpServer::Limits ServerLimits(const Settings& settings) {
+  net::HttpServer::Limits limits;
+  // A part of the sockets stays for what this controller opens itself.
+  constexpr double kServed = 0.75;
+  limits.connections =
+      static_cast<size_t>(kServed * settings.limits.max_connections);
+  return limits;
+}
+
+}  // namespace
+
+ControllerNode::ControllerNode(net::Loop& loop, const Settings& settings,
+                               const Tuning& tuning)
+    : settings_(settings),
+      store_(loop, AddressOf(settings.store_address), settings),
+      cloud_(loop, AddressOf(settings.cloud_address), settings),
+      process_incarnation_(NewIncarnation()),
+      peers_(PeersOf(loop, settings)),
+      watcher_(loop, settings, store_, cloud_, catalog_,
+               {[this](const std::string& key) {
+                  if (key == keys::kEpoch) recovery_.EpochSeen();
+                  leader_runtime_.RecordTaken(key);
+                },
+                [this] { leader_runtime_.ExecuteActions(); },
+                [this](const std::vector<MachineType>& types) {
+                  leader_runtime_.TypesKnown(types);
+                },
+                [this] {
+                  recovery_.ReportDataLoss(DataLossIndication::kEpochMissing);
+                }}),
+      leader_health_coordinator_(
+          loop, settings, tuning, catalog_, peers_,
+          {[this](uint64_t revision, const auto& event) {
+             leader_runtime_.Deliver(revision, event);
+           },
+           [this] { return election_.MayLead(); },
+           [this](const std::string& why) {
+             election_.StepDown(why);
+             leader_health_coordinator_.OnLeadershipYielded();
+           }}),
+      zone_coordinator_(
+          loop, settings, tuning, store_, peers_, process_incarnation_,
+          {[this] { return election_.LeaderPeer(); },
+           [this] {
+             return election_.ByLease() ? leader_runtime_.ActiveLeader()
+                                        : nullptr;
+           },
+           [this](uint64_t revision, const auto& event) {
+             leader_runtime_.Deliver(revision, event);
+           }}),
+      recovery_(
+          loop, settings, tuning, catalog_, store_, watcher_, peers_,
+          {[this] { election_.StateLost(); },
+           [this] { election_.OtherEpoch(); },
+           [this] { return leader_runtime_.ActiveLeader() != nullptr; },
+           [this](uint64_t mod_revision) { election_.Orphaned(mod_revision); },
+           [this](uint64_t revision, const auto& event) {
+             leader_runtime_.Deliver(revision, event);
+           }}),
+      election_(loop, settings, tuning, store_, catalog_, watcher_,
+                leader_health_coordinator_, peers_, recovery_,
+                process_incarnation_,
+                {[this] { return leader_runtime_.is_leading(); },
+                 [this](uint64_t revision, const auto& delegates) {
+                   leader_runtime_.StartLeading(revision, delegates);
+                 },
+                 [this] { leader_runtime_.StopLeading(); }}),
+      leader_runtime_(loop, settings, tuning, catalog_, store_, cloud_,
+                      watcher_, election_, leader_health_coordinator_,
+                      zone_coordinator_, recovery_),
+      version_coordinator_(loop, settings, catalog_, store_,
+                           {[this] { return watcher_.synced(); },
+                            [this] { return recovery_.MayAccept(); },
+                            [this](std::vector<Precondition>* preconditions) {
+                              recovery_.AddGuard(preconditions);
+                            },
+                            [this](const std::string& key, const Record& record,
+                                   uint64_t mod_revision) {
+                              watcher_.Apply(key, record, mod_revision);
+                            }}),
+      users_(loop, settings, catalog_, store_, watcher_, election_,
+             leader_runtime_, peers_, zone_coordinator_, recovery_,
+             version_coordinator_),
+      rollout_coordinator_(settings, tuning, catalog_, store_,
+                           {[this](const std::string& key, const Record& record,
+                                   uint64_t mod_revision) {
+                              watcher_.Apply(key, record, mod_revision);
+                            },
+                            [this] { return watcher_.ever_synced(); },
+                            [this](std::vector<Precondition>* preconditions) {
+                              recovery_.AddGuard(preconditions);
+                            },
+                            [this] { return leader_runtime_.ActiveLeader(); },
+                            [&loop] { return loop.Now(); }}),
+      rollout_routes_(rollout_coordinator_),
+      record_coordinator_(settings, catalog_, store_,
+                          RecordKinds(settings, tuning, catalog_, watcher_),
+                          {[this](const std::string& key, const Record& record,
+                                  uint64_t mod_revision) {
+                             watcher_.Apply(key, record, mod_revision);
+                           },
+                           [this] { return watcher_.ever_synced(); },
+                           [this](std::vector<Precondition>* preconditions) {
+                             recovery_.AddGuard(preconditions);
+                           },
+                           [this] { return recovery_.MayAccept(); }}),
+      record_routes_(record_coordinator_),
+      api_(users_, &rollout_routes_, &record_routes_),
+      peer_server_(
+          loop, AddressOf(settings.peer_listen),
+          [this](PeerMessage message) { return OnPeer(std::move(message)); }),
+      server_(loop, AddressOf(settings.listen), ServerLimits(settings),
+              [this](net::HttpRequest request) {
+                return api_.Handle(std::move(request));
+              }) {}
+
+void ControllerNode::Start() {
+  spdlog::info("{} in {} starts, users at {}", settings_.node, settings_.zone,
+               settings_.listen);
+  net::Spawn(server_.Run());
+  net::Spawn(peer_server_.Run());
+  watcher_.Start();
+  election_.Start();
+  recovery_.Start();
+  zone_coordinator_.Start();
+  leader_runtime_.Start();
+  version_coordinator_.Start();
+}
+
+net::Task<PeerMessage> ControllerNode::OnPeer(PeerMessage message) {
+  PeerMessage reply;
+  reply.node = settings_.node;
+  reply.role = election_.Role();
+  if (JobRequestHandler::Handles(message.kind)) {
+    co_await users_.OnPeer(std::move(message), &reply);
+    co_return reply;
+  }
+  if (RecoveryCoordinator::Handles(message.kind)) {
+    co_await recovery_.OnPeer(std::move(message), &reply);
+    co_return reply;
+  }
+  if (ZoneCoordinator::Handles(message.kind)) {
+    zone_coordinator_.OnPeer(message, &reply);
+    co_return reply;
+  }
+  switch (message.kind) {
+    case PeerKind::kPromise: {
+      const bool promised = co_await election_.Promise();
+      if (promised) reply.answer = PeerAnswer::kYes;
+      break;
+    }
+    case PeerKind::kDelegate: {
+      const bool promised = co_await election_.PromiseToDelegate(message);
+      if (promised) reply.answer = PeerAnswer::kYes;
+      break;
+    }
+    case PeerKind::kDelegationOver:
+      election_.DelegationReleased(message);
+      break;
+    case PeerKind::kReach:
+    case PeerKind::kSilent:
+      co_await leader_health_coordinator_.OnReach(std::move(message), &reply);
+      break;
+    case PeerKind::kOfferLeadershipTransfer:
+      leader_health_coordinator_.OnOffer(message, &reply);
+      break;
+    case PeerKind::kDeferCandidacy:
+      leader_health_coordinator_.OnStandAside(message);
+      break;
+    default:
+      break;
+  }
+  co_return reply;
+}
+
+}  // namespace oxbow::app
--- a/app/node.h
+++ b/app/controller_node.h
@@ -1,6 +1,6 @@
 // One controller: the rooms of which it is made, and who may call whom.
 //
-//   Users -> LeaderService -> Election -> Follower
+//   Users -> LeaderRuntime -> Election -> Follower
 //   LeaderHealthCoordinator, RecoveryCoordinator, RolloutCoordinator: reached
 //   by the others, reach back through seams that are wired here.
 #pragma once
@@ -8,27 +8,28 @@
 #include <memory>
 
 #include "api/api.h"
-#include "app/election.h"
-#include "app/follower.h"
+#include "app/job_request_handler.h"
+#include "app/leader_election.h"
 #include "app/leader_health_coordinator.h"
-#include "app/leader_service.h"
+#include "app/leader_runtime.h"
 #include "app/record_coordinator.h"
 #include "app/recovery_coordinator.h"
 #include "app/rollout_coordinator.h"
-#include "app/users.h"
+#include "app/store_watcher.h"
 #include "app/version_coordinator.h"
 #include "app/zone_coordinator.h"
 #include "clients/cloud.h"
+#include "clients/key_value_store.h"
 #include "clients/peer.h"
-#include "clients/state.h"
 #include "net/http_server.h"
 #include "net/loop.h"
 
 namespace oxbow::app {
 
-class Node {
+class ControllerNode {
  public:
-  Node(net::Loop& loop, const Settings& settings, const Tuning& tuning);
+  ControllerNode(net::Loop& loop, const Settings& settings,
+                 const Tuning& tuning);
 
   // Starts everything; the loop does the rest.
   void Start();
@@ -39,18 +40,18 @@
 
   const Settings& settings_;
   Catalog catalog_;
-  clients::StateClient state_;
+  clients::KeyValueStoreClient store_;
   clients::CloudClient cloud_;
-  const std::string life_;  // incarnation of this process
+  const std::string process_incarnation_;  // incarnation of this process
   LeaderHealthCoordinator::Peers peers_;
-  Follower follower_;
+  StoreWatcher watcher_;
   LeaderHealthCoordinator leader_health_coordinator_;
   ZoneCoordinator zone_coordinator_;
   RecoveryCoordinator recovery_;
-  Election election_;
-  LeaderService leader_service_;
+  LeaderElection election_;
+  LeaderRuntime leader_runtime_;
   VersionCoordinator version_coordinator_;
-  Users users_;
+  JobRequestHandler users_;
   RolloutCoordinator rollout_coordinator_;
   api::RolloutRoutes rollout_routes_;
   RecordCoordinator record_coordinator_;
--- a/app/chain_admission.h
+++ b/app/dependency_admission.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "clients/state.h"
-#include "core/controller/catalog.h"
+#include "clients/key_value_store.h"
+#include "core/leader/catalog.h"
 #include "core/model/job.h"
 #include "net/task.h"
 
@@ -29,21 +29,21 @@
 struct Acceptance {
   std::string key;
   Record record;
-  std::vector<Condition> conditions;
+  std::vector<Precondition> preconditions;
   bool waits = false;
 };
 
-class ChainAdmission {
+class DependencyAdmission {
  public:
   enum class Accepted { kYes, kNo, kCannotTell };
-  struct Seams {
+  struct Callbacks {
     // Whether no controller runs a version that would not let a job wait.
     std::function<bool()> all_know_chains;
     // Reads afresh whether the job was accepted.
     std::function<net::Task<Accepted>(std::string id)> fresh_read;
   };
-  ChainAdmission(const Catalog& catalog, Seams seams)
-      : catalog_(catalog), seams_(std::move(seams)) {}
+  DependencyAdmission(const Catalog& catalog, Callbacks callbacks)
+      : catalog_(catalog), callbacks_(std::move(callbacks)) {}
 
   net::Task<NamedJobs> Look(std::shared_ptr<const JobSpec> spec);
 
@@ -54,7 +54,7 @@
   bool AllDone(const JobSpec& spec) const;
 
   const Catalog& catalog_;
-  const Seams seams_;
+  const Callbacks callbacks_;
 };
 
 }  // namespace oxbow::app
--- a/app/users.h
+++ b/app/job_request_handler.h
@@ -8,64 +8,65 @@
 #include <string>
 
 #include "api/api.h"
-#include "app/chain_admission.h"
-#include "app/election.h"
-#include "app/follower.h"
+#include "app/dependency_admission.h"
+#include "app/leader_election.h"
 #include "app/leader_health_coordinator.h"
-#include "app/leader_service.h"
+#include "app/leader_runtime.h"
 #include "app/recovery_coordinator.h"
-#include "app/relays.h"
+#include "app/request_forwarder.h"
+#include "app/store_watcher.h"
 #include "app/version_coordinator.h"
 #include "app/zone_coordinator.h"
+#include "clients/key_value_store.h"
 #include "clients/peer.h"
-#include "clients/state.h"
-#include "core/answers/answer_gate.h"
-#include "core/controller/catalog.h"
+#include "core/leader/catalog.h"
+#include "core/read_consistency/read_consistency_gate.h"
 
 namespace oxbow::app {
 
-class Users : public api::Service {
+class JobRequestHandler : public api::Service {
  public:
-  Users(net::Loop& loop, const Settings& settings, Catalog& catalog,
-        clients::StateClient& state, Follower& follower, Election& election,
-        LeaderService& leader_service,
-        const LeaderHealthCoordinator::Peers& peers,
-        ZoneCoordinator& zone_coordinator, RecoveryCoordinator& recovery,
-        VersionCoordinator& versions);
+  JobRequestHandler(net::Loop& loop, const Settings& settings, Catalog& catalog,
+                    clients::KeyValueStoreClient& state, StoreWatcher& watcher,
+                    LeaderElection& election, LeaderRuntime& leader_runtime,
+                    const LeaderHealthCoordinator::Peers& peers,
+                    ZoneCoordinator& zone_coordinator,
+                    RecoveryCoordinator& recovery,
+                    VersionCoordinator& versions);
 
   // api::Service
   bool Ready() override;
   const std::map<std::string, MachineType>* Types() override;
-  const std::vector<TeamSettings>& Teams() override { return settings_.teams; }
+  const std::vector<TeamQuota>& Teams() override { return settings_.teams; }
   bool KnownHere(const std::string& id) override;
   net::Task<api::Status> Poll(std::string id) override;
   net::Task<api::Submitted> Submit(
       std::shared_ptr<const JobSpec> spec) override;
   net::Task<api::Status> Cancel(std::string id) override;
-  net::Task<api::Reported> Report(WorkerReport report,
-                                  std::string body) override;
-  api::LeaderView Leader() override;
+  net::Task<api::HeartbeatAnswer> OnHeartbeat(Heartbeat heartbeat,
+                                              std::string body) override;
+  api::LeaderView CurrentLeader() override;
 
   // A request, or news of one, from another controller; false if it is not of
   // that kind.
-  static bool Takes(clients::PeerKind kind);
+  static bool Handles(clients::PeerKind kind);
   net::Task<void> OnPeer(clients::PeerMessage message,
                          clients::PeerMessage* reply);
 
  private:
   // One answer, of which a user waits only so long.
   template <typename Answer>
-  struct Awaited {
-    explicit Awaited(net::Loop& loop) : done(loop) {}
+  struct PendingAnswer {
+    explicit PendingAnswer(net::Loop& loop) : done(loop) {}
     net::Event done;
     Answer answer;
   };
-  using AwaitedStatus = std::shared_ptr<Awaited<api::Status>>;
-  using AwaitedSubmitted = std::shared_ptr<Awaited<api::Submitted>>;
+  using PendingStatus = std::shared_ptr<PendingAnswer<api::Status>>;
+  using PendingSubmission = std::shared_ptr<PendingAnswer<api::Submitted>>;
 
   // A request about a job that is answered by its status.
   struct StatusRequest {
-    net::Task<api::Status> (Users::*here)(std::string id);
+    net::Task<api::Status> (JobRequestHandler::*here)(std::string id);
     clients::PeerKind relay;  // what it is to a controller it is handed to
     double within;            // s until its user is told to come again
     double apart;             // s between the peers that are asked
@@ -74,63 +75,65 @@
   static const StatusRequest kCancelRequest;
 
   // Whether one more request may be under way here.
-  bool Takes() const;
+  bool Admits() const;
   // Here, else at another controller, in time or not at all.
   net::Task<api::Status> Answer(const StatusRequest& request, std::string id);
   net::Task<void> AnswerInto(const StatusRequest& request, std::string id,
-                             AwaitedStatus out);
+                             PendingStatus out);
   net::Task<void> SubmitInto(std::shared_ptr<const JobSpec> spec,
-                             AwaitedSubmitted out);
+                             PendingSubmission out);
   net::Task<api::Submitted> SubmitAnywhere(std::shared_ptr<const JobSpec> spec);
-  net::Task<api::Status> PollHere(std::string id);
+  net::Task<api::Status> PollLocally(std::string id);
   net::Task<api::Status> CancelOrPass(std::string id);
-  net::Task<api::Submitted> SubmitHere(std::shared_ptr<const JobSpec> spec);
+  net::Task<api::Submitted> SubmitLocally(std::shared_ptr<const JobSpec> spec);
   // Writes the acceptance and says what came of it.
   net::Task<api::Submitted> Accept(std::shared_ptr<const JobSpec> spec,
                                    NamedJobs named);
   // To the leader, which would learn of it a moment later.
-  void Hint(const std::string& id, const Acceptance& acceptance,
-            uint64_t revision);
-  net::Task<ChainAdmission::Accepted> WasAccepted(std::string id);
-  // Whether a user's request may wait for the state service.
+  void NotifyLeader(const std::string& id, const Acceptance& acceptance,
+                    uint64_t revision);
+  net::Task<DependencyAdmission::Accepted> WasAccepted(std::string id);
+  // Whether a user's request may wait for the key-value store.
   bool StateAnswers();
   net::Task<void> ProbeState();
   // Whether the job waits for others, read afresh.
-  net::Task<ChainAdmission::Accepted> ReadWaiting(std::string id);
+  net::Task<DependencyAdmission::Accepted> ReadWaiting(std::string id);
   // Reads the job afresh; brings the catalog up to date. `unseen`: the leader
   // has just said that it knows nothing of it.
   net::Task<api::Status> FreshRead(std::string id, bool unseen = false);
   // Fills in what may be told of the job, by what is known here and by a read
   // that began after the question.
-  Telling Tell(const std::string& id, RecordRead read, api::Status* out);
-  api::Status ToldBy(const std::string& id, RecordRead read);
+  StatusDecision ResolveStatus(const std::string& id, RecordRead read,
+                               api::Status* out);
+  api::Status StatusAsRead(const std::string& id, RecordRead read);
   // The leader's own sight of the job; kUnseen where this is not the leader.
-  JobSight SightOf(const std::string& id, JobView* out);
+  JobObservation ObservationOf(const std::string& id, JobView* out);
   bool SeenUnrecorded(const std::string& id);
   // What is said of a job that has no record.
   net::Task<api::Status> NotFound(std::string id, bool unseen);
-  // The leader's core takes the report; false if this is not the leader.
-  bool TakeReport(const WorkerReport& report, ReportReply* reply);
+  // The leader's core takes the heartbeat; false if this is not the leader.
+  bool ProcessHeartbeatAsLeader(const Heartbeat& heartbeat,
+                                HeartbeatResponse* reply);
   bool TerminalStateKnown(const std::string& id, api::Status* out) const;
   // Its end, of which only the kind may be known.
-  bool EndTold(const std::string& id, api::Status* out) const;
+  bool TerminalStatusOf(const std::string& id, api::Status* out) const;
   // Whether this one leads, has heard all machines, and knows nothing of it.
   bool UnseenHere(const std::string& id);
 
   net::Loop& loop_;
   const Settings& settings_;
   Catalog& catalog_;
-  clients::StateClient& state_;
-  Follower& follower_;
-  Election& election_;
-  LeaderService& leader_service_;
+  clients::KeyValueStoreClient& store_;
+  StoreWatcher& watcher_;
+  LeaderElection& election_;
+  LeaderRuntime& leader_runtime_;
   ZoneCoordinator& zone_coordinator_;
   RecoveryCoordinator& recovery_;
   VersionCoordinator& versions_;
-  ChainAdmission admission_;
-  Relays relays_;
+  DependencyAdmission admission_;
+  RequestForwarder forwarder_;
   size_t under_way_ = 0;  // users' requests
-  bool probing_ = false;  // the state service, on nobody's behalf
+  bool probing_ = false;  // the key-value store, on nobody's behalf
   net::Time next_probe_ = 0;
 };
 
--- a/app/users_peer.cc
+++ b/app/job_request_peers.cc
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-#include "app/users.h"
+#include "app/job_request_handler.h"
 #include "wire/names.h"
 #include "wire/records.h"
 #include "wire/worker_json.h"
@@ -19,9 +19,9 @@
 using clients::PeerMessage;
 
 void FillAnswer(const api::Status& status, PeerMessage* reply) {
-  if (status.found == api::Status::Found::kNo) {
+  if (status.found == api::Status::JobPresence::kNo) {
     reply->answer = PeerAnswer::kUnknownJob;
-  } else if (status.found == api::Status::Found::kYes) {
+  } else if (status.found == api::Status::JobPresence::kYes) {
     reply->answer = PeerAnswer::kYes;
     reply->text = status.status;
     reply->done = status.done;
@@ -47,11 +47,11 @@
 
 }  // namespace
 
-bool Users::Takes(PeerKind kind) {
+bool JobRequestHandler::Handles(PeerKind kind) {
   switch (kind) {
     case PeerKind::kPoll:
     case PeerKind::kCancel:
-    case PeerKind::kHint:
+    case PeerKind::kJobAccepted:
     case PeerKind::kReport:
     case PeerKind::kRelayPoll:
     case PeerKind::kRelayCancel:
@@ -63,12 +63,14 @@
   }
 }
 
-net::Task<void> Users::OnPeer(PeerMessage message, PeerMessage* reply) {
+net::Task<void> JobRequestHandler::OnPeer(PeerMessage message,
+                                          PeerMessage* reply) {
   switch (message.kind) {
     case PeerKind::kPoll: {
       api::Status status;
-      const Telling telling = Tell(message.job_id, RecordRead::kNone, &status);
-      if (telling != Telling::kReadFirst) {
+      const StatusDecision decision =
+          ResolveStatus(message.job_id, RecordRead::kNone, &status);
+      if (decision != StatusDecision::kReadFirst) {
         FillAnswer(status, reply);
       } else if (UnseenHere(message.job_id)) {
         reply->answer = PeerAnswer::kUnknownJob;
@@ -79,36 +81,36 @@
       break;
     }
     case PeerKind::kCancel: {
-      if (leader_service_.Leading() == nullptr) break;
+      if (leader_runtime_.ActiveLeader() == nullptr) break;
       if (!KnownHere(message.job_id)) {
         const api::Status known = co_await FreshRead(message.job_id);
-        if (known.found != api::Status::Found::kYes ||
-            leader_service_.Leading() == nullptr) {
+        if (known.found != api::Status::JobPresence::kYes ||
+            leader_runtime_.ActiveLeader() == nullptr) {
           break;
         }
       }
       const TerminalState state =
-          co_await leader_service_.Cancel(message.job_id);
+          co_await leader_runtime_.Cancel(message.job_id);
       if (state == TerminalState::kNone) break;
       reply->answer = PeerAnswer::kYes;
       reply->text = wire::NameOf(wire::kTerminalStates, state);
       break;
     }
-    case PeerKind::kHint: {
+    case PeerKind::kJobAccepted: {
       const std::string key = keys::Of(
           message.running > 0 ? keys::kWaiting : keys::kJob, message.job_id);
       const Record record = RecordIn(message, key);
       if (std::holds_alternative<std::monostate>(record)) break;
-      follower_.Apply(key, record, message.stamp);
-      leader_service_.Perform();
+      watcher_.Apply(key, record, message.mod_revision);
+      leader_runtime_.ExecuteActions();
       break;
     }
     case PeerKind::kReport: {
-      WorkerReport report;
-      ReportReply told;
-      if (!wire::ParseReport(message.text, &report)) break;
-      report.relayed = true;
-      if (!TakeReport(report, &told)) break;
+      Heartbeat heartbeat;
+      HeartbeatResponse told;
+      if (!wire::ParseReport(message.text, &heartbeat)) break;
+      heartbeat.forwarded = true;
+      if (!ProcessHeartbeatAsLeader(heartbeat, &told)) break;
       reply->text = wire::EncodeReply(told);
       if (reply->text.size() > ZoneCoordinator::kMostBytes) {
         reply->text.clear();
@@ -118,7 +120,7 @@
       break;
     }
     case PeerKind::kRelayPoll:
-      FillAnswer(co_await PollHere(message.job_id), reply);
+      FillAnswer(co_await PollLocally(message.job_id), reply);
       break;
     case PeerKind::kRelayCancel:
       FillAnswer(co_await CancelOrPass(message.job_id), reply);
@@ -131,7 +133,7 @@
         reply->answer = PeerAnswer::kKnownJob;
         break;
       }
-      const api::Submitted submitted = co_await SubmitHere(job->spec);
+      const api::Submitted submitted = co_await SubmitLocally(job->spec);
       if (submitted.result == api::Submitted::Result::kAccepted) {
         reply->answer = PeerAnswer::kYes;
       } else if (submitted.result == api::Submitted::Result::kKnown) {
--- a/app/election.h
+++ b/app/leader_election.h
@@ -8,34 +8,35 @@
 #include <set>
 #include <string>
 
-#include "app/follower.h"
 #include "app/leader_health_coordinator.h"
 #include "app/recovery_coordinator.h"
+#include "app/store_watcher.h"
+#include "clients/key_value_store.h"
 #include "clients/peer.h"
-#include "clients/state.h"
-#include "core/controller/catalog.h"
+#include "core/leader/catalog.h"
 #include "core/lease/leadership.h"
 #include "net/loop.h"
 
 namespace oxbow::app {
 
-class Election {
+class LeaderElection {
  public:
-  struct Seams {
-    std::function<bool()> in_office;
+  struct Callbacks {
+    std::function<bool()> is_leading;
     // With the controllers that may hold a right to keep their zone's workers,
     // as read after the key was won; nothing if that is not known.
     std::function<void(uint64_t revision,
                        const std::optional<std::set<std::string>>& delegates)>
-        take_office;
-    std::function<void()> leave_office;
+        start_leading;
+    std::function<void()> stop_leading;
   };
-  Election(net::Loop& loop, const Settings& settings, const Tuning& tuning,
-           clients::StateClient& state, const Catalog& catalog,
-           Follower& follower,
-           const LeaderHealthCoordinator& leader_health_coordinator,
-           const LeaderHealthCoordinator::Peers& peers,
-           RecoveryCoordinator& recovery, std::string incarnation, Seams seams);
+  LeaderElection(net::Loop& loop, const Settings& settings,
+                 const Tuning& tuning, clients::KeyValueStoreClient& state,
+                 const Catalog& catalog, StoreWatcher& watcher,
+                 const LeaderHealthCoordinator& leader_health_coordinator,
+                 const LeaderHealthCoordinator::Peers& peers,
+                 RecoveryCoordinator& recovery, std::string incarnation,
+                 Callbacks callbacks);
   void Start();
 
   // Whether this controller may act as the leader at this moment.
@@ -45,12 +46,15 @@
     return leadership_.revision() == revision ? leadership_.lease_id() : 0;
   }
   void StepDown(const std::string& why);
-  // The state service has lost data: whoever leads by it has to be waited for.
+  // The key-value store has lost data: whoever leads by it has to be waited
+  // for.
   void StateLost();
   // Another controller has opened a new epoch.
   void OtherEpoch();
   // The leader key of that stamp has outlived its lease.
-  void Orphaned(uint64_t stamp) { orphan_stamp_ = stamp; }
+  void Orphaned(uint64_t mod_revision) {
+    orphaned_key_mod_revision_ = mod_revision;
+  }
   // Whether it could take office, were the key free.
   bool MayLead();
   // Empty when not known; null when it is this controller or not known.
@@ -65,13 +69,13 @@
   net::Task<bool> Promise();
   net::Task<bool> PromiseToDelegate(const clients::PeerMessage& ask);
   void DelegationReleased(const clients::PeerMessage& over) {
-    leadership_.DelegationReleased(over.node, over.text, over.stamp);
+    leadership_.DelegationReleased(over.node, over.text, over.mod_revision);
   }
 
   // --- renewing workers' leases while nobody leads
-  // Whether a report of a worker that has seen a token of that term may be
-  // answered here, without orders. Being asked is what makes a controller seek
-  // the others' promises.
+  // Whether a heartbeat of a worker that has seen a token of that term may be
+  // answered here, without commands. Being asked is what makes a controller
+  // seek the others' promises.
   bool MayRenew(uint64_t term);
   // Whether the right to lead rests on the lease of the key, not on promises.
   bool ByLease() {
@@ -90,11 +94,11 @@
   // Opens a new epoch and takes the key in it.
   net::Task<void> Reopen();
   net::Task<bool> CloseEpochs(const RecoveryCoordinator::Opening& opening,
-                              std::vector<KeyChange>* changes);
+                              std::vector<Mutation>* mutations);
   // Whether the transaction that was sent has made this controller leader.
   // Looks, if it was not answered; `before` is the stamp that the key had.
-  net::Task<clients::StateResult> Take(std::vector<Condition> conditions,
-                                       std::vector<KeyChange> changes,
+  net::Task<clients::StoreResult> Take(std::vector<Precondition> preconditions,
+                                       std::vector<Mutation> mutations,
                                        uint64_t lease_id, uint64_t before);
   net::Task<void> Renew();
   // The lease is lost, and the right stands: the key is written again.
@@ -107,17 +111,17 @@
   net::Loop& loop_;
   const Settings& settings_;
   const std::string incarnation_;  // of this process
-  const double lease_s_;           // of the leader key
-  clients::StateClient& state_;
+  const double lease_seconds_;     // of the leader key
+  clients::KeyValueStoreClient& store_;
   const Catalog& catalog_;
-  Follower& follower_;
+  StoreWatcher& watcher_;
   const LeaderHealthCoordinator& leader_health_coordinator_;
   const LeaderHealthCoordinator::Peers& peers_;
   RecoveryCoordinator& recovery_;
-  Seams seams_;
+  Callbacks callbacks_;
   Leadership leadership_;
-  net::Time met_from_;          // when the others began to be asked who leads
-  uint64_t orphan_stamp_ = 0;   // of a leader key that is nobody's
+  net::Time met_from_;  // when the others began to be asked who leads
+  uint64_t orphaned_key_mod_revision_ = 0;  // of a leader key that is nobody's
   uint64_t lease_missing_ = 0;  // once: a lease that ended before its time
   bool meeting_ = false;
   bool reopening_ = false;
--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -24,30 +24,31 @@
 
 LeaderHealthCoordinator::LeaderHealthCoordinator(
     net::Loop& loop, const Settings& settings, const Tuning& tuning,
-    const Catalog& catalog, const Peers& peers, Seams seams)
+    const Catalog& catalog, const Peers& peers, Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
       catalog_(catalog),
       peers_(peers),
-      seams_(std::move(seams)),
+      callbacks_(std::move(callbacks)),
       reach_(loop, std::min(kMostProbes, static_cast<size_t>(
                                              kProbeSocketShare *
                                              settings.limits.max_connections))),
-      hand_overs_(settings.workers.lease_s,
-                  static_cast<int>(tuning.most_hand_overs)),
-      probe_s_(kProbeRatio * settings.workers.lease_s),
-      leader_lease_s_(tuning.leader_lease_ratio * settings.workers.lease_s) {}
+      leadership_transfers_(settings.workers.lease_seconds,
+                            static_cast<int>(tuning.max_leadership_transfers)),
+      probe_seconds_(kProbeRatio * settings.workers.lease_seconds),
+      leader_lease_seconds_(tuning.leader_lease_ratio *
+                            settings.workers.lease_seconds) {}
 
 net::Task<void> LeaderHealthCoordinator::AskSelf(
     std::shared_ptr<Round> round, std::vector<std::string> endpoints,
     uint64_t revision) {
-  clients::ReachClient::Found found =
-      co_await reach_.Ask(std::move(endpoints), probe_s_);
+  clients::ReachClient::Result found =
+      co_await reach_.Ask(std::move(endpoints), probe_seconds_);
   round->answers[0].answered = true;
   round->answers[0].machines = std::move(found.machines);
-  seams_.tell(revision, [&](Controller& c) {
-    for (const WorkerReport& report : found.reports) {
-      c.OnProbeAnswer(report, loop_.Now());
+  callbacks_.tell(revision, [&](Leader& c) {
+    for (const Heartbeat& heartbeat : found.reports) {
+      c.OnProbeAnswer(heartbeat, loop_.Now());
     }
   });
   if (--round->left == 0) round->done.Set();
@@ -58,7 +59,8 @@
                                                  clients::PeerClient* peer,
                                                  PeerMessage ask,
                                                  size_t count) {
-  const auto answer = co_await peer->Ask(std::move(ask), kWait * probe_s_);
+  const auto answer =
+      co_await peer->Ask(std::move(ask), kWait * probe_seconds_);
   Reach& reach = round->answers[slot];
   if (answer.ok && IsReachText(answer.message.text, count)) {
     reach.answered = true;
@@ -68,8 +70,8 @@
   if (--round->left == 0) round->done.Set();
 }
 
-net::Task<void> LeaderHealthCoordinator::DoReach(AskReach ask,
-                                                 uint64_t revision) {
+net::Task<void> LeaderHealthCoordinator::SurveyReachability(AskReach ask,
+                                                            uint64_t revision) {
   auto round = std::make_shared<Round>(loop_);
   round->answers.resize(1 + peers_.size());
   round->left = 1 + peers_.size();
@@ -84,21 +86,21 @@
     net::Spawn(
         AskPeer(round, i + 1, peers_[i].get(), question, ask.hosts.size()));
   }
-  co_await round->done.Wait(kWait * probe_s_);
+  co_await round->done.Wait(kWait * probe_seconds_);
   // One that answers after this is not looked at any more.
   std::vector<Reach> answers = round->answers;
-  seams_.tell(revision, [&](Controller& c) {
+  callbacks_.tell(revision, [&](Leader& c) {
     c.OnReach(ask.round, std::move(answers), loop_.Now());
   });
 }
 
-net::Task<void> LeaderHealthCoordinator::DoOffer(OfferLead offer,
-                                                 uint64_t revision) {
+net::Task<void> LeaderHealthCoordinator::OfferTransfer(
+    OfferLeadershipTransfer offer, uint64_t revision) {
   const auto refused = [&](const std::string& why) {
-    seams_.tell(revision,
-                [&](Controller& c) { c.OnOfferRefused(why, loop_.Now()); });
+    callbacks_.tell(revision,
+                    [&](Leader& c) { c.OnTransferRejected(why, loop_.Now()); });
   };
-  if (!hand_overs_.Allows(loop_.Now())) {
+  if (!leadership_transfers_.Allows(loop_.Now())) {
     refused("too many hand-overs within a lease, though " + offer.why);
     co_return;
   }
@@ -107,40 +109,40 @@
     if (peer->name() == offer.to) to = peer.get();
   }
   PeerMessage ask;
-  ask.kind = PeerKind::kOffer;
+  ask.kind = PeerKind::kOfferLeadershipTransfer;
   ask.node = settings_.node;
   ask.text = offer.why;
   clients::PeerClient::Answer answer;
-  if (to != nullptr) answer = co_await to->Ask(std::move(ask), probe_s_);
+  if (to != nullptr) answer = co_await to->Ask(std::move(ask), probe_seconds_);
   if (!answer.ok || answer.message.answer != PeerAnswer::kYes) {
     refused(offer.to + " does not take over, though " + offer.why);
     co_return;
   }
   // The leadership may have ended, and another begun, while it was asked.
   bool still = false;
-  seams_.tell(revision, [&](Controller& c) {
+  callbacks_.tell(revision, [&](Leader& c) {
     still = true;
-    c.OnOfferAgreed();
+    c.OnTransferAccepted();
   });
   if (!still) co_return;
   for (const auto& peer : peers_) {
     if (peer.get() == to) continue;
     PeerMessage aside;
-    aside.kind = PeerKind::kStandAside;
+    aside.kind = PeerKind::kDeferCandidacy;
     aside.node = settings_.node;
     aside.text = offer.to;
-    net::Spawn(peer->Tell(std::move(aside)));
+    net::Spawn(peer->Notify(std::move(aside)));
   }
-  hand_overs_.Note(loop_.Now());
-  seams_.step_down("hands over, " + offer.why);
+  leadership_transfers_.Note(loop_.Now());
+  callbacks_.step_down("hands over, " + offer.why);
 }
 
-void LeaderHealthCoordinator::Yielded() {
+void LeaderHealthCoordinator::OnLeadershipYielded() {
   const net::Time now = loop_.Now();
-  unfit_until_ = now + settings_.workers.lease_s;
+  unfit_until_ = now + settings_.workers.lease_seconds;
   // Long enough for another to win; not for ever, it may be the last one.
   constexpr double kGrace = 1.5;
-  others_first_until_ = now + kGrace * leader_lease_s_;
+  others_first_until_ = now + kGrace * leader_lease_seconds_;
 }
 
 net::Task<void> LeaderHealthCoordinator::OnReach(PeerMessage message,
@@ -154,8 +156,8 @@
     endpoints.push_back(it == catalog_.machines().end() ? std::string()
                                                         : it->second.endpoint);
   }
-  clients::ReachClient::Found found =
-      co_await reach_.Ask(std::move(endpoints), probe_s_);
+  clients::ReachClient::Result found =
+      co_await reach_.Ask(std::move(endpoints), probe_seconds_);
   // What it learns of itself: it lets others go first if it hears nobody.
   size_t reached = 0;
   size_t asked = 0;
@@ -166,20 +168,21 @@
   constexpr size_t kSample = 8;  // fewer may all be dead
   if (message.kind == PeerKind::kReach && asked >= kSample) {
     unfit_until_ =
-        reached == 0 ? loop_.Now() + settings_.workers.lease_s : -1e9;
+        reached == 0 ? loop_.Now() + settings_.workers.lease_seconds : -1e9;
   }
   reply->text = std::move(found.machines);
-  if (seams_.may_lead()) reply->answer = PeerAnswer::kYes;
+  if (callbacks_.may_lead()) reply->answer = PeerAnswer::kYes;
 }
 
 void LeaderHealthCoordinator::OnOffer(const PeerMessage& message,
                                       PeerMessage* reply) {
   const net::Time now = loop_.Now();
-  if (!seams_.may_lead() || now < unfit_until_ || !hand_overs_.Allows(now)) {
+  if (!callbacks_.may_lead() || now < unfit_until_ ||
+      !leadership_transfers_.Allows(now)) {
     return;
   }
   spdlog::info("{} offers the lead: {}", message.node, message.text);
-  hand_overs_.Note(now);
+  leadership_transfers_.Note(now);
   others_first_until_ = -1e9;
   reply->answer = PeerAnswer::kYes;
 }
@@ -187,14 +190,14 @@
 void LeaderHealthCoordinator::OnStandAside(const PeerMessage& message) {
   const net::Time now = loop_.Now();
   spdlog::info("{} hands over to {}", message.node, message.text);
-  hand_overs_.Note(now);
-  others_first_until_ = now + leader_lease_s_ / 2;
+  leadership_transfers_.Note(now);
+  others_first_until_ = now + leader_lease_seconds_ / 2;
 }
 
 bool LeaderHealthCoordinator::MaySeek(double free_for) const {
   const net::Time now = loop_.Now();
   if (now < others_first_until_) return false;
-  return now >= unfit_until_ || free_for >= leader_lease_s_ / 2;
+  return now >= unfit_until_ || free_for >= leader_lease_seconds_ / 2;
 }
 
 }  // namespace oxbow::app
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "clients/peer.h"
-#include "clients/reach.h"
-#include "core/controller/controller.h"
+#include "clients/reach_client.h"
+#include "core/leader/leader.h"
 #include "core/leader_health/leader_health.h"
 
 namespace oxbow::app {
@@ -18,10 +18,9 @@
 class LeaderHealthCoordinator {
  public:
   using Peers = std::vector<std::unique_ptr<clients::PeerClient>>;
-  struct Seams {
+  struct Callbacks {
     // Hands an event to the leader's core, if that leadership still stands.
-    std::function<void(uint64_t revision,
-                       const std::function<void(Controller&)>&)>
+    std::function<void(uint64_t revision, const std::function<void(Leader&)>&)>
         tell;
     // Whether this controller could take office now.
     std::function<bool()> may_lead;
@@ -30,13 +29,14 @@
 
   LeaderHealthCoordinator(net::Loop& loop, const Settings& settings,
                           const Tuning& tuning, const Catalog& catalog,
-                          const Peers& peers, Seams seams);
+                          const Peers& peers, Callbacks callbacks);
 
   // --- as the leader
-  net::Task<void> DoReach(AskReach ask, uint64_t revision);
-  net::Task<void> DoOffer(OfferLead offer, uint64_t revision);
+  net::Task<void> SurveyReachability(AskReach ask, uint64_t revision);
+  net::Task<void> OfferTransfer(OfferLeadershipTransfer offer,
+                                uint64_t revision);
   // It has stepped down as unfit.
-  void Yielded();
+  void OnLeadershipYielded();
 
   // --- as one who is asked
   net::Task<void> OnReach(clients::PeerMessage message,
@@ -67,11 +67,11 @@
   const Settings& settings_;
   const Catalog& catalog_;
   const Peers& peers_;
-  Seams seams_;
+  Callbacks callbacks_;
   clients::ReachClient reach_;
-  HandOverLog hand_overs_;
-  const double probe_s_;         // for a worker's answer
-  const double leader_lease_s_;  // of the leader key
+  HandOverLog leadership_transfers_;
+  const double probe_seconds_;         // for a worker's answer
+  const double leader_lease_seconds_;  // of the leader key
   net::Time unfit_until_ = -1e9;
   net::Time others_first_until_ = -1e9;
 };
--- a/app/main.cc
+++ b/app/main.cc
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "app/calendar_cli.h"
-#include "app/node.h"
+#include "app/controller_node.h"
 #include "app/options.h"
 #include "app/rollout_cli.h"
 #include "app/settings.h"
@@ -60,7 +60,7 @@
 
 int Serve(const Settings& settings, const Tuning& tuning) {
   net::Loop loop;
-  Node node(loop, settings, tuning);
+  ControllerNode node(loop, settings, tuning);
   node.Start();
   loop.Run();
   return 0;
@@ -133,10 +133,10 @@
     sub->callback([command, verb] { command->verb = verb; });
     return sub;
   };
-  const auto changes = [&](CLI::App* sub) {
+  const auto mutations = [&](CLI::App* sub) {
     sub->add_option("--author", command->author, "who changes it")->required();
     sub->add_option("--note", command->note, "why");
-    sub->add_option("--notice", command->notice_s,
+    sub->add_option("--notice", command->notice_seconds,
                     "what a rule has sooner is left out, s");
     return sub;
   };
@@ -148,9 +148,9 @@
     sub->add_option("--version", command->version,
                     "the version that it replaces; -1: whichever is there");
   };
-  replaces(declares(changes(add("book", "book, or change a booking", true))));
-  replaces(changes(add("cancel", "cancel a booking", true)));
-  changes(add("extend", "work the rules' times out further ahead", false));
+  replaces(declares(mutations(add("book", "book, or change a booking", true))));
+  replaces(mutations(add("cancel", "cancel a booking", true)));
+  mutations(add("extend", "work the rules' times out further ahead", false));
   add("list", "all bookings", false);
   add("show", "one booking, with its times", true);
   CLI::App* check = declares(add("check", "look at a declaration only", true));
@@ -161,7 +161,7 @@
   next->add_option("--team", command->team, "of the work");
   next->add_option("--cores", command->cores, "of all its tasks");
   next->add_option("--accelerators", command->accelerators, "of all its tasks");
-  next->add_option("--run", command->run_s, "of one task, s");
+  next->add_option("--run", command->run_seconds, "of one task, s");
   return all;
 }
 
@@ -212,7 +212,7 @@
     CLI::App* sub = tiers->add_subcommand(verb, help);
     const std::string name = verb;
     const bool file = name == "check" || name == "set";
-    const bool changes = name == "set" || name == "withdraw";
+    const bool mutations = name == "set" || name == "withdraw";
     sub->add_option("--config", config,
                     "the settings that a file is checked against");
     if (file) sub->add_option("file", tiers_command.file)->required();
@@ -222,7 +222,7 @@
           ->required();
       sub->add_flag("--json", tiers_command.json, "print texts as they came");
     }
-    if (changes) {
+    if (mutations) {
       sub->add_option("--version", tiers_command.version,
                       "the version that is replaced; 0: there is none")
           ->required();
--- a/app/record_coordinator.h
+++ b/app/record_coordinator.h
@@ -1,7 +1,7 @@
 // What a controller does for the operators' records: each change is its own
 // write, conditioned on the version that it replaces; the leader sees it in the
-// state service. Knows nothing of what a record means: who reads a kind brings
-// its check.
+// key-value store. Knows nothing of what a record means: who reads a kind
+// brings its check.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "api/record_routes.h"
-#include "clients/state.h"
-#include "core/controller/catalog.h"
+#include "clients/key_value_store.h"
+#include "core/leader/catalog.h"
 #include "core/model/settings.h"
 
 namespace oxbow::app {
@@ -27,21 +27,22 @@
 
 class RecordCoordinator : public api::RecordService {
  public:
-  struct Seams {
+  struct Callbacks {
     // Takes a record that was read or written into the picture.
-    std::function<void(const std::string& key, const Record&, uint64_t stamp)>
+    std::function<void(const std::string& key, const Record&,
+                       uint64_t mod_revision)>
         apply;
     std::function<bool()> synced;
     // Makes a write one of the epoch that is known.
-    std::function<void(std::vector<Condition>*)> add_guard;
-    // False while the state service may have lost data: what is missing there
+    std::function<void(std::vector<Precondition>*)> add_guard;
+    // False while the key-value store may have lost data: what is missing there
     // may be remembered, and a version must not be given twice.
     std::function<bool()> may_write;
   };
 
   RecordCoordinator(const Settings& settings, const Catalog& catalog,
-                    clients::StateClient& state, std::vector<RecordKind> kinds,
-                    Seams seams);
+                    clients::KeyValueStoreClient& state,
+                    std::vector<RecordKind> kinds, Callbacks callbacks);
 
   net::Task<api::RecordAnswer> Get(std::string name) override;
   net::Task<api::RecordAnswer> Change(std::string name,
@@ -55,9 +56,10 @@
   api::RecordAnswer Check(const std::string& name,
                           const OperatorRecord& record) const;
   // An old tombstone, removed beside a change so that they don't pile up.
-  void AddSweep(const std::string& but, std::vector<Condition>* conditions,
-                std::vector<KeyChange>* changes) const;
-  // Whether the state service takes a value of that size.
+  void AddSweep(const std::string& but,
+                std::vector<Precondition>* preconditions,
+                std::vector<Mutation>* mutations) const;
+  // Whether the key-value store takes a value of that size.
   bool Fits(const OperatorRecord& record) const;
   // An earlier version that is larger than what may be written now.
   net::Task<bool> KeepInPieces(std::string name, OperatorRecord record);
@@ -65,9 +67,9 @@
 
   const Settings& settings_;
   const Catalog& catalog_;
-  clients::StateClient& state_;
+  clients::KeyValueStoreClient& store_;
   const std::vector<RecordKind> kinds_;
-  Seams seams_;
+  Callbacks callbacks_;
 };
 
 }  // namespace oxbow::app
--- a/app/record_history.h
+++ b/app/record_history.h
@@ -1,6 +1,6 @@
-// Earlier versions of operators' records, as the state service keeps them: each
-// under a key of its own, or, where it takes no value of that size any more, in
-// pieces under keys below that one.
+// Earlier versions of operators' records, as the key-value store keeps them:
+// each under a key of its own, or, where it takes no value of that size any
+// more, in pieces under keys below that one.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "clients/state.h"
+#include "clients/key_value_store.h"
 #include "core/model/operator_record.h"
 
 namespace oxbow::app {
--- a/app/recovery_audit.cc
+++ b/app/recovery_audit.cc
@@ -11,22 +11,22 @@
 namespace oxbow::app {
 namespace {
 
-using clients::StateResult;
+using clients::StoreResult;
 
 }  // namespace
 
 // --- what is compared always
 
 net::Task<void> RecoveryCoordinator::AuditLoop() {
-  const double pause = settings_.workers.lease_s / tuning_.recovery_pages;
+  const double pause = settings_.workers.lease_seconds / tuning_.recovery_pages;
   std::string live;
   std::string ended;
   for (bool turn = false;; turn = !turn) {
     co_await loop_.Sleep(pause);
     // The leader has enough to do; its writes tell it as well.
-    if (seams_.leading() ||
+    if (callbacks_.leading() ||
         verification_.state() != StoreVerificationState::kVerified ||
-        !follower_.synced()) {
+        !watcher_.synced()) {
       continue;
     }
     if (turn) {
@@ -38,8 +38,8 @@
 }
 
 net::Task<void> RecoveryCoordinator::AuditLive(std::string* after) {
-  const StateResult page =
-      co_await state_.List(std::string(keys::kLive), *after);
+  const StoreResult page =
+      co_await store_.List(std::string(keys::kLive), *after);
   if (!page.ok()) co_return;
   std::unordered_set<std::string> listed;
   for (const clients::KeyValue& item : page.items) listed.insert(item.key);
@@ -47,18 +47,20 @@
   const bool last = !page.more || page.items.empty();
   *after = last ? std::string() : page.items.back().key;
   // A deletion that the page shows has to be followed first.
-  const double pause = kRoundPause * settings_.workers.report_s;
-  for (int i = 0; i < 50 && catalog_.followed() < page.revision; ++i) {
+  const double pause =
+      kRoundPause * settings_.workers.heartbeat_interval_seconds;
+  for (int i = 0; i < 50 && catalog_.watched_revision() < page.revision; ++i) {
     co_await loop_.Sleep(pause);
   }
-  if (catalog_.followed() < page.revision ||
+  if (catalog_.watched_revision() < page.revision ||
       verification_.state() != StoreVerificationState::kVerified) {
     co_return;
   }
   std::string missing;
   const auto compare = [&](const auto& map, std::string_view prefix) {
     for (const auto& [name, record] : map) {
-      if (record.stamp == 0 || record.stamp > page.revision) continue;
+      if (record.mod_revision == 0 || record.mod_revision > page.revision)
+        continue;
       std::string key = keys::Of(prefix, name);
       if (key > from && (last || key <= *after) && !listed.contains(key)) {
         missing = std::move(key);
@@ -68,16 +70,16 @@
   compare(catalog_.jobs(), keys::kJob);
   compare(catalog_.waiting(), keys::kWaiting);
   compare(catalog_.machines(), keys::kMachine);
-  compare(catalog_.rentals(), keys::kRental);
+  compare(catalog_.scale_outs(), keys::kScaleOut);
   if (missing.empty()) missing = Revived();
   if (missing.empty()) co_return;
   std::string id = JobOf(missing);
   if (!id.empty()) {
     // It may have gone on at this moment.
-    const CheckSays says = co_await LookForJob(std::move(id));
-    if (says != CheckSays::kGone) co_return;
+    const StoreCheck says = co_await LookForJob(std::move(id));
+    if (says != StoreCheck::kGone) co_return;
   }
-  Sign(LossSign::kRecordMissing, missing);
+  ReportDataLoss(DataLossIndication::kRecordMissing, missing);
 }
 
 net::Task<void> RecoveryCoordinator::AuditEnded(std::string* after) {
@@ -85,8 +87,8 @@
     present_ = {};
     known_ = catalog_.ended();
   }
-  const StateResult page =
-      co_await state_.List(std::string(keys::kTerminal), *after);
+  const StoreResult page =
+      co_await store_.List(std::string(keys::kTerminal), *after);
   if (!page.ok()) co_return;
   for (const clients::KeyValue& item : page.items) {
     const auto* end = std::get_if<TerminalRecord>(&item.record);
@@ -105,9 +107,10 @@
     if (catalog_.FindJob(id) == nullptr) missing = id;
   });
   if (missing.empty()) co_return;
-  const CheckSays says = co_await LookForJob(missing);
-  if (says == CheckSays::kGone) {
-    Sign(LossSign::kRecordMissing, keys::Of(keys::kJob, missing));
+  const StoreCheck says = co_await LookForJob(missing);
+  if (says == StoreCheck::kGone) {
+    ReportDataLoss(DataLossIndication::kRecordMissing,
+                   keys::Of(keys::kJob, missing));
   }
 }
 
--- a/app/recovery_gather.cc
+++ b/app/recovery_collection.cc
@@ -8,7 +8,7 @@
 
 #include "app/recovery_coordinator.h"
 #include "app/recovery_limits.h"
-#include "clients/memory_page.h"
+#include "clients/retained_records_page.h"
 #include "wire/records.h"
 
 namespace oxbow::app {
@@ -17,71 +17,74 @@
 using clients::PeerAnswer;
 using clients::PeerKind;
 using clients::PeerMessage;
-using clients::StateResult;
+using clients::StoreResult;
 
 constexpr double kPageRatio = 0.1;
 
 }  // namespace
 
-bool RecoveryCoordinator::Gathered(uint64_t revision) {
+bool RecoveryCoordinator::HasCollected(uint64_t revision) {
   // By its term: after a second loss the revision may be the same again, and
   // the leader would wait for ever for what it took to be under way.
   const uint64_t term = TermOf(catalog_.epoch(), revision);
   if (!on() || catalog_.epoch().number == 0 || catalog_.epoch().rebuilt ||
-      gathered_ == term) {
+      collected_term_ == term) {
     return true;
   }
-  if (gathering_ != term && follower_.synced()) {
-    gathering_ = term;
-    net::Spawn(Gather(term));
+  if (collecting_term_ != term && watcher_.synced()) {
+    collecting_term_ = term;
+    net::Spawn(CollectPeerState(term));
   }
   return false;
 }
 
-net::Task<void> RecoveryCoordinator::Gather(uint64_t term) {
+net::Task<void> RecoveryCoordinator::CollectPeerState(uint64_t term) {
   // A controller that was not there before the loss does not know what it, in
   // its former life, may have accepted last.
   bool whole = whole_before_ && first_epoch_ < catalog_.epoch().number;
   // All ends first: what has ended is not revived by another's older memory.
-  const bool told = co_await GatherFromAll(&RecoveryCoordinator::GatherEnds);
-  catalog_.ApplyEnds();
+  const bool told =
+      co_await CollectFromAll(&RecoveryCoordinator::CollectTerminalStates);
+  catalog_.ApplyTerminalStates();
   const bool witnessed =
-      co_await GatherFromAll(&RecoveryCoordinator::GatherMemory);
+      co_await CollectFromAll(&RecoveryCoordinator::CollectRetainedRecords);
   whole = whole && told && witnessed;
-  if (gathering_ != term || TermOf(catalog_.epoch(), 0) > term) co_return;
-  gathered_ = term;
+  if (collecting_term_ != term || TermOf(catalog_.epoch(), 0) > term) co_return;
+  collected_term_ = term;
   spdlog::info(
       "memory gathered: {} jobs, {} machines, {} ends; {} records are owed, {}",
       catalog_.jobs().size(), catalog_.machines().size(),
-      catalog_.ended().size(), catalog_.owed().size(),
+      catalog_.ended().size(), catalog_.pending_writes().size(),
       whole ? "all controllers were there" : "something may be missing");
   net::Spawn(CompareEnded(term, whole));
 }
 
-net::Task<bool> RecoveryCoordinator::GatherFromAll(Gatherer what) {
+net::Task<bool> RecoveryCoordinator::CollectFromAll(Collector what) {
   if (peers_.empty()) co_return true;
   auto ask = std::make_shared<Ask>(loop_);
   ask->left = peers_.size();
   bool whole = true;
   for (const auto& peer : peers_) {
-    net::Spawn(GatherOne(ask, what, peer.get(), &whole));
+    net::Spawn(CollectFromOne(ask, what, peer.get(), &whole));
   }
   // Each of them ends by itself, with the first page that does not come.
-  while (ask->left > 0) co_await ask->done.Wait(settings_.workers.lease_s);
+  while (ask->left > 0)
+    co_await ask->done.Wait(settings_.workers.lease_seconds);
   co_return whole;
 }
 
-net::Task<void> RecoveryCoordinator::GatherOne(std::shared_ptr<Ask> ask,
-                                               Gatherer what,
-                                               clients::PeerClient* peer,
-                                               bool* whole) {
+net::Task<void> RecoveryCoordinator::CollectFromOne(std::shared_ptr<Ask> ask,
+                                                    Collector what,
+                                                    clients::PeerClient* peer,
+                                                    bool* whole) {
   const bool told = co_await (this->*what)(peer);
   *whole = *whole && told;
   if (--ask->left == 0) ask->done.Set();
 }
 
-net::Task<bool> RecoveryCoordinator::GatherEnds(clients::PeerClient* peer) {
-  const double timeout = kPageRatio * settings_.workers.lease_s;
+net::Task<bool> RecoveryCoordinator::CollectTerminalStates(
+    clients::PeerClient* peer) {
+  const double timeout = kPageRatio * settings_.workers.lease_seconds;
   for (const TerminalState part :
        {TerminalState::kDone, TerminalState::kAborted}) {
     std::string bytes;
@@ -90,7 +93,7 @@
       ask.kind = PeerKind::kEnded;
       ask.node = settings_.node;
       ask.done = static_cast<uint32_t>(part);
-      ask.stamp = bytes.size();
+      ask.mod_revision = bytes.size();
       const auto answer = co_await peer->Ask(std::move(ask), timeout);
       if (!answer.ok || answer.message.answer != PeerAnswer::kYes) {
         co_return false;
@@ -103,8 +106,9 @@
   co_return true;
 }
 
-net::Task<bool> RecoveryCoordinator::GatherMemory(clients::PeerClient* peer) {
-  const double timeout = kPageRatio * settings_.workers.lease_s;
+net::Task<bool> RecoveryCoordinator::CollectRetainedRecords(
+    clients::PeerClient* peer) {
+  const double timeout = kPageRatio * settings_.workers.lease_seconds;
   bool witness = false;
   std::string after;
   for (;;) {
@@ -128,7 +132,7 @@
           !wire::DecodeRecord(memory.key, doc, &record)) {
         continue;
       }
-      // What stands in this epoch the state service tells.
+      // What stands in this epoch the key-value store tells.
       if (memory.version.epoch < catalog_.epoch().number) {
         catalog_.Remember(memory.key, record, memory.version);
       }
@@ -143,11 +147,12 @@
   TerminalStateIndex there;
   std::string after;
   for (;;) {
-    const StateResult page =
-        co_await state_.List(std::string(keys::kTerminal), after);
-    if (catalog_.epoch().number != epoch || gathered_ != term) co_return;
+    const StoreResult page =
+        co_await store_.List(std::string(keys::kTerminal), after);
+    if (catalog_.epoch().number != epoch || collected_term_ != term) co_return;
     if (!page.ok()) {
-      co_await loop_.Sleep(kRoundPause * settings_.workers.report_s);
+      co_await loop_.Sleep(kRoundPause *
+                           settings_.workers.heartbeat_interval_seconds);
       continue;
     }
     for (const clients::KeyValue& item : page.items) {
@@ -158,19 +163,20 @@
     }
     if (!page.more || page.items.empty()) break;
   }
-  std::vector<std::pair<std::string, TerminalState>> owed;
+  std::vector<std::pair<std::string, TerminalState>> pending_writes;
   catalog_.ended().ForEachMissing(there, [&](const auto& id, auto state) {
     // One that is still live here moves there by itself.
-    if (catalog_.FindJob(id) == nullptr) owed.emplace_back(id, state);
+    if (catalog_.FindJob(id) == nullptr) pending_writes.emplace_back(id, state);
   });
   // The leader may not have taken office yet.
   bool told = false;
-  while (!told && gathered_ == term) {
-    seams_.tell(term, [&](Controller& c) {
+  while (!told && collected_term_ == term) {
+    callbacks_.tell(term, [&](Leader& c) {
       told = true;
-      c.OnEndsOwed(std::move(owed), whole);
+      c.OnUnrecordedTerminalStates(std::move(pending_writes), whole);
     });
-    co_await loop_.Sleep(kRoundPause * settings_.workers.report_s);
+    co_await loop_.Sleep(kRoundPause *
+                         settings_.workers.heartbeat_interval_seconds);
   }
 }
 
--- a/app/recovery_coordinator.cc
+++ b/app/recovery_coordinator.cc
@@ -25,22 +25,25 @@
 
 RecoveryCoordinator::RecoveryCoordinator(
     net::Loop& loop, const Settings& settings, const Tuning& tuning,
-    Catalog& catalog, clients::StateClient& state, Follower& follower,
-    const LeaderHealthCoordinator::Peers& peers, Seams seams)
+    Catalog& catalog, clients::KeyValueStoreClient& state,
+    StoreWatcher& watcher, const LeaderHealthCoordinator::Peers& peers,
+    Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
       tuning_(tuning),
       catalog_(catalog),
-      state_(state),
-      follower_(follower),
+      store_(state),
+      watcher_(watcher),
       peers_(peers),
-      seams_(std::move(seams)) {}
+      callbacks_(std::move(callbacks)) {}
 
 void RecoveryCoordinator::Start() {
   if (!on()) return;
-  state_.on_step_back = [this] { Sign(LossSign::kStepBack); };
+  store_.on_step_back = [this] {
+    ReportDataLoss(DataLossIndication::kStepBack);
+  };
   leader_heard_ = loop_.Now();
-  net::Spawn(Introduce());
+  net::Spawn(Bootstrap());
   net::Spawn(CheckLoop());
   if (tuning_.recovery_pages > 0) net::Spawn(AuditLoop());
 }
@@ -49,7 +52,7 @@
   if (!on()) return true;
   // A first epoch may have been founded in a service that has lost everything,
   // together with all controllers: the workers would tell within a lease.
-  const double lease = settings_.workers.lease_s;
+  const double lease = settings_.workers.lease_seconds;
   return verification_.MayDeny() && loop_.Now() > founded_ + lease &&
          (catalog_.epoch().whole ||
           (rebuilt_epoch_ == catalog_.epoch().number &&
@@ -59,29 +62,32 @@
 bool RecoveryCoordinator::SomeoneMayTell() const {
   return on() && !catalog_.epoch().whole &&
          !(rebuilt_epoch_ == catalog_.epoch().number &&
-           loop_.Now() >
-               rebuilt_since_ + kForgottenRatio * settings_.workers.lease_s);
+           loop_.Now() > rebuilt_since_ +
+                             kForgottenRatio * settings_.workers.lease_seconds);
 }
 
-void RecoveryCoordinator::AddGuard(std::vector<Condition>* conditions) const {
+void RecoveryCoordinator::AddGuard(
+    std::vector<Precondition>* preconditions) const {
   if (!on()) return;
-  auto [key, stamp] = catalog_.Guard();
-  conditions->push_back({std::move(key), stamp});
+  auto [key, mod_revision] = catalog_.Guard();
+  preconditions->push_back({std::move(key), mod_revision});
 }
 
 bool RecoveryCoordinator::GuardFailed(const std::vector<std::string>& failed) {
   if (!on()) return false;
-  const auto [key, stamp] = catalog_.Guard();
+  const auto [key, mod_revision] = catalog_.Guard();
   if (std::find(failed.begin(), failed.end(), key) == failed.end()) {
     return false;
   }
-  if (catalog_.epoch().number > 0) Sign(LossSign::kEpochMissing);
+  if (catalog_.epoch().number > 0)
+    ReportDataLoss(DataLossIndication::kEpochMissing);
   return true;
 }
 
 // --- signs
 
-void RecoveryCoordinator::Sign(LossSign sign, const std::string& key) {
+void RecoveryCoordinator::ReportDataLoss(DataLossIndication sign,
+                                         const std::string& key) {
   // Nothing was ever known that could be missing.
   if (!on() || catalog_.epoch().number == 0) return;
   if (!verification_.Note(sign)) return;
@@ -101,37 +107,38 @@
 
 // Mostly a leader that has just won, of which this controller has not read.
 net::Task<void> RecoveryCoordinator::LookAtTerm() {
-  const CheckSays says = co_await Check();
-  if (says == CheckSays::kStands && foreign_term_ > HighestTerm()) {
-    Sign(LossSign::kTermAbove);
+  const StoreCheck says = co_await Check();
+  if (says == StoreCheck::kStands && foreign_term_ > HighestTerm()) {
+    ReportDataLoss(DataLossIndication::kTermAbove);
   }
 }
 
 net::Task<void> RecoveryCoordinator::AskAboutJob(std::string id) {
-  const CheckSays says = co_await LookForJob(id);
+  const StoreCheck says = co_await LookForJob(id);
   // Where jobs may have been lost it is no news.
-  if (says == CheckSays::kGone && verification_.MayDeny() &&
+  if (says == StoreCheck::kGone && verification_.MayDeny() &&
       catalog_.epoch().whole) {
-    Sign(LossSign::kUnknownTask, id);
+    ReportDataLoss(DataLossIndication::kUnknownTask, id);
   }
 }
 
-net::Task<CheckSays> RecoveryCoordinator::IsDeleted(std::string key) {
+net::Task<StoreCheck> RecoveryCoordinator::IsDeleted(std::string key) {
   const std::string id = JobOf(key);
-  if (id.empty()) co_return CheckSays::kStands;
-  if (catalog_.owed().contains(key)) {
+  if (id.empty()) co_return StoreCheck::kStands;
+  if (catalog_.pending_writes().contains(key)) {
     // It was never there; but it may have ended, which its write stumbles over.
-    const CheckSays found = co_await LookForJob(id);
-    co_return found == CheckSays::kNoAnswer ? found : CheckSays::kStands;
+    const StoreCheck found = co_await LookForJob(id);
+    co_return found == StoreCheck::kNoAnswer ? found : StoreCheck::kStands;
   }
-  if (catalog_.VersionOf(key).stamp == 0) co_return CheckSays::kStands;
-  const CheckSays says = co_await LookForJob(id);
-  if (says == CheckSays::kGone) Sign(LossSign::kRecordMissing, key);
+  if (catalog_.VersionOf(key).mod_revision == 0) co_return StoreCheck::kStands;
+  const StoreCheck says = co_await LookForJob(id);
+  if (says == StoreCheck::kGone)
+    ReportDataLoss(DataLossIndication::kRecordMissing, key);
   co_return says;
 }
 
 uint64_t RecoveryCoordinator::HighestTerm() const {
-  return TermOf(catalog_.epoch(), state_.highest());
+  return TermOf(catalog_.epoch(), store_.highest());
 }
 
 void RecoveryCoordinator::EpochSeen() {
@@ -144,16 +151,17 @@
     whole_before_ = whole_now_;
     if (first) {
       first_epoch_ = epoch.number;
-      if (net::WallNow() - epoch.opened_wall < settings_.workers.lease_s) {
+      if (net::WallNow() - epoch.opened_wall <
+          settings_.workers.lease_seconds) {
         founded_ = loop_.Now();
       }
     } else {
       spdlog::info("epoch {} of the state service, terms from {} on",
                    epoch.number, epoch.base);
-      state_.Restart(epoch.stamp);
-      gathered_ = 0;
-      seams_.other_epoch();
-      follower_.Reread();
+      store_.Restart(epoch.mod_revision);
+      collected_term_ = 0;
+      callbacks_.other_epoch();
+      watcher_.Reread();
     }
   }
   whole_now_ = epoch.whole;
@@ -162,33 +170,35 @@
     rebuilt_since_ = loop_.Now();
   }
   verification_.OnEpoch(epoch.number, epoch.rebuilt);
-  if (epoch.rebuilt && !catalog_.owed().empty() && !seams_.leading() &&
-      handing_in_ != epoch.number) {
-    handing_in_ = epoch.number;
+  if (epoch.rebuilt && !catalog_.pending_writes().empty() &&
+      !callbacks_.leading() && writing_retained_for_ != epoch.number) {
+    writing_retained_for_ = epoch.number;
     // One that has just been met is read anew already.
-    if (before == StoreVerificationState::kRebuilding) follower_.Reread();
-    net::Spawn(HandIn(epoch.number));
+    if (before == StoreVerificationState::kRebuilding) watcher_.Reread();
+    net::Spawn(WriteRetainedRecords(epoch.number));
   }
 }
 
 net::Task<void> RecoveryCoordinator::Settle() {
-  const double pause = kRoundPause * settings_.workers.report_s;
+  const double pause =
+      kRoundPause * settings_.workers.heartbeat_interval_seconds;
   while (verification_.state() == StoreVerificationState::kSuspected) {
-    const CheckSays mine = co_await Examine();
+    const StoreCheck mine = co_await Examine();
     bool others_stand = false;
-    const bool whole_service = verification_.sign() == LossSign::kStepBack ||
-                               verification_.sign() == LossSign::kEpochMissing;
-    if (mine == CheckSays::kGone && whole_service) {
+    const bool whole_service =
+        verification_.sign() == DataLossIndication::kStepBack ||
+        verification_.sign() == DataLossIndication::kEpochMissing;
+    if (mine == StoreCheck::kGone && whole_service) {
       const std::vector<PeerMessage> answers = co_await AskAll();
       others_stand = std::any_of(
           answers.begin(), answers.end(),
           [](const auto& a) { return a.answer == PeerAnswer::kYes; });
     }
-    const bool stepped = verification_.sign() == LossSign::kStepBack;
+    const bool stepped = verification_.sign() == DataLossIndication::kStepBack;
     verification_.OnRound(mine, others_stand);
     if (stepped && verification_.MaySeek()) {
-      catalog_.FollowAnew();
-      follower_.Reread();
+      catalog_.RestartWatch();
+      watcher_.Reread();
     }
     if (verification_.state() == StoreVerificationState::kSuspected) {
       co_await loop_.Sleep(pause);
@@ -198,7 +208,7 @@
     net::Spawn(SpreadWord());
     spdlog::error("the state service has lost data: {}",
                   NameOf(verification_.sign()));
-    seams_.lost();
+    callbacks_.lost();
   } else {
     spdlog::info("the state service stands");
   }
--- a/app/recovery_epoch.cc
+++ b/app/recovery_epoch.cc
@@ -16,8 +16,8 @@
 
 using clients::PeerKind;
 using clients::PeerMessage;
-using clients::StateResult;
-using clients::StateStatus;
+using clients::StoreResult;
+using clients::StoreStatus;
 using clients::Urgency;
 
 std::string NewId() {
@@ -29,14 +29,14 @@
 
 // --- a new epoch
 
-RecoveryCoordinator::Opening RecoveryCoordinator::Found() const {
+RecoveryCoordinator::Opening RecoveryCoordinator::InitialEpoch() const {
   Opening opening;
   if (!on() || catalog_.epoch().number > 0) return opening;
   opening.epoch.number = 1;
   opening.epoch.id = NewId();
   opening.epoch.opened_wall = net::WallNow();
-  opening.conditions = {{std::string(keys::kEpoch), 0}};
-  opening.changes = {
+  opening.preconditions = {{std::string(keys::kEpoch), 0}};
+  opening.mutations = {
       {std::string(keys::kEpoch), opening.epoch},
       {keys::Of(keys::kEpochMark, opening.epoch.id), EpochMark{1, 0}}};
   return opening;
@@ -45,14 +45,15 @@
 net::Task<bool> RecoveryCoordinator::Orphaned(const clients::KeyValue& leader) {
   // Asking lengthens a lease that is there, so each controller asks once, when
   // the lease of one that is gone must have ended.
-  const double ttl = tuning_.leader_lease_ratio * settings_.workers.lease_s;
+  const double ttl =
+      tuning_.leader_lease_ratio * settings_.workers.lease_seconds;
   constexpr double kLeaseMargin = 1.2;
   constexpr double kAgain = 10;  // worker leases
   const uint64_t lease = leader.lease;
   const net::Time now = loop_.Now();
-  if (leader.stamp != leader_stamp_ ||
-      now > leader_since_ + kAgain * settings_.workers.lease_s) {
-    leader_stamp_ = leader.stamp;
+  if (leader.mod_revision != leader_mod_revision_ ||
+      now > leader_since_ + kAgain * settings_.workers.lease_seconds) {
+    leader_mod_revision_ = leader.mod_revision;
     leader_since_ = now;
     leader_probed_ = false;
   }
@@ -60,8 +61,8 @@
     co_return false;
   }
   leader_probed_ = true;
-  const StateResult there = co_await state_.Renew(lease, ttl / 3);
-  if (there.status == StateStatus::kNotFound) {
+  const StoreResult there = co_await store_.Renew(lease, ttl / 3);
+  if (there.status == StoreStatus::kNotFound) {
     leader_probed_ = false;  // as surely the next time
     co_return true;
   }
@@ -75,14 +76,15 @@
   for (const auto& peer : peers_) {
     if (peer->name() == leader.node) named = peer.get();
   }
-  if (named == nullptr || leader.stamp == 0) {
+  if (named == nullptr || leader.mod_revision == 0) {
     leader_heard_ = loop_.Now();
     co_return;
   }
   PeerMessage hello;
   hello.kind = PeerKind::kHello;
   hello.node = settings_.node;
-  const double ttl = tuning_.leader_lease_ratio * settings_.workers.lease_s;
+  const double ttl =
+      tuning_.leader_lease_ratio * settings_.workers.lease_seconds;
   const auto answer = co_await named->Ask(std::move(hello), ttl / 3);
   const LeaderRole role = answer.message.role;
   if (answer.ok &&
@@ -90,11 +92,11 @@
     leader_heard_ = loop_.Now();
   }
   if (loop_.Now() < leader_heard_ + ttl) co_return;
-  const StateResult key =
-      co_await state_.Get(std::string(keys::kLeader), Urgency::kLease);
-  if (!key.ok() || key.items[0].stamp != leader.stamp) co_return;
+  const StoreResult key =
+      co_await store_.Get(std::string(keys::kLeader), Urgency::kLease);
+  if (!key.ok() || key.items[0].mod_revision != leader.mod_revision) co_return;
   const bool orphaned = co_await Orphaned(key.items[0]);
-  if (orphaned) seams_.orphaned(leader.stamp);
+  if (orphaned) callbacks_.orphaned(leader.mod_revision);
 }
 
 net::Task<bool> RecoveryCoordinator::Prepare(Opening* out, bool led) {
@@ -104,9 +106,9 @@
   const std::vector<PeerMessage> answers = co_await AskAll();
   // What stands there by now is replaced under the stamps that are read here,
   // after everybody has said how far they have seen.
-  const StateResult epoch = co_await state_.Get(epoch_key, Urgency::kLease);
-  const StateResult leader = co_await state_.Get(leader_key, Urgency::kLease);
-  const auto answered = [](const StateResult& r) {
+  const StoreResult epoch = co_await store_.Get(epoch_key, Urgency::kLease);
+  const StoreResult leader = co_await store_.Get(leader_key, Urgency::kLease);
+  const auto answered = [](const StoreResult& r) {
     // A 404 that tells a lower revision is what has to be expected now.
     return Answered(r) || r.stepped_back;
   };
@@ -129,27 +131,28 @@
   uint64_t term = std::max(HighestTerm(), foreign_term_);
   for (const PeerMessage& answer : answers) {
     number = std::max<uint64_t>(number, answer.done);
-    term = std::max({term, answer.stamp, answer.term});
+    term = std::max({term, answer.mod_revision, answer.term});
   }
   out->epoch = {
       number + 1,        NewId(),        NextBase(term, net::WallNow()),
       /*whole=*/false,
       /*rebuilt=*/false, net::WallNow(), 0};
-  out->conditions = {{epoch_key, epoch.ok() ? epoch.items[0].stamp : 0},
-                     {leader_key, leader.ok() ? leader.items[0].stamp : 0}};
-  out->changes = {{epoch_key, out->epoch},
-                  {keys::Of(keys::kEpochMark, out->epoch.id),
-                   EpochMark{out->epoch.number, 0}}};
+  out->preconditions = {
+      {epoch_key, epoch.ok() ? epoch.items[0].mod_revision : 0},
+      {leader_key, leader.ok() ? leader.items[0].mod_revision : 0}};
+  out->mutations = {{epoch_key, out->epoch},
+                    {keys::Of(keys::kEpochMark, out->epoch.id),
+                     EpochMark{out->epoch.number, 0}}};
   // From here on lower revisions are what is expected.
   foreign_term_ = term;
-  state_.Restart(0);
+  store_.Restart(0);
   // The mark that an older copy has brought back would let late writes in.
   if (there != nullptr) {
-    out->changes.push_back({keys::Of(keys::kEpochMark, there->id), {}});
+    out->mutations.push_back({keys::Of(keys::kEpochMark, there->id), {}});
   }
   if (catalog_.epoch().number > 0 &&
       (there == nullptr || there->id != catalog_.epoch().id)) {
-    out->changes.push_back(
+    out->mutations.push_back(
         {keys::Of(keys::kEpochMark, catalog_.epoch().id), {}});
   }
   co_return true;
@@ -158,8 +161,8 @@
 void RecoveryCoordinator::Opened(const Opening& opening, uint64_t revision) {
   if (opening.epoch.number == 0) return;
   for (size_t i : {1, 0}) {  // the mark first, so that it is known with it
-    follower_.Apply(opening.changes[i].key, opening.changes[i].record,
-                    revision);
+    watcher_.Apply(opening.mutations[i].key, opening.mutations[i].record,
+                   revision);
   }
   // Until the others know of it they follow nothing, and what is recorded now
   // is remembered here alone.
--- a/app/recovery_limits.h
+++ b/app/recovery_limits.h
@@ -1,11 +1,11 @@
 // What the parts of the RecoveryCoordinator share.
 #pragma once
 
-#include "clients/state.h"
+#include "clients/key_value_store.h"
 
 namespace oxbow::app {
 
-// Of the report interval.
+// Of the heartbeat interval.
 inline constexpr double kRoundPause = 0.1;
 
 // The job that a record of one that waits or lives is about; empty for others.
@@ -16,8 +16,8 @@
   return {};
 }
 
-inline bool Answered(const clients::StateResult& result) {
-  return result.ok() || result.status == clients::StateStatus::kNotFound;
+inline bool Answered(const clients::StoreResult& result) {
+  return result.ok() || result.status == clients::StoreStatus::kNotFound;
 }
 
 }  // namespace oxbow::app
--- a/app/recovery_peers.cc
+++ b/app/recovery_peers.cc
@@ -1,4 +1,4 @@
-// The dialogue with the other controllers about the state service and its
+// The dialogue with the other controllers about the key-value store and its
 // epoch.
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 #include <variant>
 
 #include "app/recovery_coordinator.h"
-#include "clients/memory_page.h"
+#include "clients/retained_records_page.h"
 #include "wire/records.h"
 
 namespace oxbow::app {
@@ -53,7 +53,7 @@
     // copy would stand by it, and the suspicion of the one that remembers more
     // would never end.
     if (!sign_key_.empty()) {
-      message.stamp = catalog_.VersionOf(sign_key_).stamp;
+      message.mod_revision = catalog_.VersionOf(sign_key_).mod_revision;
     }
   }
   return message;
@@ -62,8 +62,8 @@
 net::Task<void> RecoveryCoordinator::AskOne(std::shared_ptr<Ask> ask,
                                             clients::PeerClient* peer,
                                             PeerMessage message, bool waited) {
-  const auto answer = co_await peer->Ask(std::move(message),
-                                         kAskRatio * settings_.workers.lease_s);
+  const auto answer = co_await peer->Ask(
+      std::move(message), kAskRatio * settings_.workers.lease_seconds);
   if (answer.ok) {
     silent_.erase(peer->name());
     ask->answers.push_back(answer.message);
@@ -86,7 +86,7 @@
   for (size_t i = 0; i < peers_.size(); ++i) {
     net::Spawn(AskOne(ask, peers_[i].get(), message, waited[i]));
   }
-  co_await ask->done.Wait(1.5 * kAskRatio * settings_.workers.lease_s);
+  co_await ask->done.Wait(1.5 * kAskRatio * settings_.workers.lease_seconds);
   co_return ask->answers;
 }
 
@@ -95,7 +95,7 @@
                      [&](const auto& peer) { return peer->name() == node; });
 }
 
-bool RecoveryCoordinator::Takes(PeerKind kind) {
+bool RecoveryCoordinator::Handles(PeerKind kind) {
   return kind == PeerKind::kLedger || kind == PeerKind::kMemory ||
          kind == PeerKind::kEnded || kind == PeerKind::kKnown;
 }
@@ -111,27 +111,29 @@
         // Founded over a loss by one that had nothing to remember.
         other_number_ = message.done;
         other_id_ = message.text;
-        Sign(LossSign::kOtherEpoch);
+        ReportDataLoss(DataLossIndication::kOtherEpoch);
       }
-      const auto sign = static_cast<LossSign>(message.running);
-      if (sign == LossSign::kRecordMissing || sign == LossSign::kUnknownTask) {
-        Sign(sign, message.job_id);
+      const auto sign = static_cast<DataLossIndication>(message.running);
+      if (sign == DataLossIndication::kRecordMissing ||
+          sign == DataLossIndication::kUnknownTask) {
+        ReportDataLoss(sign, message.job_id);
       }
       TermSeen(message.term);
-      CheckSays says = CheckSays::kNoAnswer;
+      StoreCheck says = StoreCheck::kNoAnswer;
       if (number > 0) says = co_await Check();
       // One who suspects a loss asks for more than a revision, which may have
       // grown past what was lost.
-      if (says == CheckSays::kStands && sign != LossSign::kNone) {
+      if (says == StoreCheck::kStands && sign != DataLossIndication::kNone) {
         says = co_await LookForNewest();
       }
       // A newcomer knows nothing of what is missed, and may read as far by now:
       // it stands by what it finds.
-      if (says == CheckSays::kStands && !message.job_id.empty()) {
-        const bool found = co_await Finds(message.job_id, message.stamp);
-        if (!found) says = CheckSays::kNoAnswer;
+      if (says == StoreCheck::kStands && !message.job_id.empty()) {
+        const bool found = co_await Finds(message.job_id, message.mod_revision);
+        if (!found) says = StoreCheck::kNoAnswer;
       }
-      if (says == CheckSays::kGone) Sign(LossSign::kStepBack);
+      if (says == StoreCheck::kGone)
+        ReportDataLoss(DataLossIndication::kStepBack);
       FillLedger(says, reply);
       break;
     }
@@ -151,12 +153,13 @@
   }
 }
 
-void RecoveryCoordinator::FillLedger(CheckSays says, PeerMessage* reply) const {
-  if (says == CheckSays::kStands) reply->answer = PeerAnswer::kYes;
+void RecoveryCoordinator::FillLedger(StoreCheck says,
+                                     PeerMessage* reply) const {
+  if (says == StoreCheck::kStands) reply->answer = PeerAnswer::kYes;
   reply->done = static_cast<uint32_t>(catalog_.epoch().number);
   reply->running = static_cast<uint32_t>(says);
   reply->text = catalog_.epoch().id;
-  reply->stamp = HighestTerm();
+  reply->mod_revision = HighestTerm();
   reply->term = foreign_term_;
 }
 
@@ -198,11 +201,11 @@
   if (part != TerminalState::kDone && part != TerminalState::kAborted) return;
   if (!IsPeer(ask.node)) return;
   std::string& bytes = sending_[ask.node].ended_parts[ask.done];
-  if (ask.stamp == 0) bytes = catalog_.ended().Encode(part);
-  if (ask.stamp > bytes.size()) return;
+  if (ask.mod_revision == 0) bytes = catalog_.ended().Encode(part);
+  if (ask.mod_revision > bytes.size()) return;
   reply->answer = PeerAnswer::kYes;
-  reply->text = bytes.substr(ask.stamp, clients::kMemoryPage);
-  reply->running = ask.stamp + reply->text.size() < bytes.size() ? 1 : 0;
+  reply->text = bytes.substr(ask.mod_revision, clients::kMemoryPage);
+  reply->running = ask.mod_revision + reply->text.size() < bytes.size() ? 1 : 0;
   if (reply->running == 0) bytes = {};
 }
 
--- a/app/recurrence.cc
+++ b/app/recurrence.cc
@@ -82,7 +82,7 @@
 
 class Expansion {
  public:
-  Expansion(const Horizon& horizon, Booking* booking)
+  Expansion(const Horizon& horizon, MaintenanceWindow* booking)
       : horizon_(horizon), booking_(*booking) {}
 
   std::string Run() {
@@ -118,7 +118,7 @@
   UtcInterval Of(Local from) const {
     const bool window = booking_.kind == BookingKind::kWindow;
     const auto length =
-        std::chrono::seconds(static_cast<int64_t>(booking_.length_s));
+        std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds));
     return {ToUtc(*zone_, from,
                   window ? date::choose::latest : date::choose::earliest),
             ToUtc(*zone_, from + length,
@@ -161,7 +161,7 @@
     // to be counted.
     const Local now{std::chrono::seconds(static_cast<int64_t>(horizon_.from))};
     const auto back =
-        std::chrono::seconds(static_cast<int64_t>(booking_.length_s)) +
+        std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds)) +
         date::days(2);
     if (rule.count == 0 && first < now - back) {
       icalrecur_iterator_set_start(next.get(), ToIcal(now - back));
@@ -192,7 +192,7 @@
   }
 
   const Horizon& horizon_;
-  Booking& booking_;
+  MaintenanceWindow& booking_;
   const date::time_zone* zone_ = nullptr;
   std::set<Local> except_;
   bool past_ = false;  // some time was left out since it is over
@@ -200,12 +200,12 @@
 
 }  // namespace
 
-std::string WorkOutTimes(const Horizon& horizon, Booking* booking) {
+std::string WorkOutTimes(const Horizon& horizon, MaintenanceWindow* booking) {
   return Expansion(horizon, booking).Run();
 }
 
 extern "C" __attribute__((visibility("default"))) void oxbow_work_out_times(
-    const Horizon* horizon, Booking* booking, std::string* wrong) {
+    const Horizon* horizon, MaintenanceWindow* booking, std::string* wrong) {
   *wrong = WorkOutTimes(*horizon, booking);
 }
 
--- a/app/recurrence.h
+++ b/app/recurrence.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "core/calendar/booking.h"
+#include "core/maintenance/maintenance_window.h"
 
 namespace oxbow::app {
 
@@ -17,10 +17,11 @@
 
 // Fills `times` and `known_until`; returns what is wrong with the rule, in one
 // line that names the value, or nothing.
-std::string WorkOutTimes(const Horizon& horizon, Booking* booking);
+std::string WorkOutTimes(const Horizon& horizon, MaintenanceWindow* booking);
 
 // The name and the form under which the module offers it.
 inline constexpr char kWorkOutTimes[] = "oxbow_work_out_times";
-using WorkOutTimesCall = void (*)(const Horizon*, Booking*, std::string*);
+using WorkOutTimesCall = void (*)(const Horizon*, MaintenanceWindow*,
+                                  std::string*);
 
 }  // namespace oxbow::app
--- a/app/relays.h
+++ b/app/request_forwarder.h
@@ -1,11 +1,11 @@
 // Hands users' requests to the other controllers: to the leader, and, when this
-// one cannot reach the state service, to whoever can tell. Owns no request;
+// one cannot reach the key-value store, to whoever can tell. Owns no request;
 // decides nothing but whom to ask.
 #pragma once
 
 #include <memory>
 
-#include "app/election.h"
+#include "app/leader_election.h"
 #include "app/leader_health_coordinator.h"
 #include "clients/peer.h"
 #include "core/model/settings.h"
@@ -14,10 +14,11 @@
 
 namespace oxbow::app {
 
-class Relays {
+class RequestForwarder {
  public:
-  Relays(net::Loop& loop, const Settings& settings, Election& election,
-         const LeaderHealthCoordinator::Peers& peers);
+  RequestForwarder(net::Loop& loop, const Settings& settings,
+                   LeaderElection& election,
+                   const LeaderHealthCoordinator::Peers& peers);
 
   // From one peer after the other, `apart` s apart, until one of them can tell,
   // for `within` s. kNo: none could. It goes no further than to them.
@@ -38,14 +39,14 @@
     clients::PeerMessage answer;
   };
   // Whether the peer may be waited for; else sees to it that it is tried.
-  bool Answers(size_t peer);
+  bool IsResponsive(size_t peer);
   net::Task<void> Try(size_t peer);
   net::Task<void> AskOne(std::shared_ptr<Round> round, size_t peer,
                          clients::PeerMessage message, double within);
 
   net::Loop& loop_;
   const Settings& settings_;
-  Election& election_;
+  LeaderElection& election_;
   const LeaderHealthCoordinator::Peers& peers_;
   PeerChoice choice_;  // among peers_
 };
--- a/app/retries.cc
+++ b/app/retries.cc
@@ -25,7 +25,8 @@
   for (int i = 0; i < kTries; ++i) {
     answer = co_await http.Request(method, path, body, kTimeout);
     if (!MustRetry(answer)) break;
-    const net::Time pause = std::max<net::Time>(kPause, answer.retry_after_s);
+    const net::Time pause =
+        std::max<net::Time>(kPause, answer.retry_after_seconds);
     co_await loop.Sleep(pause);
   }
   co_return answer;
--- a/app/rollout_cli.cc
+++ b/app/rollout_cli.cc
@@ -54,10 +54,10 @@
   if (many->Empty()) std::printf("no roll-out is under way\n");
 }
 
-class Session {
+class WorkerIncarnation {
  public:
-  Session(net::Loop& loop, const RolloutCommand& command,
-          const net::Address& address)
+  WorkerIncarnation(net::Loop& loop, const RolloutCommand& command,
+                    const net::Address& address)
       : loop_(loop), command_(command), http_(loop, address, kLimit) {}
 
   net::Task<void> Run(int* exit) {
@@ -144,8 +144,8 @@
   }
   net::Loop loop;
   int exit = kRolloutRefused;
-  Session session(loop, command, address);
-  net::Spawn(session.Run(&exit));
+  WorkerIncarnation incarnation(loop, command, address);
+  net::Spawn(incarnation.Run(&exit));
   loop.Run();
   return exit;
 }
--- a/app/rollout_coordinator.cc
+++ b/app/rollout_coordinator.cc
@@ -11,12 +11,12 @@
 
 using api::RolloutAnswer;
 using api::RolloutState;
-using clients::StateResult;
-using clients::StateStatus;
+using clients::StoreResult;
+using clients::StoreStatus;
 using clients::Urgency;
 using Result = RolloutAnswer::Result;
 
-RolloutAnswer Say(Result result, std::string why) {
+RolloutAnswer MakeAnswer(Result result, std::string why) {
   RolloutAnswer answer;
   answer.result = result;
   answer.why = std::move(why);
@@ -28,27 +28,28 @@
 RolloutCoordinator::RolloutCoordinator(const Settings& settings,
                                        const Tuning& tuning,
                                        const Catalog& catalog,
-                                       clients::StateClient& state, Seams seams)
+                                       clients::KeyValueStoreClient& state,
+                                       Callbacks callbacks)
     : settings_(settings),
       tuning_(tuning),
       catalog_(catalog),
-      state_(state),
-      seams_(std::move(seams)) {}
+      store_(state),
+      callbacks_(std::move(callbacks)) {}
 
 RolloutState RolloutCoordinator::StateOf(const RolloutRecord& record) const {
   RolloutState state;
   state.record = record;
-  const Controller* leader = seams_.leader();
+  const Leader* leader = callbacks_.leader();
   if (leader != nullptr) {
     if (const Rollout* rollout = leader->FindRollout(record.spec->id)) {
-      state.counts = rollout->Count(seams_.now());
+      state.counts = rollout->Count(callbacks_.now());
     }
   }
   return state;
 }
 
 std::optional<std::vector<RolloutState>> RolloutCoordinator::List() {
-  if (!seams_.synced()) return std::nullopt;
+  if (!callbacks_.synced()) return std::nullopt;
   std::vector<RolloutState> out;
   for (const auto& [id, record] : catalog_.rollouts()) {
     out.push_back(StateOf(record));
@@ -65,29 +66,30 @@
   // missed.
   for (const std::string_view prefix : {keys::kRollout, keys::kRolloutEnd}) {
     const std::string key = keys::Of(prefix, id);
-    const StateResult read = co_await state_.Get(key, Urgency::kUser);
+    const StoreResult read = co_await store_.Get(key, Urgency::kUser);
     if (read.ok()) {
       const auto* record = std::get_if<RolloutRecord>(&read.items[0].record);
-      if (record == nullptr) co_return Say(Result::kTryLater, "unreadable");
+      if (record == nullptr)
+        co_return MakeAnswer(Result::kTryLater, "unreadable");
       RolloutAnswer answer;
       answer.result = Result::kOk;
       answer.state.record = *record;
-      answer.state.record.stamp = read.items[0].stamp;
+      answer.state.record.mod_revision = read.items[0].mod_revision;
       if (prefix == keys::kRollout) {
-        seams_.apply(key, *record, read.items[0].stamp);
+        callbacks_.apply(key, *record, read.items[0].mod_revision);
       }
       co_return answer;
     }
-    if (read.status != StateStatus::kNotFound) {
-      co_return Say(Result::kTryLater, "state unknown");
+    if (read.status != StoreStatus::kNotFound) {
+      co_return MakeAnswer(Result::kTryLater, "state unknown");
     }
   }
-  co_return Say(Result::kNotFound, {});
+  co_return MakeAnswer(Result::kNotFound, {});
 }
 
 net::Task<RolloutAnswer> RolloutCoordinator::Get(std::string id) {
   const auto it = catalog_.rollouts().find(id);
-  if (it != catalog_.rollouts().end() && seams_.leader() != nullptr) {
+  if (it != catalog_.rollouts().end() && callbacks_.leader() != nullptr) {
     RolloutAnswer answer;
     answer.result = Result::kOk;
     answer.state = StateOf(it->second);
@@ -98,27 +100,31 @@
 
 net::Task<RolloutAnswer> RolloutCoordinator::Declare(
     std::shared_ptr<const RolloutSpec> spec) {
-  if (!seams_.synced()) co_return Say(Result::kTryLater, "state unknown");
+  if (!callbacks_.synced())
+    co_return MakeAnswer(Result::kTryLater, "state unknown");
   const JobRecord* from = catalog_.FindJob(spec->from);
   if (from == nullptr || from->terminal_state != TerminalState::kNone) {
-    co_return Say(Result::kImpossible, spec->from + " is no job that runs");
+    co_return MakeAnswer(Result::kImpossible,
+                         spec->from + " is no job that runs");
   }
   if (from->spec->kind != JobKind::kService) {
-    co_return Say(Result::kImpossible, spec->from + " is no service");
+    co_return MakeAnswer(Result::kImpossible, spec->from + " is no service");
   }
   const std::string why = wire::WhyNoRollout(*spec, from->spec->tasks);
-  if (!why.empty()) co_return Say(Result::kImpossible, why);
+  if (!why.empty()) co_return MakeAnswer(Result::kImpossible, why);
   const auto& known = catalog_.rollouts();
   if (!known.contains(spec->id)) {
     for (const auto& [id, other] : known) {
       for (const std::string& job : {other.spec->from, other.spec->to}) {
         if (job == spec->from || job == spec->to) {
-          co_return Say(Result::kConflict, job + " is part of roll-out " + id);
+          co_return MakeAnswer(Result::kConflict,
+                               job + " is part of roll-out " + id);
         }
       }
     }
     if (static_cast<double>(known.size()) >= tuning_.rollouts_at_once) {
-      co_return Say(Result::kTooMany, "as many roll-outs as are allowed run");
+      co_return MakeAnswer(Result::kTooMany,
+                           "as many roll-outs as are allowed run");
     }
   }
   RolloutRecord record;
@@ -127,88 +133,91 @@
   // Each step rewrites it, with a reason.
   constexpr size_t kGrowth = 256;
   if (wire::EncodeRecord(record).size() + kGrowth >
-      settings_.state.most_value_bytes()) {
-    co_return Say(Result::kImpossible, "the declaration is too large");
+      settings_.store.most_value_bytes()) {
+    co_return MakeAnswer(Result::kImpossible, "the declaration is too large");
   }
   const std::string key = keys::Of(keys::kRollout, spec->id);
-  std::vector<Condition> conditions{
+  std::vector<Precondition> preconditions{
       {key, 0},
       {keys::Of(keys::kRolloutEnd, spec->id), 0},
       {keys::Of(keys::kJob, spec->to), 0},
       {keys::Of(keys::kTerminal, spec->to), 0},
-      {keys::Of(keys::kJob, spec->from), from->stamp}};
-  std::vector<KeyChange> changes{{key, record}};
-  seams_.add_guard(&conditions);
-  const StateResult written = co_await state_.Write(
-      std::move(conditions), std::move(changes), Urgency::kUser);
+      {keys::Of(keys::kJob, spec->from), from->mod_revision}};
+  std::vector<Mutation> mutations{{key, record}};
+  callbacks_.add_guard(&preconditions);
+  const StoreResult written = co_await store_.Write(
+      std::move(preconditions), std::move(mutations), Urgency::kUser);
   if (written.ok()) {
-    seams_.apply(key, record, written.revision);
+    callbacks_.apply(key, record, written.revision);
     RolloutAnswer answer;
     answer.result = Result::kDeclared;
     answer.state.record = record;
     co_return answer;
   }
-  if (written.status != StateStatus::kConflict &&
-      written.status != StateStatus::kUnknown) {
-    co_return Say(Result::kTryLater, "cannot be recorded now");
+  if (written.status != StoreStatus::kConflict &&
+      written.status != StoreStatus::kUnknown) {
+    co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
   // Known already, perhaps by this very request: its state is the answer. A
-  // roll-out of that name which says something else is a conflict.
+  // rollout of that name which says something else is a conflict.
   RolloutAnswer seen = co_await FreshRead(spec->id);
   if (seen.result == Result::kOk) {
     const RolloutSpec& theirs = *seen.state.record.spec;
     if (theirs.from != spec->from || theirs.to != spec->to) {
-      co_return Say(Result::kConflict, spec->id + " is another roll-out");
+      co_return MakeAnswer(Result::kConflict,
+                           spec->id + " is another roll-out");
     }
     co_return seen;
   }
   if (seen.result == Result::kNotFound &&
-      written.status == StateStatus::kConflict) {
+      written.status == StoreStatus::kConflict) {
     for (const std::string& failed : written.failed) {
       if (failed.ends_with(spec->to)) {
-        co_return Say(Result::kConflict, spec->to + " is known already");
+        co_return MakeAnswer(Result::kConflict, spec->to + " is known already");
       }
     }
   }
-  co_return Say(Result::kTryLater, "cannot be recorded now");
+  co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
 }
 
-net::Task<RolloutAnswer> RolloutCoordinator::Wish(std::string id,
-                                                  RolloutWish wish) {
+net::Task<RolloutAnswer> RolloutCoordinator::Request(std::string id,
+                                                     RolloutRequest request) {
   constexpr int kTries = 3;
   for (int i = 0; i < kTries; ++i) {
     RolloutAnswer now = co_await FreshRead(id);
     if (now.result != Result::kOk) co_return now;
     RolloutRecord record = now.state.record;
     if (Ended(record.step)) {
-      co_return Say(Result::kConflict, id + " has ended");
+      co_return MakeAnswer(Result::kConflict, id + " has ended");
     }
-    if (wish == RolloutWish::kResume && record.step != RolloutStep::kPaused &&
-        record.wish != RolloutWish::kPause) {
+    if (request == RolloutRequest::kResume &&
+        record.step != RolloutStep::kPaused &&
+        record.request != RolloutRequest::kPause) {
       co_return now;  // nothing to resume
     }
-    if (record.wish == wish) co_return now;
+    if (record.request == request) co_return now;
     const std::string key = keys::Of(keys::kRollout, id);
-    std::vector<Condition> conditions{{key, record.stamp}};
-    seams_.add_guard(&conditions);
-    record.wish = wish;
-    std::vector<KeyChange> changes{{key, record}};
-    const StateResult written = co_await state_.Write(
-        std::move(conditions), std::move(changes), Urgency::kUser);
+    std::vector<Precondition> preconditions{{key, record.mod_revision}};
+    callbacks_.add_guard(&preconditions);
+    record.request = request;
+    std::vector<Mutation> mutations{{key, record}};
+    const StoreResult written = co_await store_.Write(
+        std::move(preconditions), std::move(mutations), Urgency::kUser);
     if (written.ok()) {
-      seams_.apply(key, record, written.revision);
+      callbacks_.apply(key, record, written.revision);
       now.state.record = record;
       co_return now;
     }
-    if (written.status == StateStatus::kRefused) {
-      co_return Say(Result::kImpossible,
-                    "the record is larger than the state service takes now");
+    if (written.status == StoreStatus::kRefused) {
+      co_return MakeAnswer(
+          Result::kImpossible,
+          "the record is larger than the state service takes now");
     }
     // The leader has recorded a step meanwhile, or the outcome is unknown:
     // look again before anything else is said.
-    if (written.status == StateStatus::kNotExecuted) break;
+    if (written.status == StoreStatus::kNotExecuted) break;
   }
-  co_return Say(Result::kTryLater, "cannot be recorded now");
+  co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
 }
 
 }  // namespace oxbow::app
--- a/app/settings.cc
+++ b/app/settings.cc
@@ -74,7 +74,7 @@
 }
 
 void ReadStateLimits(const rapidjson::Value& from, Reader& read,
-                     StateSettings* out) {
+                     StoreSettings* out) {
   constexpr double kAbove0 = 1e-3;
   constexpr double kFewestOps = 3;
   read.Amount(from, "rps", kAbove0, &out->rps);
@@ -86,13 +86,13 @@
 // The service may change from the limits of today to those of `next` at any
 // moment and says nothing, so the smaller of both hold from the start.
 void ReadState(const rapidjson::Value& state, Reader& read,
-               StateSettings* out) {
+               StoreSettings* out) {
   ReadStateLimits(state, read, out);
   out->stored_value_kb = out->value_kb;
   if (!read.error.empty() || json::Find(state, "next") == nullptr) return;
   const auto* announced = read.Object(state, "next");
   if (announced == nullptr) return;
-  StateSettings next = *out;
+  StoreSettings next = *out;
   ReadStateLimits(*announced, read, &next);
   if (!read.error.empty()) {
     read.error = "next, " + read.error;
@@ -112,7 +112,7 @@
     out->zones.emplace_back(json::View(zone));
   }
   for (const auto& item : ArrayOrEmpty(cluster, "teams", read).GetArray()) {
-    TeamSettings team;
+    TeamQuota team;
     read.String(item, "name", &team.name);
     read.Amount(item, "cpus", 0, &team.cpus);
     read.Amount(item, "cpus_max", 0, &team.cpus_max);
@@ -125,25 +125,26 @@
     Objective objective;
     objective.kind = json::GetString(item, "kind");
     objective.job_class = json::GetString(item, "class");
-    objective.within_s = json::GetDouble(item, "within_s");
+    objective.within_seconds = json::GetDouble(item, "within_s");
     objective.share = json::GetDouble(item, "share");
     objective.times = json::GetDouble(item, "times", 1);
     out->objectives.push_back(objective);
   }
   constexpr double kAbove0 = 1e-3;
   if (const auto* workers = read.Object(cluster, "workers")) {
-    read.Amount(*workers, "report_s", kAbove0, &out->workers.report_s);
-    read.Amount(*workers, "lease_s", kAbove0, &out->workers.lease_s);
-    read.Amount(*workers, "gang_wait_s", 0, &out->workers.gang_wait_s);
-    read.Amount(*workers, "gang_peer_s", 0, &out->workers.gang_peer_s);
-    read.Amount(*workers, "cancel_s", 0, &out->workers.cancel_s);
+    read.Amount(*workers, "report_s", kAbove0,
+                &out->workers.heartbeat_interval_seconds);
+    read.Amount(*workers, "lease_s", kAbove0, &out->workers.lease_seconds);
+    read.Amount(*workers, "gang_wait_s", 0, &out->workers.gang_wait_seconds);
+    read.Amount(*workers, "gang_peer_s", 0, &out->workers.gang_peer_seconds);
+    read.Amount(*workers, "cancel_s", 0, &out->workers.cancel_seconds);
   }
   if (const auto* state = read.Object(cluster, "state")) {
     ReadState(*state, read, &out->state);
   }
   if (const auto* cloud = read.Object(cluster, "cloud")) {
     read.Amount(*cloud, "rps", kAbove0, &out->cloud.rps);
-    read.Amount(*cloud, "list_lag_s", 0, &out->cloud.list_lag_s);
+    read.Amount(*cloud, "list_lag_s", 0, &out->cloud.list_lag_seconds);
   }
   if (const auto* limits = json::Find(cluster, "quota")) {
     read.Amount(*limits, "cpu", 0, &out->limits.cpu_share);
@@ -177,7 +178,7 @@
   }
   if (const auto* outside = read.Object(doc, "outside")) {
     read.Address(*outside, "cloud", &out->cloud_address);
-    read.Address(*outside, "state", &out->state_address);
+    read.Address(*outside, "state", &out->store_address);
   }
   out->nodes = static_cast<int>(out->peers.size()) + 1;
   if (const auto* cluster = read.Object(doc, "cluster")) {
--- a/app/follower.cc
+++ b/app/store_watcher.cc
@@ -1,4 +1,4 @@
-#include "app/follower.h"
+#include "app/store_watcher.h"
 
 #include <spdlog/spdlog.h>
 
@@ -9,49 +9,51 @@
 namespace oxbow::app {
 namespace {
 
-using clients::StateResult;
-using clients::StateStatus;
+using clients::StoreResult;
+using clients::StoreStatus;
 
-constexpr double kFollowBlock_s = 10;
+constexpr double kWatchBlockSeconds = 10;
 
 }  // namespace
 
-Follower::Follower(net::Loop& loop, const Settings& settings,
-                   clients::StateClient& state, clients::CloudClient& cloud,
-                   Catalog& catalog, Seams seams)
+StoreWatcher::StoreWatcher(net::Loop& loop, const Settings& settings,
+                           clients::KeyValueStoreClient& state,
+                           clients::CloudClient& cloud, Catalog& catalog,
+                           Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
-      state_(state),
+      store_(state),
       cloud_(cloud),
       catalog_(catalog),
-      seams_(std::move(seams)) {}
+      callbacks_(std::move(callbacks)) {}
 
-void Follower::Start() {
-  net::Spawn(FollowLoop(generation_));
+void StoreWatcher::Start() {
+  net::Spawn(WatchLoop(generation_));
   net::Spawn(TypesLoop());
 }
 
-void Follower::Apply(const std::string& key, const Record& record,
-                     uint64_t stamp) {
+void StoreWatcher::Apply(const std::string& key, const Record& record,
+                         uint64_t mod_revision) {
   if (std::holds_alternative<std::monostate>(record)) {
-    catalog_.Erase(key, stamp);
+    catalog_.Erase(key, mod_revision);
     return;
   }
-  catalog_.Put(key, record, stamp);
-  seams_.taken(key);
+  catalog_.Put(key, record, mod_revision);
+  callbacks_.taken(key);
 }
 
-void Follower::Reread() {
+void StoreWatcher::Reread() {
   // The watch under way waits for revisions that may never come.
   ++generation_;
   synced_ = false;
-  net::Spawn(FollowLoop(generation_));
+  net::Spawn(WatchLoop(generation_));
 }
 
 // The keys of an epoch come before all others, so the first page holds them.
-// Without this a controller that reads an empty state service would take its
+// Without this a controller that reads an empty key-value store would take its
 // own memory, perhaps the last one there is, for outdated.
-bool Follower::OfThisEpoch(const std::vector<clients::KeyValue>& first) const {
+bool StoreWatcher::OfThisEpoch(
+    const std::vector<clients::KeyValue>& first) const {
   const StoreEpoch& known = catalog_.epoch();
   if (known.number == 0) return true;
   for (const clients::KeyValue& item : first) {
@@ -63,16 +65,16 @@
   return false;
 }
 
-net::Task<bool> Follower::Resync(uint64_t generation) {
+net::Task<bool> StoreWatcher::Resync(uint64_t generation) {
   const net::Time asked = loop_.Refresh();
   std::string after;
   uint64_t revision = 0;
   std::unordered_set<std::string> listed;
   for (;;) {
-    StateResult page = co_await state_.List(std::string(keys::kLive), after);
+    StoreResult page = co_await store_.List(std::string(keys::kLive), after);
     if (!page.ok() || generation != generation_) co_return false;
     if (revision == 0 && !OfThisEpoch(page.items)) {
-      seams_.other_epoch();
+      callbacks_.other_epoch();
       co_return false;
     }
     // The watch goes on from the first page: what changed between the pages
@@ -80,7 +82,7 @@
     if (revision == 0) revision = page.revision;
     for (const clients::KeyValue& item : page.items) {
       listed.insert(item.key);
-      Apply(item.key, item.record, item.stamp);
+      Apply(item.key, item.record, item.mod_revision);
       after = item.key;
       // It told of a new epoch, of which another round reads everything.
       if (generation != generation_) co_return false;
@@ -88,18 +90,18 @@
     if (!page.more || page.items.empty()) break;
   }
   catalog_.EraseMissing(listed, revision);
-  catalog_.Followed(revision);
+  catalog_.AdvanceWatch(revision);
   synced_ = ever_synced_ = true;
   confirmed_ = asked;
   spdlog::info("state read up to revision {}: {} jobs, {} machines", revision,
                catalog_.jobs().size(), catalog_.machines().size());
-  seams_.caught_up();
+  callbacks_.caught_up();
   co_return true;
 }
 
-net::Task<void> Follower::FollowLoop(uint64_t generation) {
-  const double pause = 0.2 * settings_.workers.report_s;
-  const double lease = settings_.workers.lease_s;
+net::Task<void> StoreWatcher::WatchLoop(uint64_t generation) {
+  const double pause = 0.2 * settings_.workers.heartbeat_interval_seconds;
+  const double lease = settings_.workers.lease_seconds;
   while (generation == generation_) {
     if (!synced_) {
       const bool ok = co_await Resync(generation);
@@ -108,34 +110,34 @@
     }
     // The answer is as old as its question at the most.
     const net::Time asked = loop_.Refresh();
-    StateResult news =
-        co_await state_.Follow(std::string(keys::kLive), catalog_.followed(),
-                               std::min(kFollowBlock_s, lease));
+    StoreResult news = co_await store_.Watch(
+        std::string(keys::kLive), catalog_.watched_revision(),
+        std::min(kWatchBlockSeconds, lease));
     if (generation != generation_) co_return;
-    if (news.status == StateStatus::kTooOld) {
+    if (news.status == StoreStatus::kTooOld) {
       synced_ = false;
     } else if (news.ok()) {
       for (const clients::KeyValue& item : news.items) {
-        Apply(item.key, item.record, item.stamp);
+        Apply(item.key, item.record, item.mod_revision);
         if (generation != generation_) co_return;
       }
-      catalog_.Followed(news.revision);
+      catalog_.AdvanceWatch(news.revision);
       confirmed_ = asked;
-      seams_.caught_up();
+      callbacks_.caught_up();
     } else {
       co_await loop_.Sleep(pause);
     }
   }
 }
 
-net::Task<void> Follower::TypesLoop() {
-  const double soon = 0.5 * settings_.workers.report_s;
-  const double later = 6 * settings_.workers.lease_s;  // prices move
+net::Task<void> StoreWatcher::TypesLoop() {
+  const double soon = 0.5 * settings_.workers.heartbeat_interval_seconds;
+  const double later = 6 * settings_.workers.lease_seconds;  // prices move
   for (;;) {
     const clients::CloudClient::Types answer = co_await cloud_.GetTypes();
     if (answer.ok) {
       for (const MachineType& type : answer.types) types_[type.name] = type;
-      seams_.types(answer.types);
+      callbacks_.types(answer.types);
     }
     co_await loop_.Sleep(types_.empty() ? soon : later);
   }
--- a/app/tiers_cli.cc
+++ b/app/tiers_cli.cc
@@ -6,7 +6,7 @@
 #include <iterator>
 
 #include "app/record_client.h"
-#include "core/tiers/tiers.h"
+#include "core/priority_tiers/tier_set.h"
 #include "wire/names.h"
 #include "wire/tiers_json.h"
 
@@ -64,7 +64,7 @@
                 tier.name.c_str(),
                 place + 1 == set.size() ? "what no other matches"
                                         : MatchText(tier.match).c_str(),
-                tier.kept_share, tier.most_share, tier.floor_s);
+                tier.kept_share, tier.most_share, tier.floor_seconds);
   }
 }
 
--- a/app/version_coordinator.cc
+++ b/app/version_coordinator.cc
@@ -7,10 +7,10 @@
 namespace oxbow::app {
 namespace {
 
-using clients::StateResult;
+using clients::StoreResult;
 using clients::Urgency;
 
-constexpr double kLookAgain = 0.5;  // of the report interval
+constexpr double kLookAgain = 0.5;  // of the heartbeat interval
 
 std::vector<std::string> NamesOf(const Settings& settings) {
   std::vector<std::string> names;
@@ -23,12 +23,13 @@
 VersionCoordinator::VersionCoordinator(net::Loop& loop,
                                        const Settings& settings,
                                        const Catalog& catalog,
-                                       clients::StateClient& state, Seams seams)
+                                       clients::KeyValueStoreClient& state,
+                                       Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
       catalog_(catalog),
-      state_(state),
-      seams_(std::move(seams)),
+      store_(state),
+      callbacks_(std::move(callbacks)),
       gate_(settings.node, NamesOf(settings),
             static_cast<size_t>(settings.nodes)) {}
 
@@ -41,15 +42,16 @@
 
 net::Task<void> VersionCoordinator::RecordLoop() {
   for (;;) {
-    co_await loop_.Sleep(kLookAgain * settings_.workers.report_s);
-    if (!seams_.synced() || !seams_.may_write()) continue;
+    co_await loop_.Sleep(kLookAgain *
+                         settings_.workers.heartbeat_interval_seconds);
+    if (!callbacks_.synced() || !callbacks_.may_write()) continue;
     const bool open = gate_.open();
     gate_.See(catalog_.versions());
     if (gate_.open() && !open) {
       spdlog::info("all controllers run a version that knows jobs that wait");
     }
-    if (gate_.Wanted() != GateWrite::kNothing) {
-      co_await Record(gate_.Wanted());
+    if (gate_.RequiredWrite() != GateWrite::kNothing) {
+      co_await Record(gate_.RequiredWrite());
     }
   }
 }
@@ -61,12 +63,12 @@
                                    ? settings_.node
                                    : std::string(VersionGate::kMark));
   const VersionRecord record{kRecordsVersion, 0};
-  std::vector<Condition> conditions{{key, gate_.replaces()}};
-  seams_.add_guard(&conditions);
-  std::vector<KeyChange> changes{{key, record}};
-  const StateResult written = co_await state_.Write(
-      std::move(conditions), std::move(changes), Urgency::kLeader);
-  if (written.ok()) seams_.apply(key, record, written.revision);
+  std::vector<Precondition> preconditions{{key, gate_.replaces()}};
+  callbacks_.add_guard(&preconditions);
+  std::vector<Mutation> mutations{{key, record}};
+  const StoreResult written = co_await store_.Write(
+      std::move(preconditions), std::move(mutations), Urgency::kLeader);
+  if (written.ok()) callbacks_.apply(key, record, written.revision);
 }
 
 }  // namespace oxbow::app
--- a/app/version_coordinator.h
+++ b/app/version_coordinator.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "clients/state.h"
-#include "core/controller/catalog.h"
+#include "clients/key_value_store.h"
+#include "core/leader/catalog.h"
 #include "core/model/settings.h"
 #include "core/upgrade/version_gate.h"
 #include "net/loop.h"
@@ -17,18 +17,18 @@
 
 class VersionCoordinator {
  public:
-  struct Seams {
+  struct Callbacks {
     std::function<bool()> synced;
     // Whether what is written now stands in the epoch that is known.
     std::function<bool()> may_write;
-    std::function<void(std::vector<Condition>*)> add_guard;
+    std::function<void(std::vector<Precondition>*)> add_guard;
     std::function<void(const std::string& key, const Record& record,
-                       uint64_t stamp)>
+                       uint64_t mod_revision)>
         apply;
   };
   VersionCoordinator(net::Loop& loop, const Settings& settings,
-                     const Catalog& catalog, clients::StateClient& state,
-                     Seams seams);
+                     const Catalog& catalog,
+                     clients::KeyValueStoreClient& state, Callbacks callbacks);
   void Start();
 
   // Whether records may be written that an earlier version can't act on.
@@ -41,8 +41,8 @@
   net::Loop& loop_;
   const Settings& settings_;
   const Catalog& catalog_;
-  clients::StateClient& state_;
-  const Seams seams_;
+  clients::KeyValueStoreClient& store_;
+  const Callbacks callbacks_;
   VersionGate gate_;
 };
 
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -25,11 +25,11 @@
 constexpr double kUnheard = 0.25;  // since a controller has asked the leader
 constexpr double kAgain = 4;       // until a worker is sent to its zone again
 // Of the 4 s that a worker waits for its answer (protocol, "Workers ->
-// controller nodes"): for the leader, and then for the state service.
-constexpr double kRelayWait_s = 1.2;
-constexpr double kRelayLongest_s = 3.4;
-constexpr double kProbeWait_s = 1.6;
-constexpr double kLook_s = 0.1;
+// controller nodes"): for the leader, and then for the key-value store.
+constexpr double kRelayWaitSeconds = 1.2;
+constexpr double kRelayLongestSeconds = 3.4;
+constexpr double kProbeWaitSeconds = 1.6;
+constexpr double kLookSeconds = 0.1;
 constexpr int kStays = 2;  // reports answered here first
 
 uint32_t Milliseconds(double seconds) {
@@ -43,20 +43,21 @@
 
 ZoneCoordinator::ZoneCoordinator(net::Loop& loop, const Settings& settings,
                                  const Tuning& tuning,
-                                 clients::StateClient& state,
+                                 clients::KeyValueStoreClient& state,
                                  const LeaderHealthCoordinator::Peers& peers,
-                                 std::string life, Seams seams)
+                                 std::string process_incarnation,
+                                 Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
       on_(tuning.delegate_to_zones > 0),
-      state_(state),
+      store_(state),
       peers_(peers),
-      life_(std::move(life)),
+      process_incarnation_(std::move(process_incarnation)),
       started_(loop.Now()),
-      seams_(std::move(seams)),
+      callbacks_(std::move(callbacks)),
       delegated_lease_(settings.workers),
       record_(delegated_lease_),
-      signs_(settings.workers) {}
+      partition_detector_(settings.workers) {}
 
 void ZoneCoordinator::Start() {
   if (!on_ || DelegatedLeaseTerm(settings_.workers) <= 0) return;
@@ -69,23 +70,23 @@
   PeerMessage message;
   message.kind = kind;
   message.node = settings_.node;
-  message.text = life_;
+  message.text = process_incarnation_;
   message.running = Milliseconds(loop_.Now() - started_);
   return message;
 }
 
 net::Task<void> ZoneCoordinator::AskLoop() {
-  const double lease = settings_.workers.lease_s;
+  const double lease = settings_.workers.lease_seconds;
   for (;;) {
     const net::Time sent = loop_.Refresh();
-    if (const Controller* core = seams_.leading()) {
+    if (const Leader* core = callbacks_.leading()) {
       // Whoever leads next takes office after the lease has ended, and counts
       // what this one may do from then, as if it had been granted.
       leader_met_ = sent;
       if (core->ZoneSettled(settings_.zone, sent)) {
         delegated_lease_.Granted(sent);
       }
-    } else if (clients::PeerClient* leader = seams_.leader()) {
+    } else if (clients::PeerClient* leader = callbacks_.leader()) {
       const auto answer =
           co_await leader->Ask(Message(PeerKind::kDelegateZone), kWait * lease);
       if (answer.ok && answer.message.role == LeaderRole::kLeads) {
@@ -102,7 +103,7 @@
 }
 
 net::Task<void> ZoneCoordinator::NeighbourLoop() {
-  const double lease = settings_.workers.lease_s;
+  const double lease = settings_.workers.lease_seconds;
   for (;;) {
     cut_since_ =
         CutOff() ? std::min(cut_since_, loop_.Refresh()) : net::Time{1e18};
@@ -115,7 +116,7 @@
 
 // The question is the one for the right: from a leader its answer does no harm.
 net::Task<void> ZoneCoordinator::AskNeighbour(clients::PeerClient* peer) {
-  const double lease = settings_.workers.lease_s;
+  const double lease = settings_.workers.lease_seconds;
   const net::Time sent = loop_.Refresh();
   const auto answer =
       co_await peer->Ask(Message(PeerKind::kDelegateZone), kWait * lease);
@@ -136,30 +137,30 @@
   return wanted && loop_.Now() < neighbour_until_ ? neighbour_ : std::string();
 }
 
-// One that has just started inside a cut waits in vain for the state service:
+// One that has just started inside a cut waits in vain for the key-value store:
 // its neighbour knows sooner than it does.
 bool ZoneCoordinator::LeaderUnknown() const {
-  return seams_.leader() == nullptr && seams_.leading() == nullptr;
+  return callbacks_.leader() == nullptr && callbacks_.leading() == nullptr;
 }
 
 bool ZoneCoordinator::Apart() const {
   return !peers_.empty() && CutOff() &&
          loop_.Now() - std::max(cut_since_, peer_heard_) >
-             kApartAfter * settings_.workers.lease_s;
+             kApartAfter * settings_.workers.lease_seconds;
 }
 
 net::Task<void> ZoneCoordinator::Probe() {
   if (!probing_) {
     probing_ = true;
     net::Spawn([](ZoneCoordinator* self) -> net::Task<void> {
-      co_await self->state_.Get(std::string(keys::kLeader),
+      co_await self->store_.Get(std::string(keys::kLeader),
                                 clients::Urgency::kLease);
       self->probing_ = false;
     }(this));
   }
   // Several may wait for it.
-  const net::Time until = loop_.Now() + kProbeWait_s;
-  while (probing_ && loop_.Now() < until) co_await loop_.Sleep(kLook_s);
+  const net::Time until = loop_.Now() + kProbeWaitSeconds;
+  while (probing_ && loop_.Now() < until) co_await loop_.Sleep(kLookSeconds);
   if (probing_) state_missed_ = loop_.Now();
 }
 
@@ -171,36 +172,36 @@
     const bool on = record_.step() != before && before != RecordStep::kWrite &&
                     record_.step() != RecordStep::kRenew;
     if (!on) {
-      co_await loop_.Sleep(kRecordEvery * settings_.workers.lease_s);
+      co_await loop_.Sleep(kRecordEvery * settings_.workers.lease_seconds);
     }
   }
 }
 
 net::Task<void> ZoneCoordinator::RecordOnce() {
-  using clients::StateResult;
-  using clients::StateStatus;
+  using clients::StoreResult;
+  using clients::StoreStatus;
   const net::Time sent = loop_.Refresh();
   const std::string key = keys::Of(keys::kZone, settings_.node);
   switch (record_.step()) {
     case RecordStep::kRead: {
-      const StateResult read =
-          co_await state_.Get(key, clients::Urgency::kLease);
-      if (read.ok()) record_.WasRead(read.items[0].stamp);
-      if (read.status == StateStatus::kNotFound) record_.WasRead(0);
+      const StoreResult read =
+          co_await store_.Get(key, clients::Urgency::kLease);
+      if (read.ok()) record_.WasRead(read.items[0].mod_revision);
+      if (read.status == StoreStatus::kNotFound) record_.WasRead(0);
       break;
     }
     case RecordStep::kLease: {
-      const StateResult granted = co_await state_.CreateLease(
+      const StoreResult granted = co_await store_.CreateLease(
           DelegatedLeaseRecordTerm(settings_.workers));
       if (granted.ok()) record_.LeaseGranted(granted.lease_id, sent);
       break;
     }
     case RecordStep::kWrite: {
-      std::vector<Condition> conditions{{key, record_.stamp()}};
-      std::vector<KeyChange> changes{
-          {key, LeaderRecord{settings_.node, life_, 0, false}}};
-      const StateResult written =
-          co_await state_.Write(std::move(conditions), std::move(changes),
+      std::vector<Precondition> preconditions{{key, record_.mod_revision()}};
+      std::vector<Mutation> mutations{
+          {key, LeaderRecord{settings_.node, process_incarnation_, 0, false}}};
+      const StoreResult written =
+          co_await store_.Write(std::move(preconditions), std::move(mutations),
                                 clients::Urgency::kLease, record_.lease_id());
       if (written.ok()) {
         record_.Written(loop_.Refresh());
@@ -210,18 +211,20 @@
       break;
     }
     case RecordStep::kRenew: {
-      const StateResult renewed = co_await state_.Renew(
-          record_.lease_id(), kRecordWait * settings_.workers.lease_s);
+      const StoreResult renewed = co_await store_.Renew(
+          record_.lease_id(), kRecordWait * settings_.workers.lease_seconds);
       if (renewed.ok()) record_.Renewed(sent);
-      if (renewed.status == StateStatus::kNotFound) record_.LeaseEnded();
+      if (renewed.status == StoreStatus::kNotFound) record_.LeaseEnded();
       break;
     }
   }
 }
 
-bool ZoneCoordinator::Relays(const WorkerReport& report, size_t bytes) const {
-  if (!on_ || report.zone != settings_.zone || bytes > kMostBytes) return false;
-  const clients::PeerClient* leader = seams_.leader();
+bool ZoneCoordinator::MayForward(const Heartbeat& heartbeat,
+                                 size_t bytes) const {
+  if (!on_ || heartbeat.zone != settings_.zone || bytes > kMostBytes)
+    return false;
+  const clients::PeerClient* leader = callbacks_.leader();
   if (leader == nullptr) return false;
   return std::any_of(settings_.peers.begin(), settings_.peers.end(),
                      [&](const PeerSettings& p) {
@@ -232,7 +235,7 @@
 
 net::Task<ZoneCoordinator::Relayed> ZoneCoordinator::Relay(std::string body) {
   Relayed out;
-  clients::PeerClient* leader = seams_.leader();
+  clients::PeerClient* leader = callbacks_.leader();
   if (leader == nullptr || CutOff()) co_return out;
   PeerMessage message;
   message.kind = PeerKind::kReport;
@@ -242,10 +245,10 @@
   const auto asked = std::make_shared<Handing>(loop_);
   net::Spawn([](clients::PeerClient* to, PeerMessage what,
                 std::shared_ptr<Handing> handing) -> net::Task<void> {
-    handing->answer = co_await to->Ask(std::move(what), kRelayLongest_s);
+    handing->answer = co_await to->Ask(std::move(what), kRelayLongestSeconds);
     handing->done.Set();
   }(leader, std::move(message), asked));
-  const bool soon = co_await asked->done.Wait(kRelayWait_s);
+  const bool soon = co_await asked->done.Wait(kRelayWaitSeconds);
   if (!soon) {
     // Silence may be a cut round both, or a leader that has much to do: then
     // the worker is better off waiting than starting anew with it.
@@ -253,7 +256,7 @@
     co_await Probe();
     if (CutOff()) co_return out;
     co_await asked->done.Wait(
-        std::max(0.0, sent + kRelayLongest_s - loop_.Refresh()));
+        std::max(0.0, sent + kRelayLongestSeconds - loop_.Refresh()));
   }
   if (asked->answer.ok) {
     leader_met_ = loop_.Now();
@@ -267,16 +270,16 @@
   co_return out;
 }
 
-std::string ZoneCoordinator::BetterPlaceFor(const WorkerReport& report,
+std::string ZoneCoordinator::BetterPlaceFor(const Heartbeat& heartbeat,
                                             uint64_t revision) {
-  if (!on_ || report.zone == settings_.zone) return {};
+  if (!on_ || heartbeat.zone == settings_.zone) return {};
   if (visited_ != revision) {
     visited_ = revision;
     visitors_.clear();
   }
-  const double lease = settings_.workers.lease_s;
+  const double lease = settings_.workers.lease_seconds;
   const net::Time now = loop_.Now();
-  Visitor& visitor = visitors_[report.host];
+  Visitor& visitor = visitors_[heartbeat.host];
   // Not before it has been answered here, and not soon again: those in its zone
   // may have sent it back.
   if (++visitor.reports < kStays || now - visitor.sent_away < kAgain * lease) {
@@ -285,39 +288,42 @@
   std::vector<const std::string*> there;
   for (const PeerSettings& p : settings_.peers) {
     const auto met = peer_met_.find(p.name);
-    if (p.zone == report.zone && met != peer_met_.end() &&
+    if (p.zone == heartbeat.zone && met != peer_met_.end() &&
         now - met->second < kUnheard * lease) {
       there.push_back(&p.name);
     }
   }
   if (there.empty()) return {};
   visitor.sent_away = now;
-  return *there[std::hash<std::string>{}(report.host) % there.size()];
+  return *there[std::hash<std::string>{}(heartbeat.host) % there.size()];
 }
 
 bool ZoneCoordinator::CutOff() const {
-  const bool state_out = state_.Failing() || state_missed_ > state_.last_good();
+  const bool state_out = store_.Failing() || state_missed_ > store_.last_good();
   if (!on_ || !state_out) return false;
   // Its own name in the key is that of a former life, or of a right that it
   // could not renew.
-  if (seams_.leader() == nullptr) return seams_.leading() == nullptr;
+  if (callbacks_.leader() == nullptr) return callbacks_.leading() == nullptr;
   return leader_missed_ > leader_met_;
 }
 
-ZoneCoordinator::Renewal ZoneCoordinator::MayRenew(const WorkerReport& report) {
+ZoneCoordinator::Renewal ZoneCoordinator::MayRenew(const Heartbeat& heartbeat) {
   if (!CutOff()) {
-    signs_.Clear();
+    partition_detector_.Clear();
     return Renewal::kNo;
   }
-  if (report.token == 0 || report.zone != settings_.zone) return Renewal::kNo;
+  if (heartbeat.token == 0 || heartbeat.zone != settings_.zone)
+    return Renewal::kNo;
   const net::Time now = loop_.Refresh();
-  if (signs_.SentOn(report, now)) return Renewal::kSentOn;
+  if (partition_detector_.Redirected(heartbeat, now))
+    return Renewal::kRedirected;
   if (!delegated_lease_.Renew(now)) return Renewal::kNo;
-  signs_.Kept(report, now);
+  partition_detector_.Kept(heartbeat, now);
   return Renewal::kYes;
 }
 
-void ZoneCoordinator::DoAsk(const AskStandBack& ask, uint64_t revision) {
+void ZoneCoordinator::RequestYields(const RequestLeaseYield& ask,
+                                    uint64_t revision) {
   for (const auto& peer : peers_) {
     if (std::find(ask.peers.begin(), ask.peers.end(), peer->name()) !=
         ask.peers.end()) {
@@ -329,31 +335,32 @@
 net::Task<void> ZoneCoordinator::AskOne(clients::PeerClient* peer,
                                         uint64_t revision) {
   const net::Time sent = loop_.Refresh();
-  const auto answer = co_await peer->Ask(Message(PeerKind::kStandBack),
-                                         kWait * settings_.workers.lease_s);
+  const auto answer =
+      co_await peer->Ask(Message(PeerKind::kRequestLeaseYield),
+                         kWait * settings_.workers.lease_seconds);
   const PeerMessage& said = answer.message;
   if (!answer.ok || said.answer != PeerAnswer::kYes) co_return;
   // One more than the time, 0 for never.
   const double renewed_ago = said.done == 0 ? -1 : Seconds(said.done - 1);
-  seams_.tell(revision, [&](Controller& c) {
-    c.OnStoodBack(peer->name(), said.text, Seconds(said.running), renewed_ago,
-                  sent, loop_.Now());
+  callbacks_.tell(revision, [&](Leader& c) {
+    c.OnLeaseYielded(peer->name(), said.text, Seconds(said.running),
+                     renewed_ago, sent, loop_.Now());
   });
 }
 
 void ZoneCoordinator::OnPeer(const PeerMessage& message, PeerMessage* reply) {
   const net::Time now = loop_.Refresh();
-  if (message.kind == PeerKind::kStandBack) {
+  if (message.kind == PeerKind::kRequestLeaseYield) {
     leader_met_ = now;
-    if (!delegated_lease_.AskedToStandBack(now)) return;
+    if (!delegated_lease_.OnYieldRequested(now)) return;
     const double renewed_ago = delegated_lease_.RenewedAgo(now);
     reply->done = renewed_ago < 0 ? 0 : Milliseconds(renewed_ago) + 1;
     reply->running = Milliseconds(now - started_);
-    reply->text = life_;
+    reply->text = process_incarnation_;
     reply->answer = PeerAnswer::kYes;
     return;
   }
-  Controller* core = seams_.leading();
+  Leader* core = callbacks_.leading();
   // One that has forgotten its right sends its workers here.
   if (core == nullptr) {
     reply->done = CutOff() && delegated_lease_.Holds(now) ? 1 : 0;
--- a/app/zone_coordinator.h
+++ b/app/zone_coordinator.h
@@ -12,33 +12,32 @@
 #include <unordered_map>
 
 #include "app/leader_health_coordinator.h"
+#include "clients/key_value_store.h"
 #include "clients/peer.h"
-#include "clients/state.h"
-#include "core/controller/controller.h"
-#include "core/lease/cut_signs.h"
+#include "core/leader/leader.h"
 #include "core/lease/delegated_lease.h"
 #include "core/lease/delegated_lease_record.h"
-#include "core/model/report.h"
+#include "core/lease/partition_detector.h"
+#include "core/model/heartbeat.h"
 #include "net/loop.h"
 
 namespace oxbow::app {
 
 class ZoneCoordinator {
  public:
-  struct Seams {
+  struct Callbacks {
     // The leader as far as is known; null: this one, or nobody.
     std::function<clients::PeerClient*()> leader;
     // This controller's core, where it leads by the lease of the key.
-    std::function<Controller*()> leading;
-    std::function<void(uint64_t revision,
-                       const std::function<void(Controller&)>&)>
+    std::function<Leader*()> leading;
+    std::function<void(uint64_t revision, const std::function<void(Leader&)>&)>
         tell;
   };
 
   ZoneCoordinator(net::Loop& loop, const Settings& settings,
-                  const Tuning& tuning, clients::StateClient& state,
-                  const LeaderHealthCoordinator::Peers& peers, std::string life,
-                  Seams seams);
+                  const Tuning& tuning, clients::KeyValueStoreClient& state,
+                  const LeaderHealthCoordinator::Peers& peers,
+                  std::string process_incarnation, Callbacks callbacks);
   void Start();
 
   // --- reports handed on
@@ -47,36 +46,36 @@
     bool answered = false;
     std::string text;
   };
-  // Whether the report is one to hand on to the leader.
-  bool Relays(const WorkerReport& report, size_t bytes) const;
+  // Whether the heartbeat is one to hand on to the leader.
+  bool MayForward(const Heartbeat& heartbeat, size_t bytes) const;
   // Back within less than a worker waits; by then it is known whether this
   // controller is cut off.
   net::Task<Relayed> Relay(std::string body);
   // As the leader: the controller of the worker's own zone it should report to,
   // empty to stay here. Says so once in a while.
-  std::string BetterPlaceFor(const WorkerReport& report, uint64_t revision);
+  std::string BetterPlaceFor(const Heartbeat& heartbeat, uint64_t revision);
 
-  // Whether neither the state service nor the leader can be reached.
+  // Whether neither the key-value store nor the leader can be reached.
   bool CutOff() const;
   // A controller of the own zone that may, where this one has forgotten its
   // right, or never had one; empty if none is known.
   std::string Neighbour() const;
-  // Whether it has reached neither the state service nor any controller for a
+  // Whether it has reached neither the key-value store nor any controller for a
   // while: nothing that a user asks can be answered here.
   bool Apart() const;
   enum class Renewal : uint8_t {
     kNo,
-    kYes,     // the report may be answered here, without orders
-    kSentOn,  // a leader reaches the worker: it is to look for that one
+    kYes,         // the heartbeat may be answered here, without commands
+    kRedirected,  // a leader reaches the worker: it is to look for that one
   };
-  Renewal MayRenew(const WorkerReport& report);
+  Renewal MayRenew(const Heartbeat& heartbeat);
 
   // --- as the leader
-  void DoAsk(const AskStandBack& ask, uint64_t revision);
+  void RequestYields(const RequestLeaseYield& ask, uint64_t revision);
 
-  static bool Takes(clients::PeerKind kind) {
+  static bool Handles(clients::PeerKind kind) {
     return kind == clients::PeerKind::kDelegateZone ||
-           kind == clients::PeerKind::kStandBack;
+           kind == clients::PeerKind::kRequestLeaseYield;
   }
   void OnPeer(const clients::PeerMessage& message, clients::PeerMessage* reply);
 
@@ -87,7 +86,7 @@
     clients::PeerClient::Answer answer;
   };
   net::Task<void> AskLoop();
-  // Whether the state service answers right now, without waiting long.
+  // Whether the key-value store answers right now, without waiting long.
   net::Task<void> Probe();
   // Keeps the record of the right alive, which ends by itself.
   net::Task<void> RecordLoop();
@@ -102,14 +101,14 @@
   net::Loop& loop_;
   const Settings& settings_;
   const bool on_;
-  clients::StateClient& state_;
+  clients::KeyValueStoreClient& store_;
   const LeaderHealthCoordinator::Peers& peers_;
-  const std::string life_;  // incarnation of this process
+  const std::string process_incarnation_;  // incarnation of this process
   const net::Time started_;
-  Seams seams_;
+  Callbacks callbacks_;
   DelegatedLease delegated_lease_;
   DelegatedLeaseRecord record_;
-  CutSigns signs_;
+  PartitionDetector partition_detector_;
   net::Time leader_met_ = -1e9;     // asked when it answered, or was this one
   net::Time leader_missed_ = -1e9;  // asked when it did not
   net::Time state_missed_ = -1e9;   // probed when it did not answer in time
--- a/clients/budget.h
+++ b/clients/budget.h
@@ -13,8 +13,8 @@
 class Budget {
  public:
   // `burst_s`: seconds' worth that may be saved up.
-  Budget(double per_second, double burst_s)
-      : rate_(per_second), most_(per_second * burst_s), tokens_(most_) {}
+  Budget(double per_second, double burst_seconds)
+      : rate_(per_second), most_(per_second * burst_seconds), tokens_(most_) {}
 
   // An amount larger than what can be saved up passes when nearly everything
   // is there, and is paid back afterwards: refused, it would be refused for
--- a/clients/cloud.cc
+++ b/clients/cloud.cc
@@ -20,13 +20,13 @@
       http_(loop, address, kAnswerLimit, 2),
       // Mostly the leader calls; the others only ask for the types.
       budget_(0.8 * settings.cloud.rps, 1.5),
-      timeout_s_(0.4 * settings.workers.lease_s) {}
+      timeout_seconds_(0.4 * settings.workers.lease_seconds) {}
 
 net::Task<CloudClient::Types> CloudClient::GetTypes() {
   Types out;
   if (!budget_.Take(Urgency::kLeader, 1, loop_.Now())) co_return out;
   const net::ClientResult answer =
-      co_await http_.Request("GET", "/flavors", "", timeout_s_);
+      co_await http_.Request("GET", "/flavors", "", timeout_seconds_);
   rapidjson::Document doc;
   if (!answer.ok() || !json::Parse(answer.body, &doc)) co_return out;
   const auto* fleets = json::Find(doc, "fleets");
@@ -38,10 +38,10 @@
                   json::GetDouble(item, "accelerators"),
                   json::GetDouble(item, "memory_gb")};
     type.cache_gb = json::GetDouble(item, "cache_gb");
-    type.fetch_gb_per_s = json::GetDouble(item, "fetch_gb_per_s", 1);
+    type.fetch_gb_per_second = json::GetDouble(item, "fetch_gb_per_s", 1);
     type.price = json::GetDouble(item, "hourly");
     type.spot_price = json::GetDouble(item, "low_price", type.price);
-    type.boot_s = json::GetDouble(item, "startup_s");
+    type.boot_seconds = json::GetDouble(item, "startup_s");
     const auto* zones = json::Find(item, "yards");
     if (zones != nullptr && zones->IsArray()) {
       for (const auto& zone : zones->GetArray()) {
@@ -55,22 +55,22 @@
 }
 
 net::Task<CloudClient::Rented> CloudClient::Rent(std::string name,
-                                                 RentalRecord rental) {
+                                                 ScaleOutRecord scale_out) {
   Rented out;
   if (!budget_.Take(Urgency::kLeader, 1, loop_.Now())) co_return out;
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
   json::Field(w, "rental", name);
-  json::Field(w, "fleet", rental.type);
-  json::Field(w, "yard", rental.zone);
+  json::Field(w, "fleet", scale_out.type);
+  json::Field(w, "yard", scale_out.zone);
   w.Key("loaner");
-  w.Bool(rental.spot);
+  w.Bool(scale_out.spot);
   w.Key("how_many");
-  w.Int(rental.count);
+  w.Int(scale_out.count);
   w.EndObject();
   const net::ClientResult answer = co_await http_.Request(
-      "POST", "/machines", json::Text(buffer), timeout_s_);
+      "POST", "/machines", json::Text(buffer), timeout_seconds_);
   if (answer.outcome != net::Outcome::kAnswered) co_return out;
   rapidjson::Document doc;
   const bool parsed = json::Parse(answer.body, &doc);
@@ -80,12 +80,12 @@
     for (const auto& host : hosts->GetArray()) {
       if (host.IsString()) out.hosts.emplace_back(json::View(host));
     }
-    out.outcome = RentOutcome::kGranted;
+    out.outcome = ScaleOutOutcome::kGranted;
   } else if (answer.status == 503 && parsed &&
              json::GetString(doc, "error") == "no capacity") {
-    out.outcome = RentOutcome::kNoCapacity;
+    out.outcome = ScaleOutOutcome::kNoCapacity;
   } else if (answer.status == 400) {
-    out.outcome = RentOutcome::kRejected;
+    out.outcome = ScaleOutOutcome::kRejected;
   }
   co_return out;
 }
@@ -101,7 +101,7 @@
   w.EndArray();
   w.EndObject();
   const net::ClientResult answer = co_await http_.Request(
-      "POST", "/machines/delete", json::Text(buffer), timeout_s_);
+      "POST", "/machines/delete", json::Text(buffer), timeout_seconds_);
   co_return answer.ok();
 }
 
@@ -115,7 +115,7 @@
     if (!after.empty()) target += "after=" + after + "&";
     target += "page=" + std::to_string(kPage);
     const net::ClientResult answer =
-        co_await http_.Request("GET", std::move(target), "", timeout_s_);
+        co_await http_.Request("GET", std::move(target), "", timeout_seconds_);
     rapidjson::Document doc;
     if (!answer.ok() || !json::Parse(answer.body, &doc)) co_return Listing{};
     const auto* hosts = json::Find(doc, "hosts");
@@ -128,7 +128,7 @@
       machine.zone = json::GetString(item, "yard");
       machine.spot = json::GetBool(item, "loaner");
       machine.state = json::GetString(item, "status");
-      machine.age_s = json::GetDouble(item, "age_s");
+      machine.age_seconds = json::GetDouble(item, "age_s");
       after = machine.host;
       out.machines.push_back(std::move(machine));
     }
--- a/clients/cloud.h
+++ b/clients/cloud.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "clients/budget.h"
-#include "core/controller/actions.h"
+#include "core/leader/actions.h"
 #include "net/http_client.h"
 
 namespace oxbow::clients {
@@ -20,7 +20,7 @@
     std::vector<MachineType> types;
   };
   struct Rented {
-    RentOutcome outcome = RentOutcome::kTryLater;
+    ScaleOutOutcome outcome = ScaleOutOutcome::kTryLater;
     std::vector<std::string> hosts;
   };
   struct Listing {
@@ -29,7 +29,7 @@
   };
 
   net::Task<Types> GetTypes();
-  net::Task<Rented> Rent(std::string name, RentalRecord rental);
+  net::Task<Rented> Rent(std::string name, ScaleOutRecord scale_out);
   net::Task<bool> Delete(std::vector<std::string> hosts);
   // All pages.
   net::Task<Listing> List();
@@ -38,7 +38,7 @@
   net::Loop& loop_;
   net::HttpClient http_;
   Budget budget_;
-  double timeout_s_;
+  double timeout_seconds_;
 };
 
 }  // namespace oxbow::clients
--- a/clients/health.cc
+++ b/clients/health.cc
@@ -11,7 +11,7 @@
 constexpr size_t kVerdictsKept = 64;
 
 // {job} and {task} in a path, for machines where one agent answers for all.
-std::string PathOf(const std::string& pattern, const ResidentKey& key) {
+std::string PathOf(const std::string& pattern, const TaskAttemptKey& key) {
   std::string path = pattern;
   const auto put = [&path](std::string_view name, const std::string& value) {
     for (size_t at = path.find(name); at != std::string::npos;
@@ -26,12 +26,13 @@
 
 }  // namespace
 
-script::Verdict& HealthClient::VerdictOf(const CheckInstance& check) {
+health_expression::HealthExpression& HealthClient::AdmissionOf(
+    const CheckInstance& check) {
   if (verdicts_.size() > kVerdictsKept) verdicts_.clear();
   Entry& entry = verdicts_[check.rollout];
   const std::string& text = check.spec->check.verdict;
   if (!entry.verdict || entry.text != text) {
-    entry = {text, std::make_unique<script::Verdict>(text)};
+    entry = {text, std::make_unique<health_expression::HealthExpression>(text)};
   }
   return *entry.verdict;
 }
@@ -50,13 +51,14 @@
   // instance, and a service that takes no new connections is not well.
   net::HttpClient http(loop_, address, kBodyLimit, 0);
   const net::ClientResult answer = co_await http.Request(
-      "GET", PathOf(how.path, check.key), "", how.timeout_s);
+      "GET", PathOf(how.path, check.key), "", how.timeout_seconds);
   if (answer.outcome != net::Outcome::kAnswered) co_return out;
   out.answered = true;
-  out.latency_s = loop_.Now() - sent;
-  const script::Verdict::Answer seen{answer.status, answer.body,
-                                     out.latency_s * 1000};
-  out.good = VerdictOf(check).Judge(seen) == script::Verdict::Result::kGood;
+  out.latency_seconds = loop_.Now() - sent;
+  const health_expression::HealthExpression::Answer seen{
+      answer.status, answer.body, out.latency_seconds * 1000};
+  out.good = AdmissionOf(check).Judge(seen) ==
+             health_expression::HealthExpression::Result::kGood;
   co_return out;
 }
 
--- a/clients/health.h
+++ b/clients/health.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <string>
 
-#include "core/controller/actions.h"
+#include "core/leader/actions.h"
+#include "health_expression/health_expression.h"
 #include "net/loop.h"
-#include "script/verdict.h"
 
 namespace oxbow::clients {
 
@@ -20,13 +20,13 @@
   void Clear() { verdicts_.clear(); }
 
  private:
-  script::Verdict& VerdictOf(const CheckInstance& check);
+  health_expression::HealthExpression& AdmissionOf(const CheckInstance& check);
 
   net::Loop& loop_;
-  // By roll-out; a new declaration under an old name brings its own text.
+  // By rollout; a new declaration under an old name brings its own text.
   struct Entry {
     std::string text;
-    std::unique_ptr<script::Verdict> verdict;
+    std::unique_ptr<health_expression::HealthExpression> verdict;
   };
   std::map<std::string, Entry> verdicts_;
 };
--- a/clients/state.cc
+++ b/clients/key_value_store.cc
@@ -1,4 +1,4 @@
-#include "clients/state.h"
+#include "clients/key_value_store.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,19 +17,19 @@
 // Of this controller's share of the requests a second.
 constexpr double kRetryShare = 0.1;
 
-void ReadItem(const rapidjson::Value& item, StateResult* out) {
+void ReadItem(const rapidjson::Value& item, StoreResult* out) {
   KeyValue entry;
   entry.key = json::GetString(item, "key");
-  entry.stamp = json::GetUint(item, "stamp");
+  entry.mod_revision = json::GetUint(item, "stamp");
   entry.lease = json::GetUint(item, "permit");
   const auto* value = json::Find(item, "v");
   if (value != nullptr) wire::DecodeRecord(entry.key, *value, &entry.record);
   out->items.push_back(std::move(entry));
 }
 
-void ReadEvent(const rapidjson::Value& event, StateResult* out) {
+void ReadEvent(const rapidjson::Value& event, StoreResult* out) {
   KeyValue entry;
-  entry.stamp = json::GetUint(event, "stamp");
+  entry.mod_revision = json::GetUint(event, "stamp");
   entry.key = json::GetString(event, "set");
   if (entry.key.empty()) {
     entry.key = json::GetString(event, "delete");
@@ -40,25 +40,25 @@
 }
 
 // Empty when a value or the whole is larger than the service takes.
-std::string EncodeTransaction(const std::vector<Condition>& conditions,
-                              const std::vector<KeyChange>& changes,
+std::string EncodeTransaction(const std::vector<Precondition>& preconditions,
+                              const std::vector<Mutation>& mutations,
                               uint64_t lease_id, size_t most_value_bytes) {
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
   w.Key("if");
   w.StartArray();
-  for (const Condition& c : conditions) {
+  for (const Precondition& c : preconditions) {
     w.StartObject();
     json::Field(w, "key", c.key);
     w.Key("stamp");
-    w.Uint64(c.stamp);
+    w.Uint64(c.mod_revision);
     w.EndObject();
   }
   w.EndArray();
   w.Key("then");
   w.StartArray();
-  for (const KeyChange& change : changes) {
+  for (const Mutation& change : mutations) {
     w.StartObject();
     if (std::holds_alternative<std::monostate>(change.record)) {
       json::Field(w, "delete", change.key);
@@ -86,71 +86,72 @@
 
 }  // namespace
 
-StateClient::StateClient(net::Loop& loop, const net::Address& address,
-                         const Settings& settings)
+KeyValueStoreClient::KeyValueStoreClient(net::Loop& loop,
+                                         const net::Address& address,
+                                         const Settings& settings)
     : loop_(loop),
       // The right to lead rests on its answers.
       http_(loop, address, kAnswerLimit, 8, /*urgent=*/true),
       watch_(loop, address, kWatchLimit, 1),
-      limits_(settings.state),
+      limits_(settings.store),
       // The controllers share the service's limits in equal parts.
-      requests_(settings.state.rps / settings.nodes, 1.0),
-      writes_(settings.state.write_rps / settings.nodes, 1.0),
-      retries_(kRetryShare * settings.state.rps / settings.nodes, 1.0),
-      round_trip_(0.15 * settings.workers.lease_s),
-      timeout_s_(0.15 * settings.workers.lease_s) {}
+      requests_(settings.store.rps / settings.nodes, 1.0),
+      writes_(settings.store.write_rps / settings.nodes, 1.0),
+      retries_(kRetryShare * settings.store.rps / settings.nodes, 1.0),
+      round_trip_(0.15 * settings.workers.lease_seconds),
+      timeout_seconds_(0.15 * settings.workers.lease_seconds) {}
 
-net::Task<StateResult> StateClient::Call(std::string method, std::string target,
-                                         std::string body, double timeout_s,
-                                         rapidjson::Document* doc, Kind kind) {
+net::Task<StoreResult> KeyValueStoreClient::Call(
+    std::string method, std::string target, std::string body,
+    double timeout_seconds, rapidjson::Document* doc, Kind kind) {
   const bool watch = kind == Kind::kWatch;
-  StateResult result;
+  StoreResult result;
   net::HttpClient& client = watch ? watch_ : http_;
   const uint64_t highest = highest_;
   const uint64_t generation = generation_;
   const net::Time sent = loop_.Now();
   const net::ClientResult answer = co_await client.Request(
-      std::move(method), std::move(target), std::move(body), timeout_s);
+      std::move(method), std::move(target), std::move(body), timeout_seconds);
   if (answer.outcome == net::Outcome::kUnknown) {
-    result.status = StateStatus::kUnknown;
+    result.status = StoreStatus::kUnknown;
   } else if (answer.outcome == net::Outcome::kAnswered) {
     switch (answer.status) {
       case 200:
-        result.status = StateStatus::kOk;
+        result.status = StoreStatus::kOk;
         break;
       case 404:
-        result.status = StateStatus::kNotFound;
+        result.status = StoreStatus::kNotFound;
         break;
       case 400:
-        result.status = StateStatus::kRefused;
+        result.status = StoreStatus::kRefused;
         break;
       case 409:
-        result.status = StateStatus::kConflict;
+        result.status = StoreStatus::kConflict;
         break;
       case 410:
-        result.status = StateStatus::kTooOld;
+        result.status = StoreStatus::kTooOld;
         break;
       case 429:
       case 503:
-        result.status = StateStatus::kNotExecuted;
+        result.status = StoreStatus::kNotExecuted;
         break;
       default:
-        result.status = StateStatus::kUnknown;
+        result.status = StoreStatus::kUnknown;
         break;
     }
     if (answer.status != 429 && answer.status != 503 &&
         !json::Parse(answer.body, doc)) {
-      result.status = StateStatus::kUnknown;
+      result.status = StoreStatus::kUnknown;
     }
   }
   // A lease that has ended is refused in the same way as what is too large.
-  if (result.status == StateStatus::kRefused && doc->IsObject() &&
+  if (result.status == StoreStatus::kRefused && doc->IsObject() &&
       json::GetString(*doc, "error") == kNoLease) {
-    result.status = StateStatus::kConflict;
+    result.status = StoreStatus::kConflict;
   }
   const bool bad =
-      result.status == StateStatus::kUnknown ||
-      (result.status == StateStatus::kNotExecuted && answer.status != 429);
+      result.status == StoreStatus::kUnknown ||
+      (result.status == StoreStatus::kNotExecuted && answer.status != 429);
   // A lost answer among others that came tells nothing of the service.
   const bool lost_alone =
       answer.outcome == net::Outcome::kUnknown && last_good_ > sent;
@@ -175,34 +176,36 @@
   co_return result;
 }
 
-void StateClient::SteppedBack(bool applied, StateResult* result) {
+void KeyValueStoreClient::SteppedBack(bool applied, StoreResult* result) {
   result->stepped_back = true;
-  result->status = applied ? StateStatus::kUnknown : StateStatus::kNotExecuted;
+  result->status = applied ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
   if (on_step_back) on_step_back();
 }
 
-net::Task<StateResult> StateClient::Get(std::string key, Urgency urgency) {
-  if (!requests_.Take(urgency, 1, loop_.Now())) co_return StateResult{};
+net::Task<StoreResult> KeyValueStoreClient::Get(std::string key,
+                                                Urgency urgency) {
+  if (!requests_.Take(urgency, 1, loop_.Now())) co_return StoreResult{};
   rapidjson::Document doc;
-  StateResult result = co_await Call("GET", "/kv/" + key, "", timeout_s_, &doc);
+  StoreResult result =
+      co_await Call("GET", "/kv/" + key, "", timeout_seconds_, &doc);
   if (result.ok()) {
     ReadItem(doc, &result);
-    highest_ = std::max(highest_, result.items[0].stamp);
+    highest_ = std::max(highest_, result.items[0].mod_revision);
   }
   co_return result;
 }
 
-net::Task<StateResult> StateClient::List(std::string prefix,
-                                         std::string after) {
+net::Task<StoreResult> KeyValueStoreClient::List(std::string prefix,
+                                                 std::string after) {
   if (!requests_.Take(Urgency::kLeader, 1, loop_.Now())) {
-    co_return StateResult{};
+    co_return StoreResult{};
   }
   std::string target = "/kv?prefix=" + prefix;
   if (!after.empty()) target += "&after=" + after;
   target += "&page=" + std::to_string(kPage);
   rapidjson::Document doc;
-  StateResult result =
-      co_await Call("GET", std::move(target), "", 4 * timeout_s_, &doc);
+  StoreResult result =
+      co_await Call("GET", std::move(target), "", 4 * timeout_seconds_, &doc);
   if (!result.ok()) co_return result;
   const auto* pairs = json::Find(doc, "pairs");
   if (pairs != nullptr && pairs->IsArray()) {
@@ -212,28 +215,27 @@
   co_return result;
 }
 
-net::Task<StateResult> StateClient::Write(std::vector<Condition> conditions,
-                                          std::vector<KeyChange> changes,
-                                          Urgency urgency, uint64_t lease_id,
-                                          WhenUnanswered then) {
+net::Task<StoreResult> KeyValueStoreClient::Write(
+    std::vector<Precondition> preconditions, std::vector<Mutation> mutations,
+    Urgency urgency, uint64_t lease_id, WhenUnanswered then) {
   const net::Time now = loop_.Now();
-  const auto amount = static_cast<double>(changes.size());
-  StateResult refused;
-  refused.status = StateStatus::kRefused;
+  const auto amount = static_cast<double>(mutations.size());
+  StoreResult refused;
+  refused.status = StoreStatus::kRefused;
   // Whatever the service takes today, it may take less from any moment on.
-  if (!limits_.Takes(changes.size())) co_return refused;
+  if (!limits_.FitsTransaction(mutations.size())) co_return refused;
   if (!writes_.Take(urgency, amount, now) || !requests_.Take(urgency, 1, now)) {
-    co_return StateResult{};
+    co_return StoreResult{};
   }
   auto sending = std::make_shared<Sending>(loop_);
-  sending->kind = changes.empty() ? Kind::kRead : Kind::kChange;
-  sending->changes = amount;
-  sending->body = EncodeTransaction(conditions, changes, lease_id,
+  sending->kind = mutations.empty() ? Kind::kRead : Kind::kChange;
+  sending->mutations = amount;
+  sending->body = EncodeTransaction(preconditions, mutations, lease_id,
                                     limits_.most_value_bytes());
   if (sending->body.empty()) co_return refused;
-  const net::Time until = now + timeout_s_;
+  const net::Time until = now + timeout_seconds_;
   sending->retry.Sent();
-  net::Spawn(Send(sending, timeout_s_));
+  net::Spawn(Send(sending, timeout_seconds_));
   bool hurried = then != WhenUnanswered::kWait;
   while (!sending->retry.decided() && !sending->retry.silent()) {
     const double left = until - loop_.Now();
@@ -252,25 +254,25 @@
     sending->retry.Sent();
     net::Spawn(Send(sending, until - loop_.Now()));
   }
-  StateResult result = sending->result;
-  if (!sending->retry.decided()) result.status = StateStatus::kUnknown;
+  StoreResult result = sending->result;
+  if (!sending->retry.decided()) result.status = StoreStatus::kUnknown;
   co_return result;
 }
 
-bool StateClient::TakeRetry(const Sending& sending) {
+bool KeyValueStoreClient::TakeRetry(const Sending& sending) {
   // As the least urgent: what the users and the leader need stays behind.
   const net::Time now = loop_.Now();
   return retries_.Take(Urgency::kUser, 1, now) &&
-         writes_.Take(Urgency::kBackground, sending.changes, now) &&
+         writes_.Take(Urgency::kBackground, sending.mutations, now) &&
          requests_.Take(Urgency::kBackground, 1, now);
 }
 
-net::Task<void> StateClient::Send(std::shared_ptr<Sending> sending,
-                                  double timeout_s) {
+net::Task<void> KeyValueStoreClient::Send(std::shared_ptr<Sending> sending,
+                                          double timeout_seconds) {
   rapidjson::Document doc;
-  StateResult result = co_await Call("POST", "/txn", sending->body, timeout_s,
-                                     &doc, sending->kind);
-  if (result.status == StateStatus::kConflict) {
+  StoreResult result = co_await Call("POST", "/txn", sending->body,
+                                     timeout_seconds, &doc, sending->kind);
+  if (result.status == StoreStatus::kConflict) {
     const auto* failed = json::Find(doc, "failed");
     if (failed != nullptr && failed->IsArray()) {
       for (const auto& key : failed->GetArray()) {
@@ -284,42 +286,46 @@
   sending->news.Set();
 }
 
-net::Task<StateResult> StateClient::CreateLease(double ttl_s) {
+net::Task<StoreResult> KeyValueStoreClient::CreateLease(double ttl_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
   rapidjson::Document doc;
-  StateResult result = co_await Call(
+  StoreResult result = co_await Call(
       "POST", "/leases",
-      "{\"ttl_ms\":" + std::to_string(static_cast<int64_t>(ttl_s * 1000)) + "}",
-      timeout_s_, &doc);
+      "{\"ttl_ms\":" +
+          std::to_string(static_cast<int64_t>(ttl_seconds * 1000)) + "}",
+      timeout_seconds_, &doc);
   if (result.ok()) result.lease_id = json::GetUint(doc, "permit");
   co_return result;
 }
 
-net::Task<StateResult> StateClient::Renew(uint64_t lease_id, double timeout_s) {
+net::Task<StoreResult> KeyValueStoreClient::Renew(uint64_t lease_id,
+                                                  double timeout_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
   rapidjson::Document doc;
   co_return co_await Call("POST",
                           "/leases/" + std::to_string(lease_id) + "/extend",
-                          "{}", timeout_s, &doc);
+                          "{}", timeout_seconds, &doc);
 }
 
-net::Task<StateResult> StateClient::EndLease(uint64_t lease_id) {
+net::Task<StoreResult> KeyValueStoreClient::EndLease(uint64_t lease_id) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
   rapidjson::Document doc;
   co_return co_await Call("DELETE", "/leases/" + std::to_string(lease_id), "",
-                          timeout_s_, &doc);
+                          timeout_seconds_, &doc);
 }
 
-net::Task<StateResult> StateClient::Follow(std::string prefix, uint64_t after,
-                                           double block_s) {
+net::Task<StoreResult> KeyValueStoreClient::Watch(std::string prefix,
+                                                  uint64_t after,
+                                                  double block_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
   const uint64_t generation = generation_;
   rapidjson::Document doc;
-  StateResult result = co_await Call(
+  StoreResult result = co_await Call(
       "GET",
       "/follow?prefix=" + prefix + "&after=" + std::to_string(after) +
-          "&block_ms=" + std::to_string(static_cast<int64_t>(block_s * 1000)),
-      "", block_s + 2 * timeout_s_, &doc, Kind::kWatch);
+          "&block_ms=" +
+          std::to_string(static_cast<int64_t>(block_seconds * 1000)),
+      "", block_seconds + 2 * timeout_seconds_, &doc, Kind::kWatch);
   if (!result.ok()) co_return result;
   if (result.revision < after && generation == generation_) {
     SteppedBack(/*applied=*/false, &result);
--- a/clients/state.h
+++ b/clients/key_value_store.h
@@ -1,4 +1,4 @@
-// Client of the state service.
+// Client of the key-value store.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -12,8 +12,8 @@
 
 #include "clients/budget.h"
 #include "clients/write_retry.h"
-#include "core/controller/actions.h"
-#include "core/controller/catalog.h"
+#include "core/leader/actions.h"
+#include "core/leader/catalog.h"
 #include "core/model/settings.h"
 #include "net/http_client.h"
 
@@ -22,12 +22,12 @@
 struct KeyValue {
   std::string key;
   Record record;  // monostate: deleted, or of no kind we know
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   uint64_t lease = 0;  // that the key is attached to; told by single reads
 };
 
-struct StateResult {
-  StateStatus status = StateStatus::kNotExecuted;
+struct StoreResult {
+  StoreStatus status = StoreStatus::kNotExecuted;
   uint64_t revision = 0;
   uint64_t lease_id = 0;
   std::vector<std::string> failed;
@@ -38,7 +38,7 @@
   // as kUnknown or kNotExecuted.
   bool stepped_back = false;
 
-  bool ok() const { return status == StateStatus::kOk; }
+  bool ok() const { return status == StoreStatus::kOk; }
 };
 
 // What follows when a write is not answered after a few round trips.
@@ -48,23 +48,23 @@
   kSendAgain,  // a copy goes under the same conditions, see WriteRetry
 };
 
-class StateClient {
+class KeyValueStoreClient {
  public:
-  StateClient(net::Loop& loop, const net::Address& address,
-              const Settings& settings);
+  KeyValueStoreClient(net::Loop& loop, const net::Address& address,
+                      const Settings& settings);
 
   // All return a value decoded by the kind that its key promises.
-  net::Task<StateResult> Get(std::string key, Urgency urgency);
-  net::Task<StateResult> List(std::string prefix, std::string after);
-  net::Task<StateResult> Write(std::vector<Condition> conditions,
-                               std::vector<KeyChange> changes, Urgency urgency,
+  net::Task<StoreResult> Get(std::string key, Urgency urgency);
+  net::Task<StoreResult> List(std::string prefix, std::string after);
+  net::Task<StoreResult> Write(std::vector<Precondition> preconditions,
+                               std::vector<Mutation> mutations, Urgency urgency,
                                uint64_t lease_id = 0,
                                WhenUnanswered then = WhenUnanswered::kWait);
-  net::Task<StateResult> CreateLease(double ttl_s);
-  net::Task<StateResult> Renew(uint64_t lease_id, double timeout_s);
-  net::Task<StateResult> EndLease(uint64_t lease_id);
-  net::Task<StateResult> Follow(std::string prefix, uint64_t after,
-                                double block_s);
+  net::Task<StoreResult> CreateLease(double ttl_seconds);
+  net::Task<StoreResult> Renew(uint64_t lease_id, double timeout_seconds);
+  net::Task<StoreResult> EndLease(uint64_t lease_id);
+  net::Task<StoreResult> Watch(std::string prefix, uint64_t after,
+                               double block_seconds);
 
   // When the service last answered a request with something other than 503,
   // and when a request last failed.
@@ -88,30 +88,31 @@
     explicit Sending(net::Loop& loop) : news(loop) {}
     std::string body;
     Kind kind = Kind::kChange;
-    double changes = 0;
+    double mutations = 0;
     WriteRetry retry;
-    StateResult result;  // of the answer that decided it, or of the last
+    StoreResult result;  // of the answer that decided it, or of the last
     net::Event news;
   };
-  net::Task<void> Send(std::shared_ptr<Sending> sending, double timeout_s);
+  net::Task<void> Send(std::shared_ptr<Sending> sending,
+                       double timeout_seconds);
   // Within what is left of the limits beside the requests of users.
   bool TakeRetry(const Sending& sending);
   // Notes that the answer is older than what was known.
-  void SteppedBack(bool applied, StateResult* result);
-  net::Task<StateResult> Call(std::string method, std::string target,
-                              std::string body, double timeout_s,
+  void SteppedBack(bool applied, StoreResult* result);
+  net::Task<StoreResult> Call(std::string method, std::string target,
+                              std::string body, double timeout_seconds,
                               rapidjson::Document* doc,
                               Kind kind = Kind::kRead);
 
   net::Loop& loop_;
   net::HttpClient http_;
   net::HttpClient watch_;
-  const StateSettings limits_;
+  const StoreSettings limits_;
   Budget requests_;
   Budget writes_;
   Budget retries_;
   RoundTrip round_trip_;  // of transactions
-  double timeout_s_;
+  double timeout_seconds_;
   net::Time last_good_ = -1e9;
   net::Time last_bad_ = -1e9;
   uint64_t highest_ = 0;
--- a/clients/peer.cc
+++ b/clients/peer.cc
@@ -84,12 +84,12 @@
 }
 
 net::Task<void> PeerConnection::Read(
-    std::function<void(PeerMessage)> on_message, net::Time idle_s) {
+    std::function<void(PeerMessage)> on_message, net::Time idle_seconds) {
   FrameReader reader;
   std::array<char, 4096> buffer;
   while (open_) {
     const ssize_t n = co_await socket_->Read(buffer.data(), buffer.size(),
-                                             loop_.Now() + idle_s);
+                                             loop_.Now() + idle_seconds);
     if (n <= 0) break;
     reader.Append({buffer.data(), static_cast<size_t>(n)});
     for (;;) {
@@ -106,12 +106,12 @@
   open_ = false;
 }
 
-net::Task<bool> PeerClient::Connected(net::Time timeout_s) {
+net::Task<bool> PeerClient::Connected(net::Time timeout_seconds) {
   if (connection_ && connection_->open()) co_return true;
   if (connecting_ || loop_.Now() < retry_at_) co_return false;
   connecting_ = true;
-  std::unique_ptr<net::Socket> socket =
-      co_await net::Socket::Connect(loop_, address_, loop_.Now() + timeout_s);
+  std::unique_ptr<net::Socket> socket = co_await net::Socket::Connect(
+      loop_, address_, loop_.Now() + timeout_seconds);
   connecting_ = false;
   if (!socket) {
     retry_at_ = loop_.Now() + kRetry;
@@ -142,19 +142,19 @@
 }
 
 net::Task<PeerClient::Answer> PeerClient::Ask(PeerMessage message,
-                                              net::Time timeout_s) {
-  const bool connected = co_await Connected(timeout_s);
+                                              net::Time timeout_seconds) {
+  const bool connected = co_await Connected(timeout_seconds);
   if (!connected || !connection_) co_return Answer{};
   message.request = next_request_++;
   auto waiting = std::make_shared<Waiting>(loop_);
   waiting_[message.request] = waiting;
   connection_->Send(message);
-  co_await waiting->event.Wait(timeout_s);
+  co_await waiting->event.Wait(timeout_seconds);
   waiting_.erase(message.request);
   co_return waiting->answer;
 }
 
-net::Task<void> PeerClient::Tell(PeerMessage message) {
+net::Task<void> PeerClient::Notify(PeerMessage message) {
   const bool connected = co_await Connected(kRetry);
   if (connected && connection_) connection_->Send(message);
 }
@@ -184,7 +184,7 @@
 net::Task<void> PeerServer::Answer(std::shared_ptr<PeerConnection> connection,
                                    PeerMessage message) {
   const uint64_t request = message.request;
-  const bool wants_reply = message.kind != PeerKind::kHint;
+  const bool wants_reply = message.kind != PeerKind::kJobAccepted;
   PeerMessage reply = co_await handler_(std::move(message));
   if (!wants_reply) co_return;
   reply.kind = PeerKind::kReply;
--- a/clients/peer.h
+++ b/clients/peer.h
@@ -16,30 +16,30 @@
 namespace oxbow::clients {
 
 enum class PeerKind : uint8_t {
-  kHello,    // who are you, do you lead?
-  kPoll,     // state of a job
-  kCancel,   // cancel a job
-  kPromise,  // do not seek leadership for a while
-  kHint,     // a job was accepted here
+  kHello,        // who are you, do you lead?
+  kPoll,         // state of a job
+  kCancel,       // cancel a job
+  kPromise,      // do not seek leadership for a while
+  kJobAccepted,  // a job was accepted here
   kReply,
-  // A user's request, for one who cannot reach the state service.
+  // A user's request, for one who cannot reach the key-value store.
   kRelayPoll,
   kRelayCancel,
   kRelaySubmit,
-  kReach,       // which of these machines, a sample of all, do you reach?
-  kSilent,      // the same of machines that the leader does not hear
-  kOffer,       // will you lead? I am worse placed
-  kStandAside,  // another has agreed to: let it go first
-  kLedger,      // what do you find in the state service at this moment?
-  kMemory,      // a page of what you remember, after that key
-  kKnown,       // do you know of this job?
-  kEnded,       // how the jobs that you know to have ended did end
+  kReach,   // which of these machines, a sample of all, do you reach?
+  kSilent,  // the same of machines that the leader does not hear
+  kOfferLeadershipTransfer,  // will you lead? I am worse placed
+  kDeferCandidacy,           // another has agreed to: let it go first
+  kLedger,  // what do you find in the key-value store at this moment?
+  kMemory,  // a page of what you remember, after that key
+  kKnown,   // do you know of this job?
+  kEnded,   // how the jobs that you know to have ended did end
   // I answer reports while nobody can lead: do not seek for a moment.
   kDelegate,
   kDelegationOver,  // I do not any more
   kDelegateZone,    // may I keep the workers of my zone, should it be cut off?
-  kStandBack,       // do not, for a moment: I take the silent ones for gone
-  kReport,          // of a worker of my zone, as it came
+  kRequestLeaseYield,  // do not, for a moment: I take the silent ones for gone
+  kReport,             // of a worker of my zone, as it came
   // A submission of a job that waits for others. A kind of its own: a version
   // that does not know it accepts nothing, where kRelaySubmit would be taken
   // for an ordinary job.
@@ -55,7 +55,7 @@
   PeerAnswer answer = PeerAnswer::kNo;
   LeaderRole role = LeaderRole::kNone;  // of the sender of an answer
   uint64_t request = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   std::string node;
   std::string job_id;
   std::string text;  // a status word, or a record
@@ -65,7 +65,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(kind, answer, role, request, stamp, done, running, term);
+    archive(kind, answer, role, request, mod_revision, done, running, term);
     for (std::string* field : {&node, &job_id, &text}) {
       // The length is checked before it is believed: cereal's own string
       // support would allocate whatever a broken frame says.
@@ -102,7 +102,7 @@
   void Send(const PeerMessage& message);
   // Reads until the connection ends.
   net::Task<void> Read(std::function<void(PeerMessage)> on_message,
-                       net::Time idle_s);
+                       net::Time idle_seconds);
   bool open() const { return open_; }
 
  private:
@@ -125,8 +125,8 @@
     bool ok = false;
     PeerMessage message;
   };
-  net::Task<Answer> Ask(PeerMessage message, net::Time timeout_s);
-  net::Task<void> Tell(PeerMessage message);
+  net::Task<Answer> Ask(PeerMessage message, net::Time timeout_seconds);
+  net::Task<void> Notify(PeerMessage message);
   const std::string& name() const { return name_; }
 
  private:
@@ -135,7 +135,7 @@
     net::Event event;
     Answer answer;
   };
-  net::Task<bool> Connected(net::Time timeout_s);
+  net::Task<bool> Connected(net::Time timeout_seconds);
   net::Task<void> ReadLoop(std::shared_ptr<PeerConnection> connection);
 
   net::Loop& loop_;
--- a/clients/reach.cc
+++ b/clients/reach_client.cc
@@ -1,26 +1,26 @@
-#include "clients/reach.h"
+#include "clients/reach_client.h"
 
 #include <utility>
 
-#include "core/leader_health/reach.h"
+#include "core/leader_health/reachability_survey.h"
 #include "net/http_client.h"
 #include "wire/worker_json.h"
 
 namespace oxbow::clients {
 
 net::Task<void> ReachClient::One(std::shared_ptr<Round> round, size_t i,
-                                 std::string endpoint, double timeout_s) {
+                                 std::string endpoint, double timeout_seconds) {
   net::Address address;
   if (net::ParseAddress(endpoint, &address)) {
     // A connection of its own: one that is open already may lead through a
     // path that a new one would not find, and the reverse.
     net::HttpClient client(loop_, address, wire::kReportLimit, 0);
     const net::ClientResult answer =
-        co_await client.Request("GET", "/status", "", timeout_s);
-    WorkerReport report;
-    if (answer.ok() && wire::ParseReport(answer.body, &report)) {
+        co_await client.Request("GET", "/status", "", timeout_seconds);
+    Heartbeat heartbeat;
+    if (answer.ok() && wire::ParseReport(answer.body, &heartbeat)) {
       round->found.machines[i] = Reach::kReached;
-      round->found.reports.push_back(std::move(report));
+      round->found.reports.push_back(std::move(heartbeat));
     } else {
       round->found.machines[i] = Reach::kNotReached;
     }
@@ -29,8 +29,8 @@
   if (--round->left == 0) round->done.Set();
 }
 
-net::Task<ReachClient::Found> ReachClient::Ask(
-    std::vector<std::string> endpoints, double timeout_s) {
+net::Task<ReachClient::Result> ReachClient::Ask(
+    std::vector<std::string> endpoints, double timeout_seconds) {
   auto round = std::make_shared<Round>(loop_);
   round->found.machines.assign(endpoints.size(), Reach::kNotAsked);
   std::vector<size_t> asked;
@@ -41,11 +41,11 @@
   open_ += asked.size();
   round->left = asked.size();
   for (const size_t i : asked) {
-    net::Spawn(One(round, i, std::move(endpoints[i]), timeout_s));
+    net::Spawn(One(round, i, std::move(endpoints[i]), timeout_seconds));
   }
   // Each request has the same limit; a little more for those that meet it.
   constexpr double kSlack = 1.1;
-  if (!asked.empty()) co_await round->done.Wait(kSlack * timeout_s);
+  if (!asked.empty()) co_await round->done.Wait(kSlack * timeout_seconds);
   co_return round->found;
 }
 
--- a/clients/reach.h
+++ b/clients/reach_client.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model/report.h"
+#include "core/model/heartbeat.h"
 #include "net/loop.h"
 
 namespace oxbow::clients {
@@ -17,24 +17,25 @@
   ReachClient(net::Loop& loop, size_t most_at_once)
       : loop_(loop), most_at_once_(most_at_once) {}
 
-  struct Found {
+  struct Result {
     std::string
         machines;  // as in core/leader_health/reach.h, in the order asked
-    std::vector<WorkerReport> reports;
+    std::vector<Heartbeat> reports;
   };
   // Answers after `timeout_s` at the latest. An empty endpoint, and what is
   // more than may be open at once, counts as not asked.
-  net::Task<Found> Ask(std::vector<std::string> endpoints, double timeout_s);
+  net::Task<Result> Ask(std::vector<std::string> endpoints,
+                        double timeout_seconds);
 
  private:
   struct Round {
     explicit Round(net::Loop& loop) : done(loop) {}
     net::Event done;
-    Found found;
+    Result found;
     size_t left = 0;
   };
   net::Task<void> One(std::shared_ptr<Round> round, size_t i,
-                      std::string endpoint, double timeout_s);
+                      std::string endpoint, double timeout_seconds);
 
   net::Loop& loop_;
   size_t most_at_once_;
--- a/clients/memory_page.cc
+++ b/clients/retained_records_page.cc
@@ -1,4 +1,4 @@
-#include "clients/memory_page.h"
+#include "clients/retained_records_page.h"
 
 #include <cereal/archives/portable_binary.hpp>
 #include <cereal/cereal.hpp>
@@ -24,7 +24,7 @@
 template <class Archive>
 void Entry(Archive& archive, Memory& memory) {
   Text(archive, memory.key);
-  archive(memory.version.epoch, memory.version.stamp);
+  archive(memory.version.epoch, memory.version.mod_revision);
   Text(archive, memory.record);
 }
 
