--- a/clients/memory_page.h
+++ b/clients/retained_records_page.h
@@ -11,7 +11,7 @@
 struct Memory {
   std::string key;
   Version version;
-  std::string record;  // JSON, as the state service holds it
+  std::string record;  // JSON, as the key-value store holds it
 };
 
 // A page fits a frame with room to spare.
--- a/clients/worker.cc
+++ b/clients/worker.cc
@@ -17,29 +17,29 @@
   return client;
 }
 
-net::Task<WorkerClients::Answer> WorkerClients::Send(SendOrders orders) {
+net::Task<WorkerClients::Answer> WorkerClients::Send(SendCommands commands) {
   Answer out;
-  const auto client = ClientFor(orders.endpoint);
+  const auto client = ClientFor(commands.endpoint);
   if (!client) co_return out;
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
   w.Key("fence");
-  w.Uint64(orders.token);
+  w.Uint64(commands.token);
   w.Key("tenure");
-  w.Uint64(orders.session);
-  wire::WriteOrders(w, orders.orders);
+  w.Uint64(commands.incarnation);
+  wire::WriteOrders(w, commands.commands);
   w.EndObject();
-  const net::ClientResult answer =
-      co_await client->Request("POST", "/do", json::Text(buffer), timeout_s_);
+  const net::ClientResult answer = co_await client->Request(
+      "POST", "/do", json::Text(buffer), timeout_seconds_);
   if (answer.outcome == net::Outcome::kNotSent) co_return out;
-  out.outcome = OrderOutcome::kUnknown;
+  out.outcome = CommandOutcome::kUnknown;
   if (answer.outcome == net::Outcome::kUnknown) co_return out;
   if (answer.status == 200 || answer.status == 409) {
-    out.has_report = wire::ParseReport(answer.body, &out.report);
-    if (out.has_report) {
-      out.outcome = answer.status == 200 ? OrderOutcome::kExecuted
-                                         : OrderOutcome::kRefused;
+    out.has_heartbeat = wire::ParseReport(answer.body, &out.heartbeat);
+    if (out.has_heartbeat) {
+      out.outcome = answer.status == 200 ? CommandOutcome::kExecuted
+                                         : CommandOutcome::kRefused;
     }
   }
   co_return out;
@@ -50,8 +50,9 @@
   const auto client = ClientFor(endpoint);
   if (!client) co_return out;
   const net::ClientResult answer =
-      co_await client->Request("GET", "/status", "", timeout_s_);
-  if (answer.ok()) out.has_report = wire::ParseReport(answer.body, &out.report);
+      co_await client->Request("GET", "/status", "", timeout_seconds_);
+  if (answer.ok())
+    out.has_heartbeat = wire::ParseReport(answer.body, &out.heartbeat);
   co_return out;
 }
 
--- a/clients/worker.h
+++ b/clients/worker.h
@@ -5,24 +5,24 @@
 #include <memory>
 #include <string>
 
-#include "core/controller/actions.h"
-#include "core/model/report.h"
+#include "core/leader/actions.h"
+#include "core/model/heartbeat.h"
 #include "net/http_client.h"
 
 namespace oxbow::clients {
 
 class WorkerClients {
  public:
-  WorkerClients(net::Loop& loop, double timeout_s)
-      : loop_(loop), timeout_s_(timeout_s) {}
+  WorkerClients(net::Loop& loop, double timeout_seconds)
+      : loop_(loop), timeout_seconds_(timeout_seconds) {}
 
   struct Answer {
-    OrderOutcome outcome = OrderOutcome::kNotSent;
-    bool has_report = false;
-    WorkerReport report;
+    CommandOutcome outcome = CommandOutcome::kNotSent;
+    bool has_heartbeat = false;
+    Heartbeat heartbeat;
   };
 
-  net::Task<Answer> Send(SendOrders orders);
+  net::Task<Answer> Send(SendCommands commands);
   net::Task<Answer> Probe(std::string endpoint);
   void Clear() { clients_.clear(); }
 
@@ -30,7 +30,7 @@
   std::shared_ptr<net::HttpClient> ClientFor(const std::string& endpoint);
 
   net::Loop& loop_;
-  double timeout_s_;
+  double timeout_seconds_;
   std::map<std::string, std::shared_ptr<net::HttpClient>> clients_;
 };
 
--- a/clients/write_retry.cc
+++ b/clients/write_retry.cc
@@ -9,31 +9,32 @@
 
 namespace oxbow::clients {
 
-void RoundTrip::Answered(double took_s) {
+void RoundTrip::Answered(double took_seconds) {
   constexpr double kNewest = 1.0 / 8;
   constexpr double kNewestVariation = 1.0 / 4;
   backoff_ = 1;
-  if (smoothed_s_ <= 0) {
-    smoothed_s_ = took_s;
-    variation_s_ = took_s / 2;
+  if (smoothed_seconds_ <= 0) {
+    smoothed_seconds_ = took_seconds;
+    variation_seconds_ = took_seconds / 2;
     return;
   }
-  const double off = std::abs(took_s - smoothed_s_);
-  variation_s_ += kNewestVariation * (off - variation_s_);
-  smoothed_s_ += kNewest * (took_s - smoothed_s_);
+  const double off = std::abs(took_seconds - smoothed_seconds_);
+  variation_seconds_ += kNewestVariation * (off - variation_seconds_);
+  smoothed_seconds_ += kNewest * (took_seconds - smoothed_seconds_);
 }
 
 void RoundTrip::Missed() {
-  if (SilenceTimeout() < most_s_) backoff_ *= 2;
+  if (SilenceTimeout() < most_seconds_) backoff_ *= 2;
 }
 
 double RoundTrip::SilenceTimeout() const {
-  if (smoothed_s_ <= 0) return most_s_;
+  if (smoothed_seconds_ <= 0) return most_seconds_;
   constexpr double kVariations = 4;
   constexpr double kLeastRoundTrips = 8;
-  const double usual = std::max(smoothed_s_ + kVariations * variation_s_,
-                                kLeastRoundTrips * smoothed_s_);
-  return std::min(most_s_, backoff_ * usual);
+  const double usual =
+      std::max(smoothed_seconds_ + kVariations * variation_seconds_,
+               kLeastRoundTrips * smoothed_seconds_);
+  return std::min(most_seconds_, backoff_ * usual);
 }
 
 void WriteRetry::Change(Phase next) {
@@ -46,30 +47,30 @@
   CheckedChange(phase_, next, kChanges, "write retry");
 }
 
-void WriteRetry::OnAnswer(StateStatus status) {
+void WriteRetry::OnAnswer(StoreStatus status) {
   ++answered_;
   if (decided()) return;
   switch (status) {
-    case StateStatus::kOk:
-    case StateStatus::kConflict:
+    case StoreStatus::kOk:
+    case StoreStatus::kConflict:
       status_ = status;
       return Change(Phase::kDecided);
-    case StateStatus::kRefused:
+    case StoreStatus::kRefused:
       too_large_ = true;
       [[fallthrough]];
-    case StateStatus::kNotExecuted:
+    case StoreStatus::kNotExecuted:
       refused_ = true;
       break;
-    case StateStatus::kUnknown:
-    case StateStatus::kNotFound:
-    case StateStatus::kTooOld:
+    case StoreStatus::kUnknown:
+    case StoreStatus::kNotFound:
+    case StoreStatus::kTooOld:
       unanswered_ = true;
       break;
   }
   if (answered_ < sent_) return;
   if (unanswered_) return Change(Phase::kSilent);
   // Refused, all of them: nothing can come late.
-  status_ = too_large_ ? StateStatus::kRefused : StateStatus::kNotExecuted;
+  status_ = too_large_ ? StoreStatus::kRefused : StoreStatus::kNotExecuted;
   Change(Phase::kDecided);
 }
 
--- a/clients/write_retry.h
+++ b/clients/write_retry.h
@@ -8,7 +8,7 @@
 
 namespace oxbow::clients {
 
-enum class StateStatus {
+enum class StoreStatus {
   kOk,
   kNotFound,
   kConflict,
@@ -24,17 +24,17 @@
 class RoundTrip {
  public:
   // `most_s`: the timeout while nothing has been measured, and the longest.
-  explicit RoundTrip(double most_s) : most_s_(most_s) {}
+  explicit RoundTrip(double most_seconds) : most_seconds_(most_seconds) {}
 
-  void Answered(double took_s);
+  void Answered(double took_seconds);
   // No answer within the timeout.
   void Missed();
   double SilenceTimeout() const;
 
  private:
-  double most_s_;
-  double smoothed_s_ = 0;  // 0: not measured yet
-  double variation_s_ = 0;
+  double most_seconds_;
+  double smoothed_seconds_ = 0;  // 0: not measured yet
+  double variation_seconds_ = 0;
   double backoff_ = 1;
 };
 
@@ -58,7 +58,7 @@
     ++sent_;
     Change(Phase::kWaiting);
   }
-  void OnAnswer(StateStatus status);
+  void OnAnswer(StoreStatus status);
 
   // A copy is worth sending: whatever was sent may yet arrive.
   bool MaySendAgain() const { return !decided() && sent_ < kMostCopies; }
@@ -67,7 +67,7 @@
   bool refused() const { return refused_; }
   bool silent() const { return phase_ == Phase::kSilent; }
   // What is known now; kUnknown until it is decided.
-  StateStatus status() const { return status_; }
+  StoreStatus status() const { return status_; }
 
  private:
   static constexpr int kMostCopies = 4;
@@ -75,7 +75,7 @@
   void Change(Phase next);
 
   Phase phase_ = Phase::kSilent;
-  StateStatus status_ = StateStatus::kUnknown;
+  StoreStatus status_ = StoreStatus::kUnknown;
   int sent_ = 0;
   int answered_ = 0;
   bool unanswered_ = false;
--- a/core/provision/provision.cc
+++ b/core/autoscaler/capacity_planning.cc
@@ -1,4 +1,4 @@
-#include "core/provision/provision.h"
+#include "core/autoscaler/capacity_planning.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,13 +12,13 @@
   return static_cast<int>(need.TimesIn(room, kMaxTasks));
 }
 
-bool KindAllowed(const JobSpec& spec, const SupplyKey& kind) {
+bool KindAllowed(const JobSpec& spec, const MachinePool& kind) {
   return spec.AllowsType(kind.type) && spec.AllowsZone(kind.zone) &&
          (!kind.spot || spec.spot);
 }
 
 // How many more tasks of the job the zone may take.
-int ZoneLimit(const JobSpec& spec, const Footprint& where,
+int ZoneLimit(const JobSpec& spec, const ZoneSpread& where,
               const std::string& zone) {
   if (spec.one_zone && where.total() != where.InZone(zone)) return 0;
   if (spec.spread) return SpreadLimit(spec.tasks) - where.InZone(zone);
@@ -27,16 +27,16 @@
 
 }  // namespace
 
-std::map<SupplyKey, int> PlanRentals(const SupplyInput& input) {
-  std::map<SupplyKey, int> rent;
+std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input) {
+  std::map<MachinePool, int> rent;
   std::map<std::string, int> new_in_zone;
-  std::vector<SupplyRoom> rooms = input.rooms;
+  std::vector<PoolCapacity> rooms = input.rooms;
   int asked = 0;
-  for (const SupplyDemand& demand : input.demand) {
+  for (const PoolDemand& demand : input.demand) {
     const JobSpec& spec = *demand.spec;
-    Footprint where{demand.per_zone};
+    ZoneSpread where{demand.per_zone};
     int left = demand.tasks;
-    const auto fill = [&](SupplyRoom& room) {
+    const auto fill = [&](PoolCapacity& room) {
       if (left <= 0 || !KindAllowed(spec, room.kind)) return 0;
       const int n = std::min({left, TasksThatFit(spec.need, room.free),
                               ZoneLimit(spec, where, room.kind.zone)});
@@ -46,18 +46,18 @@
       left -= n;
       return n;
     };
-    for (SupplyRoom& room : rooms) fill(room);
+    for (PoolCapacity& room : rooms) fill(room);
     while (left > 0 && asked < input.most_machines) {
       // The kind with the least price for each task it would take.
       const MachineType* best_type = nullptr;
-      SupplyKey best;
+      MachinePool best;
       double best_cost = 0;
       for (const auto& [name, type] : *input.types) {
         const int fit = TasksThatFit(spec.need, type.total);
         if (fit == 0) continue;
         for (const std::string& zone : type.zones) {
           for (const bool spot : {true, false}) {
-            const SupplyKey kind{name, zone, spot};
+            const MachinePool kind{name, zone, spot};
             if (!KindAllowed(spec, kind) || input.refused.contains(kind)) {
               continue;
             }
--- a/core/chains/chains.cc
+++ b/core/dependencies/dependency_graph.cc
@@ -1,4 +1,4 @@
-#include "core/chains/chains.h"
+#include "core/dependencies/dependency_graph.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace oxbow {
 namespace {
 
-using enum ChainState;
+using enum DependencyState;
 
 constexpr std::array kChanges = {
     std::pair{kWaiting, kReleasing},
@@ -23,36 +23,36 @@
 
 }  // namespace
 
-bool Chains::Change(ChainJob& job, ChainEvent event) {
+bool DependencyGraph::Change(DependentJob& job, DependencyEvent event) {
   switch (event) {
-    case ChainEvent::kAllDone:
+    case DependencyEvent::kAllDone:
       if (job.state != kWaiting) return false;
       CheckedChange(job.state, kReleasing, kChanges, "chain");
       return true;
-    case ChainEvent::kNeedCancelled:
+    case DependencyEvent::kNeedCancelled:
       if (job.state != kWaiting) return false;
       CheckedChange(job.state, kCancelling, kChanges, "chain");
       return true;
-    case ChainEvent::kUserCancels:
+    case DependencyEvent::kUserCancels:
       if (job.state != kWaiting && job.state != kReleasing) return false;
       CheckedChange(job.state, kCancelling, kChanges, "chain");
       return true;
-    case ChainEvent::kMoved:
+    case DependencyEvent::kMoved:
       CheckedChange(job.state, kGone, kChanges, "chain");
       return true;
   }
   return false;
 }
 
-void Chains::Add(const std::shared_ptr<const JobSpec>& spec, Time submitted,
-                 const EndOf& end_of) {
+void DependencyGraph::Add(const std::shared_ptr<const JobSpec>& spec,
+                          Time submitted, const TerminalStateOf& end_of) {
   const auto [it, added] = jobs_.try_emplace(spec->id);
   if (!added) return;
-  ChainJob& job = it->second;
+  DependentJob& job = it->second;
   job.spec = spec;
   job.submitted = submitted;
   bool cancelled = false;
-  for (const std::string& need : spec->waits_on) {
+  for (const std::string& need : spec->dependencies) {
     const TerminalState end = end_of(need);
     if (end == TerminalState::kDone) continue;
     cancelled = cancelled || end == TerminalState::kAborted;
@@ -60,13 +60,13 @@
     dependents_[need].insert(spec->id);
     Invalidate(need);
   }
-  const bool due = cancelled          ? Change(job, ChainEvent::kNeedCancelled)
-                   : job.open.empty() ? Change(job, ChainEvent::kAllDone)
+  const bool due = cancelled ? Change(job, DependencyEvent::kNeedCancelled)
+                   : job.open.empty() ? Change(job, DependencyEvent::kAllDone)
                                       : false;
   if (due) due_.push_back(spec->id);
 }
 
-void Chains::OnEnd(const std::string& id, TerminalState end) {
+void DependencyGraph::OnEnd(const std::string& id, TerminalState end) {
   const auto it = dependents_.find(id);
   if (it == dependents_.end() || end == TerminalState::kNone) return;
   // A cancelled one stays named: its dependents leave one by one.
@@ -74,30 +74,30 @@
                                             it->second.end());
   if (end == TerminalState::kDone) dependents_.erase(it);
   for (const std::string& dependent : dependents) {
-    ChainJob& job = jobs_.at(dependent);
+    DependentJob& job = jobs_.at(dependent);
     if (end == TerminalState::kDone) {
       job.open.erase(id);
-      if (job.open.empty() && Change(job, ChainEvent::kAllDone)) {
+      if (job.open.empty() && Change(job, DependencyEvent::kAllDone)) {
         due_.push_back(dependent);
       }
-    } else if (Change(job, ChainEvent::kNeedCancelled)) {
+    } else if (Change(job, DependencyEvent::kNeedCancelled)) {
       due_.push_back(dependent);
     }
   }
   Invalidate(id);
 }
 
-bool Chains::Cancel(const std::string& id) {
+bool DependencyGraph::Cancel(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return false;
-  if (Change(it->second, ChainEvent::kUserCancels)) due_.push_back(id);
+  if (Change(it->second, DependencyEvent::kUserCancels)) due_.push_back(id);
   return true;
 }
 
-void Chains::Remove(const std::string& id) {
+void DependencyGraph::Remove(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  Change(it->second, ChainEvent::kMoved);
+  Change(it->second, DependencyEvent::kMoved);
   const std::set<std::string> open = std::move(it->second.open);
   jobs_.erase(it);
   for (const std::string& need : open) {
@@ -109,12 +109,12 @@
   }
 }
 
-const ChainJob* Chains::Find(const std::string& id) const {
+const DependentJob* DependencyGraph::Find(const std::string& id) const {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> Chains::Some(size_t most) const {
+std::vector<std::string> DependencyGraph::Some(size_t most) const {
   std::vector<std::string> some;
   for (const auto& [id, job] : jobs_) {
     if (some.size() >= most) break;
@@ -123,24 +123,25 @@
   return some;
 }
 
-std::string Chains::TakeDue() {
+std::string DependencyGraph::TakeDue() {
   while (!due_.empty()) {
     std::string id = std::move(due_.front());
     due_.pop_front();
-    const ChainJob* job = Find(id);
+    const DependentJob* job = Find(id);
     if (job != nullptr && job->state != kWaiting) return id;
   }
   return {};
 }
 
-void Chains::PutBackDue(const std::string& id) { due_.push_back(id); }
+void DependencyGraph::PutBackDue(const std::string& id) { due_.push_back(id); }
 
-const std::set<std::string>* Chains::DependentsOf(const std::string& id) const {
+const std::set<std::string>* DependencyGraph::DependentsOf(
+    const std::string& id) const {
   const auto it = dependents_.find(id);
   return it == dependents_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> Chains::NextNeeds(size_t most) {
+std::vector<std::string> DependencyGraph::NextDependencies(size_t most) {
   std::vector<std::string> next;
   auto it = dependents_.upper_bound(last_need_);
   for (; it != dependents_.end() && next.size() < most; ++it) {
@@ -150,7 +151,7 @@
   return next;
 }
 
-void Chains::Invalidate(const std::string& id) {
+void DependencyGraph::Invalidate(const std::string& id) {
   changed_.insert(id);
   std::vector<std::string> changed = {id};
   while (!changed.empty()) {
@@ -166,24 +167,24 @@
   }
 }
 
-std::vector<std::string> Chains::TakeChanged() {
+std::vector<std::string> DependencyGraph::TakeChanged() {
   std::vector<std::string> taken(changed_.begin(), changed_.end());
   changed_.clear();
   return taken;
 }
 
-Inherited Chains::Combine(const std::string& id) const {
+Inherited DependencyGraph::Combine(const std::string& id) const {
   Inherited all;
   const std::set<std::string>* dependents = DependentsOf(id);
   if (dependents == nullptr) return all;
   for (const std::string& dependent : *dependents) {
-    const ChainJob& job = jobs_.at(dependent);
+    const DependentJob& job = jobs_.at(dependent);
     if (job.state == kCancelling) continue;
     const auto further = inherited_.find(dependent);
     const Inherited after =
         further == inherited_.end() ? Inherited{} : further->second;
-    const DueTimes own = estimates_->DueOf(*job.spec, job.submitted);
-    const double path = estimates_->PathSeconds(*job.spec);
+    const DueTimes own = estimates_->DueTimesOf(*job.spec, job.submitted);
+    const double path = estimates_->CriticalPathSeconds(*job.spec);
     all.priority = std::min({all.priority, job.spec->priority, after.priority});
     all.due.first =
         std::min(all.due.first, std::min(own.first, after.due.first) - path);
@@ -194,7 +195,7 @@
 }
 
 // Those that need it first, without recursion: a chain may be long.
-Inherited Chains::InheritedBy(const std::string& id) {
+Inherited DependencyGraph::InheritedBy(const std::string& id) {
   if (DependentsOf(id) == nullptr) return {};
   std::vector<std::string> stack = {id};
   std::unordered_set<std::string> opened;
--- a/core/chains/chains.h
+++ b/core/dependencies/dependency_graph.h
@@ -27,45 +27,46 @@
 
 namespace oxbow {
 
-enum class ChainState : uint8_t {
+enum class DependencyState : uint8_t {
   kWaiting,     // for jobs that it needs
   kReleasing,   // all that it needs are recorded as done
   kCancelling,  // one that it needs is cancelled, or its user has cancelled it
   kGone,        // its record has moved: it does not wait any more
 };
 
-enum class ChainEvent : uint8_t {
+enum class DependencyEvent : uint8_t {
   kAllDone,
   kNeedCancelled,
   kUserCancels,
   kMoved,  // its record
 };
 
-struct ChainJob {
+struct DependentJob {
   std::shared_ptr<const JobSpec> spec;
   Time submitted = 0;
-  ChainState state = ChainState::kWaiting;
+  DependencyState state = DependencyState::kWaiting;
   std::set<std::string> open;  // needed, and not recorded as done
 };
 
-class Chains {
+class DependencyGraph {
  public:
   // What the owner knows of jobs' lengths and aims.
   class Estimates {
    public:
     virtual ~Estimates() = default;
     // From the release of such a job to its recorded end, on the safe side.
-    virtual double PathSeconds(const JobSpec& spec) const = 0;
-    virtual DueTimes DueOf(const JobSpec& spec, Time submitted) const = 0;
+    virtual double CriticalPathSeconds(const JobSpec& spec) const = 0;
+    virtual DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const = 0;
   };
   // How a job is recorded to have ended; kNone if it has not, or nobody knows.
-  using EndOf = std::function<TerminalState(const std::string&)>;
+  using TerminalStateOf = std::function<TerminalState(const std::string&)>;
 
-  explicit Chains(const Estimates& estimates) : estimates_(&estimates) {}
+  explicit DependencyGraph(const Estimates& estimates)
+      : estimates_(&estimates) {}
 
   // A job waits; nothing if it is known already.
   void Add(const std::shared_ptr<const JobSpec>& spec, Time submitted,
-           const EndOf& end_of);
+           const TerminalStateOf& end_of);
   // A job's end is recorded. Costs no more than the jobs that need it.
   void OnEnd(const std::string& id, TerminalState end);
   // Its user cancels a job that waits. False: none such.
@@ -75,7 +76,7 @@
 
   bool empty() const { return jobs_.empty(); }
   size_t size() const { return jobs_.size(); }
-  const ChainJob* Find(const std::string& id) const;
+  const DependentJob* Find(const std::string& id) const;
   // Some that wait, for people.
   std::vector<std::string> Some(size_t most) const;
   // Takes the next that is due to be released or cancelled; empty: none.
@@ -89,24 +90,24 @@
   // Waiting jobs that name this one.
   const std::set<std::string>* DependentsOf(const std::string& id) const;
   // The next jobs that others wait for, in turn, `most` at a time.
-  std::vector<std::string> NextNeeds(size_t most);
+  std::vector<std::string> NextDependencies(size_t most);
 
  private:
   // The one function for a change of state. False: not from this state.
-  bool Change(ChainJob& job, ChainEvent event);
+  bool Change(DependentJob& job, DependencyEvent event);
   // What the job inherits, and all that it needs, has changed.
   void Invalidate(const std::string& id);
   Inherited Combine(const std::string& id) const;
 
   const Estimates* estimates_;
-  std::unordered_map<std::string, ChainJob> jobs_;
-  // By the job that is needed; ordered, for NextNeeds.
+  std::unordered_map<std::string, DependentJob> jobs_;
+  // By the job that is needed; ordered, for NextDependencies.
   std::map<std::string, std::set<std::string>> dependents_;
   std::deque<std::string> due_;
   // Where a job has an entry, all that need it have theirs.
   std::unordered_map<std::string, Inherited> inherited_;
   std::set<std::string> changed_;
-  std::string last_need_;  // of NextNeeds
+  std::string last_need_;  // of NextDependencies
 };
 
 }  // namespace oxbow
--- a/core/fair_queueing/fair_queueing.cc
+++ b/core/fair_queueing/fair_queueing.cc
@@ -6,7 +6,7 @@
 namespace oxbow {
 
 FairQueueing::Sum FairQueueing::Decayed(const Sum& sum, Time now) const {
-  const double kept = std::exp(-std::max(0.0, now - sum.at) / memory_s_);
+  const double kept = std::exp(-std::max(0.0, now - sum.at) / memory_seconds_);
   return {sum.minimum_share * kept, sum.quickest * kept, now};
 }
 
--- a/core/fair_queueing/fair_queueing.h
+++ b/core/fair_queueing/fair_queueing.h
@@ -25,8 +25,8 @@
  public:
   // `minimum_share`: of the work placed, for the longest waiting, between 0
   // and 1. `memory_s`: what was placed so long ago counts for 1/e.
-  FairQueueing(double minimum_share, double memory_s)
-      : minimum_share_(minimum_share), memory_s_(memory_s) {}
+  FairQueueing(double minimum_share, double memory_seconds)
+      : minimum_share_(minimum_share), memory_seconds_(memory_seconds) {}
 
   // Whether the class's jobs that are owed a minimum share go before the
   // quickest now.
@@ -44,7 +44,7 @@
   Sum Decayed(const Sum& sum, Time now) const;
 
   const double minimum_share_;
-  const double memory_s_;
+  const double memory_seconds_;
   std::map<std::string, Sum> placed_;  // by class, of which there are few
 };
 
--- a/core/controller/actions.h
+++ b/core/leader/actions.h
@@ -9,43 +9,43 @@
 #include <variant>
 #include <vector>
 
-#include "core/controller/catalog.h"
+#include "core/leader/catalog.h"
+#include "core/model/heartbeat.h"
 #include "core/model/machine.h"
-#include "core/model/report.h"
 #include "core/rollout/rollout.h"
 
 namespace oxbow {
 
 // --- actions
 
-struct SendOrders {  // POST to the worker's command path
+struct SendCommands {  // POST to the worker's command path
   std::string host;
   std::string endpoint;
   uint64_t batch = 0;
   uint64_t token = 0;
-  uint64_t session = 0;
-  std::vector<Order> orders;
+  uint64_t incarnation = 0;
+  std::vector<WorkerCommand> commands;
 };
 
-struct Probe {  // ask the worker for a report
+struct Probe {  // ask the worker for a heartbeat
   std::string host;
   std::string endpoint;
 };
 
-struct Condition {
+struct Precondition {
   std::string key;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
-struct KeyChange {
+struct Mutation {
   std::string key;
   Record record;  // monostate deletes
 };
 
-struct WriteTransaction {
+struct CompareAndSwap {
   uint64_t id = 0;
-  std::vector<Condition> conditions;
-  std::vector<KeyChange> changes;
+  std::vector<Precondition> preconditions;
+  std::vector<Mutation> mutations;
 };
 
 struct ReadKeys {
@@ -53,9 +53,9 @@
   std::vector<std::string> keys;
 };
 
-struct RentMachines {
+struct RequestScaleOut {
   std::string name;
-  RentalRecord rental;
+  ScaleOutRecord scale_out;
 };
 
 struct DeleteMachines {
@@ -67,10 +67,10 @@
   TerminalState state = TerminalState::kNone;
 };
 
-// Ask an instance of a roll-out whether it is well.
+// Ask an instance of a rollout whether it is well.
 struct CheckInstance {
   std::string rollout;
-  ResidentKey key;
+  TaskAttemptKey key;
   std::string endpoint;  // of its machine's worker: the address counts
   std::shared_ptr<const RolloutSpec> spec;
 };
@@ -84,13 +84,13 @@
 };
 
 // Ask another controller to take over; if it agrees, this one steps down.
-struct OfferLead {
+struct OfferLeadershipTransfer {
   std::string to;
   std::string why;
 };
 
 // Ask these controllers not to keep the workers of their zone for a moment.
-struct AskStandBack {
+struct RequestLeaseYield {
   std::vector<std::string> peers;
 };
 
@@ -98,13 +98,13 @@
 struct ReadDelegates {};
 
 // A task runs whose job is not known here: read how it stands.
-struct AskJob {
+struct RequestJobRecord {
   std::string id;
 };
 
 // Another job waits for this one, and nobody here knows how it stands: read its
 // waiting record, its live one and its end, in this order.
-struct ReadEnd {
+struct ReadTerminalState {
   std::string id;
 };
 
@@ -113,15 +113,16 @@
   bool unfit = false;  // others should go first
 };
 
-struct Note {  // for the log
+struct LogEvent {  // for the log
   std::string text;
   bool detail = false;
 };
 
-using Action = std::variant<SendOrders, Probe, WriteTransaction, ReadKeys,
-                            RentMachines, DeleteMachines, JobTerminated,
-                            CheckInstance, AskReach, OfferLead, AskStandBack,
-                            ReadDelegates, AskJob, ReadEnd, Resign, Note>;
+using Action =
+    std::variant<SendCommands, Probe, CompareAndSwap, ReadKeys, RequestScaleOut,
+                 DeleteMachines, JobTerminated, CheckInstance, AskReach,
+                 OfferLeadershipTransfer, RequestLeaseYield, ReadDelegates,
+                 RequestJobRecord, ReadTerminalState, Resign, LogEvent>;
 
 // --- answers
 
@@ -129,20 +130,20 @@
   kApplied,
   kConflict,
   kNotExecuted,
-  kRefused,  // larger than the state service takes; nothing was changed
+  kRefused,  // larger than the key-value store takes; nothing was changed
   kUnknown,
 };
-enum class OrderOutcome { kExecuted, kRefused, kNotSent, kUnknown };
-enum class RentOutcome { kGranted, kNoCapacity, kTryLater, kRejected };
+enum class CommandOutcome { kExecuted, kRefused, kNotSent, kUnknown };
+enum class ScaleOutOutcome { kGranted, kNoCapacity, kTryLater, kRejected };
 
-struct ReportReply {
-  // Not to be answered: the report is a copy or so old that its worker does not
-  // wait any more.
+struct HeartbeatResponse {
+  // Not to be answered: the heartbeat is a copy or so old that its worker does
+  // not wait any more.
   bool refused = false;
   // Not to be answered: its machine's lease is let run out.
   bool withheld = false;
   uint64_t token = 0;
-  std::vector<Order> orders;
+  std::vector<WorkerCommand> commands;
 };
 
 struct JobView {
@@ -158,7 +159,7 @@
   std::string zone;
   bool spot = false;
   std::string state;
-  double age_s = 0;
+  double age_seconds = 0;
 };
 
 }  // namespace oxbow
--- a/core/controller/supply.cc
+++ b/core/leader/autoscaling.cc
@@ -2,52 +2,52 @@
 
 #include <algorithm>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 
-double Controller::RunSeconds(const JobSpec& spec) const {
+double Leader::RunSeconds(const JobSpec& spec) const {
   // Estimates are often wrong by half: what was seen of the class counts more.
   const auto it = class_stats_.find(spec.job_class);
   constexpr int kEnough = 5;
   if (it != class_stats_.end() && it->second.seen >= kEnough) {
-    return it->second.run_s;
+    return it->second.run_seconds;
   }
-  return spec.estimate_s;
+  return spec.estimate_seconds;
 }
 
-void Controller::PlanSupply(Time now) {
+void Leader::RunAutoscaler(Time now) {
   if (types_.empty()) return;
   const bool accounted = AllAccounted();
-  SupplyInput input;
+  AutoscalerInput input;
   input.types = &types_;
   constexpr int kMostAtOnce = 40;
   input.most_machines = kMostAtOnce;
   for (const auto& [kind, until] : refused_until_) input.refused[kind] = true;
   for (const auto& m : machines_) {
     if (m->type == nullptr) continue;
-    const bool coming =
-        m->state() == MachineState::kBooting &&
-        now - m->rented < tuning_.boot_timeout_ratio * m->type->boot_s;
+    const bool coming = m->state() == MachineState::kBooting &&
+                        now - m->requested_at <
+                            tuning_.boot_timeout_ratio * m->type->boot_seconds;
     const bool up = m->state() == MachineState::kUp && !Suspect(*m, now);
     if (!coming && !up) continue;
     // Room that is being drained for a job is as good as there for it.
     input.rooms.push_back(
         {{m->type_name, m->zone, m->spot}, m->free() + m->leaving});
   }
-  for (const auto& [name, rental] : rentals_) {
-    if (rental.state == RentalState::kSettled) continue;
-    const auto type = types_.find(rental.record.type);
+  for (const auto& [name, scale_out] : scale_outs_) {
+    if (scale_out.state == ScaleOutState::kSettled) continue;
+    const auto type = types_.find(scale_out.record.type);
     if (type == types_.end()) continue;
-    for (int i = 0; i < rental.record.count; ++i) {
-      input.rooms.push_back(
-          {{rental.record.type, rental.record.zone, rental.record.spot},
-           type->second.total});
+    for (int i = 0; i < scale_out.record.count; ++i) {
+      input.rooms.push_back({{scale_out.record.type, scale_out.record.zone,
+                              scale_out.record.spot},
+                             type->second.total});
     }
   }
   // Cheap kinds fill first, as placement does where it can choose.
   std::stable_sort(input.rooms.begin(), input.rooms.end(),
-                   [&](const SupplyRoom& a, const SupplyRoom& b) {
+                   [&](const PoolCapacity& a, const PoolCapacity& b) {
                      const double gpus = types_.at(a.kind.type).total.gpus;
                      const double other = types_.at(b.kind.type).total.gpus;
                      if (gpus != other) return gpus < other;
@@ -60,7 +60,7 @@
   std::vector<const Job*> waiting;
   for (const auto& [id, job] : jobs_) {
     // What waits for its window needs no machine yet.
-    if (!calendar_.empty() && !VerdictOf(*job, now).may()) continue;
+    if (!calendar_.empty() && !AdmissionOf(*job, now).may()) continue;
     if (job->live() && job->unplaced() > 0 && now >= job->not_before) {
       waiting.push_back(job.get());
     }
@@ -75,21 +75,21 @@
     }
     return a->id() < b->id();
   });
-  SetKeptAside(input);
+  ReserveTierHeadroom(input);
   for (const Job* job : waiting) {
-    SupplyDemand demand;
+    PoolDemand demand;
     demand.spec = &job->spec();
-    double tasks = Wanted(*job);
+    double tasks = StartableTasks(*job);
     if (job->spec().kind == JobKind::kArray) {
       // Short tasks follow one another on the same room: count as many as
       // would keep the backlog shorter than a machine takes to come up.
-      const double horizon = 3 * settings_.workers.lease_s;
+      const double horizon = 3 * settings_.workers.lease_seconds;
       const double run = std::max(1.0, RunSeconds(job->spec()));
       tasks = std::max(1.0, tasks * std::min(1.0, run / horizon));
     }
     // What the team's limit keeps out needs no machine.
     if (job->team() >= 0) {
-      const Team& team = teams_[job->team()];
+      const QuotaUsage& team = quotas_[job->team()];
       const Resources& need = job->spec().need;
       if (team.settings.cpus_max > 0 && need.cpus > 0) {
         tasks = std::min(tasks,
@@ -102,60 +102,61 @@
     }
     demand.tasks = static_cast<int>(std::max(0.0, tasks));
     if (demand.tasks == 0) continue;
-    demand.per_zone = Where(*job).per_zone;
+    demand.per_zone = ZoneSpreadOf(*job).per_zone;
     input.demand.push_back(std::move(demand));
   }
   if (accounted && !input.demand.empty()) {
-    for (const auto& [kind, count] : PlanRentals(input)) {
+    for (const auto& [kind, count] : PlanScaleOut(input)) {
       constexpr int kMostInRequest = 20;
       const std::string name =
           "r-" + std::to_string(term_) + "-" + std::to_string(NextNumber());
       if (resigned_) return;
-      Rental& rental = rentals_[name];
-      rental.record = {kind.type, kind.zone, kind.spot,
-                       std::min(count, kMostInRequest), 0};
-      Log("rent " + std::to_string(rental.record.count) + " " + kind.type +
+      ScaleOutRequest& scale_out = scale_outs_[name];
+      scale_out.record = {kind.type, kind.zone, kind.spot,
+                          std::min(count, kMostInRequest), 0};
+      Log("rent " + std::to_string(scale_out.record.count) + " " + kind.type +
           " in " + kind.zone + (kind.spot ? " (spot)" : "") + " as " + name +
           ": tasks without a place");
-      writes_.Queue({WriteKind::kRental, name, TerminalState::kNone, {}});
+      writes_.Queue({WriteKind::kScaleOut, name, TerminalState::kNone, {}});
     }
   }
   // Returning. Only when nothing has come or waited for a while: between two
   // waves of work a machine is cheaper kept than booted again. Never straight
-  // after a takeover, when the picture is still filling in.
+  // after a failover, when the picture is still filling in.
   if (!accounted || !input.demand.empty()) quiet_since_ = now;
-  const double hold = tuning_.idle_return_leases * settings_.workers.lease_s;
+  const double hold =
+      tuning_.idle_return_leases * settings_.workers.lease_seconds;
   Resources soon = NextSteps(now);
   for (auto& m : machines_) {
     if (quiet_since_ == now || now - started_ < hold) break;
-    if (m->state() == MachineState::kUp && m->residents.empty() && !m->batch &&
-        now - m->idle_since > hold) {
+    if (m->state() == MachineState::kUp && m->task_attempts.empty() &&
+        !m->batch && now - m->idle_since > hold) {
       // The next step of a chain starts here sooner than on one that has to
       // boot.
       if (soon.cpus > 0) {
         soon -= m->total();
         continue;
       }
-      if (!TakeAway(*m, LossCause::kIdle, now)) break;
+      if (!RemoveMachine(*m, LossCause::kIdle, now)) break;
     }
   }
-  if (Calm(now) && now >= next_consolidation_) Consolidate(now);
+  if (IsQuiescent(now) && now >= next_consolidation_) Consolidate(now);
 }
 
-bool Controller::Calm(Time now) const {
+bool Leader::IsQuiescent(Time now) const {
   return now - quiet_since_ >
-         tuning_.idle_return_leases * settings_.workers.lease_s;
+         tuning_.idle_return_leases * settings_.workers.lease_seconds;
 }
 
-bool Controller::Gathers(const Machine& m) const {
-  return m.total().gpus <= 0 || Spoilt(m, accelerator_shape_);
+bool Leader::IsConsolidationTarget(const Machine& m) const {
+  return m.total().gpus <= 0 || AcceleratorWorkBlocked(m, accelerator_shape_);
 }
 
 // Drains dear machines that only replicas still use, when all of them find
 // room and their image elsewhere, and so much stays free that the loss of any
 // one machine could still be made good. Every move is a short gap for its
 // users, so only a small share of all replicas moves at a time.
-void Controller::Consolidate(Time now) {
+void Leader::Consolidate(Time now) {
   std::vector<Machine*> usable;
   double most_staying = 0;
   size_t replicas = 0;
@@ -164,15 +165,15 @@
     if (!Usable(*m, now)) continue;
     usable.push_back(m.get());
     most_staying = std::max(most_staying, m->staying.cpus);
-    replicas += m->residents.size();
+    replicas += m->task_attempts.size();
   }
-  const double settled = 3 * settings_.workers.lease_s;
+  const double settled = 3 * settings_.workers.lease_seconds;
   std::vector<Machine*> drained;
   for (Machine* m : usable) {
     if (m->staying.cpus <= 0 || m->batch || !m->queue.empty()) continue;
     const bool only_settled_replicas = std::all_of(
-        m->residents.begin(), m->residents.end(), [&](const auto& e) {
-          const Resident& r = e.second;
+        m->task_attempts.begin(), m->task_attempts.end(), [&](const auto& e) {
+          const TaskAttempt& r = e.second;
           return r.phase == TaskPhase::kExited ||
                  (r.phase == TaskPhase::kRunning && r.job != nullptr &&
                   r.job->spec().kind == JobKind::kService &&
@@ -193,10 +194,10 @@
   const double at_once = kMovedAtOnce * static_cast<double>(replicas);
   size_t moved = 0;
   for (Machine* m : drained) {
-    const auto more = moved + m->residents.size();
+    const auto more = moved + m->task_attempts.size();
     if (moved > 0 && static_cast<double>(more) > at_once) break;
     if (!CanMoveAll(*m, usable, most_staying)) continue;
-    if (!TakeAway(*m, LossCause::kMoved, now)) break;
+    if (!RemoveMachine(*m, LossCause::kMoved, now)) break;
     moved = more;
     std::erase(usable, m);
   }
@@ -205,30 +206,32 @@
   constexpr double kLongestPause = 3;
   next_consolidation_ =
       now +
-      settings_.workers.lease_s *
+      settings_.workers.lease_seconds *
           std::clamp(static_cast<double>(moved) / at_once, 1.0, kLongestPause);
 }
 
-bool Controller::CanMoveAll(const Machine& from,
-                            const std::vector<Machine*>& usable,
-                            double spare_cpus) const {
+bool Leader::CanMoveAll(const Machine& from,
+                        const std::vector<Machine*>& usable,
+                        double spare_cpus) const {
   std::map<const Machine*, Resources> taken;
-  for (const auto& [key, r] : from.residents) {
+  for (const auto& [key, r] : from.task_attempts) {
     if (r.phase == TaskPhase::kExited) continue;
     const JobSpec& spec = r.job->spec();
-    Footprint where = Where(*r.job);
+    ZoneSpread where = ZoneSpreadOf(*r.job);
     where.Add(from.zone, -1);
     const Machine* to = nullptr;
     for (const Machine* m : usable) {
       if (m == &from || !m->HasImage(spec.image) || !Allowed(spec, *m, where) ||
-          !spec.need.FitsIn(m->RoomFor(r.job, spec.priority) - taken[m]) ||
+          !spec.need.FitsIn(m->CapacityFor(r.job, spec.priority) - taken[m]) ||
           m->type->price > from.type->price ||
           // From the emptier to the fuller, or two would change for ever.
           (m->type->price == from.type->price &&
            m->staying.cpus < from.staying.cpus)) {
         continue;
       }
-      if (to == nullptr || (Gathers(*m) && !Gathers(*to))) to = m;
+      if (to == nullptr ||
+          (IsConsolidationTarget(*m) && !IsConsolidationTarget(*to)))
+        to = m;
     }
     if (to == nullptr) return false;
     taken[to] += spec.need;
@@ -240,92 +243,99 @@
   return free >= spare_cpus;
 }
 
-void Controller::Request(const std::string& name, Time now) {
-  Rental& rental = rentals_.at(name);
-  if (rental.state != RentalState::kRequesting) return;
+void Leader::Request(const std::string& name, Time now) {
+  ScaleOutRequest& scale_out = scale_outs_.at(name);
+  if (scale_out.state != ScaleOutState::kRequesting) return;
   // The cloud answers within a second or not at all; the same name may be
   // asked again at any time.
-  rental.next_try = now + settings_.cloud.list_lag_s * 2;
-  rental.asked = now;
-  actions_.push_back(RentMachines{name, rental.record});
+  scale_out.next_try = now + settings_.cloud.list_lag_seconds * 2;
+  scale_out.asked = now;
+  actions_.push_back(RequestScaleOut{name, scale_out.record});
 }
 
-void Controller::OnRentAnswer(const std::string& name, RentOutcome outcome,
-                              const std::vector<std::string>& hosts, Time now) {
-  const auto it = rentals_.find(name);
-  if (it == rentals_.end() || it->second.state != RentalState::kRequesting) {
+void Leader::OnScaleOutResponse(const std::string& name,
+                                ScaleOutOutcome outcome,
+                                const std::vector<std::string>& hosts,
+                                Time now) {
+  const auto it = scale_outs_.find(name);
+  if (it == scale_outs_.end() ||
+      it->second.state != ScaleOutState::kRequesting) {
     return;
   }
-  Rental& rental = it->second;
-  const SupplyKey kind{rental.record.type, rental.record.zone,
-                       rental.record.spot};
-  const double refusal = 1.5 * settings_.workers.lease_s;
+  ScaleOutRequest& scale_out = it->second;
+  const MachinePool kind{scale_out.record.type, scale_out.record.zone,
+                         scale_out.record.spot};
+  const double refusal = 1.5 * settings_.workers.lease_seconds;
   switch (outcome) {
-    case RentOutcome::kTryLater:
-      rental.next_try = now + settings_.workers.report_s;
+    case ScaleOutOutcome::kTryLater:
+      scale_out.next_try = now + settings_.workers.heartbeat_interval_seconds;
       return;
-    case RentOutcome::kNoCapacity:
-    case RentOutcome::kRejected:
+    case ScaleOutOutcome::kNoCapacity:
+    case ScaleOutOutcome::kRejected:
       refused_until_[kind] = now + refusal;
       Log("no capacity for " + kind.type + " in " + kind.zone +
           (kind.spot ? " (spot)" : ""));
       break;
-    case RentOutcome::kGranted:
-      if (static_cast<int>(hosts.size()) < rental.record.count) {
+    case ScaleOutOutcome::kGranted:
+      if (static_cast<int>(hosts.size()) < scale_out.record.count) {
         refused_until_[kind] = now + refusal;
       }
       for (const std::string& host : hosts) {
         if (FindMachine(host) != nullptr || gone_hosts_.contains(host)) {
           continue;
         }
-        Machine& m = AddMachine(host, {kind.type, kind.zone, kind.spot, "",
-                                       rental.asked + wall_minus_steady_, 0});
-        m.rented = rental.asked;
+        Machine& m =
+            AddMachine(host, {kind.type, kind.zone, kind.spot, "",
+                              scale_out.asked + wall_minus_steady_, 0});
+        m.requested_at = scale_out.asked;
       }
       Log("rented " + std::to_string(hosts.size()) + " " + kind.type + " in " +
           kind.zone + (kind.spot ? " (spot)" : "") + " as " + name);
       break;
   }
-  rental.Change(RentalState::kSettled);
-  rental.hosts = hosts;
+  scale_out.Change(ScaleOutState::kSettled);
+  scale_out.hosts = hosts;
   for (const std::string& host : hosts) {
-    WriteOp op{WriteKind::kRentedMachine, host};
+    WriteOp op{WriteKind::kScaledOutMachine, host};
     op.reason = name;
     writes_.Queue(std::move(op));
   }
-  SettleRental(name);
-  next_supply_ = std::min(next_supply_, now + 0.1 * settings_.workers.report_s);
+  SettleScaleOut(name);
+  next_autoscaler_run_ =
+      std::min(next_autoscaler_run_,
+               now + 0.1 * settings_.workers.heartbeat_interval_seconds);
   writes_.Flush(now);
 }
 
 // Its machines are recorded one by one, as many in a transaction as go into
 // it, and the rental's own record goes last: whoever leads until then repeats
 // the request, which names the same machines, and records what is missing.
-void Controller::SettleRental(const std::string& name) {
-  const auto it = rentals_.find(name);
-  if (it == rentals_.end() || it->second.state != RentalState::kSettled) return;
+void Leader::SettleScaleOut(const std::string& name) {
+  const auto it = scale_outs_.find(name);
+  if (it == scale_outs_.end() || it->second.state != ScaleOutState::kSettled)
+    return;
   const auto open = [this](const std::string& host) {
     return machine_index_.contains(host) && !catalog_.machines().contains(host);
   };
   const std::vector<std::string>& hosts = it->second.hosts;
-  if (catalog_.rentals().contains(name) &&
+  if (catalog_.scale_outs().contains(name) &&
       std::any_of(hosts.begin(), hosts.end(), open)) {
     return;
   }
-  writes_.Queue({WriteKind::kRentalSettle, name});
+  writes_.Queue({WriteKind::kSettleScaleOut, name});
 }
 
-void Controller::OnDeleteAnswer(const std::vector<std::string>& hosts, bool ok,
-                                Time now) {
+void Leader::OnDeleteAnswer(const std::vector<std::string>& hosts, bool ok,
+                            Time now) {
   for (const std::string& host : hosts) {
     Machine* m = FindMachine(host);
     if (m == nullptr) continue;
     if (!ok) {
-      m->delete_sent = now - settings_.workers.lease_s / 2;
+      m->delete_sent = now - settings_.workers.lease_seconds / 2;
       continue;
     }
     Log("machine " + host + " deleted, confirmed by the cloud");
-    LoseAll(*m, "deleted");
+    MarkAllLost(*m, "deleted");
     m->Change(MachineState::kGone);
     gone_hosts_.insert(host);
     machine_index_.erase(host);
@@ -338,8 +348,8 @@
   }
 }
 
-void Controller::OnMachineList(const std::vector<ListedMachine>& list,
-                               Time asked, Time now) {
+void Leader::OnMachineList(const std::vector<ListedMachine>& list, Time asked,
+                           Time now) {
   std::unordered_set<std::string> listed;
   for (const ListedMachine& entry : list) {
     listed.insert(entry.host);
@@ -347,10 +357,10 @@
     Machine* m = FindMachine(entry.host);
     if (m == nullptr) {
       Log("machine " + entry.host + " was not expected, taken into use");
-      Machine& added =
-          AddMachine(entry.host, {entry.type, entry.zone, entry.spot, "",
-                                  now - entry.age_s + wall_minus_steady_, 0});
-      added.rented = now - entry.age_s;
+      Machine& added = AddMachine(
+          entry.host, {entry.type, entry.zone, entry.spot, "",
+                       now - entry.age_seconds + wall_minus_steady_, 0});
+      added.requested_at = now - entry.age_seconds;
       m = &added;
     }
     m->missing_in_list = false;
@@ -361,16 +371,17 @@
   // Once listed, a machine stays listed until it is gone. One that is neither
   // heard nor listed long after its rental is asked to be deleted, which turns
   // the guess into a certainty.
-  const double lag = 2 * settings_.cloud.list_lag_s;
+  const double lag = 2 * settings_.cloud.list_lag_seconds;
   for (auto& m : machines_) {
     if (m->state() == MachineState::kGone || listed.contains(m->host())) {
       continue;
     }
     const bool silent = now - m->last_heard > lag &&
-                        now - m->rented > 2 * lag && asked - started_ > lag;
+                        now - m->requested_at > 2 * lag &&
+                        asked - started_ > lag;
     if (silent && m->missing_in_list && m->state() != MachineState::kDeleting &&
         now - m->reached_by_other > lag) {
-      TakeAway(*m, LossCause::kUnlisted, now);
+      RemoveMachine(*m, LossCause::kUnlisted, now);
     }
     m->missing_in_list = true;
   }
--- a/core/controller/catalog.cc
+++ b/core/leader/catalog.cc
@@ -1,4 +1,4 @@
-#include "core/controller/catalog.h"
+#include "core/leader/catalog.h"
 
 #include <algorithm>
 #include <functional>
@@ -14,27 +14,27 @@
   return it == map.end() ? nullptr : &it->second;
 }
 
-TerminalRecord EndOf(const JobRecord& job) {
+TerminalRecord TerminalStateOf(const JobRecord& job) {
   return {job.terminal_state, job.spec->tasks, 0};
 }
 
 }  // namespace
 
-uint64_t Catalog::StampOf(const std::string& key) const {
-  if (key == keys::kLeader) return leader_.stamp;
-  uint64_t stamp = 0;
+uint64_t Catalog::ModRevisionOf(const std::string& key) const {
+  if (key == keys::kLeader) return leader_.mod_revision;
+  uint64_t mod_revision = 0;
   EachKind([&](const auto& map, std::string_view prefix) {
     if (!key.starts_with(prefix)) return;
-    if (const auto* r = Find(map, key, prefix)) stamp = r->stamp;
+    if (const auto* r = Find(map, key, prefix)) mod_revision = r->mod_revision;
   });
-  return stamp;
+  return mod_revision;
 }
 
 void Catalog::Store(const std::string& key, const Record& record,
-                    uint64_t stamp) {
+                    uint64_t mod_revision) {
   if (const auto* leader = std::get_if<LeaderRecord>(&record)) {
     leader_ = *leader;
-    leader_.stamp = stamp;
+    leader_.mod_revision = mod_revision;
     return;
   }
   VisitKinds(*this, [&](auto& map, std::string_view prefix) {
@@ -43,28 +43,28 @@
     if (known == nullptr || !key.starts_with(prefix)) return;
     Kind& entry = map[key.substr(prefix.size())];
     entry = *known;
-    entry.stamp = stamp;
+    entry.mod_revision = mod_revision;
   });
   const auto* job = std::get_if<JobRecord>(&record);
   if (job == nullptr) return;
-  ReleaseOwedWaiting(key.substr(keys::kJob.size()));
+  DropPendingWaitingRecord(key.substr(keys::kJob.size()));
   if (job->terminal_state == TerminalState::kDone) {
-    RememberEnd(key.substr(keys::kJob.size()), EndOf(*job));
+    RememberTerminalState(key.substr(keys::kJob.size()), TerminalStateOf(*job));
   }
 }
 
-void Catalog::ReleaseOwedWaiting(const std::string& id) {
-  if (owed_.empty()) return;
+void Catalog::DropPendingWaitingRecord(const std::string& id) {
+  if (pending_writes_.empty()) return;
   const std::string key = keys::Of(keys::kWaiting, id);
-  if (owed_.erase(key) == 0) return;
-  // What the state service holds of it the leader deletes.
-  if (StampOf(key) == 0) Remove(key);
+  if (pending_writes_.erase(key) == 0) return;
+  // What the key-value store holds of it the leader deletes.
+  if (ModRevisionOf(key) == 0) Remove(key);
 }
 
-void Catalog::SetStamp(const std::string& key, uint64_t stamp) {
+void Catalog::SetModRevision(const std::string& key, uint64_t mod_revision) {
   VisitKinds(*this, [&](auto& map, std::string_view prefix) {
     if (!key.starts_with(prefix)) return;
-    if (auto* r = Find(map, key, prefix)) r->stamp = stamp;
+    if (auto* r = Find(map, key, prefix)) r->mod_revision = mod_revision;
   });
 }
 
@@ -78,7 +78,7 @@
 }
 
 void Catalog::Remove(const std::string& key) {
-  owed_.erase(key);
+  pending_writes_.erase(key);
   if (key == keys::kLeader) {
     leader_ = {};
     return;
@@ -89,80 +89,85 @@
 }
 
 bool Catalog::Put(const std::string& key, const Record& record,
-                  uint64_t stamp) {
+                  uint64_t mod_revision) {
   if (key == keys::kEpoch || key.starts_with(keys::kEpochMark)) {
-    return PutEpoch(key, record, stamp);
+    return PutEpoch(key, record, mod_revision);
   }
-  if (owed_.contains(key)) return PutOverOwed(key, record, stamp);
-  const uint64_t known = StampOf(key);
+  if (pending_writes_.contains(key))
+    return PutOverPending(key, record, mod_revision);
+  const uint64_t known = ModRevisionOf(key);
   const auto* job = std::get_if<JobRecord>(&record);
   if (job != nullptr && job->terminal_state != TerminalState::kNone) {
     const std::string id = key.substr(keys::kJob.size());
     if (job->terminal_state == TerminalState::kDone) {
-      RememberEnd(id, EndOf(*job));
+      RememberTerminalState(id, TerminalStateOf(*job));
     }
     // An end that was read may have been told, so it is never set aside for a
     // live record that looks newer: the service has gone back since that one.
     const auto live = jobs_.find(id);
     if (live != jobs_.end() &&
         live->second.terminal_state == TerminalState::kNone) {
-      Store(key, record, stamp);
+      Store(key, record, mod_revision);
       return true;
     }
   }
-  if (known >= stamp) return false;
+  if (known >= mod_revision) return false;
   // The watch has passed this revision and the key is not there: it has been
   // deleted since, and this value comes from an older read.
-  if (known == 0 && stamp <= followed_) return false;
-  Store(key, record, stamp);
+  if (known == 0 && mod_revision <= watched_revision_) return false;
+  Store(key, record, mod_revision);
   if (job != nullptr && job->terminal_state == TerminalState::kNone &&
-      epoch_.number > 1 && stamp <= opened()) {
+      epoch_.number > 1 && mod_revision <= opened()) {
     // An older copy has come back, and the job has ended since.
     const std::string id = key.substr(keys::kJob.size());
     const TerminalState end = ended_.Find(id);
     if (end != TerminalState::kNone) {
       jobs_.at(id).terminal_state = end;
-      owed_[key] = {epoch_.number - 1, stamp};
+      pending_writes_[key] = {epoch_.number - 1, mod_revision};
     }
   }
   return true;
 }
 
 bool Catalog::PutEpoch(const std::string& key, const Record& record,
-                       uint64_t stamp) {
+                       uint64_t mod_revision) {
   if (std::get_if<EpochMark>(&record) != nullptr) {
     mark_id_ = key.substr(keys::kEpochMark.size());
-    mark_stamp_ = stamp;
+    mark_mod_revision_ = mod_revision;
     return true;
   }
   const auto* epoch = std::get_if<StoreEpoch>(&record);
   if (epoch == nullptr || epoch->number < epoch_.number) return false;
-  if (epoch->number == epoch_.number && stamp <= epoch_.stamp) return false;
+  if (epoch->number == epoch_.number && mod_revision <= epoch_.mod_revision)
+    return false;
   if (epoch_.number > 0 && epoch->number > epoch_.number) Rebase();
   epoch_ = *epoch;
-  epoch_.stamp = stamp;
+  epoch_.mod_revision = mod_revision;
   return true;
 }
 
-// What is remembered against what the state service is seen to hold.
-bool Catalog::PutOverOwed(const std::string& key, const Record& record,
-                          uint64_t stamp) {
-  const Version there{stamp > opened() ? epoch_.number : epoch_.number - 1,
-                      stamp};
+// What is remembered against what the key-value store is seen to hold.
+bool Catalog::PutOverPending(const std::string& key, const Record& record,
+                             uint64_t mod_revision) {
+  const Version there{
+      mod_revision > opened() ? epoch_.number : epoch_.number - 1,
+      mod_revision};
   const auto ended = [](const Record& r) {
     const auto* job = std::get_if<JobRecord>(&r);
     return job != nullptr && job->terminal_state != TerminalState::kNone;
   };
-  const Version mine = owed_.at(key);
+  const Version mine = pending_writes_.at(key);
   const bool mine_ended = ended(RecordOf(key));
   // An end beats everything; else the later of the two.
   const bool keep = mine_ended != ended(record) ? mine_ended : mine > there;
   if (keep) {
-    SetStamp(key, stamp);  // what the write that replaces it is conditioned on
+    SetModRevision(
+        key,
+        mod_revision);  // what the write that replaces it is conditioned on
     return false;
   }
-  owed_.erase(key);
-  Store(key, record, stamp);
+  pending_writes_.erase(key);
+  Store(key, record, mod_revision);
   return true;
 }
 
@@ -170,13 +175,13 @@
   VisitKinds(*this, [this](auto& map, std::string_view prefix) {
     for (auto& [name, record] : map) {
       // What was owed already keeps the version that it is remembered by.
-      owed_.try_emplace(keys::Of(prefix, name),
-                        Version{epoch_.number, record.stamp});
-      record.stamp = 0;
+      pending_writes_.try_emplace(keys::Of(prefix, name),
+                                  Version{epoch_.number, record.mod_revision});
+      record.mod_revision = 0;
     }
   });
   leader_ = {};
-  followed_ = 0;
+  watched_revision_ = 0;
 }
 
 std::pair<std::string, uint64_t> Catalog::Guard() const {
@@ -185,12 +190,12 @@
 }
 
 Version Catalog::VersionOf(const std::string& key) const {
-  const auto owed = owed_.find(key);
-  if (owed != owed_.end()) return owed->second;
-  const uint64_t stamp = StampOf(key);
-  return {stamp > opened() || epoch_.number == 0 ? epoch_.number
-                                                 : epoch_.number - 1,
-          stamp};
+  const auto pending_writes = pending_writes_.find(key);
+  if (pending_writes != pending_writes_.end()) return pending_writes->second;
+  const uint64_t mod_revision = ModRevisionOf(key);
+  return {mod_revision > opened() || epoch_.number == 0 ? epoch_.number
+                                                        : epoch_.number - 1,
+          mod_revision};
 }
 
 bool Catalog::Remember(const std::string& key, const Record& record,
@@ -211,7 +216,7 @@
     }
   }
   const Record mine = RecordOf(key);
-  uint64_t there = 0;  // what the state service holds of it
+  uint64_t there = 0;  // what the key-value store holds of it
   if (!std::holds_alternative<std::monostate>(mine)) {
     const auto* my_job = std::get_if<JobRecord>(&mine);
     const bool my_end =
@@ -226,34 +231,34 @@
     } else if (my_end != their_end ? my_end : VersionOf(key) >= version) {
       return false;
     }
-    there = StampOf(key);
+    there = ModRevisionOf(key);
   }
   Store(key, record, there);
-  owed_[key] = version;
+  pending_writes_[key] = version;
   return true;
 }
 
-void Catalog::ApplyEnds() {
+void Catalog::ApplyTerminalStates() {
   for (auto& [id, job] : jobs_) {
     if (job.terminal_state != TerminalState::kNone) continue;
     job.terminal_state = ended_.Find(id);
     if (job.terminal_state == TerminalState::kNone) continue;
     std::string key = keys::Of(keys::kJob, id);
-    owed_.try_emplace(key, VersionOf(key));
+    pending_writes_.try_emplace(key, VersionOf(key));
   }
   std::vector<std::string> ended;
   for (const auto& [id, waiting] : waiting_) {
     if (ended_.Find(id) != TerminalState::kNone) ended.push_back(id);
   }
-  for (const std::string& id : ended) ReleaseOwedWaiting(id);
+  for (const std::string& id : ended) DropPendingWaitingRecord(id);
 }
 
 std::vector<std::string> Catalog::NewestKeys(size_t count) const {
   std::vector<std::pair<uint64_t, std::string>> all;
   const auto collect = [&](const auto& map, std::string_view prefix) {
     for (const auto& [name, record] : map) {
-      if (record.stamp > 0) {
-        all.emplace_back(record.stamp, keys::Of(prefix, name));
+      if (record.mod_revision > 0) {
+        all.emplace_back(record.mod_revision, keys::Of(prefix, name));
       }
     }
   };
@@ -268,33 +273,33 @@
   return out;
 }
 
-std::vector<std::string> Catalog::LatestEnds(size_t count) const {
+std::vector<std::string> Catalog::LatestTerminalStates(size_t count) const {
   const size_t kept = std::min(count, terminal_order_.size());
   return {terminal_order_.end() - static_cast<long>(kept),
           terminal_order_.end()};
 }
 
-void Catalog::ForgetOwed() {
-  if (owed_.empty()) return;
-  const auto owed = owed_;
-  for (const auto& [key, version] : owed) Remove(key);
-  followed_ = 0;  // what is read again is no older value
+void Catalog::ForgetPendingWrites() {
+  if (pending_writes_.empty()) return;
+  const auto pending_writes = pending_writes_;
+  for (const auto& [key, version] : pending_writes) Remove(key);
+  watched_revision_ = 0;  // what is read again is no older value
 }
 
 void Catalog::Missing(const std::string& key, uint64_t revision) {
-  if (owed_.contains(key)) {
-    SetStamp(key, 0);
+  if (pending_writes_.contains(key)) {
+    SetModRevision(key, 0);
   } else {
     Erase(key, revision);
   }
 }
 
-bool Catalog::Erase(const std::string& key, uint64_t stamp) {
-  if (owed_.contains(key)) {
-    if (stamp <= opened()) return false;
+bool Catalog::Erase(const std::string& key, uint64_t mod_revision) {
+  if (pending_writes_.contains(key)) {
+    if (mod_revision <= opened()) return false;
   } else {
-    const uint64_t known = StampOf(key);
-    if (known == 0 || known > stamp) return false;
+    const uint64_t known = ModRevisionOf(key);
+    if (known == 0 || known > mod_revision) return false;
   }
   // A cancelled job's record goes once nothing is left of its tasks. From then
   // on it may be told as cancelled; see FindTerminalState.
@@ -302,7 +307,7 @@
     const std::string id = key.substr(keys::kJob.size());
     const JobRecord* job = FindJob(id);
     if (job != nullptr && job->terminal_state == TerminalState::kAborted) {
-      RememberEnd(id, EndOf(*job));
+      RememberTerminalState(id, TerminalStateOf(*job));
     }
   }
   Remove(key);
@@ -315,14 +320,14 @@
   EachKind([&](const auto& map, std::string_view prefix) {
     for (const auto& [name, record] : map) {
       std::string key = keys::Of(prefix, name);
-      if (record.stamp <= revision && !listed.contains(key) &&
-          !owed_.contains(key)) {
+      if (record.mod_revision <= revision && !listed.contains(key) &&
+          !pending_writes_.contains(key)) {
         gone.push_back(std::move(key));
       }
     }
   });
   const std::string leader(keys::kLeader);
-  if (leader_.stamp > 0 && leader_.stamp <= revision &&
+  if (leader_.mod_revision > 0 && leader_.mod_revision <= revision &&
       !listed.contains(leader)) {
     gone.push_back(leader);
   }
@@ -349,19 +354,20 @@
          FindTerminalState(id) != TerminalState::kNone;
 }
 
-TerminalRecord Catalog::FindEnd(const std::string& id) const {
+TerminalRecord Catalog::FindTerminalRecord(const std::string& id) const {
   const auto it = terminal_records_.find(id);
   return it == terminal_records_.end() ? TerminalRecord{} : it->second;
 }
 
 TerminalState Catalog::FindTerminalState(const std::string& id) const {
-  const TerminalState state = FindEnd(id).state;
+  const TerminalState state = FindTerminalRecord(id).state;
   return state != TerminalState::kNone ? state : ended_.Find(id);
 }
 
-void Catalog::RememberEnd(const std::string& id, const TerminalRecord& end) {
+void Catalog::RememberTerminalState(const std::string& id,
+                                    const TerminalRecord& end) {
   ended_.Add(id, end.state);
-  ReleaseOwedWaiting(id);
+  DropPendingWaitingRecord(id);
   if (!terminal_records_.try_emplace(id, end).second) return;
   terminal_order_.push_back(id);
   if (terminal_order_.size() > kTerminalRecordsKept) {
--- a/core/controller/catalog.h
+++ b/core/leader/catalog.h
@@ -1,4 +1,4 @@
-// What the state service holds, as far as this controller has followed it.
+// What the key-value store holds, as far as this controller has followed it.
 // Every controller keeps one, so a standby is warm when it takes over.
 #pragma once
 
@@ -40,7 +40,7 @@
 // The versions that the controllers run; see VersionGate.
 inline constexpr std::string_view kVersion = "ob/live/v/";
 inline constexpr std::string_view kMachine = "ob/live/m/";
-inline constexpr std::string_view kRental = "ob/live/r/";
+inline constexpr std::string_view kScaleOut = "ob/live/r/";
 inline constexpr std::string_view kRollout = "ob/live/o/";
 inline constexpr std::string_view kOperator = "ob/live/p/";
 // Rights to keep a zone's workers, each under a lease; not followed.
@@ -62,7 +62,7 @@
 struct LeaderRecord {
   std::string node;
   std::string incarnation;  // of the process, which a restart changes
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   // Taken to keep the workers alive, not to lead (Leadership).
   bool renews_only = false;
 };
@@ -70,7 +70,7 @@
 struct TerminalRecord {
   TerminalState state = TerminalState::kNone;
   uint32_t tasks = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 // Settles a write whose answer is missing: the write is conditioned on the
@@ -83,54 +83,58 @@
 // monostate: the key does not exist.
 using Record =
     std::variant<std::monostate, LeaderRecord, JobRecord, MachineRecord,
-                 RentalRecord, TerminalRecord, RolloutRecord, StoreEpoch,
+                 ScaleOutRecord, TerminalRecord, RolloutRecord, StoreEpoch,
                  EpochMark, OperatorRecord, WaitingRecord, VersionRecord,
                  WriteFence>;
 
 class Catalog {
  public:
-  // Takes in a value seen in the state service. False when it is older than
+  // Takes in a value seen in the key-value store. False when it is older than
   // what is known already.
-  bool Put(const std::string& key, const Record& record, uint64_t stamp);
-  bool Erase(const std::string& key, uint64_t stamp);
+  bool Put(const std::string& key, const Record& record, uint64_t mod_revision);
+  bool Erase(const std::string& key, uint64_t mod_revision);
   // The watch has delivered every change up to here.
-  void Followed(uint64_t revision) {
-    followed_ = std::max(followed_, revision);
+  void AdvanceWatch(uint64_t revision) {
+    watched_revision_ = std::max(watched_revision_, revision);
   }
-  uint64_t followed() const { return followed_; }
+  uint64_t watched_revision() const { return watched_revision_; }
   // After a whole listing: removes what it does not hold although it is as old
   // as the listing, and returns those keys.
   std::vector<std::string> EraseMissing(
       const std::unordered_set<std::string>& listed, uint64_t revision);
-  // A fresh read has not found the key. What is owed to the state service is
+  // A fresh read has not found the key. What is owed to the key-value store is
   // not there yet, and stays known here.
   void Missing(const std::string& key, uint64_t revision);
 
   // --- epochs: see docs/recovery.md for what beats what
   const StoreEpoch& epoch() const { return epoch_; }
   // The stamp of the epoch's mark; 0 while it is not known.
-  uint64_t opened() const { return mark_id_ == epoch_.id ? mark_stamp_ : 0; }
+  uint64_t opened() const {
+    return mark_id_ == epoch_.id ? mark_mod_revision_ : 0;
+  }
   // What a write has to be conditioned on to belong to this epoch.
   std::pair<std::string, uint64_t> Guard() const;
-  // Records from before the epoch that the state service does not hold, or
+  // Records from before the epoch that the key-value store does not hold, or
   // holds an older copy of, with the version that is remembered.
-  const std::map<std::string, Version>& owed() const { return owed_; }
+  const std::map<std::string, Version>& pending_writes() const {
+    return pending_writes_;
+  }
   // Takes in what another controller remembers. False when it is no news.
   bool Remember(const std::string& key, const Record& record, Version version);
   // Ends that others know of have been added: no job that has one stays live.
-  void ApplyEnds();
+  void ApplyTerminalStates();
   Version VersionOf(const std::string& key) const;
   // monostate if it is not known.
   Record RecordOf(const std::string& key) const;
   // What changed last of all that is known here: live keys, and jobs that have
   // ended. An older copy lacks some of it.
   std::vector<std::string> NewestKeys(size_t count) const;
-  std::vector<std::string> LatestEnds(size_t count) const;
+  std::vector<std::string> LatestTerminalStates(size_t count) const;
   // The watch may have waited for revisions that came a second time.
-  void FollowAnew() { followed_ = 0; }
+  void RestartWatch() { watched_revision_ = 0; }
   // The epoch has been rebuilt, by another: what is still owed here was of no
-  // use to it, and the state service is read anew.
-  void ForgetOwed();
+  // use to it, and the key-value store is read anew.
+  void ForgetPendingWrites();
 
   const std::unordered_map<std::string, JobRecord>& jobs() const {
     return jobs_;
@@ -143,8 +147,8 @@
   const std::unordered_map<std::string, MachineRecord>& machines() const {
     return machines_;
   }
-  const std::unordered_map<std::string, RentalRecord>& rentals() const {
-    return rentals_;
+  const std::unordered_map<std::string, ScaleOutRecord>& scale_outs() const {
+    return scale_outs_;
   }
   const std::unordered_map<std::string, RolloutRecord>& rollouts() const {
     return rollouts_;
@@ -172,12 +176,12 @@
   // on any machine: whoever may still answer a worker's reports, in an outage
   // and without any memory, has nothing left to keep alive that is cancelled.
   // Until then JobRecord::terminal_state says that the job is ending.
-  TerminalRecord FindEnd(const std::string& id) const;
+  TerminalRecord FindTerminalRecord(const std::string& id) const;
   // The same without its number of tasks, remembered for longer.
   TerminalState FindTerminalState(const std::string& id) const;
   const TerminalStateIndex& ended() const { return ended_; }
   TerminalStateIndex& ended() { return ended_; }
-  void RememberEnd(const std::string& id, const TerminalRecord& end);
+  void RememberTerminalState(const std::string& id, const TerminalRecord& end);
 
  private:
   template <typename Self, typename Visit>
@@ -186,19 +190,21 @@
     visit(self.waiting_, keys::kWaiting);
     visit(self.versions_, keys::kVersion);
     visit(self.machines_, keys::kMachine);
-    visit(self.rentals_, keys::kRental);
+    visit(self.scale_outs_, keys::kScaleOut);
     visit(self.rollouts_, keys::kRollout);
     visit(self.operators_, keys::kOperator);
   }
-  uint64_t StampOf(const std::string& key) const;
-  void SetStamp(const std::string& key, uint64_t stamp);
-  void Store(const std::string& key, const Record& record, uint64_t stamp);
+  uint64_t ModRevisionOf(const std::string& key) const;
+  void SetModRevision(const std::string& key, uint64_t mod_revision);
+  void Store(const std::string& key, const Record& record,
+             uint64_t mod_revision);
   void Remove(const std::string& key);
   // The job does not wait any more: its waiting record is not owed.
-  void ReleaseOwedWaiting(const std::string& id);
-  bool PutEpoch(const std::string& key, const Record& record, uint64_t stamp);
-  bool PutOverOwed(const std::string& key, const Record& record,
-                   uint64_t stamp);
+  void DropPendingWaitingRecord(const std::string& id);
+  bool PutEpoch(const std::string& key, const Record& record,
+                uint64_t mod_revision);
+  bool PutOverPending(const std::string& key, const Record& record,
+                      uint64_t mod_revision);
   // A new epoch: all that is known is from before, and owed to it.
   void Rebase();
 
@@ -206,19 +212,19 @@
   std::unordered_map<std::string, WaitingRecord> waiting_;
   VersionGate::Versions versions_;
   std::unordered_map<std::string, MachineRecord> machines_;
-  std::unordered_map<std::string, RentalRecord> rentals_;
+  std::unordered_map<std::string, ScaleOutRecord> scale_outs_;
   std::unordered_map<std::string, RolloutRecord> rollouts_;
   std::unordered_map<std::string, OperatorRecord> operators_;
   LeaderRecord leader_;
-  uint64_t followed_ = 0;
-  // Bounded: an older one is read from the state service again.
+  uint64_t watched_revision_ = 0;
+  // Bounded: an older one is read from the key-value store again.
   std::unordered_map<std::string, TerminalRecord> terminal_records_;
   std::deque<std::string> terminal_order_;
   TerminalStateIndex ended_;
   StoreEpoch epoch_;
   std::string mark_id_;
-  uint64_t mark_stamp_ = 0;
-  std::map<std::string, Version> owed_;
+  uint64_t mark_mod_revision_ = 0;
+  std::map<std::string, Version> pending_writes_;
 };
 
 }  // namespace oxbow
--- a/core/controller/chains.cc
+++ b/core/leader/dependencies.cc
@@ -7,7 +7,7 @@
 #include <memory>
 #include <utility>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 namespace {
@@ -32,7 +32,7 @@
   if (op.compact) {
     // Too large with the names, which it does not need any more.
     auto spec = std::make_shared<JobSpec>(*waiting.spec);
-    spec->waits_on.clear();
+    spec->dependencies.clear();
     job.spec = std::move(spec);
   }
   return job;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TerminalState Controller::EndOf(const std::string& id) const {
+TerminalState Leader::TerminalStateOf(const std::string& id) const {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (end != TerminalState::kNone) return end;
   // A recorded cancellation decides, long before its user can be told.
@@ -48,16 +48,16 @@
   return job == nullptr ? TerminalState::kNone : job->terminal_state;
 }
 
-double Controller::PathSeconds(const JobSpec& spec) const {
+double Leader::CriticalPathSeconds(const JobSpec& spec) const {
   return kPathMargin * RunSeconds(spec) +
-         kStepReports * settings_.workers.report_s;
+         kStepReports * settings_.workers.heartbeat_interval_seconds;
 }
 
-DueTimes Controller::DueOf(const JobSpec& spec, Time submitted) const {
-  return queue_order_.DueOf(spec, submitted);
+DueTimes Leader::DueTimesOf(const JobSpec& spec, Time submitted) const {
+  return queue_ranking_.DueTimesOf(spec, submitted);
 }
 
-void Controller::OnWaitingRecord(const std::string& id, Time now) {
+void Leader::OnWaitingRecord(const std::string& id, Time now) {
   const auto it = catalog_.waiting().find(id);
   if (it == catalog_.waiting().end()) return;
   // It was released or has ended: an older copy has come back.
@@ -68,120 +68,126 @@
   const WaitingRecord& record = it->second;
   const Time submitted =
       std::min(now, record.submitted_wall - wall_minus_steady_);
-  chains_.Add(record.spec, submitted,
-              [this](const std::string& need) { return EndOf(need); });
-  for (const std::string& need : record.spec->waits_on) AskEnd(need, now);
+  dependency_graph_.Add(
+      record.spec, submitted,
+      [this](const std::string& need) { return TerminalStateOf(need); });
+  for (const std::string& need : record.spec->dependencies)
+    RequestTerminalState(need, now);
   quiet_since_ = now;
   UpdateInherited();
-  QueueChainSteps(now);
+  QueueDependencySteps(now);
   writes_.Flush(now);
 }
 
 // A job that is neither live here, nor waiting, nor known to have ended. That
 // it is missing proves nothing: only a record found counts.
-void Controller::AskEnd(const std::string& need, Time now) {
-  if (EndOf(need) != TerminalState::kNone ||
+void Leader::RequestTerminalState(const std::string& need, Time now) {
+  if (TerminalStateOf(need) != TerminalState::kNone ||
       catalog_.FindJob(need) != nullptr ||
       catalog_.FindWaiting(need) != nullptr) {
-    end_reads_.erase(need);
+    terminal_state_reads_.erase(need);
     return;
   }
-  if (end_reads_under_way_ >= kEndReadsAtOnce) return;
-  EndRead& read = end_reads_[need];
+  if (terminal_state_reads_in_flight_ >= kEndReadsAtOnce) return;
+  TerminalStateRead& read = terminal_state_reads_[need];
   if (now < read.next) return;
-  read.pause = std::clamp(2 * read.pause, settings_.workers.report_s,
-                          3 * settings_.workers.lease_s);
+  read.pause =
+      std::clamp(2 * read.pause, settings_.workers.heartbeat_interval_seconds,
+                 3 * settings_.workers.lease_seconds);
   read.next = now + read.pause;
-  ++end_reads_under_way_;
-  actions_.push_back(ReadEnd{need});
+  ++terminal_state_reads_in_flight_;
+  actions_.push_back(ReadTerminalState{need});
 }
 
-void Controller::OnEndRead(const std::string& id, Time now) {
-  end_reads_under_way_ = std::max(0, end_reads_under_way_ - 1);
-  OnEndKnown(id, EndOf(id), now);
+void Leader::OnTerminalStateRead(const std::string& id, Time now) {
+  terminal_state_reads_in_flight_ =
+      std::max(0, terminal_state_reads_in_flight_ - 1);
+  OnTerminalStateKnown(id, TerminalStateOf(id), now);
 }
 
-void Controller::OnEndKnown(const std::string& id, TerminalState end,
-                            Time now) {
+void Leader::OnTerminalStateKnown(const std::string& id, TerminalState end,
+                                  Time now) {
   if (end == TerminalState::kNone) return;
-  end_reads_.erase(id);
-  if (chains_.empty()) return;
-  chains_.OnEnd(id, end);
+  terminal_state_reads_.erase(id);
+  if (dependency_graph_.empty()) return;
+  dependency_graph_.OnEnd(id, end);
   UpdateInherited();
-  QueueChainSteps(now);
+  QueueDependencySteps(now);
 }
 
-void Controller::SweepNeeds(Time now) {
-  for (const std::string& need : chains_.NextNeeds(kNeedsAtOnce)) {
-    const TerminalState end = EndOf(need);
+void Leader::PollDependencies(Time now) {
+  for (const std::string& need :
+       dependency_graph_.NextDependencies(kNeedsAtOnce)) {
+    const TerminalState end = TerminalStateOf(need);
     if (end != TerminalState::kNone) {
-      OnEndKnown(need, end, now);
+      OnTerminalStateKnown(need, end, now);
     } else {
-      AskEnd(need, now);
+      RequestTerminalState(need, now);
     }
   }
-  QueueChainSteps(now);
+  QueueDependencySteps(now);
 }
 
 // No more than half of a transaction at a time, so that the cancellation of a
 // long chain leaves room for the ends of other jobs.
-void Controller::QueueChainSteps(Time now) {
+void Leader::QueueDependencySteps(Time now) {
   const size_t most =
-      std::max<size_t>(1, static_cast<size_t>(settings_.state.txn_ops) / 2);
-  while (chain_steps_.size() < most) {
-    const std::string id = chains_.TakeDue();
+      std::max<size_t>(1, static_cast<size_t>(settings_.store.txn_ops) / 2);
+  while (dependency_steps_.size() < most) {
+    const std::string id = dependency_graph_.TakeDue();
     if (id.empty()) return;
-    const bool releases = chains_.Find(id)->state == ChainState::kReleasing;
+    const bool releases =
+        dependency_graph_.Find(id)->state == DependencyState::kReleasing;
     // The wish of a user while the release was under way waits for its outcome.
-    if (!chain_steps_.insert(id).second) continue;
+    if (!dependency_steps_.insert(id).second) continue;
     WriteOp op{releases ? WriteKind::kRelease : WriteKind::kCancelWaiting, id};
     op.released_wall = now + wall_minus_steady_;
     writes_.Queue(std::move(op));
   }
 }
 
-bool Controller::BuildChainStep(const WriteOp& op,
-                                WriteTransaction* txn) const {
+bool Leader::BuildDependencyStep(const WriteOp& op, CompareAndSwap* txn) const {
   const auto it = catalog_.waiting().find(op.name);
   if (it == catalog_.waiting().end()) return false;
   const WaitingRecord& waiting = it->second;
   const bool waits = catalog_.FindWaiting(op.name) != nullptr;
-  const ChainJob* chain = chains_.Find(op.name);
+  const DependentJob* chain = dependency_graph_.Find(op.name);
   const std::string job_key = keys::Of(keys::kJob, op.name);
   const std::string final_key = keys::Of(keys::kTerminal, op.name);
   const std::string key = WaitingKey(op.name);
   switch (op.kind) {
     case WriteKind::kRelease:
       if (!waits || chain == nullptr ||
-          chain->state != ChainState::kReleasing) {
+          chain->state != DependencyState::kReleasing) {
         return false;
       }
-      txn->conditions.push_back({key, waiting.stamp});
-      txn->conditions.push_back({job_key, 0});
-      txn->conditions.push_back({final_key, 0});
-      txn->changes.push_back({job_key, Released(waiting, op)});
+      txn->preconditions.push_back({key, waiting.mod_revision});
+      txn->preconditions.push_back({job_key, 0});
+      txn->preconditions.push_back({final_key, 0});
+      txn->mutations.push_back({job_key, Released(waiting, op)});
       break;
     case WriteKind::kCancelWaiting:
       if (!waits || chain == nullptr ||
-          chain->state != ChainState::kCancelling) {
+          chain->state != DependencyState::kCancelling) {
         return false;
       }
-      txn->conditions.push_back({key, waiting.stamp});
-      txn->conditions.push_back({job_key, 0});
-      txn->changes.push_back(
+      txn->preconditions.push_back({key, waiting.mod_revision});
+      txn->preconditions.push_back({job_key, 0});
+      txn->mutations.push_back(
           {final_key,
            TerminalRecord{TerminalState::kAborted, waiting.spec->tasks, 0}});
       break;
     case WriteKind::kTidyWaiting: {
       if (waits) return false;
-      txn->conditions.push_back({key, waiting.stamp});
+      txn->preconditions.push_back({key, waiting.mod_revision});
       const JobRecord* job = catalog_.FindJob(op.name);
       if (job != nullptr) {
-        // What is still to be written back goes first; see RestoreDone.
-        if (catalog_.owed().contains(job_key)) return false;
-        txn->conditions.push_back({job_key, job->stamp});
+        // What is still to be written back goes first; see
+        // OnReconciliationWritten.
+        if (catalog_.pending_writes().contains(job_key)) return false;
+        txn->preconditions.push_back({job_key, job->mod_revision});
       } else {
-        txn->changes.push_back(
+        txn->mutations.push_back(
             {final_key, TerminalRecord{catalog_.FindTerminalState(op.name),
                                        waiting.spec->tasks, 0}});
       }
@@ -190,49 +196,51 @@
     default:
       return false;
   }
-  txn->changes.push_back({key, {}});
+  txn->mutations.push_back({key, {}});
   return true;
 }
 
-void Controller::ChainStepDone(const WriteOp& op, uint64_t revision, Time now) {
+void Leader::OnDependencyStepWritten(const WriteOp& op, uint64_t revision,
+                                     Time now) {
   const std::string& id = op.name;
-  chain_steps_.erase(id);
+  dependency_steps_.erase(id);
   const auto it = catalog_.waiting().find(id);
   if (revision > 0 && it != catalog_.waiting().end()) {
     const WaitingRecord waiting = it->second;
     if (op.kind == WriteKind::kRelease) {
       catalog_.Put(keys::Of(keys::kJob, id), Released(waiting, op), revision);
     } else if (op.kind == WriteKind::kCancelWaiting) {
-      catalog_.RememberEnd(id,
-                           {TerminalState::kAborted, waiting.spec->tasks, 0});
+      catalog_.RememberTerminalState(
+          id, {TerminalState::kAborted, waiting.spec->tasks, 0});
     }
     catalog_.Erase(WaitingKey(id), revision);
   }
-  SettleChainJob(id, now);
-  QueueChainSteps(now);
+  SettleDependentJob(id, now);
+  QueueDependencySteps(now);
 }
 
 // By the records as they are known now, whoever wrote them.
-void Controller::SettleChainJob(const std::string& id, Time now) {
+void Leader::SettleDependentJob(const std::string& id, Time now) {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (catalog_.FindJob(id) != nullptr) {
     OnJobRecord(id, now);
   } else if (end != TerminalState::kNone) {
-    if (chains_.Find(id) != nullptr) {
+    if (dependency_graph_.Find(id) != nullptr) {
       Log("job " + id + " waited for others, " +
           (end == TerminalState::kDone ? "done" : "cancelled"));
-      chains_.Remove(id);
+      dependency_graph_.Remove(id);
       actions_.push_back(JobTerminated{id, end});
     }
-    OnEndKnown(id, end, now);
+    OnTerminalStateKnown(id, end, now);
   } else if (!catalog_.waiting().contains(id)) {
     // Neither of the two that it could have become was found; it is asked about
     // as long as others need it.
-    chains_.Remove(id);
-    if (chains_.DependentsOf(id) != nullptr) AskEnd(id, now);
-  } else if (const ChainJob* chain = chains_.Find(id);
-             chain != nullptr && chain->state != ChainState::kWaiting) {
-    chains_.PutBackDue(id);
+    dependency_graph_.Remove(id);
+    if (dependency_graph_.DependentsOf(id) != nullptr)
+      RequestTerminalState(id, now);
+  } else if (const DependentJob* chain = dependency_graph_.Find(id);
+             chain != nullptr && chain->state != DependencyState::kWaiting) {
+    dependency_graph_.PutBackDue(id);
   }
   if (catalog_.waiting().contains(id) && catalog_.FindWaiting(id) == nullptr) {
     writes_.Queue({WriteKind::kTidyWaiting, id}, /*lazy=*/true);
@@ -241,57 +249,58 @@
 
 // A waiting job has become an ordinary one. True: its user cancelled it while
 // the release was under way.
-bool Controller::WaitsNoMore(const std::string& id) {
-  const ChainJob* chain = chains_.Find(id);
+bool Leader::StopWaiting(const std::string& id) {
+  const DependentJob* chain = dependency_graph_.Find(id);
   if (chain == nullptr) return false;
-  const bool cancelled = chain->state == ChainState::kCancelling;
-  chains_.Remove(id);
+  const bool cancelled = chain->state == DependencyState::kCancelling;
+  dependency_graph_.Remove(id);
   return cancelled;
 }
 
-bool Controller::CancelWaiting(const std::string& id, Time now) {
+bool Leader::CancelWaiting(const std::string& id, Time now) {
   if (catalog_.FindWaiting(id) == nullptr) return false;
-  if (chains_.Find(id) == nullptr) OnWaitingRecord(id, now);
-  if (!chains_.Cancel(id)) return false;
+  if (dependency_graph_.Find(id) == nullptr) OnWaitingRecord(id, now);
+  if (!dependency_graph_.Cancel(id)) return false;
   Log("cancel " + id + ", which waits for others: asked by its user");
   UpdateInherited();
-  QueueChainSteps(now);
+  QueueDependencySteps(now);
   writes_.Flush(now);
   return true;
 }
 
 // Costs no more than the jobs whose inheritance has changed.
-void Controller::UpdateInherited() {
-  for (const std::string& id : chains_.TakeChanged()) {
+void Leader::UpdateInherited() {
+  for (const std::string& id : dependency_graph_.TakeChanged()) {
     const auto it = jobs_.find(id);
     if (it == jobs_.end()) continue;
-    it->second->inherit(chains_.InheritedBy(id));
+    it->second->inherit(dependency_graph_.InheritedBy(id));
     dirty_ = true;
   }
 }
 
 // What the next steps of chains will need at once, when all that they wait for
 // is about to be done.
-Resources Controller::NextSteps(Time now) const {
+Resources Leader::NextSteps(Time now) const {
   Resources soon;
-  if (chains_.empty()) return soon;
-  double boot_s = 0;
+  if (dependency_graph_.empty()) return soon;
+  double boot_seconds = 0;
   for (const auto& [name, type] : types_) {
-    boot_s = std::max(boot_s, type.boot_s);
+    boot_seconds = std::max(boot_seconds, type.boot_seconds);
   }
   const auto ends_soon = [&](const std::string& id) {
     const auto it = jobs_.find(id);
     if (it == jobs_.end()) return false;
     const Job& job = *it->second;
     return job.unplaced() == 0 &&
-           job.queued_since() + RunSeconds(job.spec()) < now + boot_s;
+           job.queued_since() + RunSeconds(job.spec()) < now + boot_seconds;
   };
   std::set<std::string> counted;
   for (const auto& [id, job] : jobs_) {
-    const std::set<std::string>* dependents = chains_.DependentsOf(id);
+    const std::set<std::string>* dependents =
+        dependency_graph_.DependentsOf(id);
     if (dependents == nullptr || !ends_soon(id)) continue;
     for (const std::string& dependent : *dependents) {
-      const ChainJob& next = *chains_.Find(dependent);
+      const DependentJob& next = *dependency_graph_.Find(dependent);
       if (counted.contains(dependent) ||
           !std::all_of(next.open.begin(), next.open.end(), ends_soon)) {
         continue;
@@ -303,14 +312,15 @@
   return soon;
 }
 
-std::vector<std::string> Controller::WaitingLines() const {
+std::vector<std::string> Leader::WaitingLines() const {
   constexpr size_t kMostLines = 20;
   constexpr size_t kMostNeeds = 5;
   std::vector<std::string> lines;
-  if (chains_.empty()) return lines;
-  lines.push_back(std::to_string(chains_.size()) + " jobs wait for others");
-  for (const std::string& id : chains_.Some(kMostLines)) {
-    const ChainJob& job = *chains_.Find(id);
+  if (dependency_graph_.empty()) return lines;
+  lines.push_back(std::to_string(dependency_graph_.size()) +
+                  " jobs wait for others");
+  for (const std::string& id : dependency_graph_.Some(kMostLines)) {
+    const DependentJob& job = *dependency_graph_.Find(id);
     std::string line = id + " waits for";
     size_t named = 0;
     for (const std::string& need : job.open) {
@@ -320,8 +330,10 @@
     if (job.open.size() > kMostNeeds) {
       line += " and " + std::to_string(job.open.size() - kMostNeeds) + " more";
     }
-    if (job.state == ChainState::kReleasing) line = id + " is being released";
-    if (job.state == ChainState::kCancelling) line = id + " is being cancelled";
+    if (job.state == DependencyState::kReleasing)
+      line = id + " is being released";
+    if (job.state == DependencyState::kCancelling)
+      line = id + " is being cancelled";
     lines.push_back(std::move(line));
   }
   return lines;
--- a/core/controller/controller.cc
+++ b/core/leader/leader.cc
@@ -1,4 +1,4 @@
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,23 +11,23 @@
 // worker leases: some waves of work, not the whole day.
 constexpr double kMixLeases = 15;
 
-using enum RentalState;
+using enum ScaleOutState;
 
-constexpr std::array kRentalChanges = {
+constexpr std::array kScaleOutTransitions = {
     std::pair{kRecording, kRequesting},
     std::pair{kRequesting, kSettled},
 };
 
 }  // namespace
 
-void Controller::Rental::Change(RentalState next) {
-  CheckedChange(state, next, kRentalChanges, "rental");
+void Leader::ScaleOutRequest::Change(ScaleOutState next) {
+  CheckedChange(state, next, kScaleOutTransitions, "rental");
 }
 
-Controller::Controller(const Settings& settings, const Tuning& tuning,
-                       Catalog& catalog, uint64_t revision, Time now,
-                       double wall_minus_steady, uint64_t seed,
-                       const std::optional<std::set<std::string>>& delegates)
+Leader::Leader(const Settings& settings, const Tuning& tuning, Catalog& catalog,
+               uint64_t revision, Time now, double wall_minus_steady,
+               uint64_t seed,
+               const std::optional<std::set<std::string>>& delegates)
     : settings_(settings),
       tuning_(tuning),
       catalog_(catalog),
@@ -37,52 +37,53 @@
       wall_minus_steady_(wall_minus_steady),
       timeouts_(SilenceTimeouts::From(settings.workers, tuning)),
       numbers_(term_),
-      fragmentation_(kMixLeases * settings.workers.lease_s,
-                     settings.workers.report_s),
+      fragmentation_(kMixLeases * settings.workers.lease_seconds,
+                     settings.workers.heartbeat_interval_seconds),
       placer_(tuning, seed),
-      queue_order_(settings, tuning),
-      chains_(*this),
-      writes_(settings, Mandate(catalog, revision), *this, actions_),
+      queue_ranking_(settings, tuning),
+      dependency_graph_(*this),
+      writes_(settings, LeadershipPreconditions(catalog, revision), *this,
+              actions_),
       liveness_(settings, tuning, timeouts_, machines_, now, seed, actions_),
       zones_(settings, now, delegates),
       tiers_(settings, tuning.tiers > 0),
-      calendar_(settings.workers.lease_s, settings.clock_off_ms / 1000) {
+      calendar_(settings.workers.lease_seconds, settings.clock_off_ms / 1000) {
   if (tuning.fragmentation_weight > 0) {
     placer_.SetFragmentation(&fragmentation_);
   }
-  for (const TeamSettings& team : settings.teams)
-    teams_.push_back({team, {}, {}, {}});
+  for (const TeamQuota& team : settings.teams)
+    quotas_.push_back({team, {}, {}, {}});
   for (const auto& [host, record] : catalog.machines()) {
     Machine& m = AddMachine(host, record);
-    m.session.Change(SessionEvent::kTakeover, 0, now);
+    m.incarnation.Change(IncarnationEvent::kFailover, 0, now);
     m.recorded_up = !record.endpoint.empty();
-    m.rented = std::min(now, record.rented_wall - wall_minus_steady);
+    m.requested_at = std::min(now, record.requested_wall - wall_minus_steady);
     if (m.recorded_up) actions_.push_back(Probe{host, m.endpoint});
   }
   for (const auto& [id, record] : catalog.jobs()) AddJob(record, now);
   std::vector<std::string> waiting;
   for (const auto& [id, record] : catalog.waiting()) waiting.push_back(id);
   for (const std::string& id : waiting) OnWaitingRecord(id, now);
-  for (const auto& [name, record] : catalog.rentals()) {
+  for (const auto& [name, record] : catalog.scale_outs()) {
     // Asked for by an earlier leader, perhaps: repeating the request under its
     // own name gets the same answer, or rents now what will be used.
-    Rental& rental = rentals_[name];
-    rental.record = record;
-    rental.Change(kRequesting);
+    ScaleOutRequest& scale_out = scale_outs_[name];
+    scale_out.record = record;
+    scale_out.Change(kRequesting);
   }
   std::vector<std::pair<uint64_t, std::string>> rollouts;
   for (const auto& [id, record] : catalog.rollouts()) {
-    rollouts.emplace_back(record.stamp, id);
+    rollouts.emplace_back(record.mod_revision, id);
   }
   std::sort(rollouts.begin(), rollouts.end());
-  for (const auto& [stamp, id] : rollouts) OnRolloutRecord(id, now);
+  for (const auto& [mod_revision, id] : rollouts) OnRolloutRecord(id, now);
   Log("leading under revision " + std::to_string(revision) + ": " +
       std::to_string(jobs_.size()) + " jobs, " +
       std::to_string(machines_.size()) + " machines, " +
-      std::to_string(rentals_.size()) + " open rentals");
+      std::to_string(scale_outs_.size()) + " open rentals");
 }
 
-void Controller::OnTypes(const std::vector<MachineType>& types) {
+void Leader::OnTypes(const std::vector<MachineType>& types) {
   for (const MachineType& type : types) types_[type.name] = type;
   for (auto& m : machines_) {
     const auto it = types_.find(m->type_name);
@@ -91,12 +92,13 @@
   dirty_ = true;
 }
 
-void Controller::AddJob(const JobRecord& record, Time now) {
-  const auto team = std::find_if(
-      teams_.begin(), teams_.end(),
-      [&](const Team& t) { return t.settings.name == record.spec->team; });
+void Leader::AddJob(const JobRecord& record, Time now) {
+  const auto team =
+      std::find_if(quotas_.begin(), quotas_.end(), [&](const QuotaUsage& t) {
+        return t.settings.name == record.spec->team;
+      });
   const int index =
-      team == teams_.end() ? -1 : static_cast<int>(team - teams_.begin());
+      team == quotas_.end() ? -1 : static_cast<int>(team - quotas_.begin());
   const Time submitted =
       std::min(now, record.submitted_wall - wall_minus_steady_);
   const Time queued_since =
@@ -111,33 +113,34 @@
     job->Change(JobState::kAborted);
   }
   // What is written back gets a new stamp, but is as old as it was.
-  job->from_before = record.stamp <= revision_;
+  job->from_before = record.mod_revision <= revision_;
   job->tier = tiers_.Classify(job->spec());
   Job& added = *job;
-  added.inherit(chains_.InheritedBy(added.id()));
+  added.inherit(dependency_graph_.InheritedBy(added.id()));
   jobs_[record.spec->id] = std::move(job);
   // A worker may have told of the job before its record was read here.
   for (auto& m : machines_) {
-    for (auto it = m->residents.lower_bound({added.id(), 0, 0});
-         it != m->residents.end() && it->first.job_id == added.id(); ++it) {
-      Resident& r = it->second;
+    for (auto it = m->task_attempts.lower_bound({added.id(), 0, 0});
+         it != m->task_attempts.end() && it->first.job_id == added.id(); ++it) {
+      TaskAttempt& r = it->second;
       if (r.job != nullptr || r.task >= added.size()) continue;
       const bool there = r.phase != TaskPhase::kExited;
-      if (IsOrphan(r)) --m->orphans;
+      if (IsOrphaned(r)) --m->orphaned_tasks;
       r.job = &added;
       added.ChangePresence(m->index(), 0, 1);
-      if (there) Hold(*m, r);
+      if (there) ChargeQuota(*m, r);
       // It has run on since its record was lost: it is the job's task, not a
       // second copy of it.
-      if (Careful() && there && !r.stopping) Claim(added, *m, r, there);
+      if (RecoveryEnabled() && there && !r.stopping)
+        AssignTask(added, *m, r, there);
     }
   }
   if (!added.live()) {
     RetireIfClear(added);
-    OnEndKnown(added.id(), record.terminal_state, now);
+    OnTerminalStateKnown(added.id(), record.terminal_state, now);
   }
   quiet_since_ = now;
-  queue_order_.Seen(added.spec());
+  queue_ranking_.Seen(added.spec());
   fragmentation_.Note(added.spec(), added.queued_since());
   Resources& shape = accelerator_shape_;
   const Resources& need = added.spec().need;
@@ -149,10 +152,10 @@
   if (added.spec().priority == Priority::kProduction) urgent_dirty_ = true;
 }
 
-void Controller::OnJobRecord(const std::string& id, Time now) {
+void Leader::OnJobRecord(const std::string& id, Time now) {
   const JobRecord* record = catalog_.FindJob(id);
   if (record == nullptr) return;
-  const bool cancelled = WaitsNoMore(id);
+  const bool cancelled = StopWaiting(id);
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) {
     AddJob(*record, now);
@@ -167,13 +170,13 @@
   }
 }
 
-void Controller::OnOperatorRecord(const std::string& name, Time now) {
+void Leader::OnOperatorRecord(const std::string& name, Time now) {
   OnMoveRecord(name, now);
   dirty_ = true;
   ScheduleIfNeeded(now);
 }
 
-bool Controller::Cancel(const std::string& id, Time now) {
+bool Leader::Cancel(const std::string& id, Time now) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) {
     if (CancelWaiting(id, now)) return true;
@@ -197,15 +200,15 @@
 
 // The record comes first. Nobody is told, and no task stopped, before it
 // stands: a leader that crashes in between must not leave a half-ended job.
-void Controller::FinishJob(Job& job, TerminalState state) {
+void Leader::FinishJob(Job& job, TerminalState state) {
   job.Change(state == TerminalState::kDone ? JobState::kRecordingDone
                                            : JobState::kRecordingAbort);
   writes_.Queue({WriteKind::kFinish, job.id(), state, {}});
 }
 
-void Controller::OnTerminalStateRecorded(const std::string& id,
-                                         TerminalState state, Time now) {
-  OnEndKnown(id, state, now);
+void Leader::OnTerminalStateRecorded(const std::string& id, TerminalState state,
+                                     Time now) {
+  OnTerminalStateKnown(id, state, now);
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   Job& job = *it->second;
@@ -227,7 +230,7 @@
 // The record moves to the terminal states once no task of the job can be on any
 // machine: until then a new leader needs what its tasks hold. The user of a
 // cancelled job waits for that.
-void Controller::RetireIfClear(Job& job) {
+void Leader::RetireIfClear(Job& job) {
   if (!job.ended_by_record() || job.holding() > 0) return;
   // A machine not heard yet may hold tasks that a former leader has started.
   if (!AllAccounted()) return;
@@ -235,23 +238,25 @@
                 /*lazy=*/job.state() == JobState::kDone);
 }
 
-bool Controller::CancellationStands(const Job& job) const {
+bool Leader::CancellationStands(const Job& job) const {
   return job.state() == JobState::kAborted &&
          catalog_.FindTerminalState(job.id()) == TerminalState::kAborted;
 }
 
-JobSight Controller::View(const std::string& id, JobView* out) const {
+JobObservation Leader::View(const std::string& id, JobView* out) const {
   const auto it = jobs_.find(id);
-  const ChainJob* chain = chains_.Find(id);
+  const DependentJob* chain = dependency_graph_.Find(id);
   if (it == jobs_.end() && chain != nullptr &&
       catalog_.FindWaiting(id) != nullptr) {
     *out = {"pending", 0, 0};
     // The write that ends it may have left, and been read elsewhere.
-    return chain->state == ChainState::kCancelling ? JobSight::kInDoubt
-                                                   : JobSight::kLive;
+    return chain->state == DependencyState::kCancelling
+               ? JobObservation::kInDoubt
+               : JobObservation::kLive;
   }
   if (it == jobs_.end()) {
-    return ViewOrphans(id, out) ? JobSight::kUnrecorded : JobSight::kUnseen;
+    return ViewOrphanedTasks(id, out) ? JobObservation::kUnrecorded
+                                      : JobObservation::kUnseen;
   }
   const Job& job = *it->second;
   out->done = job.done();
@@ -260,36 +265,37 @@
     out->status = "done";
     out->done = job.size();
     out->running = 0;
-    return JobSight::kEnded;
+    return JobObservation::kEnded;
   }
   if (CancellationStands(job)) {
     out->status = "aborted";
-    return JobSight::kEnded;
+    return JobObservation::kEnded;
   }
   out->status = job.running() > 0 ? "running" : "pending";
   // Another controller may have read the end by now, and told it: see
   // went-back-done-told-elsewhere.txt.
   const JobRecord* record = catalog_.FindJob(id);
-  const uint64_t stamp = record == nullptr ? 0 : record->stamp;
-  return answers_.InDoubt(id, stamp) ? JobSight::kInDoubt : JobSight::kLive;
+  const uint64_t mod_revision = record == nullptr ? 0 : record->mod_revision;
+  return consistency_gate_.InDoubt(id, mod_revision) ? JobObservation::kInDoubt
+                                                     : JobObservation::kLive;
 }
 
-bool Controller::AllAccounted() const {
+bool Leader::AllAccounted() const {
   return std::all_of(machines_.begin(), machines_.end(), [](const auto& m) {
     return !m->recorded_up || m->reported || m->state() == MachineState::kGone;
   });
 }
 
-void Controller::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
+void Leader::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
   if (!liveness_.OnReach(round, std::move(answers), now)) resigned_ = true;
 }
 
-void Controller::OnOfferAgreed() {
+void Leader::OnTransferAccepted() {
   resigned_ = true;
-  liveness_.OnOfferAgreed();
+  liveness_.OnTransferAccepted();
 }
 
-uint64_t Controller::NextNumber() {
+uint64_t Leader::NextNumber() {
   const auto number = numbers_.Next();
   if (number) return *number;
   if (!resigned_) {
@@ -300,11 +306,11 @@
   return 0;
 }
 
-void Controller::Log(std::string text) {
-  actions_.push_back(Note{std::move(text), false});
+void Leader::Log(std::string text) {
+  actions_.push_back(LogEvent{std::move(text), false});
 }
 
-void Controller::LogFragmentation(Time now) {
+void Leader::LogFragmentation(Time now) {
   if (tuning_.fragmentation_weight <= 0 || now < next_fragmentation_log_) {
     return;
   }
@@ -320,36 +326,37 @@
       " of these of no use to what is asked " + "for; " +
       std::to_string(n.whole) + " machines whole, " +
       std::to_string(n.fragmented) + " fragmented" +
-      (mover_ ? "; moves settled " + std::to_string(mover_->settled()) +
-                    ", given up " + std::to_string(mover_->given_up())
-              : ""));
+      (rebalancer_
+           ? "; moves settled " + std::to_string(rebalancer_->settled()) +
+                 ", given up " + std::to_string(rebalancer_->given_up())
+           : ""));
 }
 
-void Controller::Tick(Time now, bool by_lease) {
+void Leader::Tick(Time now, bool by_lease) {
   liveness_.Count(now);
-  sessions_unsettled_ = false;
+  incarnations_unsettled_ = false;
   for (auto& m : machines_) TickMachine(*m, now, by_lease);
-  if (sessions_unsettled_ && now >= next_delegates_read_) {
-    next_delegates_read_ = now + StandBackFor(settings_.workers);
+  if (incarnations_unsettled_ && now >= next_delegates_read_) {
+    next_delegates_read_ = now + LeaseYieldSeconds(settings_.workers);
     actions_.push_back(ReadDelegates{});
   }
   liveness_.Ask(now);
-  for (auto& [name, rental] : rentals_) {
-    if (rental.state == kRequesting && now >= rental.next_try) {
+  for (auto& [name, scale_out] : scale_outs_) {
+    if (scale_out.state == kRequesting && now >= scale_out.next_try) {
       Request(name, now);
     }
-    if (rental.state == kSettled) SettleRental(name);
+    if (scale_out.state == kSettled) SettleScaleOut(name);
   }
   TickRollouts(now);
   TickMoves(now);
-  TickRestore(now);
+  TickReconciliation(now);
   std::erase_if(refused_until_,
                 [now](const auto& e) { return e.second <= now; });
-  if (now >= next_supply_) {
+  if (now >= next_autoscaler_run_) {
     SurveyTiers();
-    SweepNeeds(now);
-    PlanSupply(now);
-    next_supply_ = now + settings_.workers.report_s;
+    PollDependencies(now);
+    RunAutoscaler(now);
+    next_autoscaler_run_ = now + settings_.workers.heartbeat_interval_seconds;
     TickCalendar(now);
     for (auto& [id, job] : jobs_) RetireIfClear(*job);
     LogFragmentation(now);
@@ -359,7 +366,7 @@
   Settle(now);
 }
 
-void Controller::Settle(Time now) {
+void Leader::Settle(Time now) {
   ScheduleIfNeeded(now);
   writes_.Flush(now);
 }
--- a/core/controller/controller.h
+++ b/core/leader/leader.h
@@ -15,58 +15,58 @@
 #include <variant>
 #include <vector>
 
-#include "core/answers/answer_gate.h"
-#include "core/calendar/calendar.h"
-#include "core/chains/chains.h"
-#include "core/controller/actions.h"
-#include "core/controller/catalog.h"
-#include "core/controller/liveness_monitor.h"
-#include "core/controller/queue_order.h"
-#include "core/controller/write_queue.h"
+#include "core/autoscaler/capacity_planning.h"
+#include "core/dependencies/dependency_graph.h"
+#include "core/leader/actions.h"
+#include "core/leader/catalog.h"
+#include "core/leader/liveness_monitor.h"
+#include "core/leader/queue_ranking.h"
+#include "core/leader/write_queue.h"
 #include "core/lease/delegated_lease.h"
-#include "core/lease/token.h"
+#include "core/lease/fencing_token.h"
 #include "core/limits/loss_limiter.h"
+#include "core/maintenance/maintenance_calendar.h"
+#include "core/model/heartbeat.h"
 #include "core/model/job.h"
 #include "core/model/machine.h"
-#include "core/model/report.h"
 #include "core/model/settings.h"
 #include "core/model/timeouts.h"
-#include "core/moves/moves.h"
 #include "core/packing/fragmentation.h"
 #include "core/placement/placement.h"
-#include "core/provision/provision.h"
+#include "core/priority_tiers/tier_policy.h"
+#include "core/read_consistency/read_consistency_gate.h"
+#include "core/rebalancing/rebalancer.h"
 #include "core/rollout/rollout.h"
-#include "core/tiers/policy.h"
 
 namespace oxbow {
 
-class Controller : private WriteQueue::Owner, private Chains::Estimates {
+class Leader : private WriteQueue::Owner, private DependencyGraph::Estimates {
  public:
   // `revision`: of the leader key, in the catalog's epoch. `delegates`: who may
   // hold a right to keep the workers of its zone (DelegatedLeases).
-  Controller(const Settings& settings, const Tuning& tuning, Catalog& catalog,
-             uint64_t revision, Time now, double wall_minus_steady,
-             uint64_t seed,
-             const std::optional<std::set<std::string>>& delegates = {});
+  Leader(const Settings& settings, const Tuning& tuning, Catalog& catalog,
+         uint64_t revision, Time now, double wall_minus_steady, uint64_t seed,
+         const std::optional<std::set<std::string>>& delegates = {});
 
   // --- events
   void OnTypes(const std::vector<MachineType>& types);
   void OnJobRecord(const std::string& id, Time now);
   // A job that waits for others is recorded.
   void OnWaitingRecord(const std::string& id, Time now);
-  // The answer to ReadEnd; what was found has been taken into the catalog.
-  void OnEndRead(const std::string& id, Time now);
-  ReportReply OnReport(const WorkerReport& report, Time now);
-  void OnOrderAnswer(const std::string& host, uint64_t batch,
-                     OrderOutcome outcome, const WorkerReport* report,
-                     Time now);
-  void OnProbeAnswer(const WorkerReport& report, Time now);
+  // The answer to ReadTerminalState; what was found has been taken into the
+  // catalog.
+  void OnTerminalStateRead(const std::string& id, Time now);
+  HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, Time now);
+  void OnCommandResponse(const std::string& host, uint64_t batch,
+                         CommandOutcome outcome, const Heartbeat* heartbeat,
+                         Time now);
+  void OnProbeAnswer(const Heartbeat& heartbeat, Time now);
   void OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
                      const std::vector<std::string>& failed, Time now);
   // The keys asked for by ReadKeys; the catalog has been brought up to date.
   void OnReadAnswer(uint64_t id, bool ok, Time now);
-  void OnRentAnswer(const std::string& name, RentOutcome outcome,
-                    const std::vector<std::string>& hosts, Time now);
+  void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
+                          const std::vector<std::string>& hosts, Time now);
   void OnDeleteAnswer(const std::vector<std::string>& hosts, bool ok, Time now);
   // A whole listing of the cloud's machines, asked for at `asked`.
   void OnMachineList(const std::vector<ListedMachine>& list, Time asked,
@@ -80,27 +80,29 @@
   // A look at the clocks, before every other event and later than the message
   // it brings, and when all live records had last been read.
   void OnClocks(const WallReading& reading, Time confirmed, Time now);
-  void OnBooking(const Booking& booking, uint64_t version, Time now);
+  void OnBooking(const MaintenanceWindow& booking, uint64_t version, Time now);
   void OnBookingWithdrawn(const std::string& id, uint64_t version, Time now);
-  void OnHealth(const std::string& rollout, const ResidentKey& key,
+  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
                 const CheckOutcome& outcome, Time now);
   // What each controller reaches, this one's answer first.
   void OnReach(uint64_t round, std::vector<Reach> answers, Time now);
-  // The other has agreed to lead: no more orders, this leadership ends.
-  void OnOfferAgreed();
-  // It did not, or too many hand-overs were lately.
-  void OnOfferRefused(const std::string& why, Time now) {
-    liveness_.OnOfferRefused(why, now);
+  // The other has agreed to lead: no more commands, this leadership ends.
+  void OnTransferAccepted();
+  // It did not, or too many leadership transfers were lately.
+  void OnTransferRejected(const std::string& why, Time now) {
+    liveness_.OnTransferRejected(why, now);
   }
   // A controller asks for the right to keep the workers of its zone, should it
   // be cut off. `life`, `age`: of its process, s.
-  bool OnDelegationAsked(const std::string& peer, const std::string& life,
-                         double age, Time now);
+  bool OnDelegationAsked(const std::string& peer,
+                         const std::string& process_incarnation, double age,
+                         Time now);
   // One that was asked at `sent` stands back. Ages as of its answer, s;
   // `renewed_ago` is negative if it never kept.
-  void OnStoodBack(const std::string& peer, const std::string& life, double age,
-                   double renewed_ago, Time sent, Time now) {
-    zones_.StoodBack(peer, life, age, renewed_ago, sent, now);
+  void OnLeaseYielded(const std::string& peer,
+                      const std::string& process_incarnation, double age,
+                      double renewed_ago, Time sent, Time now) {
+    zones_.LeaseYielded(peer, process_incarnation, age, renewed_ago, sent, now);
   }
   void OnDelegatesRead(const std::set<std::string>& recorded, Time sent,
                        Time now) {
@@ -112,13 +114,13 @@
   // Asks for the job to be cancelled; a JobTerminated follows. False: unknown
   // job.
   bool Cancel(const std::string& id, Time now);
-  // How jobs ended that the state service does not hold any more.
+  // How jobs ended that the key-value store does not hold any more.
   // `whole`: everybody who may have accepted a job was there to tell.
-  void OnEndsOwed(std::vector<std::pair<std::string, TerminalState>> ends,
-                  bool whole);
+  void OnUnrecordedTerminalStates(
+      std::vector<std::pair<std::string, TerminalState>> ends, bool whole);
   // `by_lease`: the right to lead rests on the lease of the key at this moment.
   // While it rests on promises somebody who does not know of them may keep
-  // workers alive, so no session is taken for over.
+  // workers alive, so no incarnation is taken for over.
   void Tick(Time now, bool by_lease = true);
   // Runs a placement pass now if anything has changed since the last.
   void ScheduleIfNeeded(Time now);
@@ -134,20 +136,21 @@
 
   // --- questions
   // Which leadership this is. Unlike the leader key's revision it never comes
-  // again, even if the state service has lost data.
+  // again, even if the key-value store has lost data.
   uint64_t revision() const { return term_; }
   // `out` is set unless the job is unseen.
-  JobSight View(const std::string& id, JobView* out) const;
+  JobObservation View(const std::string& id, JobView* out) const;
   bool AllAccounted() const;
   const Rollout* FindRollout(const std::string& id) const;
   const TierPolicy& tiers() const { return tiers_; }
   // Whether the calendar holds the job back, why and until when; nothing if the
   // job is not known.
-  std::optional<Verdict> CalendarVerdict(const std::string& id, Time now) const;
-  const Calendar& calendar() const { return calendar_; }
+  std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
+                                                     Time now) const;
+  const MaintenanceCalendar& calendar() const { return calendar_; }
   LeaderHealthState leader_health() const { return liveness_.leader_health(); }
-  const ReportsHeard& reports_heard() const {
-    return liveness_.reports_heard();
+  const HeartbeatsReceived& heartbeats_received() const {
+    return liveness_.heartbeats_received();
   }
   // What the leader keeps from doing at this moment, for whoever asks; a line
   // each.
@@ -162,118 +165,124 @@
   }
   // Fragmentation of accelerators, over all machines.
   // Moves of replicas, where the operators have them turned on; null if not.
-  const Mover* mover() const { return mover_ ? &*mover_ : nullptr; }
+  const Rebalancer* rebalancer() const {
+    return rebalancer_ ? &*rebalancer_ : nullptr;
+  }
   FragmentationCount CountFragmentation() const {
     return fragmentation_.Count(machines_);
   }
 
  private:
-  struct Team {
-    TeamSettings settings;
+  struct QuotaUsage {
+    TeamQuota settings;
     Resources used;
-    Resources held;     // in this pass, for jobs that wait for the limit
-    Resources orphans;  // in this pass, what tasks of no known job may use
+    Resources held;  // in this pass, for jobs that wait for the limit
+    Resources
+        orphaned_tasks;  // in this pass, what tasks of no known job may use
     bool capped() const {
       return settings.cpus_max > 0 || settings.gpus_max > 0;
     }
     bool LimitAllows(const Resources& want) const;
   };
-  struct Rental {
-    RentalRecord record;
-    RentalState state = RentalState::kRecording;
+  struct ScaleOutRequest {
+    ScaleOutRecord record;
+    ScaleOutState state = ScaleOutState::kRecording;
     Time asked = 0;
     Time next_try = 0;
     std::vector<std::string> hosts = {};  // granted; all to be recorded
-    void Change(RentalState next);
+    void Change(ScaleOutState next);
   };
-  struct EvictionPlan {
+  struct PreemptionPlan {
     Machine* machine = nullptr;
     double cost = 0;
-    std::vector<ResidentKey> victims;
+    std::vector<TaskAttemptKey> victims;
   };
-  struct EndRead {
+  struct TerminalStateRead {
     Time next = -1e18;
     double pause = 0;
   };
   struct ClassStats {
-    double run_s = 0;
+    double run_seconds = 0;
     int seen = 0;
   };
 
   // machines.cc
   Machine* FindMachine(const std::string& host);
   Machine& AddMachine(const std::string& host, const MachineRecord& record);
-  Machine& MachineOf(const WorkerReport& report, Time now);
-  bool IsNews(const Machine& m, const WorkerReport& report, Time now) const;
-  bool MayBeWaitedFor(const Machine& m, const WorkerReport& report,
-                      Time now) const;
-  bool LetsLapse(const Machine& m, uint64_t shown, Time now) const;
-  bool Lapsed(const Machine& m, Time now) const;
-  void AddKills(const Machine& m, ReportReply* reply) const;
-  bool LacksOrders(const Machine& m, const WorkerReport& report) const;
-  void SayDelivery(const Machine& m, DeliveryState before);
-  void Absorb(Machine& m, const WorkerReport& report, bool by_report, Time now);
-  void Adopt(Machine& m, const TaskReport& task, Time now);
-  void UpdateResident(Machine& m, Resident& r, const TaskReport& task,
+  Machine& MachineForHeartbeat(const Heartbeat& heartbeat, Time now);
+  bool IsNews(const Machine& m, const Heartbeat& heartbeat, Time now) const;
+  bool WorkerMayAwaitResponse(const Machine& m, const Heartbeat& heartbeat,
+                              Time now) const;
+  bool AllowsLeaseToExpire(const Machine& m, uint64_t shown, Time now) const;
+  bool LeaseExpired(const Machine& m, Time now) const;
+  void AddStopCommands(const Machine& m, HeartbeatResponse* reply) const;
+  bool MissesCommandEffects(const Machine& m, const Heartbeat& heartbeat) const;
+  void LogReachabilityChange(const Machine& m, ReachabilityState before);
+  void ApplyHeartbeat(Machine& m, const Heartbeat& heartbeat, bool by_heartbeat,
                       Time now);
-  void OnExit(Machine& m, Resident& r, const TaskReport& task, Time now);
-  bool IsCurrent(const Machine& m, const Resident& r) const;
-  void Hold(Machine& m, Resident& r);
-  void Release(Machine& m, Resident& r);
+  void AdoptRunningTask(Machine& m, const TaskStatus& task, Time now);
+  void UpdateAttempt(Machine& m, TaskAttempt& r, const TaskStatus& task,
+                     Time now);
+  void OnExit(Machine& m, TaskAttempt& r, const TaskStatus& task, Time now);
+  bool IsCurrent(const Machine& m, const TaskAttempt& r) const;
+  void ChargeQuota(Machine& m, TaskAttempt& r);
+  void ReleaseQuota(Machine& m, TaskAttempt& r);
   // Enters an attempt among the machine's residents; Gone takes it out.
-  Resident& Put(Machine& m, Resident r, bool there);
-  void SetStopping(Machine& m, Resident& r, bool stopping);
-  std::vector<std::pair<Machine*, ResidentKey>> ResidentsOf(
+  TaskAttempt& AddAttempt(Machine& m, TaskAttempt r, bool there);
+  void SetStopping(Machine& m, TaskAttempt& r, bool stopping);
+  std::vector<std::pair<Machine*, TaskAttemptKey>> AttemptsOf(
       const Job& job) const;
   bool HasLaterAttempt(const Job& job, uint64_t attempt) const;
-  void Gone(Machine& m, const ResidentKey& key);
-  void LoseAll(Machine& m, const char* why);
+  void RemoveAttempt(Machine& m, const TaskAttemptKey& key);
+  void MarkAllLost(Machine& m, const char* why);
   void Expire(Machine& m, Time now);
-  void QueueStop(Machine& m, Resident& r, double grace_s, Time now);
-  void QueueForget(Machine& m, Resident& r);
-  void StopTasks(Job& job, double grace_s, Time now);
+  void QueueStop(Machine& m, TaskAttempt& r, double grace_seconds, Time now);
+  void QueueForget(Machine& m, TaskAttempt& r);
+  void StopTasks(Job& job, double grace_seconds, Time now);
   void StopJob(Job& job, Time now);
-  void Pump(Machine& m, Time now);
-  void SettleBatch(Machine& m);
-  void DirectFailed(Machine& m, Time now);
-  void RaiseToken(Machine& m);
+  void DispatchCommands(Machine& m, Time now);
+  void AcknowledgeBatch(Machine& m);
+  void OnDirectCommandFailed(Machine& m, Time now);
+  void RaiseFencingToken(Machine& m);
   void TickMachine(Machine& m, Time now, bool by_lease);
-  // Whether the machine's session is over: not while somebody in its zone may
-  // have kept it alive.
-  bool SessionOver(const Machine& m, Time now);
+  // Whether the machine's incarnation is over: not while somebody in its zone
+  // may have kept it alive.
+  bool IncarnationExpired(const Machine& m, Time now);
   void Drain(Machine& m, Time now, const char* why);
   // Stops what has to leave a machine that is being drained and may now.
   void StopLeaving(Machine& m, Time now);
   // Of its own accord: within the limits. False when they forbid it.
-  bool TakeAway(Machine& m, LossCause cause, Time now);
+  bool RemoveMachine(Machine& m, LossCause cause, Time now);
   // What is certain, or was allowed before, has no limit.
   void AskDelete(Machine& m, Time now, const char* why);
   bool Usable(const Machine& m, Time now) const;
   // Makes the attempt the task's current one, if it has none.
-  void Claim(Job& job, Machine& m, Resident& r, bool there);
+  void AssignTask(Job& job, Machine& m, TaskAttempt& r, bool there);
   bool Suspect(const Machine& m, Time now) const;
 
   // restore.cc
-  static std::vector<Condition> Mandate(const Catalog& catalog,
-                                        uint64_t revision);
+  static std::vector<Precondition> LeadershipPreconditions(
+      const Catalog& catalog, uint64_t revision);
   // Whether what has no record has to be left alone.
-  bool Careful() const { return tuning_.recovery_checks > 0; }
+  bool RecoveryEnabled() const { return tuning_.recovery_checks > 0; }
   // Whether a task of no known job may be stopped, its exit forgotten: the job
   // is known to have ended. Else asks, now and then, how it stands.
-  bool MayDropUnknown(const Resident& r, Time now);
-  bool IsOrphan(const Resident& r) const {
-    return r.job == nullptr && r.phase != TaskPhase::kExited && Careful();
+  bool MayStopUnknownTask(const TaskAttempt& r, Time now);
+  bool IsOrphaned(const TaskAttempt& r) const {
+    return r.job == nullptr && r.phase != TaskPhase::kExited &&
+           RecoveryEnabled();
   }
-  // Queues what is owed to the state service, a transaction's worth at a time.
-  void TickRestore(Time now);
+  // Queues what is owed to the key-value store, a transaction's worth at a
+  // time.
+  void TickReconciliation(Time now);
   // Owed keys, the most urgent last.
-  std::vector<std::string> RestoreOrder() const;
-  bool BuildRestore(const WriteOp& op, WriteTransaction* txn) const;
-  void RestoreDone(const WriteOp& op, uint64_t revision);
+  std::vector<std::string> ReconciliationOrder() const;
+  bool BuildReconciliationWrite(const WriteOp& op, CompareAndSwap* txn) const;
+  void OnReconciliationWritten(const WriteOp& op, uint64_t revision);
   // A job without a record, by its tasks that are seen.
-  bool ViewOrphans(const std::string& id, JobView* out) const;
+  bool ViewOrphanedTasks(const std::string& id, JobView* out) const;
   // What orphans may use of a team's limit at the most.
-  Resources OrphanBound() const;
+  Resources OrphanedTasksUpperBound() const;
 
   // controller.cc
   void AddJob(const JobRecord& record, Time now);
@@ -292,24 +301,24 @@
   // Built only when somebody reads it: there is one for every task.
   template <typename Text>
   void LogDetail(const Text& text) {
-    if (log_detail) actions_.push_back(Note{text(), true});
+    if (log_detail) actions_.push_back(LogEvent{text(), true});
   }
 
   // chains.cc
   // Chains::Estimates
-  double PathSeconds(const JobSpec& spec) const override;
-  DueTimes DueOf(const JobSpec& spec, Time submitted) const override;
+  double CriticalPathSeconds(const JobSpec& spec) const override;
+  DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const override;
   // How the job is recorded to have ended, as far as is known here.
-  TerminalState EndOf(const std::string& id) const;
-  void AskEnd(const std::string& need, Time now);
-  void OnEndKnown(const std::string& id, TerminalState end, Time now);
+  TerminalState TerminalStateOf(const std::string& id) const;
+  void RequestTerminalState(const std::string& need, Time now);
+  void OnTerminalStateKnown(const std::string& id, TerminalState end, Time now);
   // Whether jobs that others wait for have ended past every event.
-  void SweepNeeds(Time now);
-  void QueueChainSteps(Time now);
-  bool BuildChainStep(const WriteOp& op, WriteTransaction* txn) const;
-  void ChainStepDone(const WriteOp& op, uint64_t revision, Time now);
-  void SettleChainJob(const std::string& id, Time now);
-  bool WaitsNoMore(const std::string& id);
+  void PollDependencies(Time now);
+  void QueueDependencySteps(Time now);
+  bool BuildDependencyStep(const WriteOp& op, CompareAndSwap* txn) const;
+  void OnDependencyStepWritten(const WriteOp& op, uint64_t revision, Time now);
+  void SettleDependentJob(const std::string& id, Time now);
+  bool StopWaiting(const std::string& id);
   bool CancelWaiting(const std::string& id, Time now);
   void UpdateInherited();
   Resources NextSteps(Time now) const;
@@ -320,18 +329,19 @@
   int ChecksAllowed(Time now);
   void BeginChecks(Time now);
   RolloutView ViewOf(const Rollout& rollout, Time now) const;
-  // The roll-out that the job is a part of; null for none.
+  // The rollout that the job is a part of; null for none.
   const Rollout* RolloutOf(const Job& job) const;
   // Replicas that may be started beyond those placed.
-  uint32_t Wanted(const Job& job) const;
-  // Whether a roll-out's floor lets the task be stopped. Everything that stops
+  uint32_t StartableTasks(const Job& job) const;
+  // Whether a rollout's floor lets the task be stopped. Everything that stops
   // tasks for another reason than their user's wish asks here.
-  bool FloorAllows(const ResidentKey& key, const Job& job, Time now) const;
+  bool DisruptionAllowed(const TaskAttemptKey& key, const Job& job,
+                         Time now) const;
   // The record once the op's step stands.
   static RolloutRecord AfterOp(const RolloutRecord& record, const WriteOp& op);
-  bool BuildRolloutOp(const WriteOp& op, WriteTransaction* txn) const;
+  bool BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const;
   void RolloutOpDone(const WriteOp& op, uint64_t revision, Time now);
-  // A roll-out that restricts the job may have been recorded before it, and
+  // A rollout that restricts the job may have been recorded before it, and
   // not be known here yet.
   bool MayBeRestricted(const Job& job) const;
 
@@ -342,105 +352,111 @@
   // Whether the job may take that room on the machine.
   bool TierAllows(const Job& job, const Machine& m) const;
   // Whether what makes room for the job would only take kept room.
-  bool TakesKept(const Job& job, const Machine& m,
-                 const EvictionPlan& plan) const;
+  bool UsesReservedHeadroom(const Job& job, const Machine& m,
+                            const PreemptionPlan& plan) const;
   void SurveyTiers();
   // Room that is kept is not there for those who wait.
-  void SetKeptAside(SupplyInput& input) const;
+  void ReserveTierHeadroom(AutoscalerInput& input) const;
   // calendar.cc
   std::string TierOf(const Job& job) const;
-  Verdict VerdictOf(const Job& job, Time now) const;
+  AdmissionDecision AdmissionOf(const Job& job, Time now) const;
   // What the windows hold at the beginning of a pass.
   void CountWindows();
   // Room in every window that names the job, for so many of its tasks.
   bool WindowAllows(const Job& job, double tasks) const;
-  // A start that goes in the answer to a report only: those are never late.
-  bool GoesInAnswer(const Order& order) const;
+  // A start that goes in the answer to a heartbeat only: those are never late.
+  bool SentInHeartbeatResponse(const WorkerCommand& order) const;
   bool HasCalendarStart(const Machine& m) const;
   // Starts decided before, which may not be any more; they were never sent.
   void DropLateStarts(Machine& m, Time now);
   void TickCalendar(Time now);
-  void TakeBack(Job& job, Time now);
-  void NoteHeld(const Job& job, const Verdict& verdict, Time now);
+  void WithdrawQueuedStarts(Job& job, Time now);
+  void LogAdmissionChange(const Job& job, const AdmissionDecision& verdict,
+                          Time now);
   // moves.cc
   void TickMoves(Time now);
-  MoveSight SightOf(const Mover::Move& move, Time now);
+  ReplicaMoveObservation ObservationOf(const Rebalancer::Move& move, Time now);
   void StepMoves(Time now);
   void PlanMovesFor(const Job& waiting, Time now);
   // The task's record under its name has changed, or was not to be changed.
   void OnMoveRecord(const std::string& name, Time now);
   // Holds the room on the targets; in each pass.
-  void HoldClaims(Time now);
+  void ReserveMoveTargets(Time now);
   // The machine that a move holds for the service's next replica; null: none.
-  Machine* HeldByMove(const Job& job, const Footprint& where, Time now);
+  Machine* ReservedByMove(const Job& job, const ZoneSpread& where, Time now);
   bool DrainedByMove(const Machine& m) const {
-    return mover_ && mover_->Drains(m.host());
+    return rebalancer_ && rebalancer_->Drains(m.host());
   }
   // Replicas that run, on machines that are heard and obey this leader alone.
-  uint32_t RunSurely(const Job& job, Time now) const;
+  uint32_t CountConfirmedRunning(const Job& job, Time now) const;
 
   // schedule.cc
-  void ComputeGuarantees();
+  void ComputeGuaranteedJobs();
   bool Placeable(const Job& job, Time now, bool accounted) const;
-  bool TeamAllows(const Job& job, double tasks) const;
+  bool QuotaAllows(const Job& job, double tasks) const;
   // The machine for a replica, null for none; nothing while room is being made
   // on a machine that suits it better.
   std::optional<Machine*> FindReplicaPlace(Job& job,
                                            const std::vector<Machine*>& usable,
-                                           const Footprint& where,
+                                           const ZoneSpread& where,
                                            double bandwidth, Time now);
-  void PlaceJob(Job& job, const QueuePlace& from,
+  void PlaceJob(Job& job, const QueuePosition& from,
                 const std::vector<Machine*>& usable, double bandwidth,
                 Time now);
-  void PlaceGang(Job& job, const QueuePlace& from,
+  void PlaceGang(Job& job, const QueuePosition& from,
                  const std::vector<Machine*>& usable, double bandwidth,
                  Time now);
   Machine* FindPlace(const Job& job, const std::vector<Machine*>& usable,
-                     const Footprint& where, double bandwidth);
+                     const ZoneSpread& where, double bandwidth);
   void Start(Job& job, uint32_t task, Machine& m, uint64_t attempt, Time now);
-  Footprint Where(const Job& job) const;
+  ZoneSpread ZoneSpreadOf(const Job& job) const;
   int CountOn(const Job& job, const Machine& m) const;
   // The team's limit keeps the job out. What comes after it must not take what
   // the team frees, and less important work of the team makes way.
-  void MakeTeamRoom(Job& job, uint32_t tasks, Time now);
+  void PreemptWithinQuota(Job& job, uint32_t tasks, Time now);
   // Stops a task so that another may run.
-  void Preempt(Machine& m, Resident& victim, const JobSpec& for_job, Time now);
-  std::optional<EvictionPlan> PlanEviction(const Job& job, Machine& m,
-                                           Resources taken, Time now) const;
-  void CarryOut(const EvictionPlan& plan, const JobSpec& for_job, Time now);
+  void Preempt(Machine& m, TaskAttempt& victim, const JobSpec& for_job,
+               Time now);
+  std::optional<PreemptionPlan> PlanPreemption(const Job& job, Machine& m,
+                                               Resources taken, Time now) const;
+  void ExecutePreemption(const PreemptionPlan& plan, const JobSpec& for_job,
+                         Time now);
   // Room held on the machine for the job.
-  static Resources HeldFor(const Job& job, const Machine& m);
+  static Resources ReservedFor(const Job& job, const Machine& m);
   // False when there is nothing that could be drained.
-  bool MakeRoom(Job& job, const std::vector<Machine*>& usable, Time now);
+  bool ReserveByPreemption(Job& job, const std::vector<Machine*>& usable,
+                           Time now);
   struct GangSlot {
-    EvictionPlan plan;
+    PreemptionPlan plan;
     bool waits = false;  // for short work to run off
   };
-  bool MakeGangRoom(Job& job, const std::vector<Machine*>& usable, Time now);
-  bool MayPreempt(const Job& job, const Resident& victim, Time now) const;
-  double PreemptionCost(const Resident& victim, Time now) const;
+  bool ReserveGangByPreemption(Job& job, const std::vector<Machine*>& usable,
+                               Time now);
+  bool MayPreempt(const Job& job, const TaskAttempt& victim, Time now) const;
+  double PreemptionCost(const TaskAttempt& victim, Time now) const;
   // One reservation on the machine; null: all of them, everywhere.
   void DropReservation(const Job* job, Machine* m);
 
   // supply.cc
-  void PlanSupply(Time now);
+  void RunAutoscaler(Time now);
   // No job has come or waited for so long that room kept for the next one
   // costs more than it saves.
-  bool Calm(Time now) const;
+  bool IsQuiescent(Time now) const;
   void Consolidate(Time now);
   // Whether replicas may gather on the machine in a calm.
-  bool Gathers(const Machine& m) const;
+  bool IsConsolidationTarget(const Machine& m) const;
   bool CanMoveAll(const Machine& from, const std::vector<Machine*>& usable,
                   double spare_cpus) const;
   void Request(const std::string& name, Time now);
   // Asks for the removal of its record when all of its machines are recorded.
-  void SettleRental(const std::string& name);
-  MachineRecord RecordOfRented(const RentalRecord& rental, Time rented) const;
+  void SettleScaleOut(const std::string& name);
+  MachineRecord RecordOfNewMachine(const ScaleOutRecord& scale_out,
+                                   Time requested_at) const;
   double RunSeconds(const JobSpec& spec) const;
 
   // writes.cc
   // WriteQueue::Owner
-  bool Build(const WriteOp& op, WriteTransaction* txn) const override;
+  bool Build(const WriteOp& op, CompareAndSwap* txn) const override;
   void Done(const WriteOp& op, uint64_t revision, Time now) override;
 
   const Settings& settings_;
@@ -454,29 +470,29 @@
   NumberSource numbers_;
   FragmentationIndex fragmentation_;
   Placer placer_;
-  QueueOrder queue_order_;
-  Chains chains_;
-  std::set<std::string> chain_steps_;  // with a write on its way
-  std::unordered_map<std::string, EndRead> end_reads_;
-  int end_reads_under_way_ = 0;
+  QueueRanking queue_ranking_;
+  DependencyGraph dependency_graph_;
+  std::set<std::string> dependency_steps_;  // with a write on its way
+  std::unordered_map<std::string, TerminalStateRead> terminal_state_reads_;
+  int terminal_state_reads_in_flight_ = 0;
   bool resigned_ = false;
   std::vector<Action> actions_;
   WriteQueue writes_;
-  AnswerGate answers_;
+  ReadConsistencyGate consistency_gate_;
   std::vector<std::unique_ptr<Machine>> machines_;
   LivenessMonitor liveness_;
 
   std::map<std::string, MachineType> types_;
-  std::vector<Team> teams_;
+  std::vector<QuotaUsage> quotas_;
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   std::unordered_map<std::string, int32_t> machine_index_;
   std::unordered_set<std::string> gone_hosts_;
   std::map<std::string, ClassStats> class_stats_;
-  std::map<std::string, Rental> rentals_;
-  std::map<SupplyKey, Time> refused_until_;
+  std::map<std::string, ScaleOutRequest> scale_outs_;
+  std::map<MachinePool, Time> refused_until_;
   DelegatedLeases zones_;
   // In this tick: a delegate may have renewed a silent session.
-  bool sessions_unsettled_ = false;
+  bool incarnations_unsettled_ = false;
   Time next_delegates_read_ = 0;
   std::map<std::string, Rollout> rollouts_;                  // by id
   std::unordered_map<std::string, std::string> in_rollout_;  // by job id
@@ -485,9 +501,9 @@
   Time checks_counted_ = 0;
   size_t first_checked_ = 0;
   Time next_rollouts_ = 0;
-  Time next_supply_ = 0;
+  Time next_autoscaler_run_ = 0;
   Time next_fragmentation_log_ = 0;
-  std::optional<Mover> mover_;
+  std::optional<Rebalancer> rebalancer_;
   MoveCodec move_codec_;
   Time next_moves_ = 0;
   Time next_move_plan_ = 0;
@@ -496,10 +512,12 @@
   Time next_consolidation_ = 0;
   Time quiet_since_ = 1e18;  // no job has come or waited since
   uint64_t next_batch_ = 1;
-  std::vector<std::string> restore_;  // owed keys, the most urgent last
-  std::vector<std::pair<std::string, TerminalState>> ends_owed_;
-  bool ends_compared_ = false;
-  bool memory_whole_ = false;
+  std::vector<std::string>
+      reconciliation_queue_;  // owed keys, the most urgent last
+  std::vector<std::pair<std::string, TerminalState>>
+      unrecorded_terminal_states_;
+  bool terminal_states_compared_ = false;
+  bool retained_records_complete_ = false;
   std::unordered_map<std::string, Time> asked_jobs_;  // not again before
   // The largest task with accelerators seen; zero when there was none.
   Resources accelerator_shape_;
@@ -507,8 +525,8 @@
   TierPolicy tiers_;
   std::set<const Job*> over_share_;  // in this pass
   bool part_is_held_ = false;        // in this pass, for a gang
-  Calendar calendar_;
-  CalendarStanding told_standing_ = CalendarStanding::kNone;
+  MaintenanceCalendar calendar_;
+  CalendarFreshness logged_freshness_ = CalendarFreshness::kNone;
   std::map<std::string, Resources> in_window_;  // by booking, in this pass
   Resources fleet_;                             // in this pass
   std::map<std::string, HeldBy> held_;          // by job: told in the log
--- a/core/controller/liveness_monitor.cc
+++ b/core/leader/liveness_monitor.cc
@@ -1,7 +1,7 @@
 // What the leader hears of its machines, what it asks the others about them,
 // and what it may do about those it doesn't hear.
 
-#include "core/controller/liveness_monitor.h"
+#include "core/leader/liveness_monitor.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,23 +15,24 @@
   // Of a lease. Most of it must be left: each worker tries a controller that
   // doesn't answer for 4 s, and waits 1 s, until it comes to the next leader.
   constexpr double kBlindAfter = 0.2;
-  const double lease = settings.workers.lease_s;
+  const double lease = settings.workers.lease_seconds;
   LeaderHealth::Limits limits;
   limits.troubled_share = tuning.troubled_share;
   limits.deaf_share = tuning.deaf_share;
-  limits.pause_s = settings.workers.report_s / 2;
-  limits.longest_pause_s = lease / 2;
-  limits.blind_after_s = kBlindAfter * lease;
+  limits.pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
+  limits.longest_pause_seconds = lease / 2;
+  limits.blind_after_seconds = kBlindAfter * lease;
   // A new leader's first seconds take all of its processor, and its own probes
   // late then say nothing.
-  limits.settle_s =
+  limits.settle_seconds =
       std::max(timeouts.overdue, tuning.leader_lease_ratio * lease);
   return limits;
 }
 
 LossLimiter::Limits LossLimits(const Settings& settings, const Tuning& tuning) {
   LossLimiter::Limits limits;
-  limits.window_s = tuning.limit_window_leases * settings.workers.lease_s;
+  limits.window_seconds =
+      tuning.limit_window_leases * settings.workers.lease_seconds;
   limits.fleet = {tuning.silent_share,   tuning.unlisted_share,
                   tuning.never_up_share, tuning.idle_share,
                   tuning.moved_share,    tuning.distrusted_share};
@@ -41,11 +42,11 @@
 }
 
 // Since when nothing has been heard of the machine, as far as this leadership
-// can tell, or since when it has heard nothing: the reports of a deaf machine
-// say no more than that it is there.
+// can tell, or since when it has heard nothing: the heartbeats of a deaf
+// machine say no more than that it is there.
 Time QuietSince(const Machine& m, Time started) {
-  const Time heard = m.delivery.deaf()
-                         ? std::min(m.last_heard, m.delivery.deaf_since())
+  const Time heard = m.reachability.deaf()
+                         ? std::min(m.last_heard, m.reachability.deaf_since())
                          : m.last_heard;
   return std::max(heard, started);
 }
@@ -74,43 +75,45 @@
       limiter_(LossLimits(settings, tuning)),
       sampling_(seed) {}
 
-void LivenessMonitor::Say(std::string text) {
-  actions_.push_back(Note{std::move(text), false});
+void LivenessMonitor::Log(std::string text) {
+  actions_.push_back(LogEvent{std::move(text), false});
 }
 
-bool LivenessMonitor::ReportOverdue(const Machine& m, Time now) const {
+bool LivenessMonitor::HeartbeatOverdue(const Machine& m, Time now) const {
   // Until a worker has waited in vain and tried another controller, its silence
   // says nothing about a leader that has just taken office, nor does that of
   // one that reports by way of another controller, which may have ended: each
   // restart of one would else move the lead, for nothing.
-  constexpr double kFindsAnother_s = kReportTimeout_s + kRetryPause_s;
-  const Time from = std::max(m.last_report + (m.relayed ? kFindsAnother_s : 0),
-                             started_ + kFindsAnother_s);
+  constexpr double kFindsAnotherSeconds =
+      kHeartbeatTimeoutSeconds + kRetryPauseSeconds;
+  const Time from =
+      std::max(m.last_heartbeat + (m.forwarded ? kFindsAnotherSeconds : 0),
+               started_ + kFindsAnotherSeconds);
   return now - from > timeouts_.overdue;
 }
 
 void LivenessMonitor::Count(Time now) {
-  ReportsHeard heard;
+  HeartbeatsReceived heard;
   for (const auto& m : machines_) {
     if (!Counts(*m)) continue;
     ++heard.recorded;
     const bool silent = now - QuietSince(*m, started_) > timeouts_.overdue;
     heard.silent += silent;
     heard.troubled += silent || now < m->direct_broken_until ||
-                      m->delivery.deaf() || ReportOverdue(*m, now);
+                      m->reachability.deaf() || HeartbeatOverdue(*m, now);
   }
-  reports_heard_ = heard;
+  heartbeats_received_ = heard;
   // An alarm ends when nothing has been refused for a window: there may never
   // be another act of its kind to be allowed.
   for (size_t i = 0; i < kLossCauses; ++i) {
-    if (now - refused_at_[i] > limiter_.limits().window_s) {
-      refusals_[i] = LossVerdict::kAllowed;
+    if (now - refused_at_[i] > limiter_.limits().window_seconds) {
+      refusals_[i] = LossDecision::kAllowed;
     }
   }
   const LeaderHealthState before = leader_health_.state();
   leader_health_.Observe(heard, now);
   if (leader_health_.state() == before) return;
-  Say(std::string(leader_health_.healthy() ? "enough reports heard again"
+  Log(std::string(leader_health_.healthy() ? "enough reports heard again"
                                            : "few reports heard") +
       ": " + std::to_string(heard.silent) + " silent and " +
       std::to_string(heard.troubled) + " troubled of " +
@@ -121,14 +124,16 @@
   // One in six may be dead machines; more at once is the network, and they
   // will be back. The last one that is heard tells the leader that it hears.
   constexpr int kShare = 6;
-  return reports_heard_.silent < reports_heard_.recorded &&
-         reports_heard_.silent <= std::max(1, reports_heard_.recorded / kShare);
+  return heartbeats_received_.silent < heartbeats_received_.recorded &&
+         heartbeats_received_.silent <=
+             std::max(1, heartbeats_received_.recorded / kShare);
 }
 
 // Machines that go deaf together are seen to be so over the time between two
 // reports and that of a worker's waits; all must count before one is given up.
 bool LivenessMonitor::SilentTooLong(const Machine& m, Time now) const {
-  const double spread = m.delivery.deaf() ? kReportTimeout_s / 2 : 0;
+  const double spread =
+      m.reachability.deaf() ? kHeartbeatTimeoutSeconds / 2 : 0;
   return now - QuietSince(m, started_) > timeouts_.give_up + spread;
 }
 
@@ -137,7 +142,7 @@
   if (!FewSilent()) return false;
   if (settings_.peers.empty()) {
     // A deaf one whose address may be reached is left to its leases.
-    return !m.delivery.deaf() || now < m.direct_broken_until;
+    return !m.reachability.deaf() || now < m.direct_broken_until;
   }
   const Time quiet_since = QuietSince(m, started_);
   if (m.reached_by_other > quiet_since &&
@@ -164,7 +169,7 @@
   Loss loss;
   loss.cause = cause;
   loss.zone = m.zone;
-  for (const auto& [key, r] : m.residents) {
+  for (const auto& [key, r] : m.task_attempts) {
     if (r.job == nullptr || r.phase == TaskPhase::kExited ||
         r.job->spec().kind != JobKind::kService) {
       continue;
@@ -174,30 +179,31 @@
     }
     ++loss.services.back().replicas;
   }
-  const LossVerdict verdict = limiter_.Ask(loss, fleet, zone, now);
-  if (verdict != LossVerdict::kAllowed &&
-      refusals_[index] == LossVerdict::kAllowed) {
-    Say("alarm: no more machines are taken away as " +
+  const LossDecision verdict = limiter_.Ask(loss, fleet, zone, now);
+  if (verdict != LossDecision::kAllowed &&
+      refusals_[index] == LossDecision::kAllowed) {
+    Log("alarm: no more machines are taken away as " +
         std::string(NameOf(cause)) + ", " + std::string(NameOf(verdict)) +
         " is reached: " + std::to_string(limiter_.Asked(cause, now)) +
-        " within " + std::to_string(limiter_.limits().window_s) + " s of " +
-        std::to_string(fleet));
+        " within " + std::to_string(limiter_.limits().window_seconds) +
+        " s of " + std::to_string(fleet));
   }
   refusals_[index] = verdict;
-  if (verdict != LossVerdict::kAllowed) refused_at_[index] = now;
-  return verdict == LossVerdict::kAllowed;
+  if (verdict != LossDecision::kAllowed) refused_at_[index] = now;
+  return verdict == LossDecision::kAllowed;
 }
 
 std::vector<std::string> LivenessMonitor::Alarms() const {
   std::vector<std::string> alarms;
   if (!leader_health_.healthy()) {
-    alarms.push_back("few reports heard: " +
-                     std::to_string(reports_heard_.silent) + " silent and " +
-                     std::to_string(reports_heard_.troubled) + " troubled of " +
-                     std::to_string(reports_heard_.recorded) + " machines");
+    alarms.push_back(
+        "few reports heard: " + std::to_string(heartbeats_received_.silent) +
+        " silent and " + std::to_string(heartbeats_received_.troubled) +
+        " troubled of " + std::to_string(heartbeats_received_.recorded) +
+        " machines");
   }
   for (size_t i = 0; i < kLossCauses; ++i) {
-    if (refusals_[i] == LossVerdict::kAllowed) continue;
+    if (refusals_[i] == LossDecision::kAllowed) continue;
     alarms.push_back("nothing more taken away as " +
                      std::string(NameOf(static_cast<LossCause>(i))) + ": " +
                      std::string(NameOf(refusals_[i])));
@@ -231,7 +237,7 @@
     if (!m->recorded_up || m->state() == MachineState::kGone ||
         m->state() == MachineState::kDeleting || m->endpoint.empty() ||
         now - QuietSince(*m, started_) <= timeouts_.asked ||
-        now - m->asked_about < settings_.workers.report_s) {
+        now - m->asked_about < settings_.workers.heartbeat_interval_seconds) {
       continue;
     }
     m->asked_about = now;
@@ -281,9 +287,9 @@
       // and the machine may have come back since.
       m->reached_by_none = std::max(m->reached_by_none, asked);
     }
-    // A machine whose reports don't come is not heard, whether or not it
+    // A machine whose heartbeats don't come is not heard, whether or not it
     // answers: only reports renew its lease.
-    if (answers[0].Reaches(i) && ReportOverdue(*m, now)) {
+    if (answers[0].Reaches(i) && HeartbeatOverdue(*m, now)) {
       answers[0].machines[i] = Reach::kNotReached;
     }
   }
@@ -295,8 +301,8 @@
   switch (verdict.kind) {
     case LeaderHealth::Verdict::Kind::kStay:
       break;
-    case LeaderHealth::Verdict::Kind::kOffer:
-      actions_.push_back(OfferLead{verdict.to, verdict.why});
+    case LeaderHealth::Verdict::Kind::kOfferLeadershipTransfer:
+      actions_.push_back(OfferLeadershipTransfer{verdict.to, verdict.why});
       break;
     case LeaderHealth::Verdict::Kind::kStepDown:
       actions_.push_back(Resign{verdict.why, /*unfit=*/true});
@@ -305,8 +311,8 @@
   return true;
 }
 
-void LivenessMonitor::OnOfferRefused(const std::string& why, Time now) {
-  Say("goes on leading: " + why);
+void LivenessMonitor::OnTransferRejected(const std::string& why, Time now) {
+  Log("goes on leading: " + why);
   leader_health_.OfferRefused(now);
 }
 
--- a/core/controller/liveness_monitor.h
+++ b/core/leader/liveness_monitor.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/controller/actions.h"
+#include "core/leader/actions.h"
 #include "core/leader_health/leader_health.h"
 #include "core/limits/loss_limiter.h"
 #include "core/model/machine.h"
@@ -35,8 +35,8 @@
   // leadership is over.
   [[nodiscard]] bool OnReach(uint64_t round, std::vector<Reach> answers,
                              Time now);
-  void OnOfferAgreed() { leader_health_.OfferAgreed(); }
-  void OnOfferRefused(const std::string& why, Time now);
+  void OnTransferAccepted() { leader_health_.TransferAccepted(); }
+  void OnTransferRejected(const std::string& why, Time now);
 
   // Whether a machine has been silent, or deaf, for long enough.
   bool SilentTooLong(const Machine& m, Time now) const;
@@ -46,18 +46,20 @@
   bool LossAllowed(const Machine& m, LossCause cause, Time now);
 
   LeaderHealthState leader_health() const { return leader_health_.state(); }
-  const ReportsHeard& reports_heard() const { return reports_heard_; }
+  const HeartbeatsReceived& heartbeats_received() const {
+    return heartbeats_received_;
+  }
   // What is held back at this moment; a line each.
   std::vector<std::string> Alarms() const;
 
  private:
-  bool ReportOverdue(const Machine& m, Time now) const;
+  bool HeartbeatOverdue(const Machine& m, Time now) const;
   // Whether so few are silent that it is the machines and not the network.
   bool FewSilent() const;
   void AskAboutSilent(Time now);
   void AskWhoReaches(Time now);
   uint64_t Ask(const std::vector<Machine*>& about, bool sample, Time now);
-  void Say(std::string text);
+  void Log(std::string text);
 
   const Settings& settings_;
   const SilenceTimeouts& timeouts_;
@@ -66,7 +68,7 @@
   std::vector<Action>& actions_;
   LeaderHealth leader_health_;
   LossLimiter limiter_;
-  ReportsHeard reports_heard_;
+  HeartbeatsReceived heartbeats_received_;
   uint64_t next_round_ = 1;
   uint64_t health_round_ = 0;  // under way; 0: none
   uint64_t silent_round_ = 0;
@@ -76,7 +78,7 @@
   };
   std::map<uint64_t, Question> asked_;  // by round
   // The latest verdict on each cause, and when one was last refused.
-  std::array<LossVerdict, kLossCauses> refusals_{};
+  std::array<LossDecision, kLossCauses> refusals_{};
   std::array<Time, kLossCauses> refused_at_{};
   std::mt19937_64 sampling_;
 };
--- a/core/controller/machines.cc
+++ b/core/leader/machines.cc
@@ -1,22 +1,22 @@
 // Machines as a whole: found and added, silent, drained, deleted, and when it
-// is certain that a session is over.
+// is certain that an incarnation is over.
 
 #include <algorithm>
 #include <array>
 #include <memory>
 
-#include "core/controller/controller.h"
-#include "core/controller/machine_limits.h"
+#include "core/leader/leader.h"
+#include "core/leader/machine_limits.h"
 
 namespace oxbow {
 
-Machine* Controller::FindMachine(const std::string& host) {
+Machine* Leader::FindMachine(const std::string& host) {
   const auto it = machine_index_.find(host);
   return it == machine_index_.end() ? nullptr : machines_[it->second].get();
 }
 
-Machine& Controller::AddMachine(const std::string& host,
-                                const MachineRecord& record) {
+Machine& Leader::AddMachine(const std::string& host,
+                            const MachineRecord& record) {
   const auto index = static_cast<int32_t>(machines_.size());
   machines_.push_back(
       std::make_unique<Machine>(host, record, index, FirstToken(term_)));
@@ -27,18 +27,18 @@
   return m;
 }
 
-bool Controller::SessionOver(const Machine& m, Time now) {
-  const double lease = settings_.workers.lease_s;
+bool Leader::IncarnationExpired(const Machine& m, Time now) {
+  const double lease = settings_.workers.lease_seconds;
   // The others are asked a little before, so that nobody waits for them.
-  const double early = 2 * StandBackFor(settings_.workers);
-  if (now <= m.session.MayLiveUntil(lease) - early) return false;
-  const std::vector<std::string> asked = zones_.ToAsk(m.zone, now);
-  if (!asked.empty()) actions_.push_back(AskStandBack{asked});
-  return now > m.session.MayLiveUntil(lease) &&
+  const double early = 2 * LeaseYieldSeconds(settings_.workers);
+  if (now <= m.incarnation.MayLiveUntil(lease) - early) return false;
+  const std::vector<std::string> asked = zones_.PeersToAsk(m.zone, now);
+  if (!asked.empty()) actions_.push_back(RequestLeaseYield{asked});
+  return now > m.incarnation.MayLiveUntil(lease) &&
          !zones_.MayBeRenewed(m.zone, now);
 }
 
-bool Controller::ZoneSettled(const std::string& zone, Time now) const {
+bool Leader::ZoneSettled(const std::string& zone, Time now) const {
   for (const auto& m : machines_) {
     // What it holds is not known yet.
     if (m->zone == zone && m->recorded_up && !m->reported &&
@@ -62,71 +62,73 @@
   return true;
 }
 
-bool Controller::OnDelegationAsked(const std::string& peer,
-                                   const std::string& life, double age,
-                                   Time now) {
+bool Leader::OnDelegationAsked(const std::string& peer,
+                               const std::string& process_incarnation,
+                               double age, Time now) {
   for (const PeerSettings& p : settings_.peers) {
     if (p.name != peer) continue;
     if (!ZoneSettled(p.zone, now)) return false;
-    zones_.Grant(peer, life, age, now);
+    zones_.Grant(peer, process_incarnation, age, now);
     return true;
   }
   return false;
 }
 
-void Controller::Expire(Machine& m, Time now) {
-  m.session.Change(SessionEvent::kRanOut, 0, now);
-  LoseAll(m, "no report answered for a whole lease");
+void Leader::Expire(Machine& m, Time now) {
+  m.incarnation.Change(IncarnationEvent::kExpire, 0, now);
+  MarkAllLost(m, "no report answered for a whole lease");
   m.reported = true;  // accounted for
   m.idle_since = now;
   dirty_ = true;
 }
 
-bool Controller::Suspect(const Machine& m, Time now) const {
+bool Leader::Suspect(const Machine& m, Time now) const {
   return now - m.last_heard > timeouts_.suspect;
 }
 
 // Commands may reach a machine that reaches no controller, and it answers them.
 // But nothing renews its lease then: what is started there is lost with it. A
 // new leader gives each worker the time that it takes to find it.
-bool Controller::Usable(const Machine& m, Time now) const {
+bool Leader::Usable(const Machine& m, Time now) const {
   const Time reported =
-      std::max(m.last_report, started_ + kReportTimeout_s + kRetryPause_s);
+      std::max(m.last_heartbeat,
+               started_ + kHeartbeatTimeoutSeconds + kRetryPauseSeconds);
   return now - reported <= timeouts_.suspect &&
          m.state() == MachineState::kUp && m.type != nullptr && m.recorded_up &&
-         m.reported && m.confirmed() && !m.batch_lost && m.session.alive() &&
-         m.orphans == 0 && now >= m.distrusted_until &&
-         m.delivery.MayTakeWork() && now >= m.direct_broken_until &&
-         !Suspect(m, now);
+         m.reported && m.confirmed() && !m.batch_lost &&
+         m.incarnation.alive() && m.orphaned_tasks == 0 &&
+         now >= m.distrusted_until && m.reachability.MayTakeWork() &&
+         now >= m.direct_broken_until && !Suspect(m, now);
 }
 
-void Controller::Drain(Machine& m, Time now, const char* why) {
+void Leader::Drain(Machine& m, Time now, const char* why) {
   if (m.state() != MachineState::kUp) return;
   m.Change(MachineState::kDraining);
   Log("machine " + m.host() + " draining: " + why);
   StopLeaving(m, now);
 }
 
-void Controller::StopLeaving(Machine& m, Time now) {
-  std::vector<ResidentKey> all;
-  for (const auto& [key, r] : m.residents) all.push_back(key);
-  for (const ResidentKey& key : all) {
-    const auto it = m.residents.find(key);
-    if (it == m.residents.end()) continue;
-    Resident& r = it->second;
+void Leader::StopLeaving(Machine& m, Time now) {
+  std::vector<TaskAttemptKey> all;
+  for (const auto& [key, r] : m.task_attempts) all.push_back(key);
+  for (const TaskAttemptKey& key : all) {
+    const auto it = m.task_attempts.find(key);
+    if (it == m.task_attempts.end()) continue;
+    TaskAttempt& r = it->second;
     if (r.job == nullptr || r.phase == TaskPhase::kExited || r.stopping) {
       continue;
     }
     const JobSpec& spec = r.job->spec();
     const double left = m.notice_until ? *m.notice_until - now : 0;
-    if (spec.kind == JobKind::kArray && spec.checkpoint_s <= 0) continue;
-    if (!FloorAllows(key, *r.job, now)) continue;  // asked again
+    if (spec.kind == JobKind::kArray && spec.checkpoint_seconds <= 0) continue;
+    if (!DisruptionAllowed(key, *r.job, now)) continue;  // asked again
     // Services move at once, work that can save does so while there is time.
     // What can't save is left: it may yet end before the machine goes.
-    if (spec.kind == JobKind::kService || spec.checkpoint_s > 0) {
-      const double grace = spec.checkpoint_s > 0 && spec.save_s < left
-                               ? std::max(spec.save_s, left)
-                               : 0;
+    if (spec.kind == JobKind::kService || spec.checkpoint_seconds > 0) {
+      const double grace =
+          spec.checkpoint_seconds > 0 && spec.save_seconds < left
+              ? std::max(spec.save_seconds, left)
+              : 0;
       if (spec.kind == JobKind::kGang && spec.tasks > 1) {
         // An orderly stop needs every task of the gang told in time.
         StopTasks(*r.job, grace, now);
@@ -137,7 +139,7 @@
   }
 }
 
-bool Controller::TakeAway(Machine& m, LossCause cause, Time now) {
+bool Leader::RemoveMachine(Machine& m, LossCause cause, Time now) {
   if (!liveness_.LossAllowed(m, cause, now)) return false;
   static constexpr std::array<const char*, kLossCauses> kWhy = {
       "silent",
@@ -152,7 +154,8 @@
     return true;
   }
   if (cause == LossCause::kDistrusted) {
-    m.distrusted_until = now + kDistrustLeases * settings_.workers.lease_s;
+    m.distrusted_until =
+        now + kDistrustLeases * settings_.workers.lease_seconds;
     Log("machine " + m.host() + " distrusted: " + why);
     return true;
   }
@@ -161,7 +164,7 @@
   return true;
 }
 
-void Controller::AskDelete(Machine& m, Time now, const char* why) {
+void Leader::AskDelete(Machine& m, Time now, const char* why) {
   if (m.state() == MachineState::kGone) return;
   if (m.state() != MachineState::kDeleting) {
     Log("delete " + m.host() + ": " + why);
@@ -171,20 +174,21 @@
   actions_.push_back(DeleteMachines{{m.host()}});
 }
 
-void Controller::TickMachine(Machine& m, Time now, bool by_lease) {
+void Leader::TickMachine(Machine& m, Time now, bool by_lease) {
   if (m.state() == MachineState::kGone) return;
-  const double lease = settings_.workers.lease_s;
+  const double lease = settings_.workers.lease_seconds;
   const bool may_hold =
-      !m.residents.empty() || m.batch || (m.recorded_up && !m.reported);
-  if (by_lease && may_hold && m.session.state() != SessionState::kOver) {
-    sessions_unsettled_ =
-        sessions_unsettled_ ||
+      !m.task_attempts.empty() || m.batch || (m.recorded_up && !m.reported);
+  if (by_lease && may_hold &&
+      m.incarnation.state() != IncarnationState::kExpired) {
+    incarnations_unsettled_ =
+        incarnations_unsettled_ ||
         now - std::max(m.last_heard, started_) > timeouts_.suspect;
-    if (SessionOver(m, now)) {
+    if (IncarnationExpired(m, now)) {
       Expire(m, now);
-    } else if (Lapsed(m, now)) {
+    } else if (LeaseExpired(m, now)) {
       Log("machine " + m.host() + " hears nothing, what it held is over");
-      LoseAll(m, "no answer to it for a whole lease");
+      MarkAllLost(m, "no answer to it for a whole lease");
       m.reported = true;
     }
   }
@@ -193,15 +197,15 @@
     return;
   }
   if (m.state() == MachineState::kBooting) {
-    const double boot = m.type ? m.type->boot_s : 3 * lease;
-    if (now - m.rented > tuning_.boot_timeout_ratio * boot) {
-      TakeAway(m, LossCause::kNeverUp, now);
+    const double boot = m.type ? m.type->boot_seconds : 3 * lease;
+    if (now - m.requested_at > tuning_.boot_timeout_ratio * boot) {
+      RemoveMachine(m, LossCause::kNeverUp, now);
     }
     return;
   }
   if (m.state() == MachineState::kDraining) {
     const bool busy = std::any_of(
-        m.residents.begin(), m.residents.end(),
+        m.task_attempts.begin(), m.task_attempts.end(),
         [](const auto& e) { return e.second.phase != TaskPhase::kExited; });
     if (!busy || (m.notice_until && now > *m.notice_until && Suspect(m, now))) {
       AskDelete(m, now, busy ? "its notice has run out" : "drained");
@@ -211,25 +215,27 @@
   // A silent machine is deleted before its lease ends: the confirmation frees
   // its tasks sooner. Not when many are silent at once, for then it is the
   // network, and they will be back.
-  // One that a new leader has never heard counts from its takeover, in which
+  // One that a new leader has never heard counts from its failover, in which
   // every machine was asked: what it may hold keeps all old jobs waiting.
   const bool matters =
-      m.reported ? !m.residents.empty() && now - started_ > lease
-                 : !m.residents.empty() || now < m.session.MayLiveUntil(lease);
+      m.reported
+          ? !m.task_attempts.empty() && now - started_ > lease
+          : !m.task_attempts.empty() || now < m.incarnation.MayLiveUntil(lease);
   if (m.recorded_up && matters && liveness_.SilentTooLong(m, now) &&
-      liveness_.MayGiveUp(m, now) && TakeAway(m, LossCause::kSilent, now)) {
+      liveness_.MayGiveUp(m, now) &&
+      RemoveMachine(m, LossCause::kSilent, now)) {
     return;
   }
   // Looking through all that is there has no hurry: once a report.
   if (now < m.next_review) return;
-  m.next_review = now + settings_.workers.report_s / 2;
+  m.next_review = now + settings_.workers.heartbeat_interval_seconds / 2;
   if (m.state() == MachineState::kDraining) StopLeaving(m, now);
-  std::vector<ResidentKey> kept;
+  std::vector<TaskAttemptKey> kept;
   size_t exited = 0;
-  for (auto& [key, r] : m.residents) {
+  for (auto& [key, r] : m.task_attempts) {
     if (r.phase == TaskPhase::kExited) {
       ++exited;
-      const bool over = r.job == nullptr ? MayDropUnknown(r, now)
+      const bool over = r.job == nullptr ? MayStopUnknownTask(r, now)
                                          : r.job->ended_by_record() ||
                                                r.reason != ExitReason::kDone ||
                                                !IsCurrent(m, r);
@@ -238,26 +244,28 @@
       if (over) QueueForget(m, r);
       continue;
     }
-    const double again = r.stop_grace + 2 * settings_.workers.report_s;
-    const bool unwanted =
-        r.job == nullptr ? MayDropUnknown(r, now) : r.job->ended_by_record();
+    const double again =
+        r.stop_grace + 2 * settings_.workers.heartbeat_interval_seconds;
+    const bool unwanted = r.job == nullptr ? MayStopUnknownTask(r, now)
+                                           : r.job->ended_by_record();
     if ((r.stopping && now - r.stop_sent > again) ||
-        (unwanted && !r.stopping && r.order != StartOrder::kQueued)) {
+        (unwanted && !r.stopping &&
+         r.start_progress != StartProgress::kQueued)) {
       kept.push_back(key);
     }
   }
-  for (const ResidentKey& key : kept) {
-    const auto it = m.residents.find(key);
-    if (it != m.residents.end()) QueueStop(m, it->second, 0, now);
+  for (const TaskAttemptKey& key : kept) {
+    const auto it = m.task_attempts.find(key);
+    if (it != m.task_attempts.end()) QueueStop(m, it->second, 0, now);
   }
   // A report holds every exit until it is cleared; its size has a limit.
   constexpr size_t kMostExits = 250;
   if (exited > kMostExits) {
-    for (auto& [key, r] : m.residents) {
+    for (auto& [key, r] : m.task_attempts) {
       if (r.phase == TaskPhase::kExited) QueueForget(m, r);
     }
   }
-  Pump(m, now);
+  DispatchCommands(m, now);
 }
 
 }  // namespace oxbow
--- a/core/controller/calendar.cc
+++ b/core/leader/maintenance.cc
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <utility>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 namespace {
@@ -34,46 +34,46 @@
 
 }  // namespace
 
-void Controller::OnClocks(const WallReading& reading, Time confirmed,
-                          Time now) {
+void Leader::OnClocks(const WallReading& reading, Time confirmed, Time now) {
   calendar_.ReadWall(reading);
   calendar_.Confirmed(confirmed, now);
 }
 
-void Controller::OnBooking(const Booking& booking, uint64_t version, Time now) {
+void Leader::OnBooking(const MaintenanceWindow& booking, uint64_t version,
+                       Time now) {
   calendar_.Take(booking, version, now);
   dirty_ = true;
 }
 
-void Controller::OnBookingWithdrawn(const std::string& id, uint64_t version,
-                                    Time now) {
+void Leader::OnBookingWithdrawn(const std::string& id, uint64_t version,
+                                Time now) {
   calendar_.Withdraw(id, version, now);
   dirty_ = true;
 }
 
 // Empty where no tiers are in force.
-std::string Controller::TierOf(const Job& job) const {
+std::string Leader::TierOf(const Job& job) const {
   if (!tiers_.active() || job.tier >= tiers_.set().size()) return {};
   return tiers_.set().at(job.tier).name;
 }
 
-Verdict Controller::VerdictOf(const Job& job, Time now) const {
+AdmissionDecision Leader::AdmissionOf(const Job& job, Time now) const {
   const JobSpec& spec = job.spec();
   // What is fetched first comes on top of the run.
   const double fetch =
       types_.empty()
           ? 0
           : spec.image_gb /
-                std::max(1e-3, types_.begin()->second.fetch_gb_per_s);
+                std::max(1e-3, types_.begin()->second.fetch_gb_per_second);
   return calendar_.MayStart(spec, TierOf(job), RunSeconds(spec) + fetch, now);
 }
 
-std::optional<Verdict> Controller::CalendarVerdict(const std::string& id,
-                                                   Time now) const {
+std::optional<AdmissionDecision> Leader::CalendarAdmission(
+    const std::string& id, Time now) const {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return std::nullopt;
-  if (calendar_.empty() || !it->second->live()) return Verdict{};
-  Verdict verdict = VerdictOf(*it->second, now);
+  if (calendar_.empty() || !it->second->live()) return AdmissionDecision{};
+  AdmissionDecision verdict = AdmissionOf(*it->second, now);
   if (verdict.may() && it->second->placed() == 0 &&
       !WindowAllows(*it->second, 1)) {
     verdict.hold = HeldBy::kNoRoom;
@@ -81,7 +81,7 @@
   return verdict;
 }
 
-void Controller::CountWindows() {
+void Leader::CountWindows() {
   in_window_.clear();
   fleet_ = {};
   if (calendar_.empty()) return;
@@ -101,7 +101,7 @@
 
 // What is too large for the room goes when nothing else of the window is
 // there: refused it would wait for ever.
-bool Controller::WindowAllows(const Job& job, double tasks) const {
+bool Leader::WindowAllows(const Job& job, double tasks) const {
   if (in_window_.empty()) return true;
   const JobSpec& spec = job.spec();
   for (const auto& [booking, share] : calendar_.Windows(spec, TierOf(job))) {
@@ -119,62 +119,63 @@
   return true;
 }
 
-// An order sent to a worker's address may be carried out minutes later. The
-// worker drops the answer to a report after 4 s, whatever held it up.
-bool Controller::GoesInAnswer(const Order& order) const {
-  if (order.kind != OrderKind::kStart || calendar_.empty()) return false;
-  const auto it = jobs_.find(order.job_id);
+// A command sent to a worker's address may be carried out minutes later. The
+// worker drops the answer to a heartbeat after 4 s, whatever held it up.
+bool Leader::SentInHeartbeatResponse(const WorkerCommand& command) const {
+  if (command.kind != CommandKind::kStart || calendar_.empty()) return false;
+  const auto it = jobs_.find(command.job_id);
   return it != jobs_.end() &&
          calendar_.Names(it->second->spec(), TierOf(*it->second));
 }
 
-bool Controller::HasCalendarStart(const Machine& m) const {
-  return !calendar_.empty() &&
-         std::any_of(m.queue.begin(), m.queue.end(),
-                     [&](const Order& o) { return GoesInAnswer(o); });
+bool Leader::HasCalendarStart(const Machine& m) const {
+  return !calendar_.empty() && std::any_of(m.queue.begin(), m.queue.end(),
+                                           [&](const WorkerCommand& o) {
+                                             return SentInHeartbeatResponse(o);
+                                           });
 }
 
-void Controller::DropLateStarts(Machine& m, Time now) {
+void Leader::DropLateStarts(Machine& m, Time now) {
   if (calendar_.empty()) return;
-  std::vector<ResidentKey> late;
-  for (const Order& o : m.queue) {
-    if (!GoesInAnswer(o)) continue;
-    if (!VerdictOf(*jobs_.at(o.job_id), now).may()) {
+  std::vector<TaskAttemptKey> late;
+  for (const WorkerCommand& o : m.queue) {
+    if (!SentInHeartbeatResponse(o)) continue;
+    if (!AdmissionOf(*jobs_.at(o.job_id), now).may()) {
       late.push_back({o.job_id, o.task, o.attempt});
     }
   }
-  for (const ResidentKey& key : late) Gone(m, key);
+  for (const TaskAttemptKey& key : late) RemoveAttempt(m, key);
 }
 
 // What does not run yet loses nothing when it goes; what runs is stopped only
 // if its booking says so and it can save, as if its machine were drained. A
 // gang is stopped whole.
-void Controller::TakeBack(Job& job, Time now) {
+void Leader::WithdrawQueuedStarts(Job& job, Time now) {
   const JobSpec& spec = job.spec();
-  const double report = settings_.workers.report_s;
+  const double heartbeat = settings_.workers.heartbeat_interval_seconds;
   const std::string tier = TierOf(job);
-  const double grace = spec.save_s + report;
+  const double grace = spec.save_seconds + heartbeat;
   const bool save =
       calendar_.Caught(spec, tier, grace, now) == OverrunStep::kSaveAndStop;
   const bool back =
-      calendar_.Caught(spec, tier, 2 * report, now) != OverrunStep::kNone;
+      calendar_.Caught(spec, tier, 2 * heartbeat, now) != OverrunStep::kNone;
   if (!save && !back) return;
-  const auto residents = ResidentsOf(job);
-  const auto runs = [](const Resident& r) {
+  const auto task_attempts = AttemptsOf(job);
+  const auto runs = [](const TaskAttempt& r) {
     return r.phase == TaskPhase::kRunning || r.phase == TaskPhase::kSaving;
   };
   bool any_runs = false;
-  for (const auto& [m, key] : residents) {
-    any_runs |= runs(m->residents.at(key));
+  for (const auto& [m, key] : task_attempts) {
+    any_runs |= runs(m->task_attempts.at(key));
   }
   if (spec.kind == JobKind::kGang) {
     if (any_runs ? save : back) StopTasks(job, any_runs ? grace : 0, now);
     return;
   }
-  for (const auto& [m, key] : residents) {
-    const auto it = m->residents.find(key);
-    if (it == m->residents.end() || it->second.stopping ||
-        !FloorAllows(key, job, now)) {
+  for (const auto& [m, key] : task_attempts) {
+    const auto it = m->task_attempts.find(key);
+    if (it == m->task_attempts.end() || it->second.stopping ||
+        !DisruptionAllowed(key, job, now)) {
       continue;
     }
     const bool running = runs(it->second);
@@ -184,7 +185,8 @@
   }
 }
 
-void Controller::NoteHeld(const Job& job, const Verdict& verdict, Time now) {
+void Leader::LogAdmissionChange(const Job& job,
+                                const AdmissionDecision& verdict, Time now) {
   HeldBy& told = held_[job.id()];
   if (told == verdict.hold) return;
   told = verdict.hold;
@@ -195,7 +197,7 @@
   if (verdict.until > 0) {
     const double in = verdict.until - calendar_.At(now).earliest;
     text += ", next chance in " + std::to_string(std::llround(in)) + " s";
-    const auto& due = job.spec().deadline_s;
+    const auto& due = job.spec().deadline_seconds;
     if (due && now + in > job.submitted() + *due) {
       text += ", after its deadline";
     }
@@ -205,14 +207,14 @@
   Log(std::move(text));
 }
 
-void Controller::TickCalendar(Time now) {
+void Leader::TickCalendar(Time now) {
   calendar_.Age(now);
-  const CalendarStanding standing = calendar_.standing(now);
-  if (standing != std::exchange(told_standing_, standing)) {
+  const CalendarFreshness standing = calendar_.standing(now);
+  if (standing != std::exchange(logged_freshness_, standing)) {
     Log("calendar: " + std::to_string(calendar_.size()) + " bookings, " +
-        (standing == CalendarStanding::kNone      ? "none in force"
-         : standing == CalendarStanding::kCurrent ? "current"
-         : standing == CalendarStanding::kStale
+        (standing == CalendarFreshness::kNone      ? "none in force"
+         : standing == CalendarFreshness::kCurrent ? "current"
+         : standing == CalendarFreshness::kStale
              ? "not read lately, the last known hold"
              : "too old, no work that they name starts"));
   }
@@ -223,8 +225,9 @@
   if (calendar_.empty()) return;
   for (auto& [id, job] : jobs_) {
     if (!job->live() || !calendar_.Names(job->spec(), TierOf(*job))) continue;
-    if (job->unplaced() > 0) NoteHeld(*job, VerdictOf(*job, now), now);
-    if (job->holding() > 0) TakeBack(*job, now);
+    if (job->unplaced() > 0)
+      LogAdmissionChange(*job, AdmissionOf(*job, now), now);
+    if (job->holding() > 0) WithdrawQueuedStarts(*job, now);
   }
 }
 
--- a/core/controller/tiers.cc
+++ b/core/leader/priority_tiers.cc
@@ -2,18 +2,18 @@
 
 #include <algorithm>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 
-void Controller::UseTiers(std::shared_ptr<const TierSet> set) {
+void Leader::UseTiers(std::shared_ptr<const TierSet> set) {
   if (!tiers_.Use(std::move(set))) return;
   tiers_.ForgetHeld();
   for (auto& [id, job] : jobs_) {
     job->tier = tiers_.Classify(job->spec());
   }
   for (const auto& m : machines_) {
-    for (const auto& [key, r] : m->residents) {
+    for (const auto& [key, r] : m->task_attempts) {
       if (r.holds) tiers_.Hold(r.job->tier, r.need);
     }
   }
@@ -22,9 +22,9 @@
   dirty_ = true;
 }
 
-void Controller::BeginTiers(const std::vector<Job*>& order,
-                            const std::vector<Machine*>& usable, bool accounted,
-                            Time now) {
+void Leader::BeginTiers(const std::vector<Job*>& order,
+                        const std::vector<Machine*>& usable, bool accounted,
+                        Time now) {
   over_share_.clear();
   if (!tiers_.active()) return;
   TierView view;
@@ -38,14 +38,14 @@
                             job->placed() + job->done() > 0});
   }
   // Before each machine has been heard, nobody knows what is missing.
-  const double settled = 3 * settings_.workers.lease_s;
+  const double settled = 3 * settings_.workers.lease_seconds;
   for (const auto& [id, job] : jobs_) {
     if (!accounted || job->tier != 0 || !job->live() ||
         job->spec().kind != JobKind::kService ||
         now - job->queued_since() < settled) {
       continue;
     }
-    view.best_wanted += job->placed() + Wanted(*job);
+    view.best_wanted += job->placed() + StartableTasks(*job);
     view.best_placed += job->placed();
     view.best_running += job->running();
   }
@@ -62,7 +62,7 @@
   }
 }
 
-bool Controller::TierAllows(const Job& job, const Machine& m) const {
+bool Leader::TierAllows(const Job& job, const Machine& m) const {
   const JobSpec& spec = job.spec();
   if (tiers_.MayUse(job, job.tier, m.zone, spec.need,
                     m.BytesToFetch(spec.image, spec.image_gb) > 0)) {
@@ -70,17 +70,17 @@
   }
   // Room that was made for the job by stopping others is its own: refused here,
   // they would have been stopped for nothing.
-  return spec.need.FitsIn(HeldFor(job, m));
+  return spec.need.FitsIn(ReservedFor(job, m));
 }
 
-bool Controller::TakesKept(const Job& job, const Machine& m,
-                           const EvictionPlan& plan) const {
+bool Leader::UsesReservedHeadroom(const Job& job, const Machine& m,
+                                  const PreemptionPlan& plan) const {
   const JobSpec& spec = job.spec();
   return plan.victims.empty() && spec.need.FitsIn(m.free()) &&
          !TierAllows(job, m);
 }
 
-void Controller::SurveyTiers() {
+void Leader::SurveyTiers() {
   if (!tiers_.active()) return;
   for (size_t place = 0; place < tiers_.set().size(); ++place) {
     const auto tier = static_cast<uint8_t>(place);
@@ -102,14 +102,14 @@
   }
 }
 
-void Controller::SetKeptAside(SupplyInput& input) const {
+void Leader::ReserveTierHeadroom(AutoscalerInput& input) const {
   if (!tiers_.active()) return;
   uint8_t last = 0;
   for (const auto& [id, job] : jobs_) {
     if (job->live() && job->unplaced() > 0) last = std::max(last, job->tier);
   }
   std::map<std::string, Resources> kept;
-  for (SupplyRoom& room : input.rooms) {
+  for (PoolCapacity& room : input.rooms) {
     const auto [it, first] = kept.try_emplace(room.kind.zone);
     if (first) it->second = tiers_.KeptAgainst(last, room.kind.zone);
     const Resources aside =
--- a/core/controller/queue_order.h
+++ b/core/leader/queue_ranking.h
@@ -14,14 +14,14 @@
 namespace oxbow {
 
 // What the users expect of a class, each ascending.
-struct ClassAims {
+struct ClassSlos {
   std::vector<double> deadline_times;  // multiples of the job's deadline
   std::vector<double> start_within;    // s
   std::vector<double> finish_within;   // s
 };
 
 // A job's place in the queue, least first; then by age, then by id.
-struct QueuePlace {
+struct QueuePosition {
   int rank = 0;  // by priority and guarantee
   // Of the operators, within the rank: a tier comes before another where
   // neither job could stop the other. What was started against that would be
@@ -33,7 +33,7 @@
   // much as shows that it has begun.
   bool by_minimum_share = false;
 
-  bool Before(const QueuePlace& o) const {
+  bool Before(const QueuePosition& o) const {
     if (rank != o.rank) return rank < o.rank;
     if (tier != o.tier) return tier < o.tier;
     if (group != o.group) return group < o.group;
@@ -41,37 +41,38 @@
   }
 };
 
-class QueueOrder {
+class QueueRanking {
  public:
-  QueueOrder(const Settings& settings, const Tuning& tuning);
+  QueueRanking(const Settings& settings, const Tuning& tuning);
 
-  const ClassAims& AimsOf(const JobSpec& spec) const;
+  const ClassSlos& SlosOf(const JobSpec& spec) const;
   // How soon the class's tasks are to start, s; for ever if nobody has said.
-  double WaitAim(const JobSpec& spec) const;
+  double WaitSloSeconds(const JobSpec& spec) const;
 
   // By when such a job should be complete; never, without a deadline.
-  DueTimes DueOf(const JobSpec& spec, Time submitted) const;
+  DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const;
 
   void Seen(const JobSpec& spec) { sizes_.Seen(spec.job_class, spec.tasks); }
   // `run_s`: what a task of it takes, as far as known.
-  QueuePlace PlaceOf(const Job& job, double run_s, Time now) const;
+  QueuePosition PositionOf(const Job& job, double run_seconds, Time now) const;
   // A gang has been placed whole, from that place in the queue.
-  void Placed(const Job& job, const QueuePlace& from, Time now);
+  void Placed(const Job& job, const QueuePosition& from, Time now);
 
   // How many tasks an array may start at once when it goes first by the minimum
   // share.
-  static uint32_t FirstShare(const JobSpec& spec);
+  static uint32_t MinimumShareOf(const JobSpec& spec);
 
  private:
   // By the rules' four minutes, 0 when they are not asked for.
   bool HasMinimumShare(const Job& job, Time now) const;
-  void ArrayPlace(const Job& job, double run_s, Time now,
-                  QueuePlace* out) const;
-  void GangPlace(const Job& job, double run_s, Time now, QueuePlace* out) const;
+  void ArrayPlace(const Job& job, double run_seconds, Time now,
+                  QueuePosition* out) const;
+  void GangPlace(const Job& job, double run_seconds, Time now,
+                 QueuePosition* out) const;
   static double WorkOf(const Job& job);
 
-  const double begin_within_s_;
-  std::map<std::string, ClassAims> aims_;  // by class
+  const double begin_within_seconds_;
+  std::map<std::string, ClassSlos> slos_;  // by class
   LargestSizes sizes_;
   FairQueueing fair_queueing_;
 };
--- a/core/controller/restore.cc
+++ b/core/leader/reconciliation.cc
@@ -1,17 +1,17 @@
-// After the state service has lost data: what is owed to it is written back,
+// After the key-value store has lost data: what is owed to it is written back,
 // and what has no record is left alone. See docs/recovery.md.
 
 #include <algorithm>
 #include <utility>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 namespace {
 
 // A job that is remembered alive, and whose end has been read since, goes back
 // as one that has ended.
-Record OwedRecord(const Catalog& catalog, const WriteOp& op) {
+Record PendingRecord(const Catalog& catalog, const WriteOp& op) {
   Record record = catalog.RecordOf(op.name);
   auto* job = std::get_if<JobRecord>(&record);
   if (job != nullptr && job->terminal_state == TerminalState::kNone) {
@@ -19,58 +19,59 @@
         catalog.FindTerminalState(op.name.substr(keys::kJob.size()));
   }
   if (job != nullptr && job->terminal_state != TerminalState::kNone) {
-    *job = EndedRecord(*job, job->terminal_state, op.compact);
+    *job = TerminatedRecord(*job, job->terminal_state, op.compact);
   }
   return record;
 }
 
 }  // namespace
 
-std::vector<Condition> Controller::Mandate(const Catalog& catalog,
-                                           uint64_t revision) {
-  std::vector<Condition> mandate{{std::string(keys::kLeader), revision}};
+std::vector<Precondition> Leader::LeadershipPreconditions(
+    const Catalog& catalog, uint64_t revision) {
+  std::vector<Precondition> leadership_preconditions{
+      {std::string(keys::kLeader), revision}};
   // Without it, a write that is applied after the service has stepped back
   // could find the leader key at the same revision by chance.
   if (catalog.epoch().number > 0) {
-    auto [key, stamp] = catalog.Guard();
-    mandate.push_back({std::move(key), stamp});
+    auto [key, mod_revision] = catalog.Guard();
+    leadership_preconditions.push_back({std::move(key), mod_revision});
   }
-  return mandate;
+  return leadership_preconditions;
 }
 
 // A task that runs without a record: either its job has ended, which is known
 // or can be read, or its record is lost, and killing it would be the loss of
 // the work as well.
-bool Controller::MayDropUnknown(const Resident& r, Time now) {
-  if (!Careful() ||
+bool Leader::MayStopUnknownTask(const TaskAttempt& r, Time now) {
+  if (!RecoveryEnabled() ||
       catalog_.FindTerminalState(r.job_id) != TerminalState::kNone) {
     return true;
   }
   const auto [asked, first] = asked_jobs_.try_emplace(r.job_id, now);
   if (first || now >= asked->second) {
-    asked->second = now + settings_.workers.lease_s;
-    actions_.push_back(AskJob{r.job_id});
+    asked->second = now + settings_.workers.lease_seconds;
+    actions_.push_back(RequestJobRecord{r.job_id});
   }
   return false;
 }
 
-Resources Controller::OrphanBound() const {
+Resources Leader::OrphanedTasksUpperBound() const {
   Resources bound;
   for (const auto& m : machines_) {
-    if (m->orphans > 0) bound += m->total();
+    if (m->orphaned_tasks > 0) bound += m->total();
   }
   return bound;
 }
 
-bool Controller::ViewOrphans(const std::string& id, JobView* out) const {
+bool Leader::ViewOrphanedTasks(const std::string& id, JobView* out) const {
   bool there = false;
   out->done = 0;
   out->running = 0;
   for (const auto& m : machines_) {
-    if (m->orphans == 0) continue;
-    for (auto r = m->residents.lower_bound({id, 0, 0});
-         r != m->residents.end() && r->first.job_id == id; ++r) {
-      there = there || IsOrphan(r->second);
+    if (m->orphaned_tasks == 0) continue;
+    for (auto r = m->task_attempts.lower_bound({id, 0, 0});
+         r != m->task_attempts.end() && r->first.job_id == id; ++r) {
+      there = there || IsOrphaned(r->second);
       out->running += r->second.phase == TaskPhase::kRunning;
     }
   }
@@ -78,16 +79,16 @@
   return there;
 }
 
-std::vector<std::string> Controller::Alarms() const {
+std::vector<std::string> Leader::Alarms() const {
   std::vector<std::string> alarms = liveness_.Alarms();
-  int orphans = 0;
-  for (const auto& m : machines_) orphans += m->orphans;
-  if (orphans > 0) {
-    alarms.push_back(std::to_string(orphans) +
+  int orphaned_tasks = 0;
+  for (const auto& m : machines_) orphaned_tasks += m->orphaned_tasks;
+  if (orphaned_tasks > 0) {
+    alarms.push_back(std::to_string(orphaned_tasks) +
                      " tasks run whose jobs have no record");
   }
-  if (!catalog_.owed().empty()) {
-    alarms.push_back(std::to_string(catalog_.owed().size()) +
+  if (!catalog_.pending_writes().empty()) {
+    alarms.push_back(std::to_string(catalog_.pending_writes().size()) +
                      " records are still to be written back");
   }
   if (writes_.set_aside() > 0) {
@@ -104,7 +105,7 @@
 
 // Machines first: a leader that takes over has to know where to look. Then
 // live services, then all else that users wait for.
-std::vector<std::string> Controller::RestoreOrder() const {
+std::vector<std::string> Leader::ReconciliationOrder() const {
   const auto rank = [this](const std::string& key) {
     if (key.starts_with(keys::kMachine)) return 0;
     if (!key.starts_with(keys::kJob)) return 3;
@@ -113,7 +114,7 @@
                                                                           : 2;
   };
   std::vector<std::pair<int, std::string>> ranked;
-  for (const auto& [key, version] : catalog_.owed()) {
+  for (const auto& [key, version] : catalog_.pending_writes()) {
     ranked.emplace_back(rank(key), key);
   }
   std::sort(ranked.rbegin(), ranked.rend());
@@ -123,14 +124,14 @@
   return order;
 }
 
-void Controller::OnEndsOwed(
+void Leader::OnUnrecordedTerminalStates(
     std::vector<std::pair<std::string, TerminalState>> ends, bool whole) {
-  ends_owed_ = std::move(ends);
-  ends_compared_ = true;
-  memory_whole_ = whole;
+  unrecorded_terminal_states_ = std::move(ends);
+  terminal_states_compared_ = true;
+  retained_records_complete_ = whole;
 }
 
-void Controller::TickRestore(Time now) {
+void Leader::TickReconciliation(Time now) {
   // The picture against the records, once a lease: a record that came past
   // every event (its hint lost, its job taken in while this leader took office)
   // runs all the same, an end that was read on the side ends its job, and a job
@@ -139,7 +140,7 @@
   // of them among those that are asked about.
   const auto [next, first] = asked_jobs_.try_emplace("", now);
   if (now >= next->second) {
-    next->second = now + settings_.workers.lease_s;
+    next->second = now + settings_.workers.lease_seconds;
     std::vector<std::string> news;
     for (const auto& [id, record] : catalog_.jobs()) {
       const auto it = jobs_.find(id);
@@ -152,7 +153,7 @@
     for (const std::string& id : news) OnJobRecord(id, now);
     std::vector<std::string> waiting;
     for (const auto& [id, record] : catalog_.waiting()) {
-      if (chains_.Find(id) == nullptr) waiting.push_back(id);
+      if (dependency_graph_.Find(id) == nullptr) waiting.push_back(id);
     }
     for (const std::string& id : waiting) OnWaitingRecord(id, now);
     std::vector<std::pair<std::string, TerminalState>> ended;
@@ -165,90 +166,96 @@
       const TerminalState end = catalog_.FindTerminalState(id);
       if (end != TerminalState::kNone) {
         ended.emplace_back(id, end);
-      } else if (Careful()) {
-        actions_.push_back(AskJob{id});
+      } else if (RecoveryEnabled()) {
+        actions_.push_back(RequestJobRecord{id});
       }
     }
     for (const auto& [id, end] : ended) OnTerminalStateRecorded(id, end, now);
   }
   // After the rebuild nothing is owed, but by one that had no part in it and
   // leads before it has handed in what it remembers.
-  if (catalog_.epoch().rebuilt && catalog_.owed().empty()) return;
+  if (catalog_.epoch().rebuilt && catalog_.pending_writes().empty()) return;
   // What is going on comes first; this fills the rest of the transactions.
-  const auto batch = static_cast<size_t>(settings_.state.txn_ops);
+  const auto batch = static_cast<size_t>(settings_.store.txn_ops);
   if (writes_.waiting() >= batch) return;
-  if (restore_.empty()) restore_ = RestoreOrder();
+  if (reconciliation_queue_.empty())
+    reconciliation_queue_ = ReconciliationOrder();
   size_t queued = 0;
-  while (!restore_.empty() && queued < batch) {
-    writes_.Queue({WriteKind::kRestore, restore_.back()}, /*lazy=*/true);
-    restore_.pop_back();
+  while (!reconciliation_queue_.empty() && queued < batch) {
+    writes_.Queue({WriteKind::kReconcileRecord, reconciliation_queue_.back()},
+                  /*lazy=*/true);
+    reconciliation_queue_.pop_back();
     ++queued;
   }
-  while (restore_.empty() && !ends_owed_.empty() && queued < batch) {
-    auto& [id, state] = ends_owed_.back();
-    writes_.Queue({WriteKind::kRestoreTerminalState, id, state}, /*lazy=*/true);
-    ends_owed_.pop_back();
+  while (reconciliation_queue_.empty() &&
+         !unrecorded_terminal_states_.empty() && queued < batch) {
+    auto& [id, state] = unrecorded_terminal_states_.back();
+    writes_.Queue({WriteKind::kReconcileTerminalState, id, state},
+                  /*lazy=*/true);
+    unrecorded_terminal_states_.pop_back();
     ++queued;
   }
-  if (queued == 0 && ends_compared_ && catalog_.owed().empty() &&
-      writes_.waiting() == 0) {
-    writes_.Queue({WriteKind::kRebuilt, "epoch"}, /*lazy=*/true);
+  if (queued == 0 && terminal_states_compared_ &&
+      catalog_.pending_writes().empty() && writes_.waiting() == 0) {
+    writes_.Queue({WriteKind::kCompleteReconciliation, "epoch"}, /*lazy=*/true);
   }
   writes_.Flush(now);
 }
 
-bool Controller::BuildRestore(const WriteOp& op, WriteTransaction* txn) const {
+bool Leader::BuildReconciliationWrite(const WriteOp& op,
+                                      CompareAndSwap* txn) const {
   switch (op.kind) {
-    case WriteKind::kRestore: {
-      if (!catalog_.owed().contains(op.name)) return false;
+    case WriteKind::kReconcileRecord: {
+      if (!catalog_.pending_writes().contains(op.name)) return false;
       // Something newer goes into this very transaction, and would be undone.
-      if (std::any_of(txn->changes.begin(), txn->changes.end(),
-                      [&](const KeyChange& c) { return c.key == op.name; })) {
+      if (std::any_of(txn->mutations.begin(), txn->mutations.end(),
+                      [&](const Mutation& c) { return c.key == op.name; })) {
         return false;
       }
-      const Record record = OwedRecord(catalog_, op);
+      const Record record = PendingRecord(catalog_, op);
       const uint64_t there = std::visit(
           [](const auto& r) -> uint64_t {
-            if constexpr (requires { r.stamp; }) {
-              return r.stamp;
+            if constexpr (requires { r.mod_revision; }) {
+              return r.mod_revision;
             } else {
               return 0;
             }
           },
           record);
       if (std::holds_alternative<std::monostate>(record)) return false;
-      txn->conditions.push_back({op.name, there});
+      txn->preconditions.push_back({op.name, there});
       // Carried out late, after the job has ended and moved, it would let it
       // live again.
       const auto* job = std::get_if<JobRecord>(&record);
       if (job != nullptr && job->terminal_state == TerminalState::kNone) {
-        txn->conditions.push_back(
+        txn->preconditions.push_back(
             {keys::Of(keys::kTerminal, op.name.substr(keys::kJob.size())), 0});
       }
       // Likewise, after the job was released or cancelled, it would wait again.
       if (std::holds_alternative<WaitingRecord>(record)) {
         const std::string id = op.name.substr(keys::kWaiting.size());
         if (catalog_.FindWaiting(id) == nullptr) return false;
-        txn->conditions.push_back({keys::Of(keys::kJob, id), 0});
-        txn->conditions.push_back({keys::Of(keys::kTerminal, id), 0});
+        txn->preconditions.push_back({keys::Of(keys::kJob, id), 0});
+        txn->preconditions.push_back({keys::Of(keys::kTerminal, id), 0});
       }
-      txn->changes.push_back({op.name, record});
+      txn->mutations.push_back({op.name, record});
       return true;
     }
-    case WriteKind::kRestoreTerminalState: {
-      const TerminalRecord known = catalog_.FindEnd(op.name);
-      txn->changes.push_back(
+    case WriteKind::kReconcileTerminalState: {
+      const TerminalRecord known = catalog_.FindTerminalRecord(op.name);
+      txn->mutations.push_back(
           {keys::Of(keys::kTerminal, op.name),
            TerminalRecord{op.terminal_state, known.tasks, 0}});
       return true;
     }
-    case WriteKind::kRebuilt: {
+    case WriteKind::kCompleteReconciliation: {
       StoreEpoch epoch = catalog_.epoch();
       if (epoch.rebuilt) return false;
-      txn->conditions.push_back({std::string(keys::kEpoch), epoch.stamp});
+      txn->preconditions.push_back(
+          {std::string(keys::kEpoch), epoch.mod_revision});
       epoch.rebuilt = true;
-      epoch.whole = memory_whole_;
-      txn->changes.push_back({std::string(keys::kEpoch), epoch});
+      epoch.whole = retained_records_complete_;
+      txn->mutations.push_back({std::string(keys::kEpoch), epoch});
       return true;
     }
     default:
@@ -256,20 +263,20 @@
   }
 }
 
-void Controller::RestoreDone(const WriteOp& op, uint64_t revision) {
+void Leader::OnReconciliationWritten(const WriteOp& op, uint64_t revision) {
   if (revision == 0) return;
-  if (op.kind == WriteKind::kRestore) {
-    catalog_.Put(op.name, OwedRecord(catalog_, op), revision);
+  if (op.kind == WriteKind::kReconcileRecord) {
+    catalog_.Put(op.name, PendingRecord(catalog_, op), revision);
     if (op.name.starts_with(keys::kJob)) {
       const std::string id = op.name.substr(keys::kJob.size());
       if (catalog_.waiting().contains(id)) {
         writes_.Queue({WriteKind::kTidyWaiting, id}, /*lazy=*/true);
       }
     }
-  } else if (op.kind == WriteKind::kRebuilt) {
+  } else if (op.kind == WriteKind::kCompleteReconciliation) {
     StoreEpoch epoch = catalog_.epoch();
     epoch.rebuilt = true;
-    epoch.whole = memory_whole_;
+    epoch.whole = retained_records_complete_;
     catalog_.Put(std::string(keys::kEpoch), epoch, revision);
     Log("everything that is remembered stands in the state service again");
   }
