--- a/core/controller/rollouts.cc
+++ b/core/leader/rollouts.cc
@@ -1,11 +1,11 @@
-// Roll-outs on the leader: what they see, what they hold back, what they stop,
+// Rollouts on the leader: what they see, what they hold back, what they stop,
 // and how their steps are recorded.
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 namespace {
@@ -19,18 +19,18 @@
 
 }  // namespace
 
-const Rollout* Controller::FindRollout(const std::string& id) const {
+const Rollout* Leader::FindRollout(const std::string& id) const {
   const auto it = rollouts_.find(id);
   return it == rollouts_.end() ? nullptr : &it->second;
 }
 
-const Rollout* Controller::RolloutOf(const Job& job) const {
+const Rollout* Leader::RolloutOf(const Job& job) const {
   if (in_rollout_.empty()) return nullptr;
   const auto it = in_rollout_.find(job.id());
   return it == in_rollout_.end() ? nullptr : FindRollout(it->second);
 }
 
-uint32_t Controller::Wanted(const Job& job) const {
+uint32_t Leader::StartableTasks(const Job& job) const {
   const Rollout* rollout = RolloutOf(job);
   if (rollout == nullptr) return job.unplaced();
   const uint32_t most = rollout->spec().to == job.id() ? rollout->MostOfNew()
@@ -39,24 +39,25 @@
   return std::min(job.unplaced(), left);
 }
 
-bool Controller::FloorAllows(const ResidentKey& key, const Job& job,
-                             Time now) const {
+bool Leader::DisruptionAllowed(const TaskAttemptKey& key, const Job& job,
+                               Time now) const {
   const Rollout* rollout = RolloutOf(job);
   return rollout == nullptr || !job.live() || rollout->MayStop(key, now);
 }
 
 // A controller that has just accepted a job tells the leader of it ahead of the
-// watch. The roll-out that was declared before the job comes by the watch, so
+// watch. The rollout that was declared before the job comes by the watch, so
 // until that has caught up the job could start whole.
-bool Controller::MayBeRestricted(const Job& job) const {
+bool Leader::MayBeRestricted(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
   }
   const JobRecord* record = catalog_.FindJob(job.id());
-  return record != nullptr && record->stamp > catalog_.followed();
+  return record != nullptr &&
+         record->mod_revision > catalog_.watched_revision();
 }
 
-void Controller::OnRolloutRecord(const std::string& id, Time now) {
+void Leader::OnRolloutRecord(const std::string& id, Time now) {
   const auto known = catalog_.rollouts().find(id);
   if (known == catalog_.rollouts().end()) return;
   const RolloutRecord& record = known->second;
@@ -80,14 +81,14 @@
   dirty_ = true;
 }
 
-void Controller::OnHealth(const std::string& rollout, const ResidentKey& key,
-                          const CheckOutcome& outcome, Time now) {
+void Leader::OnHealth(const std::string& rollout, const TaskAttemptKey& key,
+                      const CheckOutcome& outcome, Time now) {
   --checks_in_flight_;
   const auto it = rollouts_.find(rollout);
   if (it != rollouts_.end()) it->second.OnCheck(key, outcome, now);
 }
 
-RolloutView Controller::ViewOf(const Rollout& rollout, Time now) const {
+RolloutView Leader::ViewOf(const Rollout& rollout, Time now) const {
   RolloutView view;
   const RolloutSpec& spec = rollout.spec();
   for (const bool is_new : {false, true}) {
@@ -102,8 +103,8 @@
     (is_new ? view.to_live : view.from_live) = job.live();
     (is_new ? view.to_tasks : view.from_tasks) = job.size();
     if (is_new) view.to_known = true;
-    for (const auto& [m, key] : ResidentsOf(job)) {
-      const Resident& r = m->residents.at(key);
+    for (const auto& [m, key] : AttemptsOf(job)) {
+      const TaskAttempt& r = m->task_attempts.at(key);
       if (r.phase == TaskPhase::kExited || !IsCurrent(*m, r)) continue;
       InstanceView seen;
       seen.key = key;
@@ -120,9 +121,9 @@
   return view;
 }
 
-void Controller::TickRollouts(Time now) {
+void Leader::TickRollouts(Time now) {
   if (rollouts_.empty() || now < next_rollouts_) return;
-  next_rollouts_ = now + settings_.workers.report_s / 4;
+  next_rollouts_ = now + settings_.workers.heartbeat_interval_seconds / 4;
   // A picture with holes would take unheard instances for missing ones.
   if (!AllAccounted()) return;
   for (auto& [id, rollout] : rollouts_) {
@@ -136,16 +137,16 @@
                      {},
                      *plan.next,
                      plan.reason,
-                     rollout.record().wish});
+                     rollout.record().request});
     }
-    for (const ResidentKey& key : plan.stop) {
+    for (const TaskAttemptKey& key : plan.stop) {
       const auto job = jobs_.find(key.job_id);
       if (job == jobs_.end()) continue;
       const int32_t index = job->second->task(key.task).machine;
       if (index < 0) continue;
       Machine& m = *machines_[static_cast<size_t>(index)];
-      const auto it = m.residents.find(key);
-      if (it == m.residents.end() || it->second.stopping) continue;
+      const auto it = m.task_attempts.find(key);
+      if (it == m.task_attempts.end() || it->second.stopping) continue;
       LogDetail([&, &name = id] {
         return "roll-out " + name + " stops " + key.job_id + "/" +
                std::to_string(key.task) + " on " + m.host();
@@ -162,32 +163,35 @@
 
 // A check costs the leader a connection and some processor time. Without a
 // bound, thousands of instances under check would take the time that its lease
-// and the workers' reports need. What the bound leaves is spread evenly: each
-// instance is checked more seldom, and the belief in its health lasts longer.
-int Controller::ChecksAllowed(Time now) {
-  constexpr double kCost_s = 1e-4;  // of one check: twice what was measured
+// and the workers' heartbeats need. What the bound leaves is spread evenly:
+// each instance is checked more seldom, and the belief in its health lasts
+// longer.
+int Leader::ChecksAllowed(Time now) {
+  constexpr double kCostSeconds =
+      1e-4;  // of one check: twice what was measured
   const double share = settings_.limits.cpu_share * tuning_.rollout_cpu_share;
   const int most =
       std::max(1, static_cast<int>(tuning_.rollout_check_share *
                                    settings_.limits.max_connections));
   if (share <= 0) return most - checks_in_flight_;
-  const double rate = share / kCost_s;
+  const double rate = share / kCostSeconds;
   size_t instances = 0;
   for (const auto& [id, rollout] : rollouts_) instances += rollout.instances();
   for (auto& [id, rollout] : rollouts_) {
     rollout.SetPace(static_cast<double>(instances) / rate);
   }
   // A burst of as much as a tick brings, at least one.
-  const double burst = std::max(1.0, rate * settings_.workers.report_s / 2);
+  const double burst =
+      std::max(1.0, rate * settings_.workers.heartbeat_interval_seconds / 2);
   checks_allowed_ = std::min(
       burst, checks_allowed_ + rate * std::max(0.0, now - checks_counted_));
   checks_counted_ = now;
   return std::min(most - checks_in_flight_, static_cast<int>(checks_allowed_));
 }
 
-void Controller::BeginChecks(Time now) {
+void Leader::BeginChecks(Time now) {
   int room = ChecksAllowed(now);
-  // Each roll-out in turn gets the first pick, so that none starves.
+  // Each rollout in turn gets the first pick, so that none starves.
   std::vector<Rollout*> order;
   for (auto& [id, rollout] : rollouts_) order.push_back(&rollout);
   if (order.empty()) return;
@@ -197,7 +201,7 @@
       order.end());
   for (Rollout* rollout : order) {
     if (room <= 0) return;
-    for (const ResidentKey& key :
+    for (const TaskAttemptKey& key :
          rollout->TakeDue(static_cast<size_t>(room), now)) {
       --room;
       const auto job = jobs_.find(key.job_id);
@@ -217,8 +221,7 @@
   }
 }
 
-RolloutRecord Controller::AfterOp(const RolloutRecord& record,
-                                  const WriteOp& op) {
+RolloutRecord Leader::AfterOp(const RolloutRecord& record, const WriteOp& op) {
   RolloutRecord next = record;
   if (op.step == RolloutStep::kPaused) next.paused_in = next.step;
   next.step = op.step;
@@ -235,28 +238,27 @@
     next.spec = std::move(spec);
   }
   // A wish that came while the step was being written stands.
-  if (next.wish == op.wish) next.wish = RolloutWish::kNone;
+  if (next.request == op.request) next.request = RolloutRequest::kNone;
   return next;
 }
 
-// The end of a roll-out and of the job that it replaces, or takes back, stand
+// The end of a rollout and of the job that it replaces, or takes back, stand
 // in one transaction: the declaration was made by the user of both, and nobody
 // is told of one without the other.
-bool Controller::BuildRolloutOp(const WriteOp& op,
-                                WriteTransaction* txn) const {
+bool Leader::BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const {
   const auto known = catalog_.rollouts().find(op.name);
   if (known == catalog_.rollouts().end() || known->second.step == op.step) {
     return false;
   }
   const RolloutRecord next = AfterOp(known->second, op);
   const std::string key = keys::Of(keys::kRollout, op.name);
-  txn->conditions.push_back({key, known->second.stamp});
+  txn->preconditions.push_back({key, known->second.mod_revision});
   if (!Ended(op.step)) {
-    txn->changes.push_back({key, next});
+    txn->mutations.push_back({key, next});
     return true;
   }
-  txn->changes.push_back({keys::Of(keys::kRolloutEnd, op.name), next});
-  txn->changes.push_back({key, {}});
+  txn->mutations.push_back({keys::Of(keys::kRolloutEnd, op.name), next});
+  txn->mutations.push_back({key, {}});
   const std::string* ends = op.step == RolloutStep::kDone ? &next.spec->from
                             : op.step == RolloutStep::kRolledBack
                                 ? &next.spec->to
@@ -264,14 +266,14 @@
   const JobRecord* job = ends ? catalog_.FindJob(*ends) : nullptr;
   if (job != nullptr && job->terminal_state == TerminalState::kNone) {
     const std::string job_key = keys::Of(keys::kJob, *ends);
-    txn->conditions.push_back({job_key, job->stamp});
-    txn->changes.push_back(
-        {job_key, EndedRecord(*job, TerminalState::kAborted, op.compact)});
+    txn->preconditions.push_back({job_key, job->mod_revision});
+    txn->mutations.push_back(
+        {job_key, TerminatedRecord(*job, TerminalState::kAborted, op.compact)});
   }
   return true;
 }
 
-void Controller::RolloutOpDone(const WriteOp& op, uint64_t revision, Time now) {
+void Leader::RolloutOpDone(const WriteOp& op, uint64_t revision, Time now) {
   const auto it = rollouts_.find(op.name);
   if (revision > 0) {
     const auto known = catalog_.rollouts().find(op.name);
@@ -300,9 +302,10 @@
       job->second->live()) {
     if (revision > 0) {
       if (const JobRecord* record = catalog_.FindJob(ends)) {
-        catalog_.Put(keys::Of(keys::kJob, ends),
-                     EndedRecord(*record, TerminalState::kAborted, op.compact),
-                     revision);
+        catalog_.Put(
+            keys::Of(keys::kJob, ends),
+            TerminatedRecord(*record, TerminalState::kAborted, op.compact),
+            revision);
       }
     }
     job->second->Change(JobState::kRecordingAbort);
--- a/core/controller/schedule.cc
+++ b/core/leader/scheduling.cc
@@ -4,13 +4,13 @@
 #include <tuple>
 #include <utility>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 
 // A job is within its team's guarantee if it fits into it together with the
 // team's earlier unfinished jobs.
-void Controller::ComputeGuarantees() {
+void Leader::ComputeGuaranteedJobs() {
   std::vector<Job*> order;
   for (auto& [id, job] : jobs_) {
     job->within_guarantee = false;
@@ -22,9 +22,9 @@
     }
     return a->id() < b->id();
   });
-  std::vector<Resources> sum(teams_.size());
+  std::vector<Resources> sum(quotas_.size());
   for (Job* job : order) {
-    const TeamSettings& team = teams_[job->team()].settings;
+    const TeamQuota& team = quotas_[job->team()].settings;
     if (team.cpus <= 0 && team.gpus <= 0) continue;
     Resources& used = sum[job->team()];
     used += job->spec().need * (job->size() - job->done());
@@ -32,32 +32,33 @@
   }
 }
 
-bool Controller::Placeable(const Job& job, Time now, bool accounted) const {
-  if (!job.live() || Wanted(job) == 0 || now < job.not_before) return false;
+bool Leader::Placeable(const Job& job, Time now, bool accounted) const {
+  if (!job.live() || StartableTasks(job) == 0 || now < job.not_before)
+    return false;
   if (MayBeRestricted(job)) return false;
-  if (!calendar_.empty() && !VerdictOf(job, now).may()) return false;
+  if (!calendar_.empty() && !AdmissionOf(job, now).may()) return false;
   if (accounted) return true;
   // Tasks of a job accepted under this leader are nowhere else. In a capped
   // team, unheard machines may hold what fills the limit.
-  return !job.from_before && (job.team() < 0 || !teams_[job.team()].capped());
+  return !job.from_before && (job.team() < 0 || !quotas_[job.team()].capped());
 }
 
-bool Controller::Team::LimitAllows(const Resources& want) const {
+bool Leader::QuotaUsage::LimitAllows(const Resources& want) const {
   constexpr double kEpsilon = 1e-6;
   return (settings.cpus_max <= 0 ||
           want.cpus <= settings.cpus_max + kEpsilon) &&
          (settings.gpus_max <= 0 || want.gpus <= settings.gpus_max + kEpsilon);
 }
 
-bool Controller::TeamAllows(const Job& job, double tasks) const {
+bool Leader::QuotaAllows(const Job& job, double tasks) const {
   if (job.team() < 0) return true;
-  const Team& team = teams_[job.team()];
-  return team.LimitAllows(team.used + team.held + team.orphans +
+  const QuotaUsage& team = quotas_[job.team()];
+  return team.LimitAllows(team.used + team.held + team.orphaned_tasks +
                           job.spec().need * tasks);
 }
 
-Footprint Controller::Where(const Job& job) const {
-  Footprint where;
+ZoneSpread Leader::ZoneSpreadOf(const Job& job) const {
+  ZoneSpread where;
   if (job.spec().spread || job.spec().one_zone ||
       job.spec().kind == JobKind::kService) {
     for (const auto& [index, presence] : job.presence()) {
@@ -68,25 +69,25 @@
   return where;
 }
 
-int Controller::CountOn(const Job& job, const Machine& m) const {
+int Leader::CountOn(const Job& job, const Machine& m) const {
   const auto it = job.presence().find(m.index());
   return it == job.presence().end() ? 0 : it->second.holding;
 }
 
-void Controller::ScheduleIfNeeded(Time now) {
+void Leader::ScheduleIfNeeded(Time now) {
   if (!dirty_ || resigned_ || types_.empty()) return;
   // Live services are placed at once, the rest in batches: a pass over
   // everything for each exit of a short task would cost more than it gains.
   if (!urgent_dirty_ && now < next_schedule_) return;
-  next_schedule_ = now + 0.06 * settings_.workers.report_s;
+  next_schedule_ = now + 0.06 * settings_.workers.heartbeat_interval_seconds;
   dirty_ = urgent_dirty_ = false;
   const bool accounted = AllAccounted();
-  ComputeGuarantees();
+  ComputeGuaranteedJobs();
   CountWindows();
-  const Resources orphans = OrphanBound();
-  for (Team& team : teams_) {
+  const Resources orphaned_tasks = OrphanedTasksUpperBound();
+  for (QuotaUsage& team : quotas_) {
     team.held = {};
-    team.orphans = orphans;
+    team.orphaned_tasks = orphaned_tasks;
   }
   part_is_held_ = false;
   fragmentation_.Settle(now);
@@ -99,7 +100,7 @@
   std::vector<Machine*> alive;
   for (auto& m : machines_) {
     std::erase_if(m->reservations, [&](const Reservation& r) {
-      return now > r.until || !r.job->live() || Wanted(*r.job) == 0;
+      return now > r.until || !r.job->live() || StartableTasks(*r.job) == 0;
     });
     if (m->state() == MachineState::kGone) continue;
     alive.push_back(m.get());
@@ -107,14 +108,15 @@
   }
   BeginTiers(order, usable, accounted, now);
   struct Entry {
-    QueuePlace place;
+    QueuePosition place;
     Job* job;
   };
   std::vector<Entry> entries;
   entries.reserve(order.size());
   for (Job* job : order) {
-    QueuePlace where = queue_order_.PlaceOf(*job, RunSeconds(job->spec()), now);
-    where.tier = tiers_.Order(*job, job->tier);
+    QueuePosition where =
+        queue_ranking_.PositionOf(*job, RunSeconds(job->spec()), now);
+    where.tier = tiers_.RankOf(*job, job->tier);
     // What has waited for its minimum share comes next after the best tier.
     if (where.by_minimum_share) where.tier = std::min(where.tier, 1);
     entries.push_back({where, job});
@@ -127,7 +129,7 @@
     }
     return a.job->id() < b.job->id();
   });
-  HoldClaims(now);
+  ReserveMoveTargets(now);
   const double bandwidth = MeanBandwidth(alive);
   const auto place = [&](const Entry& entry) {
     Job* job = entry.job;
@@ -148,35 +150,34 @@
   large_waiting_.clear();
   constexpr size_t kMostLarge = 4;
   for (const Entry& entry : entries) {
-    if (!mover_ || large_waiting_.size() >= kMostLarge) break;
+    if (!rebalancer_ || large_waiting_.size() >= kMostLarge) break;
     const Job& job = *entry.job;
-    const uint32_t wanted = Wanted(job);
+    const uint32_t wanted = StartableTasks(job);
     if (job.spec().need.gpus > 0 && wanted > 0 &&
-        TeamAllows(job, job.spec().kind == JobKind::kGang ? wanted : 1)) {
+        QuotaAllows(job, job.spec().kind == JobKind::kGang ? wanted : 1)) {
       large_waiting_.push_back(job.id());
     }
   }
-  for (Machine* m : usable) Pump(*m, now);
+  for (Machine* m : usable) DispatchCommands(*m, now);
 }
 
-Machine* Controller::FindPlace(const Job& job,
-                               const std::vector<Machine*>& usable,
-                               const Footprint& where, double bandwidth) {
+Machine* Leader::FindPlace(const Job& job, const std::vector<Machine*>& usable,
+                           const ZoneSpread& where, double bandwidth) {
   const JobSpec& spec = job.spec();
   std::vector<Machine*> fitting;
   for (Machine* m : usable) {
-    if (spec.need.FitsIn(m->RoomFor(&job, job.priority())) &&
+    if (spec.need.FitsIn(m->CapacityFor(&job, job.priority())) &&
         Allowed(spec, *m, where) && TierAllows(job, *m)) {
       fitting.push_back(m);
     }
   }
   return placer_.Choose(
       job, fitting, where, [&](const Machine& m) { return CountOn(job, m); },
-      bandwidth, queue_order_.WaitAim(spec));
+      bandwidth, queue_ranking_.WaitSloSeconds(spec));
 }
 
-void Controller::Start(Job& job, uint32_t task, Machine& m, uint64_t attempt,
-                       Time now) {
+void Leader::Start(Job& job, uint32_t task, Machine& m, uint64_t attempt,
+                   Time now) {
   const JobSpec& spec = job.spec();
   LogDetail([&] {
     return "start " + spec.id + "/" + std::to_string(task) + " on " + m.host() +
@@ -186,20 +187,20 @@
                                                             : "queued") +
            ", waited " + std::to_string(now - job.queued_since()) + " s";
   });
-  Resident r;
+  TaskAttempt r;
   r.job = &job;
   r.job_id = spec.id;
   r.task = task;
   r.attempt = attempt;
-  r.order = StartOrder::kQueued;
+  r.start_progress = StartProgress::kQueued;
   r.started = now;
   m.idle_since = 0;
   tiers_.Take(m.zone, spec.need);
   tiers_.Started(job, job.tier, m.zone, spec.need,
                  m.BytesToFetch(spec.image, spec.image_gb) > 0, now);
   m.QueueImage(spec.image, spec.image_gb, now);
-  m.queue.push_back({OrderKind::kStart, spec.id, task, attempt, 0});
-  Put(m, std::move(r), /*there=*/true);
+  m.queue.push_back({CommandKind::kStart, spec.id, task, attempt, 0});
+  AddAttempt(m, std::move(r), /*there=*/true);
   job.Place(task, m.index(), attempt);
   for (auto& [id, used] : in_window_) {
     if (calendar_.InWindow(id, spec, TierOf(job))) used += spec.need;
@@ -208,7 +209,7 @@
   DropReservation(&job, &m);
 }
 
-void Controller::DropReservation(const Job* job, Machine* m) {
+void Leader::DropReservation(const Job* job, Machine* m) {
   const auto mine = [&](const Reservation& r) { return r.job == job; };
   if (m == nullptr) {
     for (auto& other : machines_) std::erase_if(other->reservations, mine);
@@ -219,58 +220,63 @@
   if (it != m->reservations.end()) m->reservations.erase(it);
 }
 
-std::optional<Machine*> Controller::FindReplicaPlace(
-    Job& job, const std::vector<Machine*>& usable, const Footprint& where,
+std::optional<Machine*> Leader::FindReplicaPlace(
+    Job& job, const std::vector<Machine*>& usable, const ZoneSpread& where,
     double bandwidth, Time now) {
   const JobSpec& spec = job.spec();
-  if (Machine* held = HeldByMove(job, where, now)) return held;
+  if (Machine* held = ReservedByMove(job, where, now)) return held;
   // Exception to the design, "accelerator headroom": a replica stays for
   // long, and one too many on a machine keeps accelerator work off it all
   // that time. Rather than spoil one, it takes the room of short work.
   std::vector<Machine*> sparing;
-  const bool calm = Calm(now);
+  const bool calm = IsQuiescent(now);
   for (Machine* m : usable) {
     // In a calm replicas gather where they spoil nothing any more. Two beside
     // every gang's room had kept sixty machines rented after the last gang.
     // Nor does it break a whole machine while there is fragmented room.
-    if ((calm ? Gathers(*m) : !Spoils(spec, *m, accelerator_shape_)) &&
-        !placer_.Breaks(spec, *m, queue_order_.WaitAim(spec)) &&
+    if ((calm ? IsConsolidationTarget(*m)
+              : !BlocksAcceleratorWork(spec, *m, accelerator_shape_)) &&
+        !placer_.FragmentsWholeMachine(spec, *m,
+                                       queue_ranking_.WaitSloSeconds(spec)) &&
         !DrainedByMove(*m)) {
       sparing.push_back(m);
     }
   }
   Machine* best = FindPlace(job, sparing, where, bandwidth);
   if (best == nullptr) {
-    if (MakeRoom(job, sparing, now)) return std::nullopt;
+    if (ReserveByPreemption(job, sparing, now)) return std::nullopt;
     best = FindPlace(job, usable, where, bandwidth);
   }
   // Exception to the design, "warm start": where the fetch alone would take
   // longer than the class may wait, a machine that has the image goes before
   // any other, and if need be short work makes way on it.
   if (best != nullptr && !best->HasImage(spec.image) &&
-      FetchSeconds(*best, spec, bandwidth) > queue_order_.WaitAim(spec)) {
+      FetchSeconds(*best, spec, bandwidth) >
+          queue_ranking_.WaitSloSeconds(spec)) {
     std::vector<Machine*> warm;
     for (Machine* m : sparing) {
       if (m->HasImage(spec.image)) warm.push_back(m);
     }
     if (Machine* there = FindPlace(job, warm, where, bandwidth)) return there;
-    if (MakeRoom(job, warm, now)) return std::nullopt;
+    if (ReserveByPreemption(job, warm, now)) return std::nullopt;
   }
   return best;
 }
 
-void Controller::PlaceJob(Job& job, const QueuePlace& from,
-                          const std::vector<Machine*>& usable, double bandwidth,
-                          Time now) {
-  Footprint where = Where(job);
+void Leader::PlaceJob(Job& job, const QueuePosition& from,
+                      const std::vector<Machine*>& usable, double bandwidth,
+                      Time now) {
+  ZoneSpread where = ZoneSpreadOf(job);
   int64_t task;
-  uint32_t left =
-      from.by_minimum_share ? QueueOrder::FirstShare(job.spec()) : UINT32_MAX;
-  while (left > 0 && Wanted(job) > 0 && (task = job.PeekPending()) >= 0) {
+  uint32_t left = from.by_minimum_share
+                      ? QueueRanking::MinimumShareOf(job.spec())
+                      : UINT32_MAX;
+  while (left > 0 && StartableTasks(job) > 0 &&
+         (task = job.PeekPending()) >= 0) {
     if (!WindowAllows(job, 1)) return;
-    if (!TeamAllows(job, 1)) {
+    if (!QuotaAllows(job, 1)) {
       if (job.spec().kind == JobKind::kService) {
-        MakeTeamRoom(job, Wanted(job), now);
+        PreemptWithinQuota(job, StartableTasks(job), now);
       }
       return;
     }
@@ -288,7 +294,7 @@
       m = FindPlace(job, usable, where, bandwidth);
     }
     if (m == nullptr) {
-      MakeRoom(job, usable, now);
+      ReserveByPreemption(job, usable, now);
       return;
     }
     // With a task of an array there the machine has the image queued and is
@@ -296,13 +302,13 @@
     // 25,000 tasks, the choice took the leader longer than its lease.
     uint32_t here = 1;
     if (job.spec().kind == JobKind::kArray) {
-      here =
-          std::max(1u, job.spec().need.TimesIn(m->RoomFor(&job, job.priority()),
-                                               std::min(left, Wanted(job))));
+      here = std::max(
+          1u, job.spec().need.TimesIn(m->CapacityFor(&job, job.priority()),
+                                      std::min(left, StartableTasks(job))));
     }
     for (uint32_t n = 0; n < here; ++n) {
       task = job.PeekPending();
-      if (task < 0 || !TeamAllows(job, 1) || !WindowAllows(job, 1) ||
+      if (task < 0 || !QuotaAllows(job, 1) || !WindowAllows(job, 1) ||
           !Allowed(job.spec(), *m, where) || !TierAllows(job, *m) ||
           (n > 0 && (!tiers_.MayStart(job, job.tier) ||
                      !tiers_.WithinShare(job, job.tier, job.spec().need)))) {
@@ -320,9 +326,9 @@
 
 // Whole or not at all, all tasks under one attempt number, and not before the
 // last task of the attempt before is surely gone.
-void Controller::PlaceGang(Job& job, const QueuePlace& from,
-                           const std::vector<Machine*>& usable,
-                           double bandwidth, Time now) {
+void Leader::PlaceGang(Job& job, const QueuePosition& from,
+                       const std::vector<Machine*>& usable, double bandwidth,
+                       Time now) {
   const JobSpec& spec = job.spec();
   if (job.placed() > 0) {
     // A leader that crashed half-way through the starts, or a task lost: what
@@ -334,8 +340,8 @@
   if (job.holding() > 0) return;
   const uint32_t tasks = job.unplaced();
   if (!WindowAllows(job, tasks)) return;
-  if (!TeamAllows(job, tasks)) {
-    MakeTeamRoom(job, tasks, now);
+  if (!QuotaAllows(job, tasks)) {
+    PreemptWithinQuota(job, tasks, now);
     return;
   }
   if (!tiers_.WithinShare(job, job.tier, spec.need * tasks)) {
@@ -359,14 +365,14 @@
     for (Machine* m : usable) {
       if (zone.empty() || m->zone == zone) there.push_back(m);
     }
-    Footprint where;
+    ZoneSpread where;
     std::vector<Machine*> chosen;
     double fetch = 0;
     // Counted first: choosing is dear, and most zones fall short.
     uint32_t fits = 0;
     for (const Machine* m : there) {
       if (!Allowed(spec, *m, where)) continue;
-      fits += spec.need.TimesIn(m->RoomFor(&job, job.priority()), tasks);
+      fits += spec.need.TimesIn(m->CapacityFor(&job, job.priority()), tasks);
     }
     while (fits >= tasks && chosen.size() < tasks) {
       Machine* m = FindPlace(job, there, where, bandwidth);
@@ -388,12 +394,12 @@
     }
   }
   if (best.empty()) {
-    MakeGangRoom(job, usable, now);
+    ReserveGangByPreemption(job, usable, now);
     return;
   }
   const uint64_t attempt = NextNumber();
   if (attempt == 0) return;
-  queue_order_.Placed(job, from, now);
+  queue_ranking_.Placed(job, from, now);
   for (Machine* m : best) {
     const int64_t task = job.PeekPending();
     job.PopPending();
@@ -402,32 +408,32 @@
   tiers_.TurnUsed(job, job.tier, now);
 }
 
-bool Controller::MayPreempt(const Job& job, const Resident& victim,
-                            Time now) const {
+bool Leader::MayPreempt(const Job& job, const TaskAttempt& victim,
+                        Time now) const {
   if (victim.job == nullptr || victim.job == &job ||
       victim.phase == TaskPhase::kExited) {
     return false;
   }
   const Job& other = *victim.job;
-  if (!FloorAllows(KeyOf(victim), other, now)) return false;
+  if (!DisruptionAllowed(KeyOf(victim), other, now)) return false;
   if (other.priority() > job.priority()) return true;
   // Borrowed room goes back to a team that is within its guarantee.
   if (!job.within_guarantee || other.team() < 0 || other.team() == job.team() ||
       other.priority() == Priority::kProduction) {
     return false;
   }
-  const Team& owner = teams_[other.team()];
+  const QuotaUsage& owner = quotas_[other.team()];
   const bool beyond = owner.used.cpus > owner.settings.cpus ||
                       owner.used.gpus > owner.settings.gpus;
   return beyond && !other.within_guarantee;
 }
 
-double Controller::PreemptionCost(const Resident& victim, Time now) const {
+double Leader::PreemptionCost(const TaskAttempt& victim, Time now) const {
   const JobSpec& spec = victim.job->spec();
   const double ran =
       victim.running_since > 0 ? now - victim.running_since : 0.0;
   const double lost =
-      spec.checkpoint_s > 0 ? std::min(ran, spec.save_s * 2) : ran;
+      spec.checkpoint_seconds > 0 ? std::min(ran, spec.save_seconds * 2) : ran;
   constexpr double kDisturbance = 5.0;  // s: fetch and start again
   const double rank = 1 + (3 - static_cast<int>(spec.priority));
   // One task of a gang takes all of them along.
@@ -437,11 +443,13 @@
          (whole ? spec.tasks : 1);
 }
 
-void Controller::Preempt(Machine& m, Resident& victim, const JobSpec& for_job,
-                         Time now) {
+void Leader::Preempt(Machine& m, TaskAttempt& victim, const JobSpec& for_job,
+                     Time now) {
   const JobSpec& theirs = victim.job->spec();
   const double grace =
-      theirs.checkpoint_s > 0 ? theirs.save_s + settings_.workers.report_s : 0;
+      theirs.checkpoint_seconds > 0
+          ? theirs.save_seconds + settings_.workers.heartbeat_interval_seconds
+          : 0;
   LogDetail([&] {
     return "stop " + victim.job_id + "/" + std::to_string(victim.task) +
            " on " + m.host() + " for " + for_job.id;
@@ -457,19 +465,19 @@
 // Not in vain: where the team's services leave less than a gang needs, holding
 // what they leave kept all other jobs of the team waiting for as long as they
 // ran (docs/incidents/2026-12-02-limit-held-in-vain.md).
-void Controller::MakeTeamRoom(Job& job, uint32_t tasks, Time now) {
-  Team& team = teams_[job.team()];
+void Leader::PreemptWithinQuota(Job& job, uint32_t tasks, Time now) {
+  QuotaUsage& team = quotas_[job.team()];
   Resources room;
   Resources staying;  // what neither ends by itself nor makes way
-  std::vector<std::pair<double, std::pair<Machine*, ResidentKey>>> victims;
+  std::vector<std::pair<double, std::pair<Machine*, TaskAttemptKey>>> victims;
   for (const auto& m : machines_) {
-    for (const auto& [key, r] : m->residents) {
+    for (const auto& [key, r] : m->task_attempts) {
       if (r.job == nullptr || r.job->team() != job.team()) continue;
       if (r.stopping) {
         room += r.need;
       } else if (r.phase != TaskPhase::kExited &&
                  r.job->priority() > job.priority() &&
-                 FloorAllows(key, *r.job, now)) {
+                 DisruptionAllowed(key, *r.job, now)) {
         victims.push_back({PreemptionCost(r, now), {m.get(), key}});
       } else if (r.job->spec().kind == JobKind::kService) {
         staying += r.need;
@@ -486,10 +494,10 @@
     return team.LimitAllows(team.used + team.held + job.spec().need * tasks -
                             room);
   };
-  std::vector<std::pair<Machine*, ResidentKey>> chosen;
+  std::vector<std::pair<Machine*, TaskAttemptKey>> chosen;
   for (const auto& [cost, where] : victims) {
     if (fits()) break;
-    room += where.first->residents.at(where.second).need;
+    room += where.first->task_attempts.at(where.second).need;
     chosen.push_back(where);
   }
   // All or nothing: stopping work without making the room helps nobody.
@@ -497,14 +505,15 @@
   team.held += job.spec().need * tasks;
   if (!enough) return;
   for (const auto& [m, key] : chosen) {
-    const auto it = m->residents.find(key);
-    if (it != m->residents.end() && FloorAllows(key, *it->second.job, now)) {
+    const auto it = m->task_attempts.find(key);
+    if (it != m->task_attempts.end() &&
+        DisruptionAllowed(key, *it->second.job, now)) {
       Preempt(*m, it->second, job.spec(), now);
     }
   }
 }
 
-Resources Controller::HeldFor(const Job& job, const Machine& m) {
+Resources Leader::ReservedFor(const Job& job, const Machine& m) {
   Resources held;
   for (const Reservation& r : m.reservations) {
     if (r.job == &job) held += r.need;
@@ -515,10 +524,12 @@
 // What would have to be stopped on the machine for one more task of the job,
 // when `taken` of its room is spoken for, besides what is on its way out
 // already; nothing if even all would not do.
-std::optional<Controller::EvictionPlan> Controller::PlanEviction(
-    const Job& job, Machine& m, Resources taken, Time now) const {
+std::optional<Leader::PreemptionPlan> Leader::PlanPreemption(const Job& job,
+                                                             Machine& m,
+                                                             Resources taken,
+                                                             Time now) const {
   const JobSpec& spec = job.spec();
-  Resources room = m.RoomFor(&job, job.priority()) + m.leaving - taken;
+  Resources room = m.CapacityFor(&job, job.priority()) + m.leaving - taken;
   // Most machines can be ruled out without a look at each task there.
   const auto rank = static_cast<size_t>(job.priority());
   Resources most = room;
@@ -526,17 +537,17 @@
     if (p > rank || job.within_guarantee) most += m.used_by[p];
   }
   if (!spec.need.FitsIn(most)) return std::nullopt;
-  EvictionPlan plan{&m, 0, {}};
+  PreemptionPlan plan{&m, 0, {}};
   if (spec.need.FitsIn(room)) return plan;
-  std::vector<std::pair<double, ResidentKey>> victims;
-  for (const auto& [key, r] : m.residents) {
+  std::vector<std::pair<double, TaskAttemptKey>> victims;
+  for (const auto& [key, r] : m.task_attempts) {
     if (!r.stopping && MayPreempt(job, r, now)) {
       victims.emplace_back(PreemptionCost(r, now), key);
     }
   }
   std::sort(victims.begin(), victims.end());
   for (const auto& [cost, key] : victims) {
-    room += m.residents.at(key).need;
+    room += m.task_attempts.at(key).need;
     plan.cost += cost;
     plan.victims.push_back(key);
     if (spec.need.FitsIn(room)) return plan;
@@ -544,15 +555,15 @@
   return std::nullopt;
 }
 
-void Controller::CarryOut(const EvictionPlan& plan, const JobSpec& for_job,
-                          Time now) {
+void Leader::ExecutePreemption(const PreemptionPlan& plan,
+                               const JobSpec& for_job, Time now) {
   Machine& m = *plan.machine;
-  for (const ResidentKey& key : plan.victims) {
-    const auto it = m.residents.find(key);
+  for (const TaskAttemptKey& key : plan.victims) {
+    const auto it = m.task_attempts.find(key);
     // A gang's tasks may have been stopped for their place elsewhere, and the
     // victims before this one may have used up what a floor allows.
-    if (it == m.residents.end() || it->second.stopping ||
-        !FloorAllows(key, *it->second.job, now)) {
+    if (it == m.task_attempts.end() || it->second.stopping ||
+        !DisruptionAllowed(key, *it->second.job, now)) {
       continue;
     }
     Preempt(m, it->second, for_job, now);
@@ -561,11 +572,11 @@
 
 // Nothing fits. Picks the machines whose eviction costs least and holds their
 // room for the job, by stopping what may be stopped.
-bool Controller::MakeRoom(Job& job, const std::vector<Machine*>& usable,
-                          Time now) {
+bool Leader::ReserveByPreemption(Job& job, const std::vector<Machine*>& usable,
+                                 Time now) {
   const JobSpec& spec = job.spec();
-  const double hold = 3 * settings_.workers.lease_s;
-  Footprint where = Where(job);
+  const double hold = 3 * settings_.workers.lease_seconds;
+  ZoneSpread where = ZoneSpreadOf(job);
   uint32_t held = 0;
   for (const auto& m : machines_) {
     // Room held where the job can't go any more would only make it wait: the
@@ -580,23 +591,24 @@
     }
     for (const Reservation& r : m->reservations) held += r.job == &job;
   }
-  const uint32_t wanted = std::min(Wanted(job), 40u);
-  std::vector<EvictionPlan> options;
+  const uint32_t wanted = std::min(StartableTasks(job), 40u);
+  std::vector<PreemptionPlan> options;
   if (held < wanted) {
     for (Machine* m : usable) {
       if (!Allowed(spec, *m, where)) continue;
-      if (auto option = PlanEviction(job, *m, HeldFor(job, *m), now)) {
-        if (!TakesKept(job, *m, *option)) options.push_back(std::move(*option));
+      if (auto option = PlanPreemption(job, *m, ReservedFor(job, *m), now)) {
+        if (!UsesReservedHeadroom(job, *m, *option))
+          options.push_back(std::move(*option));
       }
     }
   }
-  while (held < wanted && TeamAllows(job, held + 1)) {
-    std::erase_if(options, [&](const EvictionPlan& o) {
+  while (held < wanted && QuotaAllows(job, held + 1)) {
+    std::erase_if(options, [&](const PreemptionPlan& o) {
       return !Allowed(spec, *o.machine, where);
     });
     const auto best =
         std::min_element(options.begin(), options.end(),
-                         [](const EvictionPlan& a, const EvictionPlan& b) {
+                         [](const PreemptionPlan& a, const PreemptionPlan& b) {
                            return a.cost < b.cost;
                          });
     if (best == options.end()) break;
@@ -604,8 +616,8 @@
     m.reservations.push_back({&job, spec.need, job.priority(), now + hold});
     where.Add(m.zone, 1);
     ++held;
-    CarryOut(*best, spec, now);
-    if (auto next = PlanEviction(job, m, HeldFor(job, m), now)) {
+    ExecutePreemption(*best, spec, now);
+    if (auto next = PlanPreemption(job, m, ReservedFor(job, m), now)) {
       *best = std::move(*next);
     } else {
       options.erase(best);
@@ -617,8 +629,9 @@
 // Room for a gang is held whole, in one place, and anew in each pass. Gangs
 // that each kept a part of what they needed have waited for one another for
 // ever, with most machines idle.
-bool Controller::MakeGangRoom(Job& job, const std::vector<Machine*>& usable,
-                              Time now) {
+bool Leader::ReserveGangByPreemption(Job& job,
+                                     const std::vector<Machine*>& usable,
+                                     Time now) {
   const JobSpec& spec = job.spec();
   const uint32_t wanted = job.unplaced();
   DropReservation(&job, nullptr);
@@ -630,12 +643,12 @@
     std::vector<GangSlot>& slots = zones[zone];
     most[zone] += spec.need.TimesIn(m->total() - m->staying, wanted);
     Resources taken;
-    const Resources held = m->free() - m->RoomFor(&job, job.priority());
+    const Resources held = m->free() - m->CapacityFor(&job, job.priority());
     // Of equal rank, short work is waited for.
     const Resources runs_off = m->total() - held - m->lasting;
     for (uint32_t n = 0; n < wanted; ++n, taken += spec.need) {
-      if (auto plan = PlanEviction(job, *m, taken, now)) {
-        if (TakesKept(job, *m, *plan)) break;
+      if (auto plan = PlanPreemption(job, *m, taken, now)) {
+        if (UsesReservedHeadroom(job, *m, *plan)) break;
         slots.push_back({std::move(*plan), false});
       } else if (spec.need.FitsIn(runs_off - taken)) {
         slots.push_back({{m, m->used.cpus, {}}, true});
@@ -670,12 +683,12 @@
   // What falls short is kept together for one gang alone, the first in turn.
   if (!whole && std::exchange(part_is_held_, true)) return false;
   const bool at_once = whole && !best->back().waits;
-  const double hold = settings_.workers.lease_s;
+  const double hold = settings_.workers.lease_seconds;
   for (const GangSlot& slot : *best) {
     Machine& m = *slot.plan.machine;
     m.reservations.push_back(
         {&job, spec.need, job.priority(), now + hold, !whole});
-    if (at_once) CarryOut(slot.plan, spec, now);
+    if (at_once) ExecutePreemption(slot.plan, spec, now);
   }
   return true;
 }
--- a/core/controller/writes.cc
+++ b/core/leader/store_operations.cc
@@ -5,39 +5,39 @@
 #include <memory>
 #include <utility>
 
-#include "core/controller/controller.h"
+#include "core/leader/leader.h"
 
 namespace oxbow {
 namespace {
 
 // The changes that end a job: its end is recorded, or moves to the final keys.
-std::vector<EndWrite> EndsIn(const WriteTransaction& txn) {
-  std::vector<EndWrite> ends;
-  for (const KeyChange& change : txn.changes) {
+std::vector<TerminalStateWrite> TerminalStatesIn(const CompareAndSwap& txn) {
+  std::vector<TerminalStateWrite> ends;
+  for (const Mutation& change : txn.mutations) {
     if (!change.key.starts_with(keys::kJob)) continue;
     const auto* job = std::get_if<JobRecord>(&change.record);
     if (job != nullptr && job->terminal_state == TerminalState::kNone) continue;
-    uint64_t stamp = 0;
-    for (const Condition& c : txn.conditions) {
-      if (c.key == change.key) stamp = c.stamp;
+    uint64_t mod_revision = 0;
+    for (const Precondition& c : txn.preconditions) {
+      if (c.key == change.key) mod_revision = c.mod_revision;
     }
-    ends.push_back({change.key.substr(keys::kJob.size()), stamp});
+    ends.push_back({change.key.substr(keys::kJob.size()), mod_revision});
   }
   return ends;
 }
 
 }  // namespace
 
-std::vector<Action> Controller::TakeActions() {
+std::vector<Action> Leader::TakeActions() {
   for (const Action& action : actions_) {
-    const auto* txn = std::get_if<WriteTransaction>(&action);
+    const auto* txn = std::get_if<CompareAndSwap>(&action);
     // From here on it may be carried out.
-    if (txn != nullptr) answers_.Left(txn->id, EndsIn(*txn));
+    if (txn != nullptr) consistency_gate_.Left(txn->id, TerminalStatesIn(*txn));
   }
   return std::exchange(actions_, {});
 }
 
-bool Controller::Build(const WriteOp& op, WriteTransaction* txn) const {
+bool Leader::Build(const WriteOp& op, CompareAndSwap* txn) const {
   switch (op.kind) {
     case WriteKind::kFinish: {
       const JobRecord* record = catalog_.FindJob(op.name);
@@ -45,10 +45,10 @@
         return false;
       }
       const JobRecord next =
-          EndedRecord(*record, op.terminal_state, op.compact);
+          TerminatedRecord(*record, op.terminal_state, op.compact);
       const std::string key = keys::Of(keys::kJob, op.name);
-      txn->conditions.push_back({key, record->stamp});
-      txn->changes.push_back({key, next});
+      txn->preconditions.push_back({key, record->mod_revision});
+      txn->mutations.push_back({key, next});
       return true;
     }
     case WriteKind::kRetire: {
@@ -57,11 +57,11 @@
         return false;
       }
       const std::string key = keys::Of(keys::kJob, op.name);
-      txn->conditions.push_back({key, record->stamp});
-      txn->changes.push_back(
+      txn->preconditions.push_back({key, record->mod_revision});
+      txn->mutations.push_back(
           {keys::Of(keys::kTerminal, op.name),
            TerminalRecord{record->terminal_state, record->spec->tasks, 0}});
-      txn->changes.push_back({key, {}});
+      txn->mutations.push_back({key, {}});
       return true;
     }
     case WriteKind::kMachineUp: {
@@ -73,52 +73,53 @@
       const bool known = it != catalog_.machines().end();
       if (known && it->second.endpoint == m.endpoint) return false;
       const std::string key = keys::Of(keys::kMachine, op.name);
-      txn->conditions.push_back({key, known ? it->second.stamp : 0});
-      txn->changes.push_back(
+      txn->preconditions.push_back({key, known ? it->second.mod_revision : 0});
+      txn->mutations.push_back(
           {key, MachineRecord{m.type_name, m.zone, m.spot, m.endpoint,
-                              m.rented + wall_minus_steady_, 0}});
+                              m.requested_at + wall_minus_steady_, 0}});
       return true;
     }
     case WriteKind::kMachineForget: {
       const auto it = catalog_.machines().find(op.name);
       if (it == catalog_.machines().end()) return false;
       const std::string key = keys::Of(keys::kMachine, op.name);
-      txn->conditions.push_back({key, it->second.stamp});
-      txn->changes.push_back({key, {}});
+      txn->preconditions.push_back({key, it->second.mod_revision});
+      txn->mutations.push_back({key, {}});
       return true;
     }
-    case WriteKind::kRental: {
-      if (catalog_.rentals().contains(op.name)) return false;
-      const std::string key = keys::Of(keys::kRental, op.name);
-      txn->conditions.push_back({key, 0});
-      txn->changes.push_back({key, rentals_.at(op.name).record});
+    case WriteKind::kScaleOut: {
+      if (catalog_.scale_outs().contains(op.name)) return false;
+      const std::string key = keys::Of(keys::kScaleOut, op.name);
+      txn->preconditions.push_back({key, 0});
+      txn->mutations.push_back({key, scale_outs_.at(op.name).record});
       return true;
     }
-    case WriteKind::kRentedMachine: {
+    case WriteKind::kScaledOutMachine: {
       // Without the rental it is a late answer to one that is settled. One
       // that has reported meanwhile is recorded with its address (kMachineUp).
-      const auto rental = catalog_.rentals().find(op.reason);
+      const auto scale_out = catalog_.scale_outs().find(op.reason);
       const auto index = machine_index_.find(op.name);
-      if (rental == catalog_.rentals().end() || index == machine_index_.end() ||
+      if (scale_out == catalog_.scale_outs().end() ||
+          index == machine_index_.end() ||
           !machines_[index->second]->endpoint.empty() ||
           catalog_.machines().contains(op.name)) {
         return false;
       }
       const std::string key = keys::Of(keys::kMachine, op.name);
-      txn->conditions.push_back(
-          {keys::Of(keys::kRental, op.reason), rental->second.stamp});
-      txn->conditions.push_back({key, 0});
-      txn->changes.push_back(
-          {key,
-           RecordOfRented(rental->second, machines_[index->second]->rented)});
+      txn->preconditions.push_back({keys::Of(keys::kScaleOut, op.reason),
+                                    scale_out->second.mod_revision});
+      txn->preconditions.push_back({key, 0});
+      txn->mutations.push_back(
+          {key, RecordOfNewMachine(scale_out->second,
+                                   machines_[index->second]->requested_at)});
       return true;
     }
-    case WriteKind::kRentalSettle: {
-      const auto it = catalog_.rentals().find(op.name);
-      if (it == catalog_.rentals().end()) return false;
-      const std::string key = keys::Of(keys::kRental, op.name);
-      txn->conditions.push_back({key, it->second.stamp});
-      txn->changes.push_back({key, {}});
+    case WriteKind::kSettleScaleOut: {
+      const auto it = catalog_.scale_outs().find(op.name);
+      if (it == catalog_.scale_outs().end()) return false;
+      const std::string key = keys::Of(keys::kScaleOut, op.name);
+      txn->preconditions.push_back({key, it->second.mod_revision});
+      txn->mutations.push_back({key, {}});
       return true;
     }
     case WriteKind::kRollout:
@@ -132,45 +133,43 @@
         return false;
       }
       const std::string key = keys::Of(keys::kOperator, op.name);
-      txn->conditions.push_back({key, known ? it->second.stamp : 0});
+      txn->preconditions.push_back({key, known ? it->second.mod_revision : 0});
       Record next;
       if (op.record != nullptr) next = *op.record;
-      txn->changes.push_back({key, std::move(next)});
+      txn->mutations.push_back({key, std::move(next)});
       return true;
     }
-    case WriteKind::kRestore:
-    case WriteKind::kRestoreTerminalState:
-    case WriteKind::kRebuilt:
-      return BuildRestore(op, txn);
+    case WriteKind::kReconcileRecord:
+    case WriteKind::kReconcileTerminalState:
+    case WriteKind::kCompleteReconciliation:
+      return BuildReconciliationWrite(op, txn);
     case WriteKind::kRelease:
     case WriteKind::kCancelWaiting:
     case WriteKind::kTidyWaiting:
-      return BuildChainStep(op, txn);
+      return BuildDependencyStep(op, txn);
   }
   return false;
 }
 
-MachineRecord Controller::RecordOfRented(const RentalRecord& rental,
-                                         Time rented) const {
-  return {rental.type,
-          rental.zone,
-          rental.spot,
+MachineRecord Leader::RecordOfNewMachine(const ScaleOutRecord& scale_out,
+                                         Time requested_at) const {
+  return {scale_out.type,
+          scale_out.zone,
+          scale_out.spot,
           "",
-          rented + wall_minus_steady_,
+          requested_at + wall_minus_steady_,
           0};
 }
 
-void Controller::OnWriteAnswer(uint64_t id, WriteOutcome outcome,
-                               uint64_t revision,
-                               const std::vector<std::string>& failed,
-                               Time now) {
+void Leader::OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
+                           const std::vector<std::string>& failed, Time now) {
   switch (outcome) {
     case WriteOutcome::kApplied:
-      answers_.Applied(id);
+      consistency_gate_.Applied(id);
       break;
     case WriteOutcome::kNotExecuted:
     case WriteOutcome::kRefused:
-      answers_.Refused(id);
+      consistency_gate_.Refused(id);
       break;
     case WriteOutcome::kConflict: {
       std::set<std::string> differing;
@@ -178,11 +177,11 @@
         if (!key.starts_with(keys::kJob)) continue;
         differing.insert(key.substr(keys::kJob.size()));
       }
-      answers_.Refused(id, differing);
+      consistency_gate_.Refused(id, differing);
       break;
     }
     case WriteOutcome::kUnknown:
-      answers_.Unanswered(id);
+      consistency_gate_.Unanswered(id);
       break;
   }
   if (writes_.OnAnswer(id, outcome, revision, failed, now) || resigned_) return;
@@ -190,23 +189,23 @@
   resigned_ = true;
 }
 
-void Controller::OnReadAnswer(uint64_t id, bool ok, Time now) {
+void Leader::OnReadAnswer(uint64_t id, bool ok, Time now) {
   writes_.OnRead(id, ok, now);
 }
 
-void Controller::Done(const WriteOp& op, uint64_t revision, Time now) {
+void Leader::Done(const WriteOp& op, uint64_t revision, Time now) {
   switch (op.kind) {
     case WriteKind::kFinish: {
       if (revision > 0) {
         catalog_.Put(keys::Of(keys::kJob, op.name),
-                     EndedRecord(*catalog_.FindJob(op.name), op.terminal_state,
-                                 op.compact),
+                     TerminatedRecord(*catalog_.FindJob(op.name),
+                                      op.terminal_state, op.compact),
                      revision);
       }
       const JobRecord* record = catalog_.FindJob(op.name);
       const TerminalState state =
           record ? record->terminal_state : catalog_.FindTerminalState(op.name);
-      if (state != TerminalState::kNone) answers_.Stands(op.name);
+      if (state != TerminalState::kNone) consistency_gate_.Stands(op.name);
       if (state != TerminalState::kNone) {
         OnTerminalStateRecorded(op.name, state, now);
       }
@@ -216,7 +215,8 @@
       if (revision > 0) {
         catalog_.Erase(keys::Of(keys::kJob, op.name), revision);
       }
-      if (catalog_.FindJob(op.name) == nullptr) answers_.Stands(op.name);
+      if (catalog_.FindJob(op.name) == nullptr)
+        consistency_gate_.Stands(op.name);
       if (catalog_.FindTerminalState(op.name) == TerminalState::kAborted) {
         actions_.push_back(JobTerminated{op.name, TerminalState::kAborted});
       }
@@ -225,8 +225,8 @@
       // A start under way for minutes has turned up since the write was made:
       // the job goes once that is gone as well.
       if (it->second->holding() > 0) break;
-      for (const auto& [m, key] : ResidentsOf(*it->second)) {
-        m->residents.at(key).job = nullptr;
+      for (const auto& [m, key] : AttemptsOf(*it->second)) {
+        m->task_attempts.at(key).job = nullptr;
       }
       for (auto& m : machines_) {
         std::erase_if(m->reservations, [&](const Reservation& r) {
@@ -242,7 +242,7 @@
       if (revision > 0) {
         catalog_.Put(keys::Of(keys::kMachine, op.name),
                      MachineRecord{m->type_name, m->zone, m->spot, m->endpoint,
-                                   m->rented + wall_minus_steady_, 0},
+                                   m->requested_at + wall_minus_steady_, 0},
                      revision);
       }
       m->recorded_up = true;
@@ -254,37 +254,39 @@
         catalog_.Erase(keys::Of(keys::kMachine, op.name), revision);
       }
       break;
-    case WriteKind::kRental: {
-      Rental& rental = rentals_.at(op.name);
+    case WriteKind::kScaleOut: {
+      ScaleOutRequest& scale_out = scale_outs_.at(op.name);
       if (revision > 0) {
-        catalog_.Put(keys::Of(keys::kRental, op.name), rental.record, revision);
+        catalog_.Put(keys::Of(keys::kScaleOut, op.name), scale_out.record,
+                     revision);
       }
-      if (rental.state == RentalState::kRecording) {
-        rental.Change(RentalState::kRequesting);
+      if (scale_out.state == ScaleOutState::kRecording) {
+        scale_out.Change(ScaleOutState::kRequesting);
       }
       Request(op.name, now);
       break;
     }
-    case WriteKind::kRentedMachine: {
+    case WriteKind::kScaledOutMachine: {
       const Machine* m = FindMachine(op.name);
-      const auto rental = catalog_.rentals().find(op.reason);
-      if (revision > 0 && rental != catalog_.rentals().end()) {
-        catalog_.Put(keys::Of(keys::kMachine, op.name),
-                     RecordOfRented(rental->second, m ? m->rented : now),
-                     revision);
+      const auto scale_out = catalog_.scale_outs().find(op.reason);
+      if (revision > 0 && scale_out != catalog_.scale_outs().end()) {
+        catalog_.Put(
+            keys::Of(keys::kMachine, op.name),
+            RecordOfNewMachine(scale_out->second, m ? m->requested_at : now),
+            revision);
         // Deleted while its record was under way.
         if (m == nullptr) {
           writes_.Queue({WriteKind::kMachineForget, op.name}, /*lazy=*/true);
         }
       }
-      SettleRental(op.reason);
+      SettleScaleOut(op.reason);
       break;
     }
-    case WriteKind::kRentalSettle:
+    case WriteKind::kSettleScaleOut:
       if (revision > 0) {
-        catalog_.Erase(keys::Of(keys::kRental, op.name), revision);
+        catalog_.Erase(keys::Of(keys::kScaleOut, op.name), revision);
       }
-      rentals_.erase(op.name);
+      scale_outs_.erase(op.name);
       break;
     case WriteKind::kRollout:
       RolloutOpDone(op, revision, now);
@@ -300,15 +302,15 @@
       }
       OnOperatorRecord(op.name, now);
       break;
-    case WriteKind::kRestore:
-    case WriteKind::kRestoreTerminalState:
-    case WriteKind::kRebuilt:
-      RestoreDone(op, revision);
+    case WriteKind::kReconcileRecord:
+    case WriteKind::kReconcileTerminalState:
+    case WriteKind::kCompleteReconciliation:
+      OnReconciliationWritten(op, revision);
       break;
     case WriteKind::kRelease:
     case WriteKind::kCancelWaiting:
     case WriteKind::kTidyWaiting:
-      ChainStepDone(op, revision, now);
+      OnDependencyStepWritten(op, revision, now);
       break;
   }
 }
--- a/core/controller/residents.cc
+++ b/core/leader/task_attempts.cc
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "core/controller/controller.h"
-#include "core/controller/machine_limits.h"
+#include "core/leader/leader.h"
+#include "core/leader/machine_limits.h"
 
 namespace oxbow {
 namespace {
@@ -26,20 +26,20 @@
   return TaskState::kPending;
 }
 
-bool SameAttempt(const Order& o, const Resident& r) {
+bool SameAttempt(const WorkerCommand& o, const TaskAttempt& r) {
   return o.task == r.task && o.attempt == r.attempt && o.job_id == r.job_id;
 }
 
 }  // namespace
 
-bool Controller::IsCurrent(const Machine& m, const Resident& r) const {
+bool Leader::IsCurrent(const Machine& m, const TaskAttempt& r) const {
   if (r.job == nullptr) return false;
   const TaskSlot& slot = r.job->task(r.task);
   return slot.machine == m.index() && slot.attempt == r.attempt;
 }
 
-void Controller::Adopt(Machine& m, const TaskReport& task, Time now) {
-  Resident r;
+void Leader::AdoptRunningTask(Machine& m, const TaskStatus& task, Time now) {
+  TaskAttempt r;
   r.job_id = task.job_id;
   r.task = task.task;
   r.attempt = task.attempt;
@@ -53,13 +53,13 @@
     if (task.phase != TaskPhase::kExited) {
       m.QueueImage(job.spec().image, job.spec().image_gb, now);
     }
-    Claim(job, m, r, task.phase != TaskPhase::kExited);
+    AssignTask(job, m, r, task.phase != TaskPhase::kExited);
   }
   const bool there = task.phase != TaskPhase::kExited;
-  UpdateResident(m, Put(m, std::move(r), there), task, now);
+  UpdateAttempt(m, AddAttempt(m, std::move(r), there), task, now);
 }
 
-void Controller::Claim(Job& job, Machine& m, Resident& r, bool there) {
+void Leader::AssignTask(Job& job, Machine& m, TaskAttempt& r, bool there) {
   const TaskSlot& slot = job.task(r.task);
   // Of two attempts that are shown the later one counts, also one that has
   // exited. The other may be what an old copy says of a machine that has shown
@@ -75,17 +75,18 @@
   if (there) job.ChangeTask(r.task, TaskState::kStarting);
 }
 
-Resident& Controller::Put(Machine& m, Resident r, bool there) {
+TaskAttempt& Leader::AddAttempt(Machine& m, TaskAttempt r, bool there) {
   if (r.job != nullptr) r.job->ChangePresence(m.index(), 0, 1);
-  if (IsOrphan(r)) ++m.orphans;
-  Resident& added = m.residents.emplace(KeyOf(r), std::move(r)).first->second;
-  if (added.job != nullptr && there) Hold(m, added);
+  if (IsOrphaned(r)) ++m.orphaned_tasks;
+  TaskAttempt& added =
+      m.task_attempts.emplace(KeyOf(r), std::move(r)).first->second;
+  if (added.job != nullptr && there) ChargeQuota(m, added);
   return added;
 }
 
-void Controller::UpdateResident(Machine& m, Resident& r, const TaskReport& task,
-                                Time now) {
-  r.order = StartOrder::kSettled;
+void Leader::UpdateAttempt(Machine& m, TaskAttempt& r, const TaskStatus& task,
+                           Time now) {
+  r.start_progress = StartProgress::kSettled;
   const bool has_image =
       task.phase != TaskPhase::kFetching &&
       !(task.phase == TaskPhase::kExited && task.reason != ExitReason::kDone);
@@ -117,12 +118,12 @@
   const bool recording = r.job != nullptr && IsCurrent(m, r) &&
                          (r.job->state() == JobState::kRecordingAbort ||
                           r.job->state() == JobState::kRecordingDone);
-  if (r.job == nullptr && !MayDropUnknown(r, now)) return;
+  if (r.job == nullptr && !MayStopUnknownTask(r, now)) return;
   if (!wanted && !recording && !r.stopping) QueueStop(m, r, 0, now);
 }
 
 // What a task holds of its machine and of its team's limit.
-void Controller::Hold(Machine& m, Resident& r) {
+void Leader::ChargeQuota(Machine& m, TaskAttempt& r) {
   const JobSpec& spec = r.job->spec();
   r.need = spec.need;
   r.holds = true;
@@ -131,12 +132,12 @@
   if (spec.kind == JobKind::kService) m.staying += r.need;
   if (spec.kind != JobKind::kArray) m.lasting += r.need;
   if (r.stopping) m.leaving += r.need;
-  if (r.job->team() >= 0) teams_[r.job->team()].used += r.need;
+  if (r.job->team() >= 0) quotas_[r.job->team()].used += r.need;
   tiers_.Hold(r.job->tier, r.need);
   r.job->ChangePresence(m.index(), 1, 0);
 }
 
-void Controller::Release(Machine& m, Resident& r) {
+void Leader::ReleaseQuota(Machine& m, TaskAttempt& r) {
   if (!r.holds) return;
   const JobSpec& spec = r.job->spec();
   m.used -= r.need;
@@ -144,7 +145,7 @@
   if (spec.kind == JobKind::kService) m.staying -= r.need;
   if (spec.kind != JobKind::kArray) m.lasting -= r.need;
   if (r.stopping) m.leaving -= r.need;
-  if (r.job->team() >= 0) teams_[r.job->team()].used -= r.need;
+  if (r.job->team() >= 0) quotas_[r.job->team()].used -= r.need;
   tiers_.Release(r.job->tier, r.need);
   r.job->ChangePresence(m.index(), -1, 0);
   r.need = {};
@@ -152,8 +153,8 @@
   if (spec.priority == Priority::kProduction) urgent_dirty_ = true;
   if (r.phase == TaskPhase::kFetching) {
     // The fetch is given up when no task waits for it any more.
-    const bool shared =
-        std::any_of(m.residents.begin(), m.residents.end(), [&](const auto& e) {
+    const bool shared = std::any_of(
+        m.task_attempts.begin(), m.task_attempts.end(), [&](const auto& e) {
           return &e.second != &r && e.second.job != nullptr &&
                  e.second.phase == TaskPhase::kFetching &&
                  e.second.job->spec().image == r.job->spec().image;
@@ -163,7 +164,7 @@
   dirty_ = true;
 }
 
-void Controller::SetStopping(Machine& m, Resident& r, bool stopping) {
+void Leader::SetStopping(Machine& m, TaskAttempt& r, bool stopping) {
   if (r.stopping == stopping) return;
   r.stopping = stopping;
   if (stopping && r.job != nullptr && !in_rollout_.empty()) {
@@ -180,16 +181,16 @@
   }
 }
 
-void Controller::OnExit(Machine& m, Resident& r, const TaskReport& task,
-                        Time now) {
-  Release(m, r);
-  if (IsOrphan(r)) --m.orphans;
+void Leader::OnExit(Machine& m, TaskAttempt& r, const TaskStatus& task,
+                    Time now) {
+  ReleaseQuota(m, r);
+  if (IsOrphaned(r)) --m.orphaned_tasks;
   const bool was_running = r.phase == TaskPhase::kRunning;
   r.phase = TaskPhase::kExited;
   r.reason = task.reason;
   Job* job = r.job;
   if (job == nullptr || !IsCurrent(m, r) || !job->live()) {
-    if (job != nullptr || MayDropUnknown(r, now)) QueueForget(m, r);
+    if (job != nullptr || MayStopUnknownTask(r, now)) QueueForget(m, r);
     if (job != nullptr) {
       // Its place may be the last that holds the job's record.
       if (IsCurrent(m, r) && task.reason != ExitReason::kDone &&
@@ -207,7 +208,7 @@
       ClassStats& stats = class_stats_[spec.job_class];
       const double run = now - r.running_since;
       ++stats.seen;
-      stats.run_s += (run - stats.run_s) / std::min(stats.seen, 50);
+      stats.run_seconds += (run - stats.run_seconds) / std::min(stats.seen, 50);
     }
     job->errors = 0;
     if (job->task(r.task).state != TaskState::kDone) {
@@ -240,22 +241,23 @@
       // they come to, and nothing could be placed any more.
       if (m.failed_jobs.size() >= kJobsThatAccuse) {
         m.failed_jobs.clear();
-        TakeAway(m, LossCause::kDistrusted, now);
+        RemoveMachine(m, LossCause::kDistrusted, now);
       }
-      const double backoff = settings_.workers.report_s *
+      const double backoff = settings_.workers.heartbeat_interval_seconds *
                              (1 << std::min<uint32_t>(job->errors, 6));
       // Many tasks of one array failing at once are one event.
-      job->not_before =
-          std::max(job->not_before,
-                   now + std::min(backoff, 2 * kDistrustLeases *
-                                               settings_.workers.lease_s));
+      job->not_before = std::max(
+          job->not_before,
+          now + std::min(backoff, 2 * kDistrustLeases *
+                                      settings_.workers.lease_seconds));
       break;
     }
     case ExitReason::kNoRoom:
     case ExitReason::kUnknownTask:
     case ExitReason::kBusy:
       job->not_before =
-          std::max(job->not_before, now + settings_.workers.report_s / 2);
+          std::max(job->not_before,
+                   now + settings_.workers.heartbeat_interval_seconds / 2);
       break;
     default:
       break;
@@ -271,19 +273,19 @@
 
 // A later attempt begins when the one before is surely over: the exit that a
 // new leader hears is an old one, and breaks no gang that lives.
-bool Controller::HasLaterAttempt(const Job& job, uint64_t attempt) const {
-  const auto all = ResidentsOf(job);
+bool Leader::HasLaterAttempt(const Job& job, uint64_t attempt) const {
+  const auto all = AttemptsOf(job);
   return std::any_of(all.begin(), all.end(), [attempt](const auto& e) {
     return e.second.attempt > attempt;
   });
 }
 
-void Controller::Gone(Machine& m, const ResidentKey& key) {
-  const auto it = m.residents.find(key);
-  if (it == m.residents.end()) return;
-  Resident& r = it->second;
-  Release(m, r);
-  if (IsOrphan(r)) --m.orphans;
+void Leader::RemoveAttempt(Machine& m, const TaskAttemptKey& key) {
+  const auto it = m.task_attempts.find(key);
+  if (it == m.task_attempts.end()) return;
+  TaskAttempt& r = it->second;
+  ReleaseQuota(m, r);
+  if (IsOrphaned(r)) --m.orphaned_tasks;
   Job* job = r.job;
   if (job != nullptr && IsCurrent(m, r)) {
     const TaskState state = job->task(r.task).state;
@@ -291,8 +293,9 @@
       job->ChangeTask(r.task, TaskState::kPending);
     }
   }
-  std::erase_if(m.queue, [&](const Order& o) { return SameAttempt(o, r); });
-  m.residents.erase(it);
+  std::erase_if(m.queue,
+                [&](const WorkerCommand& o) { return SameAttempt(o, r); });
+  m.task_attempts.erase(it);
   if (job != nullptr) {
     job->ChangePresence(m.index(), 0, -1);
     RetireIfClear(*job);
@@ -301,32 +304,32 @@
 }
 
 // Everything on the machine is surely gone, and nothing sent to it before can
-// be executed any more: its session has changed, expired, or the machine is
+// be executed any more: its incarnation has changed, expired, or the machine is
 // deleted.
-void Controller::LoseAll(Machine& m, const char* why) {
-  if (!m.residents.empty()) {
-    Log("lost " + std::to_string(m.residents.size()) + " tasks on " + m.host() +
-        ": " + why);
+void Leader::MarkAllLost(Machine& m, const char* why) {
+  if (!m.task_attempts.empty()) {
+    Log("lost " + std::to_string(m.task_attempts.size()) + " tasks on " +
+        m.host() + ": " + why);
   }
   m.batch.reset();
   m.batch_lost = false;
   m.queue.clear();
-  std::vector<ResidentKey> keys;
-  for (const auto& [key, r] : m.residents) keys.push_back(key);
-  for (const ResidentKey& key : keys) Gone(m, key);
+  std::vector<TaskAttemptKey> keys;
+  for (const auto& [key, r] : m.task_attempts) keys.push_back(key);
+  for (const TaskAttemptKey& key : keys) RemoveAttempt(m, key);
   // Nothing is left of it but what rounding may have left.
   m.used = m.staying = m.lasting = m.leaving = {};
   m.used_by = {};
   dirty_ = true;
 }
 
-std::vector<std::pair<Machine*, ResidentKey>> Controller::ResidentsOf(
+std::vector<std::pair<Machine*, TaskAttemptKey>> Leader::AttemptsOf(
     const Job& job) const {
-  std::vector<std::pair<Machine*, ResidentKey>> out;
+  std::vector<std::pair<Machine*, TaskAttemptKey>> out;
   for (const auto& [index, presence] : job.presence()) {
     Machine* m = machines_[static_cast<size_t>(index)].get();
-    for (auto it = m->residents.lower_bound({job.id(), 0, 0});
-         it != m->residents.end() && it->first.job_id == job.id(); ++it) {
+    for (auto it = m->task_attempts.lower_bound({job.id(), 0, 0});
+         it != m->task_attempts.end() && it->first.job_id == job.id(); ++it) {
       out.emplace_back(m, it->first);
     }
   }
--- a/core/controller/write_queue.cc
+++ b/core/leader/write_queue.cc
@@ -1,4 +1,4 @@
-#include "core/controller/write_queue.h"
+#include "core/leader/write_queue.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,18 +17,18 @@
     std::pair{kWriting, kReading},  std::pair{kReading, kIdle},
 };
 
-size_t Weight(const WriteTransaction& txn) {
+size_t Weight(const CompareAndSwap& txn) {
   // Only specs are of any size; their variable parts decide.
   const auto weight_of = [](const JobSpec& spec) {
     size_t weight = spec.image.size() * 2;
     if (spec.types) {
       for (const std::string& t : *spec.types) weight += t.size() + 4;
     }
-    for (const std::string& id : spec.waits_on) weight += id.size() + 4;
+    for (const std::string& id : spec.dependencies) weight += id.size() + 4;
     return weight;
   };
   size_t bytes = 0;
-  for (const KeyChange& change : txn.changes) {
+  for (const Mutation& change : txn.mutations) {
     bytes += 512;
     if (const auto* rollout = std::get_if<RolloutRecord>(&change.record)) {
       bytes += 2 * (rollout->spec->check.verdict.size() +
@@ -73,7 +73,7 @@
   const auto same = [&](const WriteOp& o) {
     return o.kind == op.kind && o.name == op.name;
   };
-  // What a roll-out or a subsystem wants may change while the state service is
+  // What a rollout or a subsystem wants may change while the key-value store is
   // out.
   const bool renews =
       op.kind == WriteKind::kRollout || op.kind == WriteKind::kOperator;
@@ -94,13 +94,13 @@
   (lazy ? lazy_ : urgent_).push_back(std::move(op));
 }
 
-bool WriteQueue::Fits(const WriteTransaction& txn) const {
+bool WriteQueue::Fits(const CompareAndSwap& txn) const {
   // "Four times that many conditions", as the protocol says.
   constexpr size_t kConditionsEach = 4;
-  const auto limit = static_cast<size_t>(settings_.state.txn_ops);
-  const size_t always = mandate_.size() + 1;  // the fence
-  return txn.changes.size() <= limit &&
-         txn.conditions.size() + always <= kConditionsEach * limit &&
+  const auto limit = static_cast<size_t>(settings_.store.txn_ops);
+  const size_t always = leadership_preconditions_.size() + 1;  // the fence
+  return txn.mutations.size() <= limit &&
+         txn.preconditions.size() + always <= kConditionsEach * limit &&
          Weight(txn) <= kMaxWeight;
 }
 
@@ -109,11 +109,11 @@
   if (phase_ == kDoubtful) SendFence();
   if (phase_ != kIdle) return;
   TakeUpAside(now);
-  WriteTransaction txn;
-  const auto limit = static_cast<size_t>(settings_.state.txn_ops);
+  CompareAndSwap txn;
+  const auto limit = static_cast<size_t>(settings_.store.txn_ops);
   for (std::deque<WriteOp>* queue : {&urgent_, &lazy_}) {
     while (!queue->empty()) {
-      WriteTransaction longer = txn;
+      CompareAndSwap longer = txn;
       const WriteOp& op = queue->front();
       if (!owner_.Build(op, &longer)) {
         const WriteOp done = op;
@@ -129,34 +129,36 @@
       in_flight_.push_back(op);
       queue->pop_front();
     }
-    if (txn.changes.size() >= limit || in_flight_.size() >= most_ops_) break;
+    if (txn.mutations.size() >= limit || in_flight_.size() >= most_ops_) break;
   }
   if (in_flight_.empty()) return;
   in_flight_keys_.clear();
-  for (const KeyChange& change : txn.changes) {
+  for (const Mutation& change : txn.mutations) {
     if (change.key.starts_with(keys::kLive)) {
       in_flight_keys_.push_back(change.key);
     }
   }
   in_flight_creates_ =
-      std::any_of(txn.conditions.begin(), txn.conditions.end(),
-                  [](const Condition& c) { return c.stamp == 0; });
+      std::any_of(txn.preconditions.begin(), txn.preconditions.end(),
+                  [](const Precondition& c) { return c.mod_revision == 0; });
   Change(WriteEvent::kSent);
   Send(std::move(txn));
 }
 
-void WriteQueue::Send(WriteTransaction txn) {
+void WriteQueue::Send(CompareAndSwap txn) {
   txn.id = ++id_;
-  txn.conditions.push_back({FenceKey(), 0});
-  txn.conditions.insert(txn.conditions.end(), mandate_.begin(), mandate_.end());
+  txn.preconditions.push_back({FenceKey(), 0});
+  txn.preconditions.insert(txn.preconditions.end(),
+                           leadership_preconditions_.begin(),
+                           leadership_preconditions_.end());
   actions_.push_back(std::move(txn));
 }
 
 // Without it, a record that was written anew, acted upon and deleted is there
 // again once the first write is carried out (`late-write-rental`).
 void WriteQueue::SendFence() {
-  WriteTransaction txn;
-  txn.changes.push_back({FenceKey(), WriteFence{fence_}});
+  CompareAndSwap txn;
+  txn.mutations.push_back({FenceKey(), WriteFence{fence_}});
   Change(WriteEvent::kFenceSent);
   Send(std::move(txn));
 }
@@ -180,10 +182,12 @@
   actions_.push_back(ReadKeys{++id_, in_flight_keys_});
 }
 
-bool WriteQueue::MandateFailed(const std::vector<std::string>& failed) const {
-  return std::any_of(mandate_.begin(), mandate_.end(), [&](const Condition& c) {
-    return std::find(failed.begin(), failed.end(), c.key) != failed.end();
-  });
+bool WriteQueue::LeadershipLost(const std::vector<std::string>& failed) const {
+  return std::any_of(
+      leadership_preconditions_.begin(), leadership_preconditions_.end(),
+      [&](const Precondition& c) {
+        return std::find(failed.begin(), failed.end(), c.key) != failed.end();
+      });
 }
 
 bool WriteQueue::FenceStands(const std::vector<std::string>& failed) const {
@@ -191,13 +195,15 @@
 }
 
 std::string WriteQueue::FenceKey() const {
-  return keys::Of(keys::kFence, std::to_string(mandate_.front().stamp) + "/" +
-                                    std::to_string(fence_));
+  return keys::Of(
+      keys::kFence,
+      std::to_string(leadership_preconditions_.front().mod_revision) + "/" +
+          std::to_string(fence_));
 }
 
 void WriteQueue::PauseFrom(Time now) {
-  constexpr double kPause = 0.1;  // of a report interval
-  not_before_ = now + kPause * settings_.workers.report_s;
+  constexpr double kPause = 0.1;  // of a heartbeat interval
+  not_before_ = now + kPause * settings_.workers.heartbeat_interval_seconds;
 }
 
 void WriteQueue::PutBack() {
@@ -221,9 +227,9 @@
     urgent_.push_front(std::move(op));
     return;
   }
-  actions_.push_back(Note{"the state service does not take a write about " +
-                          op.name + ": too large"});
-  aside_.push_back({now + settings_.workers.lease_s, std::move(op)});
+  actions_.push_back(LogEvent{"the state service does not take a write about " +
+                              op.name + ": too large"});
+  aside_.push_back({now + settings_.workers.lease_seconds, std::move(op)});
 }
 
 void WriteQueue::TakeUpAside(Time now) {
@@ -236,7 +242,8 @@
 bool WriteQueue::OnAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
                           const std::vector<std::string>& failed, Time now) {
   if (id != id_ || (phase_ != kWriting && phase_ != kFencing)) return true;
-  if (outcome == WriteOutcome::kConflict && MandateFailed(failed)) return false;
+  if (outcome == WriteOutcome::kConflict && LeadershipLost(failed))
+    return false;
   if (phase_ == kFencing) return OnFenceAnswer(outcome, failed, now);
   switch (outcome) {
     case WriteOutcome::kApplied: {
--- a/core/controller/write_queue.h
+++ b/core/leader/write_queue.h
@@ -1,5 +1,5 @@
-// The leader's writes on their way to the state service: what waits, what goes
-// into one transaction, and what an answer means. Knows nothing of jobs or
+// The leader's writes on their way to the key-value store: what waits, what
+// goes into one transaction, and what an answer means. Knows nothing of jobs or
 // machines; what a write changes, and what follows once it stands, its owner
 // says. One transaction at a time, each conditioned on the mandate: one that
 // is applied late, after another leader has gone on, fails instead of undoing
@@ -28,7 +28,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/controller/actions.h"
+#include "core/leader/actions.h"
 #include "core/model/settings.h"
 #include "core/rollout/rollout.h"
 
@@ -39,14 +39,14 @@
   kRetire,
   kMachineUp,
   kMachineForget,
-  kRental,
-  kRentedMachine,  // a machine of the rental that WriteOp::reason names
-  kRentalSettle,   // once all of its machines stand
+  kScaleOut,
+  kScaledOutMachine,  // a machine of the rental that WriteOp::reason names
+  kSettleScaleOut,    // once all of its machines stand
   kRollout,
-  kOperator,              // a record of a subsystem's own, see OperatorRecord
-  kRestore,               // a record that is owed to the state service
-  kRestoreTerminalState,  // how a job ended, likewise
-  kRebuilt,               // nothing is owed any more
+  kOperator,                // a record of a subsystem's own, see OperatorRecord
+  kReconcileRecord,         // a record that is owed to the key-value store
+  kReconcileTerminalState,  // how a job ended, likewise
+  kCompleteReconciliation,  // nothing is owed any more
   kRelease,        // a job that waited for others becomes an ordinary one
   kCancelWaiting,  // one that waits ends
   kTidyWaiting,    // an older copy of a waiting record goes
@@ -59,10 +59,10 @@
   TerminalState terminal_state = TerminalState::kNone;
   // Refused for its size: what it writes goes without what can be spared.
   bool compact = false;
-  // Of a roll-out: the step to record, why, and the wish that it fulfils.
+  // Of a rollout: the step to record, why, and the wish that it fulfils.
   RolloutStep step = RolloutStep::kDeclared;
   std::string reason = {};
-  RolloutWish wish = RolloutWish::kNone;
+  RolloutRequest request = RolloutRequest::kNone;
   // Of an operators' record: what is to stand; null deletes it.
   std::shared_ptr<const OperatorRecord> record = {};
   double released_wall = 0;  // of a release
@@ -94,18 +94,19 @@
     virtual ~Owner() = default;
     // Adds the op's conditions and changes; false when what it wants is
     // already so.
-    virtual bool Build(const WriteOp& op, WriteTransaction* txn) const = 0;
+    virtual bool Build(const WriteOp& op, CompareAndSwap* txn) const = 0;
     // The op's aim is reached: by its transaction, at `revision`, or, when that
-    // is 0, because the state service already holds what it wanted.
+    // is 0, because the key-value store already holds what it wanted.
     virtual void Done(const WriteOp& op, uint64_t revision, Time now) = 0;
   };
 
   // `mandate`: what this leadership rests on, the leader key and the mark of
   // the epoch; every write is conditioned on it.
-  WriteQueue(const Settings& settings, std::vector<Condition> mandate,
-             Owner& owner, std::vector<Action>& actions)
+  WriteQueue(const Settings& settings,
+             std::vector<Precondition> leadership_preconditions, Owner& owner,
+             std::vector<Action>& actions)
       : settings_(settings),
-        mandate_(std::move(mandate)),
+        leadership_preconditions_(std::move(leadership_preconditions)),
         owner_(owner),
         actions_(actions) {}
 
@@ -122,7 +123,7 @@
 
   WritePhase phase() const { return phase_; }
   size_t waiting() const { return urgent_.size() + lazy_.size(); }
-  // Writes that the state service does not take for their size.
+  // Writes that the key-value store does not take for their size.
   size_t set_aside() const { return aside_.size(); }
 
  private:
@@ -135,20 +136,20 @@
   // refused in that, too, it is set aside, so that it holds up no other.
   void Split(Time now);
   void TakeUpAside(Time now);
-  bool Fits(const WriteTransaction& txn) const;
-  void Send(WriteTransaction txn);
+  bool Fits(const CompareAndSwap& txn) const;
+  void Send(CompareAndSwap txn);
   void SendFence();
   // False as OnAnswer.
   bool OnFenceAnswer(WriteOutcome outcome,
                      const std::vector<std::string>& failed, Time now);
   void ReadInFlight();
   void PauseFrom(Time now);
-  bool MandateFailed(const std::vector<std::string>& failed) const;
+  bool LeadershipLost(const std::vector<std::string>& failed) const;
   std::string FenceKey() const;
   bool FenceStands(const std::vector<std::string>& failed) const;
 
   const Settings& settings_;
-  const std::vector<Condition> mandate_;
+  const std::vector<Precondition> leadership_preconditions_;
   Owner& owner_;
   std::vector<Action>& actions_;
   std::deque<WriteOp> urgent_;
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -48,39 +48,39 @@
 }
 
 bool LeaderHealth::Deaf() const {
-  return reports_heard_.recorded > 0 &&
-         reports_heard_.recorded - reports_heard_.silent <
-             limits_.deaf_share * reports_heard_.recorded;
+  return heartbeats_received_.recorded > 0 &&
+         heartbeats_received_.recorded - heartbeats_received_.silent <
+             limits_.deaf_share * heartbeats_received_.recorded;
 }
 
-void LeaderHealth::Observe(const ReportsHeard& heard, Time now) {
+void LeaderHealth::Observe(const HeartbeatsReceived& heard, Time now) {
   // After a stall everything looks overdue until what has arrived meanwhile is
   // read; and deafness that was not watched is not known to have lasted.
   const Time before = observed_;
-  const bool stalled = now - before > limits_.pause_s / 2;
+  const bool stalled = now - before > limits_.pause_seconds / 2;
   observed_ = now;
-  reports_heard_ = heard;
+  heartbeats_received_ = heard;
   if (stalled) {
     deaf_since_ = 1e18;
-    next_round_ = std::max(next_round_, now + limits_.pause_s / 2);
+    next_round_ = std::max(next_round_, now + limits_.pause_seconds / 2);
   }
   const bool deaf_before = deaf_since_ <= now;
   deaf_since_ = Deaf() ? std::min(deaf_since_, now) : 1e18;
   if (Deaf() && !deaf_before) {
     // Worse than what the last rounds were about: asked as at first. A leader
     // suspect for long over one dead machine asked too late otherwise.
-    pause_s_ = limits_.pause_s;
-    next_round_ = std::min(next_round_, now + limits_.pause_s / 2);
+    pause_seconds_ = limits_.pause_seconds;
+    next_round_ = std::min(next_round_, now + limits_.pause_seconds / 2);
   }
   // The round that may end it comes when it is due, not after a pause.
-  const Time blind_at = deaf_since_ + limits_.blind_after_s;
+  const Time blind_at = deaf_since_ + limits_.blind_after_seconds;
   if (before < blind_at && now >= blind_at) {
     next_round_ = std::min(next_round_, now);
   }
   const bool little = heard.troubled > 0 &&
                       heard.troubled >= limits_.troubled_share * heard.recorded;
   if (state_ == kHealthy && little) {
-    pause_s_ = limits_.pause_s;
+    pause_seconds_ = limits_.pause_seconds;
     Change(LeaderHealthEvent::kFewReports);
   } else if (!little) {
     Change(LeaderHealthEvent::kEnoughReports);
@@ -89,14 +89,14 @@
 
 bool LeaderHealth::WantsRound(Time now) const {
   return state_ == kSuspect && now >= next_round_ &&
-         now - started_ >= limits_.settle_s;
+         now - started_ >= limits_.settle_seconds;
 }
 
 void LeaderHealth::RoundAsked(Time now) {
   Change(LeaderHealthEvent::kAsked);
   // The longer it lasts without one better placed, the less often it is asked.
-  next_round_ = now + pause_s_;
-  pause_s_ = std::min(2 * pause_s_, limits_.longest_pause_s);
+  next_round_ = now + pause_seconds_;
+  pause_seconds_ = std::min(2 * pause_seconds_, limits_.longest_pause_seconds);
 }
 
 LeaderHealth::Verdict LeaderHealth::RoundAnswered(
@@ -119,24 +119,24 @@
   }
   if (best != nullptr) {
     Change(LeaderHealthEvent::kOneIsBetter);
-    verdict.kind = Verdict::Kind::kOffer;
+    verdict.kind = Verdict::Kind::kOfferLeadershipTransfer;
     verdict.to = best->node;
     verdict.why = best->node + " reaches " + std::to_string(most) + " of " +
                   std::to_string(asked) + " machines more";
     return verdict;
   }
   // Nothing can be compared. Staying is right if all are deaf, and loses every
-  // task in the fleet if the others are not; a hand-over into the dark costs
-  // one takeover. Once, after it has lasted.
+  // task in the fleet if the others are not; a leadership transfer into the
+  // dark costs one takeover. Once, after it has lasted.
   if (!compared && answers.size() > 1 &&
-      now - deaf_since_ >= limits_.blind_after_s) {
+      now - deaf_since_ >= limits_.blind_after_seconds) {
     Change(LeaderHealthEvent::kBlind);
     verdict.kind = Verdict::Kind::kStepDown;
-    verdict.why =
-        "hears " +
-        std::to_string(reports_heard_.recorded - reports_heard_.silent) +
-        " of " + std::to_string(reports_heard_.recorded) +
-        " machines, and no controller to compare with";
+    verdict.why = "hears " +
+                  std::to_string(heartbeats_received_.recorded -
+                                 heartbeats_received_.silent) +
+                  " of " + std::to_string(heartbeats_received_.recorded) +
+                  " machines, and no controller to compare with";
     return verdict;
   }
   Change(LeaderHealthEvent::kNoneBetter);
@@ -146,11 +146,11 @@
 void LeaderHealth::OfferRefused(Time now) {
   if (state_ != kOffering) return;
   Change(LeaderHealthEvent::kRefused);
-  next_round_ = std::max(next_round_, now + pause_s_);
+  next_round_ = std::max(next_round_, now + pause_seconds_);
 }
 
 bool HandOverLog::Allows(Time now) {
-  std::erase_if(times_, [&](Time t) { return t <= now - window_s_; });
+  std::erase_if(times_, [&](Time t) { return t <= now - window_seconds_; });
   return static_cast<int>(times_.size()) < most_;
 }
 
--- a/core/leader_health/leader_health.h
+++ b/core/leader_health/leader_health.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader_health/reach.h"
+#include "core/leader_health/reachability_survey.h"
 #include "core/model/settings.h"
 
 namespace oxbow {
@@ -27,18 +27,18 @@
   kAsked,
   kNoneBetter,  // or nothing could be compared
   kOneIsBetter,
-  kRefused,  // the other can't, or too many hand-overs lately
+  kRefused,  // the other can't, or too many leadership transfers lately
   kAgreed,
   kBlind,  // nobody answers and next to nothing is heard
 };
 
 // How much of the fleet is heard, counted in one pass over it.
-struct ReportsHeard {
+struct HeartbeatsReceived {
   int recorded = 0;  // machines that may hold tasks
-  // Of them: no message, or no report, for longer than one may take, or
+  // Of them: no message, or no heartbeat, for longer than one may take, or
   // commands that don't get through.
   int troubled = 0;
-  int silent = 0;  // no message for longer than a report may take
+  int silent = 0;  // no message for longer than a heartbeat may take
 };
 
 class LeaderHealth {
@@ -46,13 +46,14 @@
   struct Limits {
     double troubled_share = 0;  // troubled machines that make it suspect
     double deaf_share = 0;      // heard so few, it can't lead whoever else can
-    double pause_s = 0;         // between two rounds, at first
-    double longest_pause_s = 0;
-    double blind_after_s = 0;  // of being deaf with nobody to ask
-    double settle_s = 0;       // after taking office, before any hand-over
+    double pause_seconds = 0;   // between two rounds, at first
+    double longest_pause_seconds = 0;
+    double blind_after_seconds = 0;  // of being deaf with nobody to ask
+    double settle_seconds =
+        0;  // after taking office, before any leadership transfer
   };
   struct Verdict {
-    enum class Kind : uint8_t { kStay, kOffer, kStepDown };
+    enum class Kind : uint8_t { kStay, kOfferLeadershipTransfer, kStepDown };
     Kind kind = Kind::kStay;
     std::string to;  // of an offer
     std::string why;
@@ -66,14 +67,14 @@
 
   // With each count. A gap in the calls (the process stood still) is no time in
   // which anything could have been heard.
-  void Observe(const ReportsHeard& heard, Time now);
+  void Observe(const HeartbeatsReceived& heard, Time now);
   // Whether a round should be asked now; the caller asks it.
   bool WantsRound(Time now) const;
   void RoundAsked(Time now);
   // The answers, this controller's first.
   Verdict RoundAnswered(const std::vector<Reach>& answers, Time now);
   void OfferRefused(Time now);
-  void OfferAgreed() { Change(LeaderHealthEvent::kAgreed); }
+  void TransferAccepted() { Change(LeaderHealthEvent::kAgreed); }
 
  private:
   // The one function for a change.
@@ -83,23 +84,24 @@
   Limits limits_;
   Time started_;
   LeaderHealthState state_ = LeaderHealthState::kHealthy;
-  ReportsHeard reports_heard_;
+  HeartbeatsReceived heartbeats_received_;
   Time observed_ = -1e9;
   Time next_round_ = 0;
   Time deaf_since_ = 1e18;
-  double pause_s_ = 0;
+  double pause_seconds_ = 0;
 };
 
 // Hand-overs this controller has seen, its own and others': there is a bound to
 // them, so that two deaf controllers don't pass the key to and fro.
 class HandOverLog {
  public:
-  HandOverLog(double window_s, int most) : window_s_(window_s), most_(most) {}
+  HandOverLog(double window_seconds, int most)
+      : window_seconds_(window_seconds), most_(most) {}
   bool Allows(Time now);
   void Note(Time now) { times_.push_back(now); }
 
  private:
-  double window_s_;
+  double window_seconds_;
   int most_;
   std::vector<Time> times_;
 };
--- a/core/leader_health/reach.cc
+++ b/core/leader_health/reachability_survey.cc
@@ -1,4 +1,4 @@
-#include "core/leader_health/reach.h"
+#include "core/leader_health/reachability_survey.h"
 
 #include <algorithm>
 #include <boost/math/distributions/binomial.hpp>
--- a/core/lease/delegated_lease_record.cc
+++ b/core/lease/delegated_lease_record.cc
@@ -22,9 +22,9 @@
   CheckedChange(step_, next, kChanges, "zone record");
 }
 
-void DelegatedLeaseRecord::WasRead(uint64_t stamp) {
+void DelegatedLeaseRecord::WasRead(uint64_t mod_revision) {
   Change(kLease);
-  stamp_ = stamp;
+  mod_revision_ = mod_revision;
 }
 
 void DelegatedLeaseRecord::LeaseGranted(uint64_t lease_id, Time sent) {
--- a/core/lease/delegated_lease_record.h
+++ b/core/lease/delegated_lease_record.h
@@ -1,4 +1,4 @@
-// The record of a delegated lease, in the state service: by it a
+// The record of a delegated lease, in the key-value store: by it a
 // new leader tells whom it has to wait for. See docs/delegated-lease.md.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace oxbow {
 
-// What has to be asked of the state service next, each once in a while.
+// What has to be asked of the key-value store next, each once in a while.
 enum class RecordStep : uint8_t {
   kRead,   // the key's stamp, which the write is conditioned on
   kLease,  // a lease for the key
@@ -28,10 +28,12 @@
       : delegated_lease_(lease) {}
 
   RecordStep step() const { return step_; }
-  uint64_t stamp() const { return stamp_; }        // of the key, 0: not there
+  uint64_t mod_revision() const {
+    return mod_revision_;
+  }                                                // of the key, 0: not there
   uint64_t lease_id() const { return lease_id_; }  // to write with, to renew
 
-  void WasRead(uint64_t stamp);
+  void WasRead(uint64_t mod_revision);
   // `sent`: when the lease was asked for, which it counts from.
   void LeaseGranted(uint64_t lease_id, Time sent);
   void Written(Time now);
@@ -46,7 +48,7 @@
 
   DelegatedLease& delegated_lease_;
   RecordStep step_ = RecordStep::kRead;
-  uint64_t stamp_ = 0;
+  uint64_t mod_revision_ = 0;
   uint64_t lease_id_ = 0;
   Time lease_sent_ = 0;
 };
--- a/core/lease/token.h
+++ b/core/lease/fencing_token.h
@@ -6,7 +6,7 @@
 
 namespace oxbow {
 
-// The upper bits are the revision of the leader key, which the state service
+// The upper bits are the revision of the leader key, which the key-value store
 // never gives twice, the lower ones count within one leadership.
 inline constexpr int kTokenBits = 20;
 
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -19,13 +19,14 @@
 
 }  // namespace
 
-Leadership::Leadership(std::vector<std::string> peers, double lease_s,
-                       double promise_s, double delegation_s, Time started)
+Leadership::Leadership(std::vector<std::string> peers, double lease_seconds,
+                       double promise_seconds, double delegation_seconds,
+                       Time started)
     : peers_(std::move(peers)),
-      lease_s_(lease_s),
-      promise_s_(promise_s),
+      lease_seconds_(lease_seconds),
+      promise_seconds_(promise_seconds),
       started_(started),
-      delegation_s_(delegation_s) {}
+      delegation_seconds_(delegation_seconds) {}
 
 void Leadership::Change(LeaderState next) {
   CheckedChange(state_, next, kChanges, "leadership");
@@ -61,7 +62,7 @@
 }
 
 bool Leadership::MayTakeKey(Time now) const {
-  return delegation_s_ > 0 && state_ == kFollower && !Bound(now);
+  return delegation_seconds_ > 0 && state_ == kFollower && !Bound(now);
 }
 
 // By a promise that this process has given.
@@ -72,7 +73,7 @@
 }
 
 bool Leadership::Proven(Time now) const {
-  if (now >= started_ + promise_s_ * (1 + kDrift)) return true;
+  if (now >= started_ + promise_seconds_ * (1 + kDrift)) return true;
   return AllIdle(DelegationsAreOver(now));
 }
 
@@ -81,7 +82,7 @@
 }
 
 bool Leadership::DelegationsAreOver(Time now) const {
-  return now >= started_ + delegation_s_ * (1 + kDrift);
+  return now >= started_ + delegation_seconds_ * (1 + kDrift);
 }
 
 bool Leadership::AllIdle(bool delegations_are_over) const {
@@ -108,7 +109,7 @@
   Change(leads ? kLeading : kRenewing);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_s_ * (1 - kDrift);
+  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
   granted_until_.clear();
 }
 
@@ -122,7 +123,7 @@
   if (state_ == kProlonged) Change(kLeading);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_s_ * (1 - kDrift);
+  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
   granted_until_.clear();
 }
 
@@ -135,7 +136,7 @@
 
 void Leadership::RenewGranted(Time sent) {
   if (state_ != kLeading && state_ != kProlonged && state_ != kRenewing) return;
-  lease_until_ = std::max(lease_until_, sent + lease_s_ * (1 - kDrift));
+  lease_until_ = std::max(lease_until_, sent + lease_seconds_ * (1 - kDrift));
 }
 
 void Leadership::Lost() {
@@ -152,18 +153,18 @@
   // Ask as soon as one renewal is overdue: what is granted has to be there
   // before the lease runs out, for afterwards it is too late for good.
   return state_ == kProlonged ||
-         (state_ == kLeading && lease_until_ - now < lease_s_ * 0.7);
+         (state_ == kLeading && lease_until_ - now < lease_seconds_ * 0.7);
 }
 
 void Leadership::PromiseGranted(const std::string& peer, Time sent) {
   Time& until = granted_until_[peer];
-  until = std::max(until, sent + promise_s_ * (1 - kDrift));
+  until = std::max(until, sent + promise_seconds_ * (1 - kDrift));
 }
 
 bool Leadership::AskedToPromise(bool state_fails, Time now) {
   // A search under way has an unknown outcome, so nothing can be promised.
   if (!state_fails || state_ != kFollower) return false;
-  promised_until_ = now + promise_s_ * (1 + kDrift);
+  promised_until_ = now + promise_seconds_ * (1 + kDrift);
   return true;
 }
 
@@ -189,7 +190,7 @@
   // From the question on: the answer may be under way while its giver, started
   // again, asks who relies on it.
   return delegation_over_ < delegation_asked_ &&
-                 now < delegation_asked_ + delegation_s_
+                 now < delegation_asked_ + delegation_seconds_
              ? LeaderRole::kRenewsByPromises
              : LeaderRole::kNone;
 }
@@ -200,7 +201,8 @@
     Change(kLapsed);
     return false;
   }
-  if (state_ != kFollower || delegation_s_ <= 0 || peers_.empty()) return false;
+  if (state_ != kFollower || delegation_seconds_ <= 0 || peers_.empty())
+    return false;
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
     const auto it = delegation_granted_.find(peer);
     return it != delegation_granted_.end() && now < it->second;
@@ -215,7 +217,7 @@
 void Leadership::DelegationGranted(const std::string& peer, Time sent) {
   if (sent <= delegation_over_) return;
   Time& until = delegation_granted_[peer];
-  until = std::max(until, sent + delegation_s_ * (1 - kDrift));
+  until = std::max(until, sent + delegation_seconds_ * (1 - kDrift));
 }
 
 uint64_t Leadership::DelegationOver(Time now) {
@@ -226,20 +228,24 @@
 }
 
 bool Leadership::AskedToDelegate(const std::string& peer,
-                                 const std::string& life, uint64_t number,
-                                 bool state_fails, Time now) {
-  if (delegation_s_ <= 0 || !state_fails || state_ != kFollower) return false;
+                                 const std::string& process_incarnation,
+                                 uint64_t number, bool state_fails, Time now) {
+  if (delegation_seconds_ <= 0 || !state_fails || state_ != kFollower)
+    return false;
   DelegationPromise& promise = delegation_promised_[peer];
-  promise.life = life;
+  promise.process_incarnation = process_incarnation;
   promise.number = number;
-  promise.until = std::max(promise.until, now + delegation_s_ * (1 + kDrift));
+  promise.until =
+      std::max(promise.until, now + delegation_seconds_ * (1 + kDrift));
   return true;
 }
 
 void Leadership::DelegationReleased(const std::string& peer,
-                                    const std::string& life, uint64_t number) {
+                                    const std::string& process_incarnation,
+                                    uint64_t number) {
   const auto it = delegation_promised_.find(peer);
-  if (it != delegation_promised_.end() && it->second.life == life &&
+  if (it != delegation_promised_.end() &&
+      it->second.process_incarnation == process_incarnation &&
       it->second.number <= number) {
     delegation_promised_.erase(it);
   }
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -1,4 +1,4 @@
-// Who leads: a leased key in the state service, and promises between the
+// Who leads: a leased key in the key-value store, and promises between the
 // controllers that carry the leader through an outage of that service.
 #pragma once
 
@@ -14,11 +14,11 @@
 namespace oxbow {
 
 enum class LeaderState : uint8_t {
-  kFollower,   // somebody else leads, or nobody
-  kSeeking,    // a lease is asked for, the key is being written
-  kRenewing,   // holds the key, but somebody may still lead by a promise that
-               // this process has forgotten: renews workers' leases, no orders
-  kLeading,    // the lease is known to be granted
+  kFollower,  // somebody else leads, or nobody
+  kSeeking,   // a lease is asked for, the key is being written
+  kRenewing,  // holds the key, but somebody may still lead by a promise that
+              // this process has forgotten: renews workers' leases, no commands
+  kLeading,   // the lease is known to be granted
   kProlonged,  // the service is out; every other controller has promised
   kLapsed,     // was leader, the right has run out; becomes follower again
 };
@@ -35,8 +35,8 @@
  public:
   // `delegation_s`: how long a promise to a delegate lasts; 0: there are no
   // delegates.
-  Leadership(std::vector<std::string> peers, double lease_s, double promise_s,
-             double delegation_s, Time started);
+  Leadership(std::vector<std::string> peers, double lease_seconds,
+             double promise_seconds, double delegation_seconds, Time started);
 
   LeaderState state() const { return state_; }
   uint64_t revision() const { return revision_; }
@@ -57,7 +57,7 @@
   bool Proven(Time now) const;
   // The same where the key is this controller's own, from a life in which it
   // led: nobody has led since, so only delegates by promises have to be
-  // waited for. Who leads by data that the state service has lost would have
+  // waited for. Who leads by data that the key-value store has lost would have
   // said so.
   bool OwnProven(Time now) const;
   // `seen` is the leader key's revision that the search was decided on. The
@@ -76,7 +76,7 @@
   // The key was written anew under a right that still stood: into a state
   // service that had lost it.
   void Rewon(uint64_t revision, uint64_t lease_id, Time sent);
-  // The state service has lost data, and with it perhaps the key of somebody
+  // The key-value store has lost data, and with it perhaps the key of somebody
   // who leads by it: as after a start, everybody has to be asked, or the
   // longest right waited out.
   void Forget(Time now);
@@ -90,7 +90,7 @@
   void PromiseGranted(const std::string& peer, Time sent);
 
   // --- promises, as the one who gives them
-  // `state_fails`: this controller itself cannot reach the state service. One
+  // `state_fails`: this controller itself cannot reach the key-value store. One
   // that can must refuse, or a leader cut off alone would lead on for ever.
   bool AskedToPromise(bool state_fails, Time now);
   void PeerIs(const std::string& peer, LeaderRole role);
@@ -98,28 +98,30 @@
     PeerIs(peer, LeaderRole::kNone);
   }
   Time promised_until() const { return promised_until_; }
-  double promise_s() const { return promise_s_; }
+  double promise_seconds() const { return promise_seconds_; }
   LeaderRole Role(Time now) const;
 
   // --- renewing workers' leases without leading: reports are answered without
-  // orders while nobody can lead. Any number of controllers may at the same
-  // time; what must not be is a leader who takes a session for over that
+  // commands while nobody can lead. Any number of controllers may at the same
+  // time; what must not be is a leader who takes an incarnation for over that
   // another renews. So a delegate by promises holds every other controller's
   // promise not to seek, and a delegate by the key holds the key; a leader by
-  // promises, of whom a delegate may not know, takes no session for over
-  // (Controller::Tick).
+  // promises, of whom a delegate may not know, takes no incarnation for over
+  // (Leader::Tick).
   bool MayRenew(Time now);
-  double delegation_s() const { return delegation_s_; }
+  double delegation_seconds() const { return delegation_seconds_; }
   // The number goes into the question, and back with DelegationOver.
   uint64_t DelegationAsked(Time sent);
   void DelegationGranted(const std::string& peer, Time sent);
   // Relies on no promise any more; the number up to which. 0: did not.
   uint64_t DelegationOver(Time now);
   // As the one who promises. `life`: the asker's incarnation.
-  bool AskedToDelegate(const std::string& peer, const std::string& life,
-                       uint64_t number, bool state_fails, Time now);
+  bool AskedToDelegate(const std::string& peer,
+                       const std::string& process_incarnation, uint64_t number,
+                       bool state_fails, Time now);
   // A release that was held back on its way may be older than the promise.
-  void DelegationReleased(const std::string& peer, const std::string& life,
+  void DelegationReleased(const std::string& peer,
+                          const std::string& process_incarnation,
                           uint64_t number);
 
  private:
@@ -131,8 +133,8 @@
 
   LeaderState state_ = LeaderState::kFollower;
   std::vector<std::string> peers_;
-  double lease_s_;
-  double promise_s_;
+  double lease_seconds_;
+  double promise_seconds_;
   Time started_;
   uint64_t revision_ = 0;
   uint64_t lease_id_ = 0;
@@ -144,11 +146,11 @@
   std::set<std::string> delegates_;  // for delegation_s_ from the start at most
   std::set<std::string> leading_;    // when last asked
   struct DelegationPromise {
-    std::string life;
+    std::string process_incarnation;
     uint64_t number = 0;
     Time until = -1e9;
   };
-  double delegation_s_;
+  double delegation_seconds_;
   uint64_t delegation_number_ = 0;
   Time delegation_asked_ = -1e9;  // the last question
   Time delegation_over_ = -1e9;  // what was granted to questions before is void
--- a/core/limits/loss_limiter.cc
+++ b/core/limits/loss_limiter.cc
@@ -21,22 +21,23 @@
   return kNames[static_cast<size_t>(cause)];
 }
 
-std::string_view NameOf(LossVerdict verdict) {
+std::string_view NameOf(LossDecision verdict) {
   switch (verdict) {
-    case LossVerdict::kAllowed:
+    case LossDecision::kAllowed:
       return "allowed";
-    case LossVerdict::kFleetLimit:
+    case LossDecision::kFleetLimit:
       return "the fleet's share";
-    case LossVerdict::kZoneLimit:
+    case LossDecision::kZoneLimit:
       return "the zone's share";
-    case LossVerdict::kServiceLimit:
+    case LossDecision::kServiceLimit:
       return "a service's share";
   }
   return "";
 }
 
 void LossLimiter::Forget(Time now) {
-  while (!entries_.empty() && entries_.front().at <= now - limits_.window_s) {
+  while (!entries_.empty() &&
+         entries_.front().at <= now - limits_.window_seconds) {
     const Loss& loss = entries_.front().loss;
     --by_cause_[static_cast<size_t>(loss.cause)];
     const auto zone = by_zone_.find({loss.cause, loss.zone});
@@ -55,19 +56,19 @@
   return by_cause_[static_cast<size_t>(cause)];
 }
 
-LossVerdict LossLimiter::Ask(const Loss& loss, int fleet, int zone, Time now) {
+LossDecision LossLimiter::Ask(const Loss& loss, int fleet, int zone, Time now) {
   Forget(now);
   const auto cause = static_cast<size_t>(loss.cause);
   const int asked = by_cause_[cause];
   const auto it = by_zone_.find({loss.cause, loss.zone});
   const int asked_in_zone = it == by_zone_.end() ? 0 : it->second;
-  LossVerdict verdict = LossVerdict::kAllowed;
+  LossDecision verdict = LossDecision::kAllowed;
   if (asked + 1 > Allowance(limits_.fleet[cause], fleet + asked)) {
-    verdict = LossVerdict::kFleetLimit;
+    verdict = LossDecision::kFleetLimit;
   } else if (asked_in_zone + 1 >
              Allowance(std::max(limits_.zone, limits_.fleet[cause]),
                        zone + asked_in_zone)) {
-    verdict = LossVerdict::kZoneLimit;
+    verdict = LossDecision::kZoneLimit;
   } else {
     for (const Loss::Part& part : loss.services) {
       const auto taken = by_service_.find(part.job);
@@ -76,12 +77,12 @@
       // machine, that one must still be replaceable.
       if (before > 0 &&
           before + part.replicas > Allowance(limits_.service, part.size)) {
-        verdict = LossVerdict::kServiceLimit;
+        verdict = LossDecision::kServiceLimit;
         break;
       }
     }
   }
-  if (verdict != LossVerdict::kAllowed) {
+  if (verdict != LossDecision::kAllowed) {
     ++refused_[cause];
     return verdict;
   }
--- a/core/limits/loss_limiter.h
+++ b/core/limits/loss_limiter.h
@@ -26,13 +26,13 @@
 inline constexpr size_t kLossCauses = 6;
 std::string_view NameOf(LossCause cause);
 
-enum class LossVerdict : uint8_t {
+enum class LossDecision : uint8_t {
   kAllowed,
   kFleetLimit,
   kZoneLimit,
   kServiceLimit,
 };
-std::string_view NameOf(LossVerdict verdict);
+std::string_view NameOf(LossDecision verdict);
 
 // What an act takes away.
 struct Loss {
@@ -52,7 +52,7 @@
 class LossLimiter {
  public:
   struct Limits {
-    double window_s = 0;
+    double window_seconds = 0;
     // Of the machines there are, by cause.
     std::array<double, kLossCauses> fleet{};
     double zone = 0;     // of a zone's machines, for each cause by itself
@@ -64,7 +64,7 @@
   // Asks for one act and counts it when it is allowed. `fleet` and `zone` are
   // machines there are now; what was taken within the window is added, so that
   // the basis does not shrink as the acts add up.
-  LossVerdict Ask(const Loss& loss, int fleet, int zone, Time now);
+  LossDecision Ask(const Loss& loss, int fleet, int zone, Time now);
 
   // Asks within the window for this cause, and refusals since one was allowed.
   int Asked(LossCause cause, Time now);
--- a/core/calendar/calendar.cc
+++ b/core/maintenance/maintenance_calendar.cc
@@ -1,4 +1,4 @@
-#include "core/calendar/calendar.h"
+#include "core/maintenance/maintenance_calendar.h"
 
 #include <algorithm>
 #include <limits>
@@ -39,29 +39,30 @@
           spec.need.gpus * spec.tasks > accelerators_above);
 }
 
-CalendarStanding Calendar::ByAge(Time now) const {
+CalendarFreshness MaintenanceCalendar::ByAge(Time now) const {
   const double age = now - confirmed_;
-  return age <= kStaleLeases * lease_s_    ? CalendarStanding::kCurrent
-         : age <= kTooOldLeases * lease_s_ ? CalendarStanding::kStale
-                                           : CalendarStanding::kTooOld;
+  return age <= kStaleLeases * lease_seconds_    ? CalendarFreshness::kCurrent
+         : age <= kTooOldLeases * lease_seconds_ ? CalendarFreshness::kStale
+                                                 : CalendarFreshness::kTooOld;
 }
 
-void Calendar::Change(CalendarEvent event, Time now) {
+void MaintenanceCalendar::Change(CalendarEvent event, Time now) {
   switch (event) {
     case CalendarEvent::kBooked:
       break;
     case CalendarEvent::kCancelled:
-      standing_ = CalendarStanding::kNone;
+      standing_ = CalendarFreshness::kNone;
       return;
     case CalendarEvent::kConfirmed:
     case CalendarEvent::kAged:
-      if (standing_ == CalendarStanding::kNone) return;
+      if (standing_ == CalendarFreshness::kNone) return;
       break;
   }
   standing_ = ByAge(now);
 }
 
-void Calendar::Take(const Booking& booking, uint64_t version, Time now) {
+void MaintenanceCalendar::Take(const MaintenanceWindow& booking,
+                               uint64_t version, Time now) {
   const auto gone = withdrawn_.find(booking.id);
   if (gone != withdrawn_.end() && gone->second >= version) return;
   if (!bookings_.contains(booking.id) && bookings_.size() >= kMostBookings) {
@@ -74,7 +75,8 @@
   Change(CalendarEvent::kBooked, now);
 }
 
-void Calendar::Withdraw(const std::string& id, uint64_t version, Time now) {
+void MaintenanceCalendar::Withdraw(const std::string& id, uint64_t version,
+                                   Time now) {
   const auto it = bookings_.find(id);
   if (it != bookings_.end()) {
     if (it->second.version > version) return;
@@ -87,8 +89,8 @@
   if (bookings_.empty()) Change(CalendarEvent::kCancelled, now);
 }
 
-Calendar::Mask Calendar::MaskOf(const JobSpec& spec,
-                                const std::string& tier) const {
+MaintenanceCalendar::Mask MaintenanceCalendar::MaskOf(
+    const JobSpec& spec, const std::string& tier) const {
   Mask mask = 0;
   size_t bit = 0;
   for (const auto& [id, known] : bookings_) {
@@ -98,7 +100,7 @@
   return mask;
 }
 
-const Calendar::Plan& Calendar::PlanOf(Mask mask) const {
+const MaintenanceCalendar::Plan& MaintenanceCalendar::PlanOf(Mask mask) const {
   const auto it = plans_.find(mask);
   if (it != plans_.end()) return it->second;
   // Each set of bookings that some work matches: few, yet nothing forbids many.
@@ -107,18 +109,18 @@
   return plans_[mask] = Build(mask);
 }
 
-Calendar::Plan Calendar::Build(Mask mask) const {
-  std::vector<const Booking*> windows;
-  std::vector<const Booking*> peaks;
+MaintenanceCalendar::Plan MaintenanceCalendar::Build(Mask mask) const {
+  std::vector<const MaintenanceWindow*> windows;
+  std::vector<const MaintenanceWindow*> peaks;
   size_t bit = 0;
   for (const auto& [id, known] : bookings_) {
     if ((mask >> bit++ & 1) == 0) continue;
-    const Booking& b = known.booking;
+    const MaintenanceWindow& b = known.booking;
     (b.kind == BookingKind::kWindow ? windows : peaks).push_back(&b);
   }
   Plan plan;
   std::vector<Chance> open;
-  for (const Booking* w : windows) {
+  for (const MaintenanceWindow* w : windows) {
     for (const UtcInterval& t : w->times) open.push_back({t.from, t.to, w, w});
     if (w->known_until > 0) plan.horizon = w;
   }
@@ -134,7 +136,7 @@
       plan.chances.push_back(c);
     }
   }
-  for (const Booking* p : peaks) {
+  for (const MaintenanceWindow* p : peaks) {
     std::vector<UtcInterval> shut = p->times;
     if (p->known_until > 0) {
       shut.push_back({p->known_until, kNever});
@@ -160,29 +162,30 @@
   return plan;
 }
 
-double Calendar::Needs(const JobSpec& spec, double run_s,
-                       const Chance& chance) {
+double MaintenanceCalendar::Needs(const JobSpec& spec, double run_seconds,
+                                  const Chance& chance) {
   if (chance.closes == nullptr) return 0;
   switch (chance.closes->overrun) {
     case Overrun::kRunOn:
       return 0;
     case Overrun::kSaveAndStop:
       if (Saves(spec)) {
-        return std::min(kEstimateSlack * run_s,
-                        kWorthSaves * (spec.checkpoint_s + spec.save_s));
+        return std::min(
+            kEstimateSlack * run_seconds,
+            kWorthSaves * (spec.checkpoint_seconds + spec.save_seconds));
       }
       [[fallthrough]];
     case Overrun::kHoldBack:
-      return kEstimateSlack * run_s;
+      return kEstimateSlack * run_seconds;
   }
   return 0;
 }
 
-double Calendar::NextChance(const Plan& plan, const JobSpec& spec, double run_s,
-                            double after) {
+double MaintenanceCalendar::NextChance(const Plan& plan, const JobSpec& spec,
+                                       double run_seconds, double after) {
   for (const Chance& c : plan.chances) {
     if (c.from <= after) continue;
-    const double needs = Needs(spec, run_s, c);
+    const double needs = Needs(spec, run_seconds, c);
     if (needs <= c.to - c.from ||
         (needs > plan.longest && c.to - c.from >= kLong * plan.longest)) {
       return c.from;
@@ -191,34 +194,36 @@
   return 0;
 }
 
-Verdict Calendar::MayStart(const JobSpec& spec, const std::string& tier,
-                           double run_s, Time now) const {
+AdmissionDecision MaintenanceCalendar::MayStart(const JobSpec& spec,
+                                                const std::string& tier,
+                                                double run_seconds,
+                                                Time now) const {
   const Mask mask = MaskOf(spec, tier);
   if (mask == 0) return {};
-  Verdict verdict;
+  AdmissionDecision verdict;
   if (!reading_.known()) {
     verdict.hold = HeldBy::kClockUnknown;
     return verdict;
   }
   const TrueTime t = At(now);
   const Plan& plan = PlanOf(mask);
-  verdict.until = NextChance(plan, spec, run_s, t.earliest);
-  // A leader cut from the state service across an edge would start by a
+  verdict.until = NextChance(plan, spec, run_seconds, t.earliest);
+  // A leader cut from the key-value store across an edge would start by a
   // calendar that others have long changed.
-  if (standing(now) == CalendarStanding::kTooOld) {
+  if (standing(now) == CalendarFreshness::kTooOld) {
     verdict.hold = HeldBy::kTooOld;
     return verdict;
   }
   // Whatever delays the answer that carries the start, the worker drops it
   // past this.
-  const double carried_out = t.latest + kAnswerLifetime_s * (1 + kDrift);
+  const double carried_out = t.latest + kAnswerLifetimeSeconds * (1 + kDrift);
   const auto next =
       std::upper_bound(plan.chances.begin(), plan.chances.end(), t.earliest,
                        [](double at, const Chance& c) { return at < c.from; });
   const Chance* here =
       next == plan.chances.begin() ? nullptr : &*std::prev(next);
   if (here == nullptr || carried_out >= here->to) {
-    const Booking* shuts = here != nullptr ? here->closes : nullptr;
+    const MaintenanceWindow* shuts = here != nullptr ? here->closes : nullptr;
     verdict.hold = next == plan.chances.end() && plan.horizon != nullptr &&
                            t.latest >= plan.horizon->known_until
                        ? HeldBy::kHorizon
@@ -229,7 +234,7 @@
     if (shuts != nullptr) verdict.booking = shuts->id;
     return verdict;
   }
-  const double needs = Needs(spec, run_s, *here);
+  const double needs = Needs(spec, run_seconds, *here);
   const double length = here->to - here->from;
   const bool too_long = plan.longest > 0 && needs > plan.longest &&
                         length >= kLong * plan.longest &&
@@ -246,8 +251,9 @@
   return verdict;
 }
 
-OverrunStep Calendar::Caught(const JobSpec& spec, const std::string& tier,
-                             double lead_s, Time now) const {
+OverrunStep MaintenanceCalendar::Caught(const JobSpec& spec,
+                                        const std::string& tier,
+                                        double lead_seconds, Time now) const {
   const Mask mask = MaskOf(spec, tier);
   if (mask == 0 || !reading_.known()) return OverrunStep::kNone;
   const TrueTime t = At(now);
@@ -259,7 +265,7 @@
   if (next == plan.chances.begin()) return OverrunStep::kNone;
   const Chance& last = *std::prev(next);
   // The edge may have passed, by the later bound: what goes, goes in time.
-  if (t.latest + lead_s < last.to || last.closes == nullptr) {
+  if (t.latest + lead_seconds < last.to || last.closes == nullptr) {
     return OverrunStep::kNone;
   }
   switch (last.closes->overrun) {
@@ -273,13 +279,14 @@
   return OverrunStep::kNone;
 }
 
-bool Calendar::InWindow(const std::string& booking, const JobSpec& spec,
-                        const std::string& tier) const {
+bool MaintenanceCalendar::InWindow(const std::string& booking,
+                                   const JobSpec& spec,
+                                   const std::string& tier) const {
   const auto it = bookings_.find(booking);
   return it != bookings_.end() && it->second.booking.work.Matches(spec, tier);
 }
 
-std::vector<std::string> Calendar::AllWindows() const {
+std::vector<std::string> MaintenanceCalendar::AllWindows() const {
   std::vector<std::string> out;
   for (const auto& [id, known] : bookings_) {
     if (known.booking.kind == BookingKind::kWindow) out.push_back(id);
@@ -287,11 +294,11 @@
   return out;
 }
 
-std::vector<std::pair<std::string, double>> Calendar::Windows(
+std::vector<std::pair<std::string, double>> MaintenanceCalendar::Windows(
     const JobSpec& spec, const std::string& tier) const {
   std::vector<std::pair<std::string, double>> out;
   for (const auto& [id, known] : bookings_) {
-    const Booking& b = known.booking;
+    const MaintenanceWindow& b = known.booking;
     if (b.kind == BookingKind::kWindow && b.work.Matches(spec, tier)) {
       out.emplace_back(id, b.room_share);
     }
--- a/core/calendar/booking.h
+++ b/core/maintenance/maintenance_window.h
@@ -54,7 +54,7 @@
   bool Matches(const JobSpec& spec, const std::string& tier) const;
 };
 
-struct Booking {
+struct MaintenanceWindow {
   std::string id;
   BookingKind kind = BookingKind::kWindow;
   WorkRule work;
@@ -69,7 +69,7 @@
   std::string starts;               // 2026-03-29T02:30:00
   std::string rule;                 // RRULE of RFC 5545; empty: once
   std::vector<std::string> except;  // EXDATE, local like `starts`
-  double length_s = 0;
+  double length_seconds = 0;
 
   // Ascending, not overlapping.
   std::vector<UtcInterval> times;
--- a/core/calendar/true_time.h
+++ b/core/maintenance/true_time.h
@@ -23,10 +23,10 @@
   bool known() const { return after > -1e8; }
   // `bound_s`: how far the wall clock may be off at the moment of the look. The
   // steady clock has drifted since then, and only that.
-  TrueTime At(Time now, double bound_s) const {
+  TrueTime At(Time now, double bound_seconds) const {
     const double drift = kDrift * std::max(0.0, now - before);
-    return {wall + (now - after) - bound_s - drift,
-            wall + (now - before) + bound_s + drift};
+    return {wall + (now - after) - bound_seconds - drift,
+            wall + (now - before) + bound_seconds + drift};
   }
 };
 
--- a/core/calendar/check.cc
+++ b/core/maintenance/window_validation.cc
@@ -1,10 +1,10 @@
-#include "core/calendar/check.h"
+#include "core/maintenance/window_validation.h"
 
 #include <algorithm>
 #include <cmath>
 #include <sstream>
 
-#include "core/calendar/calendar.h"
+#include "core/maintenance/maintenance_calendar.h"
 
 namespace oxbow {
 namespace {
@@ -49,7 +49,7 @@
   for (const std::string& name : work.teams) {
     const auto team =
         std::find_if(settings.teams.begin(), settings.teams.end(),
-                     [&](const TeamSettings& t) { return t.name == name; });
+                     [&](const TeamQuota& t) { return t.name == name; });
     if (team == settings.teams.end()) {
       return Line("work.teams: team ", name, " is not known");
     }
@@ -80,14 +80,15 @@
   return {};
 }
 
-std::string WrongRoom(const Booking& booking, const BookingContext& context) {
+std::string WrongRoom(const MaintenanceWindow& booking,
+                      const BookingContext& context) {
   if (!(booking.room_share > 0 && booking.room_share <= 1)) {
     return Line("room: ", booking.room_share, " is not above 0 and at most 1");
   }
   if (booking.kind == BookingKind::kPeak) return {};
   double limit = 0;
   for (const std::string& name : booking.work.teams) {
-    for (const TeamSettings& team : context.settings->teams) {
+    for (const TeamQuota& team : context.settings->teams) {
       if (team.name == name) limit += team.cpus_max > 0 ? team.cpus_max : 1e18;
     }
   }
@@ -100,7 +101,7 @@
   // one of them begins.
   for (const UtcInterval& t : booking.times) {
     std::vector<double> moments = {t.from};
-    for (const Booking& other : context.others) {
+    for (const MaintenanceWindow& other : context.others) {
       if (other.kind == BookingKind::kPeak) continue;
       for (const UtcInterval& o : other.times) {
         if (o.from > t.from && o.from < t.to) moments.push_back(o.from);
@@ -109,7 +110,7 @@
     for (const double at : moments) {
       double share = booking.room_share;
       std::string with;
-      for (const Booking& other : context.others) {
+      for (const MaintenanceWindow& other : context.others) {
         if (other.kind == BookingKind::kPeak) continue;
         for (const UtcInterval& o : other.times) {
           if (at < o.from || at >= o.to) continue;
@@ -126,9 +127,10 @@
   return {};
 }
 
-std::string WrongTimes(const Booking& booking, const BookingContext& context) {
-  if (!(booking.length_s > 0)) {
-    return Line("length_s: ", booking.length_s, " is not above 0");
+std::string WrongTimes(const MaintenanceWindow& booking,
+                       const BookingContext& context) {
+  if (!(booking.length_seconds > 0)) {
+    return Line("length_s: ", booking.length_seconds, " is not above 0");
   }
   if (booking.times.empty()) return "rule: it never matches";
   if (booking.times.size() > kMostTimes) {
@@ -160,14 +162,15 @@
   return {};
 }
 
-std::string InsidePeak(const Booking& booking, const BookingContext& context) {
-  for (const Booking& other : context.others) {
+std::string InsidePeak(const MaintenanceWindow& booking,
+                       const BookingContext& context) {
+  for (const MaintenanceWindow& other : context.others) {
     if (other.kind == booking.kind || !MayMeet(other.work, booking.work)) {
       continue;
     }
     const bool window = booking.kind == BookingKind::kWindow;
-    const Booking& quiet = window ? booking : other;
-    const Booking& peak = window ? other : booking;
+    const MaintenanceWindow& quiet = window ? booking : other;
+    const MaintenanceWindow& peak = window ? other : booking;
     for (const UtcInterval& q : quiet.times) {
       for (const UtcInterval& p : peak.times) {
         if (!Overlap(q, p) || q.from < p.from || q.to > p.to) continue;
@@ -184,11 +187,11 @@
 }  // namespace
 
 double BookingNotice(const Settings& settings) {
-  return kNoticeLeases * settings.workers.lease_s +
+  return kNoticeLeases * settings.workers.lease_seconds +
          2 * settings.clock_off_ms / 1000;
 }
 
-std::string WhyNoBooking(const Booking& booking,
+std::string WhyNoBooking(const MaintenanceWindow& booking,
                          const BookingContext& context) {
   if (context.others.size() >= kMostBookings) {
     return Line("id: ", kMostBookings, " bookings are in force already");
--- a/core/calendar/check.h
+++ b/core/maintenance/window_validation.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/calendar/booking.h"
+#include "core/maintenance/maintenance_window.h"
 #include "core/model/settings.h"
 
 namespace oxbow {
@@ -18,14 +18,15 @@
   std::optional<std::vector<std::string>> tiers;
   Resources fleet;  // of all machines together; zero when it is not known
   double wall = 0;  // s since 1970
-  std::vector<Booking> others;      // in force, without this one
-  std::optional<Booking> replaces;  // its version in force
+  std::vector<MaintenanceWindow> others;      // in force, without this one
+  std::optional<MaintenanceWindow> replaces;  // its version in force
 };
 
 // Sooner than this after it is recorded no booking binds anybody, s.
 double BookingNotice(const Settings& settings);
 
 // Empty, or one line that names the value it can't be taken for.
-std::string WhyNoBooking(const Booking& booking, const BookingContext& context);
+std::string WhyNoBooking(const MaintenanceWindow& booking,
+                         const BookingContext& context);
 
 }  // namespace oxbow
--- a/core/model/report.h
+++ b/core/model/heartbeat.h
@@ -28,7 +28,7 @@
   kUnknownTask,
 };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job_id;
   uint32_t task = 0;
   uint64_t attempt = 0;
@@ -37,30 +37,30 @@
   bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
   std::string host;
   std::string endpoint;
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t session = 0;
+  uint64_t incarnation = 0;
   uint64_t seq = 0;
   uint64_t token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  std::optional<double> notice_seconds;
+  std::vector<TaskStatus> tasks;
   // By way of another controller, which answers the worker for the leader. Not
   // said by the worker itself.
-  bool relayed = false;
+  bool forwarded = false;
 };
 
-enum class OrderKind : uint8_t { kStart, kStop, kForget };
+enum class CommandKind : uint8_t { kStart, kStop, kForget };
 
-struct Order {
-  OrderKind kind = OrderKind::kStart;
+struct WorkerCommand {
+  CommandKind kind = CommandKind::kStart;
   std::string job_id;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  double grace_s = 0;
+  double grace_seconds = 0;
 };
 
 }  // namespace oxbow
--- a/core/model/job.cc
+++ b/core/model/job.cc
@@ -11,13 +11,13 @@
 
 constexpr std::array kTaskChanges = {
     std::pair{kPending, kStarting},
-    // After a takeover a task is first seen wherever it has got to.
+    // After a failover a task is first seen wherever it has got to.
     std::pair{kPending, kFetching},
     std::pair{kPending, kWaiting},
     std::pair{kPending, kRunning},
     std::pair{kPending, kSaving},
     std::pair{kPending, kDone},
-    // Between two reports a task may pass through several phases.
+    // Between two heartbeats a task may pass through several phases.
     std::pair{kStarting, kFetching},
     std::pair{kStarting, kWaiting},
     std::pair{kStarting, kRunning},
@@ -66,15 +66,15 @@
 
 }  // namespace
 
-JobRecord EndedRecord(const JobRecord& record, TerminalState state,
-                      bool compact) {
+JobRecord TerminatedRecord(const JobRecord& record, TerminalState state,
+                           bool compact) {
   constexpr size_t kMostWord = 64;
   JobRecord ended = record;
   ended.terminal_state = state;
   if (!compact) return ended;
   auto spec = std::make_shared<JobSpec>(*record.spec);
   spec->types.reset();
-  spec->waits_on.clear();
+  spec->dependencies.clear();
   spec->image = Cut(spec->image, kMostWord);
   spec->job_class = Cut(spec->job_class, kMostWord);
   ended.spec = std::move(spec);
@@ -142,7 +142,7 @@
   while (!pending_.empty()) {
     const uint32_t i = pending_.back();
     if (tasks_[i].state == kPending) return i;
-    PopPending();  // adopted from a report while it stood in the list
+    PopPending();  // adopted from a heartbeat while it stood in the list
   }
   return -1;
 }
--- a/core/model/job.h
+++ b/core/model/job.h
@@ -76,40 +76,40 @@
   bool one_zone = false;
   bool spread = false;
   bool spot = false;
-  double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
-  std::optional<double> deadline_s;
-  std::vector<std::string> waits_on;  // jobs that have to be done before
+  double estimate_seconds = 0;
+  double checkpoint_seconds = 0;
+  double save_seconds = 0;
+  std::optional<double> deadline_seconds;
+  std::vector<std::string> dependencies;  // jobs that have to be done before
 
   bool AllowsType(const std::string& type) const;
   bool AllowsZone(const std::string& z) const { return !zone || *zone == z; }
 };
 
-// A job as the state service holds it.
+// A job as the key-value store holds it.
 struct JobRecord {
   std::shared_ptr<const JobSpec> spec;
   double submitted_wall = 0;
   TerminalState terminal_state = TerminalState::kNone;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   // Of a job that had to wait for others: when they were all recorded as done.
   double released_wall = 0;
 };
 
-// A job that waits for others, as the state service holds it: under a key of
+// A job that waits for others, as the key-value store holds it: under a key of
 // its own, which a version that knows nothing of waiting never reads, so that
 // no such version can start it.
 struct WaitingRecord {
   std::shared_ptr<const JobSpec> spec;
   double submitted_wall = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 // The record of a job that has ended. `compact`: without the words that may be
 // long, which what starts no task any more does not need; so one that was
-// accepted when the state service took larger values can still end.
-JobRecord EndedRecord(const JobRecord& record, TerminalState state,
-                      bool compact);
+// accepted when the key-value store took larger values can still end.
+JobRecord TerminatedRecord(const JobRecord& record, TerminalState state,
+                           bool compact);
 
 enum class TaskState : uint8_t {
   kPending,   // nowhere, to be placed
--- a/core/model/machine.cc
+++ b/core/model/machine.cc
@@ -32,7 +32,7 @@
   CheckedChange(state_, next, kChanges, "machine");
 }
 
-Resources Machine::RoomFor(const Job* job, Priority priority) const {
+Resources Machine::CapacityFor(const Job* job, Priority priority) const {
   Resources room = free();
   for (const Reservation& r : reservations) {
     const bool binds = r.part ? r.priority == priority : r.priority <= priority;
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -10,12 +10,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/model/delivery.h"
+#include "core/model/heartbeat.h"
 #include "core/model/job.h"
-#include "core/model/report.h"
-#include "core/model/session.h"
+#include "core/model/reachability.h"
 #include "core/model/settings.h"
 #include "core/model/state_machine.h"
+#include "core/model/worker_incarnation.h"
 
 namespace oxbow {
 
@@ -23,37 +23,37 @@
   std::string name;
   Resources total;
   double cache_gb = 0;
-  double fetch_gb_per_s = 1;
+  double fetch_gb_per_second = 1;
   double price = 0;
   double spot_price = 0;
-  double boot_s = 0;
+  double boot_seconds = 0;
   std::vector<std::string> zones;
 };
 
-// A machine as the state service holds it. Tasks go only to machines whose
+// A machine as the key-value store holds it. Tasks go only to machines whose
 // record names an endpoint.
 struct MachineRecord {
   std::string type;
   std::string zone;
   bool spot = false;
   std::string endpoint;  // empty while booting
-  double rented_wall = 0;
-  uint64_t stamp = 0;
+  double requested_wall = 0;
+  uint64_t mod_revision = 0;
 };
 
-enum class RentalState : uint8_t {
+enum class ScaleOutState : uint8_t {
   kRecording,   // the name is being written down
   kRequesting,  // the cloud has been, or may have been, asked
   kSettled,     // granted or refused, the record is being removed
 };
 
-// A rental request as the state service holds it; its name is used once.
-struct RentalRecord {
+// A rental request as the key-value store holds it; its name is used once.
+struct ScaleOutRecord {
   std::string type;
   std::string zone;
   bool spot = false;
   int count = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 enum class MachineState : uint8_t {
@@ -65,19 +65,19 @@
 };
 
 // How far the start order of a resident has got.
-enum class StartOrder : uint8_t {
+enum class StartProgress : uint8_t {
   kQueued,   // not sent: certainly not there
   kSent,     // under way or unanswered: may be there
   kSettled,  // the next newer message tells
 };
 
 // A task that is, or may be, on the machine, or whose exit is still reported.
-struct Resident {
+struct TaskAttempt {
   Job* job = nullptr;  // null: of a job that is no longer known
   std::string job_id;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  StartOrder order = StartOrder::kSettled;
+  StartProgress start_progress = StartProgress::kSettled;
   uint64_t last_seq = 0;  // of the latest message that listed it
   TaskPhase phase = TaskPhase::kFetching;
   ExitReason reason = ExitReason::kNone;
@@ -92,14 +92,14 @@
 };
 
 // Identifies an attempt on its machine.
-struct ResidentKey {
+struct TaskAttemptKey {
   std::string job_id;
   uint32_t task;
   uint64_t attempt;
-  auto operator<=>(const ResidentKey&) const = default;
+  auto operator<=>(const TaskAttemptKey&) const = default;
 };
 
-inline ResidentKey KeyOf(const Resident& r) {
+inline TaskAttemptKey KeyOf(const TaskAttempt& r) {
   return {r.job_id, r.task, r.attempt};
 }
 
@@ -107,8 +107,8 @@
 // worker either came before the batch or shows its effect.
 struct Batch {
   uint64_t id = 0;
-  std::vector<Order> orders;
-  // Set for orders in a report's response: settled by the next report.
+  std::vector<WorkerCommand> commands;
+  // Set for commands in a heartbeat's response: settled by the next report.
   bool in_response = false;
 };
 
@@ -137,10 +137,10 @@
   Resources total() const { return type ? type->total : Resources{}; }
   Resources free() const { return total() - used; }
   // Room for a job of this priority, less what is held back for others.
-  Resources RoomFor(const Job* job, Priority priority) const;
+  Resources CapacityFor(const Job* job, Priority priority) const;
   // Whether the worker has shown the current token, so nothing sent with an
   // older one, by this leader or another, can be executed any more.
-  bool confirmed() const { return seen_token >= token; }
+  bool confirmed() const { return seen_fencing_token >= token; }
 
   // Images. The queue holds those of starts sent and not yet seen cached.
   double BytesToFetch(const std::string& image, double gb) const;
@@ -156,20 +156,20 @@
   std::string zone;
   bool spot = false;
   std::string endpoint;
-  bool recorded_up = false;  // record with endpoint is in the state service
+  bool recorded_up = false;  // record with endpoint is in the key-value store
   const MachineType* type = nullptr;
-  Time rented = 0;
+  Time requested_at = 0;
 
   // The dialogue with its worker.
-  Session session;
-  Delivery delivery;
+  WorkerIncarnation incarnation;
+  Reachability reachability;
   uint64_t seq = 0;
-  uint64_t token;           // the one this leader uses for it now
-  uint64_t seen_token = 0;  // the highest the worker has shown
+  uint64_t token;                   // the one this leader uses for it now
+  uint64_t seen_fencing_token = 0;  // the highest the worker has shown
   Time last_heard = -1e9;
-  Time last_report = -1e9;   // by which its lease is renewed
-  bool relayed = false;      // that report came by way of another controller
-  Time first_answer = -1e9;  // to a report, by this leader
+  Time last_heartbeat = -1e9;  // by which its lease is renewed
+  bool forwarded = false;      // that report came by way of another controller
+  Time first_answer = -1e9;    // to a heartbeat, by this leader
   Time last_answer = -1e9;
   // The other controllers, asked about a silent machine: when last, when one
   // of them last reached it, and when last nobody did.
@@ -182,15 +182,15 @@
   bool stranger = false;
   std::optional<Batch> batch;
   bool batch_lost = false;  // unanswered: may be executed until token shows
-  std::deque<Order> queue;
-  Time direct_broken_until = 0;  // orders go in responses meanwhile
+  std::deque<WorkerCommand> queue;
+  Time direct_broken_until = 0;  // commands go in responses meanwhile
   uint32_t direct_failures = 0;  // in a row
   std::optional<Time> notice_until;
 
-  std::map<ResidentKey, Resident> residents;
+  std::map<TaskAttemptKey, TaskAttempt> task_attempts;
   // Tasks of no known job that are there. What they hold nobody knows, so the
   // machine gets nothing meanwhile.
-  int orphans = 0;
+  int orphaned_tasks = 0;
   Resources used;
   Resources staying;  // the part of it that services hold
   Resources lasting;  // the part of it that is no short work
--- a/core/model/operator_record.h
+++ b/core/model/operator_record.h
@@ -8,7 +8,7 @@
 
 namespace oxbow {
 
-// A record as the state service holds it, under its name. The text is JSON of
+// A record as the key-value store holds it, under its name. The text is JSON of
 // its kind; who reads it decides what it means. Versions count up from 1 and
 // are never used twice, so a record that is withdrawn stays as a tombstone.
 struct OperatorRecord {
@@ -19,7 +19,7 @@
   std::string note;
   double changed_wall = 0;  // s since 1970
   bool withdrawn = false;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 // Names are paths of lower-case words: `tiers`, `calendar/rebuild-3`.
--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -18,7 +18,7 @@
 };
 
 // Amounts of 0 mean: no guarantee, no limit.
-struct TeamSettings {
+struct TeamQuota {
   std::string name;
   double cpus = 0;
   double cpus_max = 0;
@@ -29,20 +29,20 @@
 struct Objective {
   std::string kind;
   std::string job_class;
-  double within_s = 0;
+  double within_seconds = 0;
   double share = 0;
   double times = 0;
 };
 
 struct WorkerSettings {
-  double report_s = 1;
-  double lease_s = 10;
-  double gang_wait_s = 40;
-  double gang_peer_s = 4;
-  double cancel_s = 40;
+  double heartbeat_interval_seconds = 1;
+  double lease_seconds = 10;
+  double gang_wait_seconds = 40;
+  double gang_peer_seconds = 4;
+  double cancel_seconds = 40;
 };
 
-struct StateSettings {
+struct StoreSettings {
   double rps = 250;
   double write_rps = 100;
   double value_kb = 8;
@@ -55,14 +55,14 @@
     return static_cast<size_t>(value_kb * 1024);
   }
   // Whether a transaction may hold so many changes.
-  bool Takes(size_t changes) const {
-    return changes <= static_cast<size_t>(txn_ops);
+  bool FitsTransaction(size_t mutations) const {
+    return mutations <= static_cast<size_t>(txn_ops);
   }
 };
 
 struct CloudSettings {
   double rps = 8;
-  double list_lag_s = 5;
+  double list_lag_seconds = 5;
 };
 
 struct LimitSettings {
@@ -78,13 +78,13 @@
   std::string peer_listen;
   std::vector<PeerSettings> peers;
   std::string cloud_address;
-  std::string state_address;
+  std::string store_address;
   int nodes = 1;
   std::vector<std::string> zones;
-  std::vector<TeamSettings> teams;
+  std::vector<TeamQuota> teams;
   std::vector<Objective> objectives;
   WorkerSettings workers;
-  StateSettings state;
+  StoreSettings store;
   CloudSettings cloud;
   LimitSettings limits;
   double clock_off_ms = 0;
@@ -101,7 +101,7 @@
   double price_weight = 0.2;
   // Every job is to begin within so long, s, wherever the room is there: the
   // operators' rule. 0: the minimum share of the queue's order is off.
-  double begin_within_s = 0;
+  double begin_within_seconds = 0;
   // Of a class's work that is placed while some waits: for the largest and
   // those that have waited longest.
   double minimum_share = 0.2;
@@ -123,8 +123,8 @@
   // Leadership lease, as a share of the workers' lease.
   double leader_lease_ratio = 0.25;
   // How long the others promise one who keeps workers alive in an outage of
-  // the state service not to seek, as a share of the workers' lease; 0: nobody
-  // keeps workers alive without leading.
+  // the key-value store not to seek, as a share of the workers' lease; 0:
+  // nobody keeps workers alive without leading.
   double delegation_ratio = 0;
   // Whether controllers ask for the right to keep the workers of their zone
   // when it is cut off; 0: no.
@@ -144,7 +144,7 @@
   // One that hears less than this can't lead, whoever else can.
   double deaf_share = 0.2;
   // Hand-overs that are let happen within a worker lease.
-  double most_hand_overs = 2;
+  double max_leadership_transfers = 2;
   // What the leader may take away of its own accord within the window, as a
   // share of the machines; of a zone's machines, for each cause; of a
   // service's replicas.
@@ -157,14 +157,14 @@
   double distrusted_share = 0.05;
   double zone_share = 0.25;
   double service_share = 0.5;
-  // Fresh looks at whether the state service still holds all it held, in a
+  // Fresh looks at whether the key-value store still holds all it held, in a
   // worker lease; 0 turns the recovery from lost state off.
   double recovery_checks = 0;
   // Pages of its records compared with memory, in a worker lease.
   double recovery_pages = 1;
   // Whether the operators' calendar holds heavy work back; 0: no.
   double calendar_on = 0;
-  // Roll-outs at the same time; 0 turns the subsystem off.
+  // Rollouts at the same time; 0 turns the subsystem off.
   double rollouts_at_once = 0;
   // Health checks under way, as a share of the sockets.
   double rollout_check_share = 0.05;
--- a/core/model/timeouts.h
+++ b/core/model/timeouts.h
@@ -13,12 +13,13 @@
 // Seconds since the last message. Reports come every `report_s`, give or take
 // a quarter (protocol, "Workers -> controller nodes").
 struct SilenceTimeouts {
-  double overdue = 0;  // a report should have been there: counts as silent
+  double overdue = 0;  // a heartbeat should have been there: counts as silent
   double asked = 0;    // the other controllers are asked whether they hear it
   double suspect = 0;  // gets nothing new
   double give_up = 0;  // may be deleted for silence
 
-  static constexpr double kLatest = 1.25;  // of a report: the longest interval
+  static constexpr double kLatest =
+      1.25;  // of a heartbeat: the longest interval
   static constexpr double kOverdue = 1.2;  // one in four hundred, at any time
   static constexpr double kAsked = 1.4;    // leaves time for an answer
   static constexpr double kSuspect = 1.6;  // at least
@@ -31,27 +32,28 @@
   // 459 living machines were deleted so within 17 s.
   static SilenceTimeouts From(const WorkerSettings& workers,
                               const Tuning& tuning) {
-    const double report = workers.report_s;
-    const double lease = workers.lease_s;
+    const double heartbeat = workers.heartbeat_interval_seconds;
+    const double lease = workers.lease_seconds;
     SilenceTimeouts p;
-    p.overdue = kOverdue * report;
-    p.asked = kAsked * report;
-    p.suspect = std::max(kSuspect * report, tuning.suspect_ratio * lease);
-    p.give_up = std::max({kGiveUp * report, tuning.give_up_ratio * lease,
-                          p.suspect + report / 4});
+    p.overdue = kOverdue * heartbeat;
+    p.asked = kAsked * heartbeat;
+    p.suspect = std::max(kSuspect * heartbeat, tuning.suspect_ratio * lease);
+    p.give_up = std::max({kGiveUp * heartbeat, tuning.give_up_ratio * lease,
+                          p.suspect + heartbeat / 4});
     return p;
   }
 
   // Empty if the order holds that the rules on silence rest on; else what
   // stands against it.
   std::string Check(const WorkerSettings& workers) const {
-    if (workers.lease_s < 2 * kLatest * workers.report_s) {
+    if (workers.lease_seconds <
+        2 * kLatest * workers.heartbeat_interval_seconds) {
       return "workers.lease_s is less than two of the longest report intervals";
     }
     if (!(overdue < asked && asked < suspect && suspect < give_up)) {
       return "the timeouts for a silent machine are out of order";
     }
-    if (give_up - kLatest * workers.report_s < overdue) {
+    if (give_up - kLatest * workers.heartbeat_interval_seconds < overdue) {
       return "a machine would be given up before others count as silent";
     }
     return {};
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -31,7 +31,8 @@
 }  // namespace
 
 double ShapeMix::Faded(const Entry& entry, Time now) const {
-  return entry.weight * std::exp(-std::max(0.0, now - entry.at) / memory_s_);
+  return entry.weight *
+         std::exp(-std::max(0.0, now - entry.at) / memory_seconds_);
 }
 
 void ShapeMix::Note(const JobSpec& spec, Time asked) {
@@ -46,7 +47,7 @@
     // Whichever is older fades to the later moment.
     const Time at = std::max(entry.at, asked);
     entry.weight =
-        Faded(entry, at) + weight * std::exp(-(at - asked) / memory_s_);
+        Faded(entry, at) + weight * std::exp(-(at - asked) / memory_seconds_);
     entry.at = at;
     return;
   }
@@ -84,7 +85,7 @@
 
 void FragmentationIndex::Settle(Time now) {
   if (now < next_settle_) return;
-  next_settle_ = now + settle_s_;
+  next_settle_ = now + settle_seconds_;
   if (mix_.Settle(now)) ++version_;
 }
 
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -30,7 +30,7 @@
 // least asked for makes way.
 class ShapeMix {
  public:
-  explicit ShapeMix(double memory_s) : memory_s_(memory_s) {}
+  explicit ShapeMix(double memory_seconds) : memory_seconds_(memory_seconds) {}
 
   // A job was accepted, or is found by a new leader, at `asked`. Work without
   // accelerators is not counted.
@@ -47,7 +47,7 @@
   };
   double Faded(const Entry& entry, Time now) const;
 
-  double memory_s_;
+  double memory_seconds_;
   bool noted_ = false;
   std::vector<Entry> entries_;
   std::vector<TaskShape> shapes_;
@@ -74,8 +74,8 @@
  public:
   // `memory_s`: after so long a request counts a third. `settle_s`: the mix is
   // taken up at most so often.
-  FragmentationIndex(double memory_s, double settle_s)
-      : mix_(memory_s), settle_s_(settle_s) {}
+  FragmentationIndex(double memory_seconds, double settle_seconds)
+      : mix_(memory_seconds), settle_seconds_(settle_seconds) {}
 
   void Note(const JobSpec& spec, Time asked) { mix_.Note(spec, asked); }
   // Before a pass.
@@ -106,7 +106,7 @@
   double Measure(const Machine& m, const Resources& free) const;
 
   ShapeMix mix_;
-  double settle_s_;
+  double settle_seconds_;
   Time next_settle_ = -1e18;
   uint64_t version_ = 1;
   mutable std::vector<Known> known_;  // by index of the machine
--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -4,16 +4,16 @@
 
 namespace oxbow {
 
-std::vector<double> LeastCongestedScores(std::span<const double> fetch_s,
+std::vector<double> LeastCongestedScores(std::span<const double> fetch_seconds,
                                          double w) {
-  std::vector<double> scores(fetch_s.size(), w);
-  if (fetch_s.empty()) return scores;
+  std::vector<double> scores(fetch_seconds.size(), w);
+  if (fetch_seconds.empty()) return scores;
   const auto [least, most] =
-      std::minmax_element(fetch_s.begin(), fetch_s.end());
+      std::minmax_element(fetch_seconds.begin(), fetch_seconds.end());
   const double range = *most - *least;
   if (range <= 0) return scores;
   for (size_t i = 0; i < scores.size(); ++i) {
-    scores[i] = w * (1 - (fetch_s[i] - *least) / range);
+    scores[i] = w * (1 - (fetch_seconds[i] - *least) / range);
   }
   return scores;
 }
@@ -37,14 +37,14 @@
   return n == 0 ? 1.0 : sum / n;
 }
 
-int Footprint::InZone(const std::string& zone) const {
+int ZoneSpread::InZone(const std::string& zone) const {
   for (const auto& [name, n] : per_zone) {
     if (name == zone) return n;
   }
   return 0;
 }
 
-void Footprint::Add(const std::string& zone, int n) {
+void ZoneSpread::Add(const std::string& zone, int n) {
   for (auto& [name, count] : per_zone) {
     if (name == zone) {
       count += n;
@@ -54,14 +54,14 @@
   per_zone.emplace_back(zone, n);
 }
 
-int Footprint::total() const {
+int ZoneSpread::total() const {
   int sum = 0;
   for (const auto& [name, n] : per_zone) sum += n;
   return sum;
 }
 
 bool Allowed(const JobSpec& spec, const Machine& machine,
-             const Footprint& where) {
+             const ZoneSpread& where) {
   if (machine.type == nullptr || !spec.AllowsType(machine.type_name) ||
       !spec.AllowsZone(machine.zone) || (machine.spot && !spec.spot)) {
     return false;
@@ -72,17 +72,18 @@
   return true;
 }
 
-bool Spoils(const JobSpec& spec, const Machine& machine,
-            const Resources& shape) {
+bool BlocksAcceleratorWork(const JobSpec& spec, const Machine& machine,
+                           const Resources& shape) {
   if (spec.kind != JobKind::kService || spec.need.gpus > 0 ||
       machine.total().gpus <= 0) {
     return false;
   }
-  return !Spoilt(machine, shape) && Spoilt(machine, shape, spec.need);
+  return !AcceleratorWorkBlocked(machine, shape) &&
+         AcceleratorWorkBlocked(machine, shape, spec.need);
 }
 
-bool Spoilt(const Machine& machine, const Resources& shape,
-            const Resources& more) {
+bool AcceleratorWorkBlocked(const Machine& machine, const Resources& shape,
+                            const Resources& more) {
   // Until the first such task is seen, it may need all there is.
   const Resources& need = shape.gpus > 0 ? shape : machine.total();
   return !need.FitsIn(machine.total() - machine.staying - more);
@@ -94,7 +95,7 @@
   // still, it shared the rate with others, which are counted here themselves.
   constexpr double kSlowest = 2.0 / 3;
   const double rate =
-      std::max(machine.bandwidth, kSlowest * machine.type->fetch_gb_per_s);
+      std::max(machine.bandwidth, kSlowest * machine.type->fetch_gb_per_second);
   if (own <= 0) return machine.HasImage(spec.image) ? 0 : spec.image_gb / rate;
   return (own + machine.image_gb_queued()) / rate;
 }
@@ -108,16 +109,18 @@
 
 }  // namespace
 
-bool Placer::Breaks(const JobSpec& spec, const Machine& m, double aim_s) const {
+bool Placer::FragmentsWholeMachine(const JobSpec& spec, const Machine& m,
+                                   double wait_slo_seconds) const {
   if (!Counts(spec, m)) return false;
   if (fragmentation_->Added(m, spec.need) > kNothing) return true;
   // Work that stays long is there: it takes no room that short work could make.
-  return spec.need.gpus > 0 && (!spec.need.FitsIn(LastingRoom(m)) ||
-                                SecondsToImage(m, spec) > kInTime * aim_s);
+  return spec.need.gpus > 0 &&
+         (!spec.need.FitsIn(LastingRoom(m)) ||
+          SecondsToImage(m, spec) > kInTime * wait_slo_seconds);
 }
 
 double Placer::FragmentationCost(const JobSpec& spec, const Machine& m,
-                                 int here, double aim_s) const {
+                                 int here, double wait_slo_seconds) const {
   const Resources& total = m.type->total;
   double cost = fragmentation_->Added(m, spec.need) / total.gpus;
   if (spec.need.gpus <= 0) return cost;
@@ -127,8 +130,9 @@
   // Images share the rate: four small replicas begun together on one machine
   // would each wait for all four.
   constexpr double kLate = 2;  // dearer than a whole machine
-  if (SecondsToImage(m, spec) > kInTime * aim_s) cost += kLate;
-  if (spec.kind == JobKind::kService && here >= GatherLimit(spec.tasks)) {
+  if (SecondsToImage(m, spec) > kInTime * wait_slo_seconds) cost += kLate;
+  if (spec.kind == JobKind::kService &&
+      here >= ReplicasPerMachineLimit(spec.tasks)) {
     constexpr double kCrowded = 0.5;
     cost += kCrowded;
   }
@@ -144,17 +148,17 @@
 }
 
 Machine* Placer::Choose(const Job& job, std::span<Machine* const> fitting,
-                        const Footprint& where, const CountOn& on_machine,
-                        double mean_bandwidth, double aim_s) {
+                        const ZoneSpread& where, const CountOn& on_machine,
+                        double mean_bandwidth, double wait_slo_seconds) {
   if (fitting.empty()) return nullptr;
   const JobSpec& spec = job.spec();
-  std::vector<double> fetch_s;
-  fetch_s.reserve(fitting.size());
+  std::vector<double> fetch_seconds;
+  fetch_seconds.reserve(fitting.size());
   for (const Machine* m : fitting) {
-    fetch_s.push_back(FetchSeconds(*m, spec, mean_bandwidth));
+    fetch_seconds.push_back(FetchSeconds(*m, spec, mean_bandwidth));
   }
   std::vector<double> score =
-      LeastCongestedScores(fetch_s, tuning_.fetch_weight);
+      LeastCongestedScores(fetch_seconds, tuning_.fetch_weight);
   double dearest = 0;
   for (const Machine* m : fitting) {
     dearest = std::max(dearest, m->type->price / m->type->total.cpus);
@@ -179,7 +183,7 @@
     if (Counts(spec, m)) {
       // Exception to the design, "fragmentation": see docs/packing.md.
       score[i] -= tuning_.fragmentation_weight *
-                  FragmentationCost(spec, m, on_machine(m), aim_s);
+                  FragmentationCost(spec, m, on_machine(m), wait_slo_seconds);
     }
     if (dearest > 0 && total.cpus > 0) {
       const double price = m.spot ? m.type->spot_price : m.type->price;
--- a/core/tiers/headroom.cc
+++ b/core/priority_tiers/headroom.cc
@@ -1,4 +1,4 @@
-#include "core/tiers/headroom.h"
+#include "core/priority_tiers/headroom.h"
 
 #include <algorithm>
 #include <cmath>
@@ -35,13 +35,13 @@
 
 Resources Headroom::Faded(const Zone& zone, Time now) const {
   const double age = std::max(0.0, now - zone.peak_at);
-  return zone.peak * std::exp2(-age / half_life_s_);
+  return zone.peak * std::exp2(-age / half_life_seconds_);
 }
 
 void Headroom::OnStart(const std::string& zone, const Resources& need,
                        Time now) {
   Zone& z = zones_[zone];
-  if (now - z.since > window_s_) {
+  if (now - z.since > window_seconds_) {
     z.since = now;
     z.burst = {};
   }
--- a/core/tiers/headroom.h
+++ b/core/priority_tiers/headroom.h
@@ -26,8 +26,9 @@
  public:
   // `window_s`: starts within so long are one burst. After `half_life_s` half
   // of a burst is forgotten.
-  Headroom(double window_s, double half_life_s)
-      : window_s_(window_s), half_life_s_(half_life_s) {}
+  Headroom(double window_seconds, double half_life_seconds)
+      : window_seconds_(window_seconds),
+        half_life_seconds_(half_life_seconds) {}
 
   void OnStart(const std::string& zone, const Resources& need, Time now);
   // The largest burst of late, by what is remembered of it.
@@ -45,8 +46,8 @@
   };
   Resources Faded(const Zone& zone, Time now) const;
 
-  double window_s_;
-  double half_life_s_;
+  double window_seconds_;
+  double half_life_seconds_;
   std::map<std::string, Zone> zones_;
 };
 
--- a/core/tiers/recovery.cc
+++ b/core/priority_tiers/mass_failure_recovery.cc
@@ -1,4 +1,4 @@
-#include "core/tiers/recovery.h"
+#include "core/priority_tiers/mass_failure_recovery.h"
 
 #include <algorithm>
 #include <array>
@@ -25,12 +25,12 @@
 
 RecoveryLimits RecoveryLimits::From(const WorkerSettings& workers) {
   RecoveryLimits limits;
-  const double lease = workers.lease_s;
-  limits.loss_s = 0.5 * lease;
-  limits.most_loss_s = lease;
-  limits.most_public_s = 4 * lease;
-  limits.most_wave_s = 0.5 * lease;
-  limits.most_waves_s = 3 * lease;
+  const double lease = workers.lease_seconds;
+  limits.loss_seconds = 0.5 * lease;
+  limits.most_loss_seconds = lease;
+  limits.most_public_seconds = 4 * lease;
+  limits.most_wave_seconds = 0.5 * lease;
+  limits.most_waves_seconds = 3 * lease;
   return limits;
 }
 
@@ -77,15 +77,15 @@
   // Set anew with other tiers, or with none: what has been let in stays so.
   if (tiers < 2) released_ = 0;
   const double missing = view.wanted - view.placed;
-  const bool late =
-      now - held_since_ >= limits_.most_loss_s + limits_.most_public_s;
+  const bool late = now - held_since_ >=
+                    limits_.most_loss_seconds + limits_.most_public_seconds;
   if (step_ == kLoss) {
     if (missing > worst_) {
       worst_ = missing;
       worse_at_ = now;
     }
-    if (!late && !Back(view) && now - worse_at_ < limits_.loss_s &&
-        now - since_ < limits_.most_loss_s) {
+    if (!late && !Back(view) && now - worse_at_ < limits_.loss_seconds &&
+        now - since_ < limits_.most_loss_seconds) {
       return;
     }
     Change(kPublicFirst, now);
@@ -109,7 +109,7 @@
   }
   const double lower = static_cast<double>(std::max<size_t>(tiers, 2) - 1);
   const double wave =
-      std::min(limits_.most_wave_s, limits_.most_waves_s / lower);
+      std::min(limits_.most_wave_seconds, limits_.most_waves_seconds / lower);
   // A budget in each wave's time, not a heap that grows.
   if (now - refilled_at_ >= wave) {
     refilled_at_ = now;
@@ -120,7 +120,8 @@
       released_ < tiers && !view.waiting[released_] && now > wave_since_;
   const bool last = released_ + 1 >= tiers;
   const bool over = now - wave_since_ >= wave;
-  if (now - since_ >= limits_.most_waves_s || (last && (served || over))) {
+  if (now - since_ >= limits_.most_waves_seconds ||
+      (last && (served || over))) {
     Change(kRest, now);
     return;
   }
--- a/core/tiers/recovery.h
+++ b/core/priority_tiers/mass_failure_recovery.h
@@ -24,11 +24,11 @@
   double loss_share = 0.04;   // missing: a loss
   double least_lost = 3;      // replicas; fewer are no mass failure
   double back_share = 0.998;  // running: it is back
-  double loss_s = 5;          // without a further loss, the extent is known
-  double most_loss_s = 10;
-  double most_public_s = 40;
-  double most_wave_s = 5;    // for one tier
-  double most_waves_s = 30;  // for all of them
+  double loss_seconds = 5;    // without a further loss, the extent is known
+  double most_loss_seconds = 10;
+  double most_public_seconds = 40;
+  double most_wave_seconds = 5;    // for one tier
+  double most_waves_seconds = 30;  // for all of them
   // Starts with a fetch in a wave, as a share of the machines.
   double fetch_share = 0.25;
 
@@ -36,7 +36,7 @@
   static RecoveryLimits From(const WorkerSettings& workers);
   // The longest that a lower tier waits for others in one go.
   double LongestWait() const {
-    return most_loss_s + most_public_s + most_waves_s;
+    return most_loss_seconds + most_public_seconds + most_waves_seconds;
   }
 };
 
--- a/core/tiers/policy.cc
+++ b/core/priority_tiers/tier_policy.cc
@@ -1,4 +1,4 @@
-#include "core/tiers/policy.h"
+#include "core/priority_tiers/tier_policy.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,7 +25,7 @@
 }  // namespace
 
 TierPolicy::TierPolicy(const Settings& settings, bool on)
-    : lease_s_(settings.workers.lease_s),
+    : lease_seconds_(settings.workers.lease_seconds),
       on_(on),
       limits_(RecoveryLimits::From(settings.workers)),
       recovery_(limits_) {
@@ -42,8 +42,8 @@
   set_ = std::move(set);
   const size_t n = set_->size();
   held_.assign(n, {});
-  headroom_.assign(
-      n, Headroom(kBurstLeases * lease_s_, kHalfLifeLeases * lease_s_));
+  headroom_.assign(n, Headroom(kBurstLeases * lease_seconds_,
+                               kHalfLifeLeases * lease_seconds_));
   losses_.assign(n, {});
   turns_.assign(n, {});
   kept_.assign(n, {});
@@ -106,14 +106,14 @@
   for (Turn& turn : turns_) turn.job = nullptr;
   for (const TierView::Waiting& w : view.waiting) {
     if (w.place == 0 || w.begun || now < turns_[w.place].not_before) continue;
-    if (w.waited_s < set_->at(w.place).floor_s) continue;
-    if (w.waited_s <= longest[w.place]) continue;
-    longest[w.place] = w.waited_s;
+    if (w.waited_seconds < set_->at(w.place).floor_seconds) continue;
+    if (w.waited_seconds <= longest[w.place]) continue;
+    longest[w.place] = w.waited_seconds;
     turns_[w.place].job = w.job;
   }
 }
 
-int TierPolicy::Order(const Job& job, uint8_t place) const {
+int TierPolicy::RankOf(const Job& job, uint8_t place) const {
   if (!active()) return 0;
   return HasTurn(job, place) ? 1 : 2 * place;
 }
@@ -180,7 +180,7 @@
 
 void TierPolicy::TurnUsed(const Job& job, uint8_t place, Time now) {
   if (!HasTurn(job, place)) return;
-  turns_[place] = {nullptr, now + lease_s_};
+  turns_[place] = {nullptr, now + lease_seconds_};
 }
 
 void TierPolicy::Forget(const Job& job) {
--- a/core/tiers/policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -11,9 +11,9 @@
 
 #include "core/model/job.h"
 #include "core/model/settings.h"
-#include "core/tiers/headroom.h"
-#include "core/tiers/recovery.h"
-#include "core/tiers/tiers.h"
+#include "core/priority_tiers/headroom.h"
+#include "core/priority_tiers/mass_failure_recovery.h"
+#include "core/priority_tiers/tier_set.h"
 
 namespace oxbow {
 
@@ -31,7 +31,7 @@
   struct Waiting {
     const Job* job = nullptr;
     uint8_t place = 0;
-    double waited_s = 0;
+    double waited_seconds = 0;
     bool begun = false;  // some task of it has a place or is done
   };
   std::vector<Waiting> waiting;
@@ -69,7 +69,7 @@
   void Begin(const TierView& view, Time now);
   // The job's place in the queue among jobs that can't stop one another; least
   // first. One that has waited too long comes next after the best tier.
-  int Order(const Job& job, uint8_t place) const;
+  int RankOf(const Job& job, uint8_t place) const;
   // Whether the job may start tasks in this pass at all.
   bool MayStart(const Job& job, uint8_t place) const;
   // Whether one more task keeps the tier within its share while others wait.
@@ -103,7 +103,7 @@
   };
   void GiveTurns(const TierView& view, Time now);
 
-  const double lease_s_;
+  const double lease_seconds_;
   const bool on_;
   const RecoveryLimits limits_;
   std::shared_ptr<const TierSet> set_;
--- a/core/tiers/tiers.cc
+++ b/core/priority_tiers/tier_set.cc
@@ -1,4 +1,4 @@
-#include "core/tiers/tiers.h"
+#include "core/priority_tiers/tier_set.h"
 
 #include <algorithm>
 #include <array>
@@ -59,12 +59,12 @@
 
 TierBounds TierBounds::From(const Settings& settings) {
   TierBounds bounds;
-  const double lease = settings.workers.lease_s;
-  bounds.least_floor_s = lease;
-  bounds.most_floor_s = 24 * lease;
-  bounds.usual_floor_s = 12 * lease;
+  const double lease = settings.workers.lease_seconds;
+  bounds.least_floor_seconds = lease;
+  bounds.most_floor_seconds = 24 * lease;
+  bounds.usual_floor_seconds = 12 * lease;
   // Room is left for the author, the note and the version beside the text.
-  bounds.most_text = static_cast<size_t>(settings.state.value_kb * 1024 / 2);
+  bounds.most_text = static_cast<size_t>(settings.store.value_kb * 1024 / 2);
   return bounds;
 }
 
@@ -72,7 +72,7 @@
   TierBounds bounds = From(settings);
   bounds.most_text =
       std::max(bounds.most_text,
-               static_cast<size_t>(settings.state.stored_value_kb * 1024));
+               static_cast<size_t>(settings.store.stored_value_kb * 1024));
   return bounds;
 }
 
@@ -92,7 +92,8 @@
   rest.rank = UINT32_MAX;
   by_rank_.push_back(rest);
   for (Tier& tier : by_rank_) {
-    if (tier.floor_s <= 0) tier.floor_s = bounds.usual_floor_s;
+    if (tier.floor_seconds <= 0)
+      tier.floor_seconds = bounds.usual_floor_seconds;
   }
   for (const Tier& tier : listed_) {
     const auto it = std::find_if(
@@ -116,7 +117,7 @@
            a.match.teams == b.match.teams &&
            a.match.priorities == b.match.priorities &&
            a.match.kinds == b.match.kinds && a.kept_share == b.kept_share &&
-           a.most_share == b.most_share && a.floor_s == b.floor_s;
+           a.most_share == b.most_share && a.floor_seconds == b.floor_seconds;
   };
   return std::equal(listed_.begin(), listed_.end(), other.listed_.begin(),
                     other.listed_.end(), same);
@@ -163,11 +164,12 @@
       return where + "kept_share: the shares add up to " + Number(kept) +
              ", more than 1";
     }
-    if (tier.floor_s != 0 && !(tier.floor_s >= bounds.least_floor_s &&
-                               tier.floor_s <= bounds.most_floor_s)) {
-      return where + "floor_s: " + Number(tier.floor_s) + " is not between " +
-             Number(bounds.least_floor_s) + " and " +
-             Number(bounds.most_floor_s);
+    if (tier.floor_seconds != 0 &&
+        !(tier.floor_seconds >= bounds.least_floor_seconds &&
+          tier.floor_seconds <= bounds.most_floor_seconds)) {
+      return where + "floor_s: " + Number(tier.floor_seconds) +
+             " is not between " + Number(bounds.least_floor_seconds) + " and " +
+             Number(bounds.most_floor_seconds);
     }
     for (std::string why :
          {WhyNoList(where + "duty", tier.match.classes, bounds),
--- a/core/tiers/tiers.h
+++ b/core/priority_tiers/tier_set.h
@@ -20,9 +20,9 @@
   size_t most_words = 64;    // in one list of a match
   size_t most_word = 64;     // bytes of a name
   size_t most_text = 8'192;  // bytes of the record
-  double least_floor_s = 10;
-  double most_floor_s = 240;
-  double usual_floor_s = 120;  // of a tier that names none
+  double least_floor_seconds = 10;
+  double most_floor_seconds = 240;
+  double usual_floor_seconds = 120;  // of a tier that names none
 
   static TierBounds From(const Settings& settings);
   // Of a set that stands already, perhaps since larger values were taken.
@@ -47,9 +47,9 @@
   std::string name;
   uint32_t rank = 0;  // the least comes first
   TierMatch match;
-  double kept_share = 0;  // of each zone's room, at the most
-  double most_share = 1;  // of all room, while others wait; 1: no limit
-  double floor_s = 0;     // 0: the usual one
+  double kept_share = 0;     // of each zone's room, at the most
+  double most_share = 1;     // of all room, while others wait; 1: no limit
+  double floor_seconds = 0;  // 0: the usual one
 };
 
 // Tiers in the order in which they are matched. Jobs that no tier matches are
@@ -85,7 +85,7 @@
 
 enum class TierSource : uint8_t {
   kBuiltIn,    // nothing was ever recorded, or it was withdrawn
-  kRecorded,   // as the state service holds it
+  kRecorded,   // as the key-value store holds it
   kLastKnown,  // what it holds can't be read, or is gone
 };
 
@@ -98,7 +98,7 @@
   void OnRecord(uint64_t version, TierSet set);
   // It is there and can't be used: `why` names what is wrong.
   void OnBadRecord(uint64_t version, const std::string& why);
-  // There is none. That proves nothing, the state service may have lost it:
+  // There is none. That proves nothing, the key-value store may have lost it:
   // only a withdrawal takes tiers back.
   void OnNoRecord();
   void OnWithdrawn();
--- a/core/answers/answer_gate.h
+++ b/core/read_consistency/read_consistency_gate.h
@@ -19,7 +19,7 @@
 namespace oxbow {
 
 // What the leader's picture is worth to whoever asks about a job.
-enum class JobSight : uint8_t {
+enum class JobObservation : uint8_t {
   kUnseen,
   kLive,
   kInDoubt,     // a write that ends it has left, and its outcome is not known
@@ -36,14 +36,15 @@
 };
 
 // All that a controller has to go by.
-struct Evidence {
+struct StatusEvidence {
   TerminalState end =
-      TerminalState::kNone;            // recorded, as far as is known here
-  JobSight sight = JobSight::kUnseen;  // kUnseen too where it does not lead
+      TerminalState::kNone;  // recorded, as far as is known here
+  JobObservation observation =
+      JobObservation::kUnseen;  // kUnseen too where it does not lead
   RecordRead read = RecordRead::kNone;
 };
 
-enum class Telling : uint8_t {
+enum class StatusDecision : uint8_t {
   kEnd,
   kLive,
   kDenial,
@@ -51,17 +52,17 @@
   kNothing,  // the user is to come again
 };
 
-Telling Decide(const Evidence& evidence);
+StatusDecision Decide(const StatusEvidence& evidence);
 
 // A change of a job's record that ends the job, resting on the record's stamp.
-struct EndWrite {
+struct TerminalStateWrite {
   std::string job;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 // How a leader's writes of jobs' ends stand, by job. One transaction is under
 // way at a time.
-class AnswerGate {
+class ReadConsistencyGate {
  public:
   enum class State : uint8_t {
     kClear,      // every write that has left has an outcome
@@ -71,7 +72,7 @@
   };
 
   // The transaction leaves; one that has no outcome yet counts as unanswered.
-  void Left(uint64_t txn, const std::vector<EndWrite>& ends);
+  void Left(uint64_t txn, const std::vector<TerminalStateWrite>& ends);
   // Its outcome.
   void Applied(uint64_t txn);
   // Not carried out, and it never will be. `differing`: those jobs' records
@@ -82,23 +83,23 @@
   void Stands(const std::string& job);
   // `stamp`: of the job's record as it is known here. A write that rests on
   // another one can't be carried out any more.
-  bool InDoubt(const std::string& job, uint64_t stamp) const;
+  bool InDoubt(const std::string& job, uint64_t mod_revision) const;
   State StateOf(const std::string& job) const;
 
  private:
   enum class Event : uint8_t { kLeaves, kRefused, kUnanswered, kStands };
   struct Write {
     State state = State::kClear;
-    uint64_t stamp = 0;  // that it rests on
+    uint64_t mod_revision = 0;  // that it rests on
   };
   // The one function for a change.
   void Change(const std::string& job, Event event);
   // The jobs of the transaction under way, if it is that one.
-  std::vector<EndWrite> Take(uint64_t txn);
+  std::vector<TerminalStateWrite> Take(uint64_t txn);
 
   std::map<std::string, Write> writes_;  // those that are not clear
   uint64_t txn_ = 0;                     // the last that has left
-  std::vector<EndWrite> under_way_;
+  std::vector<TerminalStateWrite> under_way_;
 };
 
 }  // namespace oxbow
--- a/core/moves/moves.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -1,4 +1,4 @@
-#include "core/moves/moves.h"
+#include "core/rebalancing/rebalancer.h"
 
 #include <algorithm>
 #include <array>
@@ -9,7 +9,7 @@
 namespace oxbow {
 namespace {
 
-using enum MoveState;
+using enum ReplicaMoveState;
 
 constexpr std::array kChanges = {
     std::pair{kPlanned, kClaimed},  std::pair{kPlanned, kGivenUp},
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::string_view NameOf(MoveState state) {
+std::string_view NameOf(ReplicaMoveState state) {
   constexpr std::array<std::string_view, 6> kNames = {
       "planned", "claimed", "stopping", "started", "settled", "given up"};
   return kNames[static_cast<size_t>(state)];
@@ -40,7 +40,8 @@
   return std::clamp(share, 1, static_cast<int>(tasks) - 1);
 }
 
-void Mover::Change(Move& move, MoveState next, Time now, std::string_view why) {
+void Rebalancer::Change(Move& move, ReplicaMoveState next, Time now,
+                        std::string_view why) {
   CheckedChange(move.state, next, kChanges, "move");
   move.since = now;
   if (next == kStopping) move.stopped = now;
@@ -49,7 +50,7 @@
   given_up_ += next == kGivenUp;
 }
 
-int Mover::Down(const std::string& job) const {
+int Rebalancer::Down(const std::string& job) const {
   return static_cast<int>(
       std::count_if(moves_.begin(), moves_.end(), [&](const auto& e) {
         const Move& m = e.second;
@@ -58,20 +59,20 @@
       }));
 }
 
-int Mover::under_way() const {
+int Rebalancer::under_way() const {
   return static_cast<int>(
       std::count_if(moves_.begin(), moves_.end(),
                     [](const auto& e) { return !Ended(e.second.state); }));
 }
 
-void Mover::Restore(const MoveClaim& claim, double wall_minus_steady,
-                    Time now) {
+void Rebalancer::Restore(const MoveClaim& claim, double wall_minus_steady,
+                         Time now) {
   Move move;
   move.claim = claim;
   move.until = claim.until_wall - wall_minus_steady;
   move.cool = claim.cool_wall - wall_minus_steady;
   // A record of a clock that is far off, or a bad one, binds nobody for long.
-  const double longest = limits_.cool_leases * limits_.lease_s;
+  const double longest = limits_.cool_leases * limits_.lease_seconds;
   move.until = std::min(move.until, now + longest);
   move.cool = std::min(move.cool, now + 2 * longest);
   if (now >= move.cool) return;
@@ -81,9 +82,10 @@
   moves_[claim.id] = std::move(move);
 }
 
-bool Mover::MayBegin(const std::string& job, uint32_t tasks,
-                     const std::string& team, const std::string& to,
-                     const std::string& zone, bool fetches, Time now) const {
+bool Rebalancer::MayBegin(const std::string& job, uint32_t tasks,
+                          const std::string& team, const std::string& to,
+                          const std::string& zone, bool fetches,
+                          Time now) const {
   const int most_down = MostDown(tasks, limits_.service_share);
   if (most_down == 0 || under_way() >= limits_.at_once ||
       static_cast<int>(moves_.size()) >= limits_.budget) {
@@ -111,20 +113,22 @@
          of_team < part(limits_.team_share);
 }
 
-std::optional<MoveClaim> Mover::Begin(MoveClaim claim, const std::string& zone,
-                                      const std::string& team, double fetch_s,
-                                      double wall_minus_steady, Time now) {
+std::optional<MoveClaim> Rebalancer::Begin(MoveClaim claim,
+                                           const std::string& zone,
+                                           const std::string& team,
+                                           double fetch_seconds,
+                                           double wall_minus_steady, Time now) {
   // Names are few and used again, so that the records stay few. One whose
   // service has not cooled off yet is not free: that is the budget.
   for (int i = 0; i < limits_.budget; ++i) {
     const std::string id = std::to_string(i);
     if (moves_.contains(id)) continue;
     Move& move = moves_[id];
-    const double lease = limits_.lease_s;
+    const double lease = limits_.lease_seconds;
     const double longest =
         (kPlannedLeases + kClaimedLeases + kStoppingLeases + kStartedLeases) *
             lease +
-        2 * fetch_s;
+        2 * fetch_seconds;
     move.until = now + longest;
     move.cool = now + std::max(longest, limits_.cool_leases * lease);
     claim.id = id;
@@ -139,92 +143,98 @@
   return std::nullopt;
 }
 
-void Mover::Recorded(const std::string& id, Time now) {
+void Rebalancer::Recorded(const std::string& id, Time now) {
   const auto it = moves_.find(id);
   if (it != moves_.end() && it->second.state == kPlanned) {
     Change(it->second, kClaimed, now);
   }
 }
 
-void Mover::Refused(const std::string& id, Time now) {
+void Rebalancer::Refused(const std::string& id, Time now) {
   const auto it = moves_.find(id);
   if (it != moves_.end() && it->second.state == kPlanned) {
     Change(it->second, kGivenUp, now, "not recorded");
   }
 }
 
-MoveAct Mover::Step(const std::string& id, const MoveSight& sight, Time now) {
+ReplicaMoveAction Rebalancer::Step(const std::string& id,
+                                   const ReplicaMoveObservation& observation,
+                                   Time now) {
   const auto it = moves_.find(id);
-  if (it == moves_.end() || Ended(it->second.state)) return MoveAct::kNone;
+  if (it == moves_.end() || Ended(it->second.state))
+    return ReplicaMoveAction::kNone;
   Move& move = it->second;
-  const double lease = limits_.lease_s;
+  const double lease = limits_.lease_seconds;
   const auto give_up = [&](std::string_view why) {
     Change(move, kGivenUp, now, why);
-    return MoveAct::kNone;
+    return ReplicaMoveAction::kNone;
   };
-  if (!sight.live) return give_up("the service ends");
+  if (!observation.live) return give_up("the service ends");
   if (now > move.until) return give_up("took too long");
   // Before the stop nothing has been done that must be made good.
   const bool before = move.state == kPlanned || move.state == kClaimed;
   if (before) {
     const double longest =
         (move.state == kPlanned ? kPlannedLeases : kClaimedLeases) * lease;
-    if (!sight.wanted) return give_up("nobody waits for the room any more");
-    if (!sight.on_source || !sight.runs) return give_up("the leg has left");
-    if (!sight.target_good) return give_up("the target is not there");
+    if (!observation.wanted)
+      return give_up("nobody waits for the room any more");
+    if (!observation.on_source || !observation.runs)
+      return give_up("the leg has left");
+    if (!observation.target_good) return give_up("the target is not there");
     if (now - move.since > longest) return give_up("took too long");
   }
   switch (move.state) {
     case kPlanned:
-      return MoveAct::kNone;
+      return ReplicaMoveAction::kNone;
     case kClaimed: {
       // The floor, at the last moment: every other replica runs, but for those
       // that a move has stopped, and these are not too many.
-      if (!sight.whole || !sight.allowed || !sight.source_good) {
-        return MoveAct::kNone;
+      if (!observation.whole || !observation.allowed ||
+          !observation.source_good) {
+        return ReplicaMoveAction::kNone;
       }
       Change(move, kStopping, now);
-      return MoveAct::kStop;
+      return ReplicaMoveAction::kStop;
     }
     case kStopping:
-      if (sight.on_target) {
+      if (observation.on_target) {
         Change(move, kStarted, now);
-      } else if (!sight.on_source && !sight.wants) {
+      } else if (!observation.on_source && !observation.wants) {
         return give_up("placed elsewhere");
-      } else if (!sight.target_good) {
+      } else if (!observation.target_good) {
         return give_up("the target is not there");
       } else if (now - move.since > kStoppingLeases * lease) {
         return give_up("the leg does not leave");
       }
-      return MoveAct::kNone;
+      return ReplicaMoveAction::kNone;
     case kStarted:
-      if (sight.runs_on_target) {
+      if (observation.runs_on_target) {
         Change(move, kSettled, now);
-      } else if (!sight.on_target) {
+      } else if (!observation.on_target) {
         return give_up("lost on the target");
       }
-      return MoveAct::kNone;
+      return ReplicaMoveAction::kNone;
     case kSettled:
     case kGivenUp:
       break;
   }
-  return MoveAct::kNone;
+  return ReplicaMoveAction::kNone;
 }
 
-bool Mover::Drains(const std::string& host) const {
+bool Rebalancer::Drains(const std::string& host) const {
   return std::any_of(moves_.begin(), moves_.end(), [&](const auto& e) {
     return e.second.claim.from == host && !Ended(e.second.state);
   });
 }
 
-const std::string* Mover::TargetFor(const std::string& job) const {
+const std::string* Rebalancer::TargetFor(const std::string& job) const {
   for (const auto& [id, m] : moves_) {
     if (m.claim.job == job && m.state == kStopping) return &m.claim.to;
   }
   return nullptr;
 }
 
-void Mover::Forget(Time now) {
+void Rebalancer::Forget(Time now) {
   std::erase_if(moves_, [&](const auto& e) {
     return Ended(e.second.state) && now >= e.second.cool;
   });
--- a/core/moves/moves.h
+++ b/core/rebalancing/rebalancer.h
@@ -15,7 +15,7 @@
 
 namespace oxbow {
 
-enum class MoveState : uint8_t {
+enum class ReplicaMoveState : uint8_t {
   kPlanned,   // the claim is being recorded; nothing has been stopped
   kClaimed,   // recorded: the room on the target is held
   kStopping,  // the leg was told to stop, or a former leader may have told it
@@ -23,10 +23,12 @@
   kSettled,   // and runs there
   kGivenUp,   // see the reason; what was stopped is placed as any other
 };
-std::string_view NameOf(MoveState state);
-inline bool Ended(MoveState state) { return state >= MoveState::kSettled; }
+std::string_view NameOf(ReplicaMoveState state);
+inline bool Ended(ReplicaMoveState state) {
+  return state >= ReplicaMoveState::kSettled;
+}
 
-// What a successor must know of a move, as the state service holds it under
+// What a successor must know of a move, as the key-value store holds it under
 // `move/ID`. Wall times in s: another leader's steady clock is another one.
 struct MoveClaim {
   std::string id;
@@ -41,20 +43,20 @@
 };
 
 // How things stand, as the leader sees them.
-struct MoveSight {
+struct ReplicaMoveObservation {
   bool live = false;       // the service, and nobody has asked for its end
   bool on_source = false;  // the claimed attempt is, or may be, there
   bool runs = false;       // there, and was not told to stop
   bool on_target = false;  // a replica of the service was started there
   bool runs_on_target = false;
   bool wants = false;  // a replica of the service has no place
-  // Up, heard, takes orders, may carry one more, has the room.
+  // Up, heard, takes commands, may carry one more, has the room.
   bool target_good = false;
   bool source_good = false;  // heard, and shows no token but the leader's
   // Every other replica runs on a machine that is heard and shows the leader's
   // token: no order of a former leader can stop a second one.
   bool whole = false;
-  bool allowed = false;  // by roll-outs' floors and the loss limiter
+  bool allowed = false;  // by rollouts' floors and the loss limiter
   bool wanted = false;   // the large one still waits
 };
 
@@ -64,7 +66,7 @@
   bool (*read)(const std::string& text, MoveClaim* out) = nullptr;
 };
 
-enum class MoveAct : uint8_t { kNone, kStop };
+enum class ReplicaMoveAction : uint8_t { kNone, kStop };
 
 struct MoveLimits {
   int at_once = 0;  // moves under way; 0: none at all
@@ -73,16 +75,16 @@
   double service_share = 0.125;
   double zone_share = 0.5;  // of the moves under way, with the same target zone
   double team_share = 0.5;  // and with the same team
-  double lease_s = 10;
-  double report_s = 1;
+  double lease_seconds = 10;
+  double heartbeat_interval_seconds = 1;
   double cool_leases = 6;
 };
 
-class Mover {
+class Rebalancer {
  public:
   struct Move {
     MoveClaim claim;
-    MoveState state = MoveState::kPlanned;
+    ReplicaMoveState state = ReplicaMoveState::kPlanned;
     std::string_view why;  // it was given up
     std::string zone;      // of the target
     std::string team;
@@ -92,10 +94,10 @@
     Time cool = 0;
   };
 
-  explicit Mover(const MoveLimits& limits) : limits_(limits) {}
+  explicit Rebalancer(const MoveLimits& limits) : limits_(limits) {}
 
   // A claim that a former leader recorded. Its leg may have been told to stop,
-  // and may be told late: this one orders nothing, it holds the room for a
+  // and may be told late: this one commands nothing, it holds the room for a
   // replica that has no place, until the claim ends, and leaves the service
   // alone until it has cooled off. `fetch_s` as in Begin.
   void Restore(const MoveClaim& claim, double wall_minus_steady, Time now);
@@ -109,14 +111,15 @@
   // Nothing if there is no room for it. `fetch_s`: what the target still has
   // to fetch, s.
   std::optional<MoveClaim> Begin(MoveClaim claim, const std::string& zone,
-                                 const std::string& team, double fetch_s,
+                                 const std::string& team, double fetch_seconds,
                                  double wall_minus_steady, Time now);
-  // The claim stands in the state service.
+  // The claim stands in the key-value store.
   void Recorded(const std::string& id, Time now);
   // It can't be recorded.
   void Refused(const std::string& id, Time now);
   // What to do now. A stop that is answered here counts as ordered.
-  MoveAct Step(const std::string& id, const MoveSight& sight, Time now);
+  ReplicaMoveAction Step(const std::string& id,
+                         const ReplicaMoveObservation& observation, Time now);
   // Whether a move takes a leg off that machine: nothing new belongs there.
   bool Drains(const std::string& host) const;
   // The host held for the service's next replica; null for none.
@@ -135,7 +138,8 @@
 
  private:
   // The one function for a change of state.
-  void Change(Move& move, MoveState next, Time now, std::string_view why = {});
+  void Change(Move& move, ReplicaMoveState next, Time now,
+              std::string_view why = {});
   MoveLimits limits_;
   std::map<std::string, Move> moves_;  // by id
   int settled_ = 0;
--- a/core/moves/plan.cc
+++ b/core/rebalancing/rebalancing_plan.cc
@@ -1,4 +1,4 @@
-#include "core/moves/plan.h"
+#include "core/rebalancing/rebalancing_plan.h"
 
 #include <algorithm>
 #include <map>
@@ -27,15 +27,15 @@
   }
   void Take(const PlannedMove& move, const Resources& need) {
     room[move.to] += need;
-    if (move.fetch_s > 0) fetching.insert(move.to);
+    if (move.fetch_seconds > 0) fetching.insert(move.to);
   }
 };
 
 // The best target for one leg beyond what is spoken for; false for none.
-bool FindTarget(const MovePlanInput& in, const Resident& r, const Machine& from,
-                const Taken& taken, PlannedMove* out) {
+bool FindTarget(const MovePlanInput& in, const TaskAttempt& r,
+                const Machine& from, const Taken& taken, PlannedMove* out) {
   const JobSpec& spec = r.job->spec();
-  Footprint where = in.where(*r.job);
+  ZoneSpread where = in.where(*r.job);
   where.Add(from.zone, -1);
   Machine* best = nullptr;
   double best_fetch = 0;
@@ -43,7 +43,7 @@
     if (m == &from || taken.drained.contains(m)) continue;
     const Resources more = taken.On(m) + spec.need;
     if (!Allowed(spec, *m, where) ||
-        !more.FitsIn(m->RoomFor(r.job, spec.priority)) ||
+        !more.FitsIn(m->CapacityFor(r.job, spec.priority)) ||
         !more.FitsIn(LastingRoom(*m)) ||
         in.fragmentation->Added(*m, spec.need) > kNothing) {
       continue;
@@ -68,27 +68,29 @@
                   Vacating* out) {
   const Resources& need = in.waiting->need;
   Resources room = LastingRoom(m);
-  std::vector<const Resident*> legs;
+  std::vector<const TaskAttempt*> legs;
   Resources could = room;
-  for (const auto& [key, r] : m.residents) {
+  for (const auto& [key, r] : m.task_attempts) {
     if (r.phase != TaskPhase::kRunning || r.stopping || r.job == nullptr ||
         !r.holds || r.job->spec().kind != JobKind::kService ||
         r.job->spec().priority == Priority::kProduction ||
         r.job->spec().need.gpus <= 0 ||
-        in.now - r.running_since < in.settled_s) {
+        in.now - r.running_since < in.settled_seconds) {
       continue;
     }
     legs.push_back(&r);
     could += r.need;
   }
   if (!need.FitsIn(could)) return false;
-  std::sort(legs.begin(), legs.end(), [](const Resident* a, const Resident* b) {
-    if (a->need.gpus != b->need.gpus) return a->need.gpus < b->need.gpus;
-    return KeyOf(*a) < KeyOf(*b);
-  });
+  std::sort(legs.begin(), legs.end(),
+            [](const TaskAttempt* a, const TaskAttempt* b) {
+              if (a->need.gpus != b->need.gpus)
+                return a->need.gpus < b->need.gpus;
+              return KeyOf(*a) < KeyOf(*b);
+            });
   taken.drained.insert(&m);
   out->from = &m;
-  for (const Resident* r : legs) {
+  for (const TaskAttempt* r : legs) {
     if (need.FitsIn(room)) break;
     PlannedMove move;
     if (out->moves.size() >= most || !in.may_leave(*r) ||
@@ -97,10 +99,10 @@
     }
     taken.Take(move, r->need);
     room += r->need;
-    out->cost += r->need.gpus * (in.disturbance_s + move.fetch_s);
+    out->cost += r->need.gpus * (in.disturbance_seconds + move.fetch_seconds);
     out->moves.push_back(move);
   }
-  const double gain = need.gpus * in.horizon_s;
+  const double gain = need.gpus * in.horizon_seconds;
   return need.FitsIn(room) && !out->moves.empty() && out->cost < gain;
 }
 
@@ -158,7 +160,7 @@
         continue;
       }
       for (const PlannedMove& move : now.moves) {
-        taken.Take(move, move.from->residents.at(move.leg).need);
+        taken.Take(move, move.from->task_attempts.at(move.leg).need);
         moves.push_back(move);
       }
       taken.drained.insert(now.from);
--- a/core/moves/plan.h
+++ b/core/rebalancing/rebalancing_plan.h
@@ -15,10 +15,10 @@
 namespace oxbow {
 
 struct PlannedMove {
-  ResidentKey leg;
+  TaskAttemptKey leg;
   Machine* from = nullptr;
   Machine* to = nullptr;
-  double fetch_s = 0;
+  double fetch_seconds = 0;
 };
 
 struct MovePlanInput {
@@ -28,16 +28,17 @@
   const JobSpec* waiting = nullptr;   // the large one
   uint32_t missing = 0;               // its tasks that have no place
   size_t most = 0;                    // moves
-  double settled_s = 0;               // a replica that has run for less stays
-  double disturbance_s = 0;           // of a stop and a start without a fetch
+  double settled_seconds = 0;         // a replica that has run for less stays
+  double disturbance_seconds = 0;     // of a stop and a start without a fetch
   // What a whole machine sooner is worth, s of its accelerators: about how long
   // it would take until it drains by itself.
-  double horizon_s = 0;
+  double horizon_seconds = 0;
   Time now = 0;
   // Whether this leg may be moved at all, and whether to that machine.
-  std::function<bool(const Resident&)> may_leave;
-  std::function<bool(const Resident&, const Machine& to, bool fetches)> may_go;
-  std::function<Footprint(const Job&)> where;
+  std::function<bool(const TaskAttempt&)> may_leave;
+  std::function<bool(const TaskAttempt&, const Machine& to, bool fetches)>
+      may_go;
+  std::function<ZoneSpread(const Job&)> where;
 };
 
 // Machines that become able to take one more task of the waiting job, each with
--- a/core/recovery/peer_choice.cc
+++ b/core/recovery/peer_choice.cc
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-PeerChoice::PeerChoice(size_t peers, double rest_s, double most_rest_s,
-                       double vain_per_s)
-    : peers_(peers, {kAnswers, 0, rest_s}),
-      rest_s_(rest_s),
-      most_rest_s_(most_rest_s),
-      vain_per_s_(vain_per_s),
-      vain_(std::max(1.0, vain_per_s)) {}
+PeerChoice::PeerChoice(size_t peers, double rest_seconds,
+                       double most_rest_seconds, double vain_per_second)
+    : peers_(peers, {kAnswers, 0, rest_seconds}),
+      rest_seconds_(rest_seconds),
+      most_rest_seconds_(most_rest_seconds),
+      vain_per_seconds_(vain_per_second),
+      vain_(std::max(1.0, vain_per_second)) {}
 
 void PeerChoice::Change(Peer& peer, PeerEvent event) {
   switch (event) {
@@ -37,15 +37,15 @@
 }
 
 bool PeerChoice::MayAskAround(Time now) {
-  const double most = std::max(1.0, vain_per_s_);
-  vain_ = std::min(most, vain_ + (now - counted_) * vain_per_s_);
+  const double most = std::max(1.0, vain_per_seconds_);
+  vain_ = std::min(most, vain_ + (now - counted_) * vain_per_seconds_);
   counted_ = now;
   if (vain_ < 1) return false;
   vain_ -= 1;
   return true;
 }
 
-std::vector<size_t> PeerChoice::Order() const {
+std::vector<size_t> PeerChoice::PreferenceOrder() const {
   std::vector<size_t> order;
   for (size_t i = 0; i < peers_.size(); ++i) {
     order.push_back((first_ + i) % peers_.size());
@@ -62,7 +62,7 @@
 
 void PeerChoice::Answered(size_t peer) {
   Peer& p = peers_[peer];
-  p.rest_s = rest_s_;
+  p.rest_seconds = rest_seconds_;
   if (p.state != kAnswers) Change(p, PeerEvent::kAnswer);
 }
 
@@ -71,13 +71,13 @@
   // Of several that waited for it at once, one counts.
   if (p.state == kResting) return;
   Change(p, PeerEvent::kSilence);
-  p.until = now + p.rest_s;
-  p.rest_s = std::min(2 * p.rest_s, most_rest_s_);
+  p.until = now + p.rest_seconds;
+  p.rest_seconds = std::min(2 * p.rest_seconds, most_rest_seconds_);
 }
 
 void PeerChoice::Helped(size_t peer) {
   first_ = peer;
-  vain_ = std::min(std::max(1.0, vain_per_s_), vain_ + 1);
+  vain_ = std::min(std::max(1.0, vain_per_seconds_), vain_ + 1);
 }
 
 }  // namespace oxbow
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_choice.h
@@ -23,10 +23,10 @@
 class PeerChoice {
  public:
   // `rest_s`: after the first silence; doubled with each up to `most_rest_s`.
-  // `vain_per_s`: requests a second that may be handed on though the one
+  // `vain_per_second`: requests a second that may be handed on though the one
   // before was of no use.
-  PeerChoice(size_t peers, double rest_s, double most_rest_s,
-             double vain_per_s);
+  PeerChoice(size_t peers, double rest_seconds, double most_rest_seconds,
+             double vain_per_second);
 
   // Whether a request may be handed on. In an outage that all share asking
   // around for each would only add to the load. Limited by their number and
@@ -35,9 +35,9 @@
   bool MayAskAround(Time now);
   // All peers, the one that helped last first: a request asks one after the
   // other, so that what one can tell does not hang on whose turn it is.
-  std::vector<size_t> Order() const;
+  std::vector<size_t> PreferenceOrder() const;
   // Whether a request may wait for this one.
-  bool Answers(size_t peer) const {
+  bool IsResponsive(size_t peer) const {
     return peers_[peer].state == PeerState::kAnswers;
   }
   // Whether to find out, on nobody's behalf, if one whose rest is over is back.
@@ -55,15 +55,15 @@
   struct Peer {
     PeerState state = PeerState::kAnswers;
     Time until = 0;
-    double rest_s = 0;  // of the next rest
+    double rest_seconds = 0;  // of the next rest
   };
   // The one function for a change.
   void Change(Peer& peer, PeerEvent event);
 
   std::vector<Peer> peers_;
-  const double rest_s_;
-  const double most_rest_s_;
-  const double vain_per_s_;
+  const double rest_seconds_;
+  const double most_rest_seconds_;
+  const double vain_per_seconds_;
   double vain_;  // that may be handed on now
   Time counted_ = 0;
   size_t first_ = 0;
--- a/core/recovery/store_epoch.h
+++ b/core/recovery/store_epoch.h
@@ -1,4 +1,4 @@
-// The identity of what the state service holds. A service that has lost data
+// The identity of what the key-value store holds. A service that has lost data
 // gives revisions a second time; everything that was unique by them, tokens,
 // attempts, rental names and conditions of writes, stays unique by the epoch.
 #pragma once
@@ -22,23 +22,23 @@
   // Whatever was accepted is recorded or remembered. If it is false, a job
   // that nobody knows may have been accepted before the loss.
   bool whole = true;
-  // All that was remembered stands in the state service again.
+  // All that was remembered stands in the key-value store again.
   bool rebuilt = true;
   double opened_wall = 0;  // s
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 // The key that is named after the epoch.
 struct EpochMark {
   uint64_t number = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 // Orders what two sources say of one key: in the same epoch the higher stamp,
 // else the later epoch.
 struct Version {
   uint64_t epoch = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
   auto operator<=>(const Version&) const = default;
 };
 
@@ -58,13 +58,14 @@
 // that makes in months. When nobody remembers anything, the clock stands in:
 // no service makes so many changes a second, and an epoch that began earlier
 // is below. `wall_s`: seconds since 1970.
-inline uint64_t NextBase(uint64_t highest_term, double wall_s) {
+inline uint64_t NextBase(uint64_t highest_term, double wall_seconds) {
   constexpr uint64_t kLeap = uint64_t{1} << 32;
   constexpr double kStart = 1.7e9;  // in 2023
   constexpr double kChangesPerSecond = 4096;
   constexpr uint64_t kMost = (uint64_t{1} << kTermBits) - kLeap;
-  const double by_clock = std::clamp((wall_s - kStart) * kChangesPerSecond, 0.0,
-                                     static_cast<double>(kMost));
+  const double by_clock =
+      std::clamp((wall_seconds - kStart) * kChangesPerSecond, 0.0,
+                 static_cast<double>(kMost));
   return std::max(highest_term + kLeap, static_cast<uint64_t>(by_clock));
 }
 
--- a/core/recovery/store_verification.cc
+++ b/core/recovery/store_verification.cc
@@ -21,21 +21,21 @@
 
 }  // namespace
 
-std::string_view NameOf(LossSign sign) {
+std::string_view NameOf(DataLossIndication sign) {
   switch (sign) {
-    case LossSign::kNone:
+    case DataLossIndication::kNone:
       return "nothing";
-    case LossSign::kStepBack:
+    case DataLossIndication::kStepBack:
       return "its revision has stepped back";
-    case LossSign::kEpochMissing:
+    case DataLossIndication::kEpochMissing:
       return "its epoch's records are missing";
-    case LossSign::kRecordMissing:
+    case DataLossIndication::kRecordMissing:
       return "a record that nobody deleted is missing";
-    case LossSign::kTermAbove:
+    case DataLossIndication::kTermAbove:
       return "a worker has seen a token above all of this epoch";
-    case LossSign::kOtherEpoch:
+    case DataLossIndication::kOtherEpoch:
       return "another controller remembers an epoch that is not there";
-    case LossSign::kUnknownTask:
+    case DataLossIndication::kUnknownTask:
       return "a task runs whose job has no record";
   }
   return "";
@@ -52,12 +52,12 @@
       return CheckedChange(state_, kLost, kChanges, "store verification");
     case StoreVerificationEvent::kOpened:
       return CheckedChange(state_, kRebuilding, kChanges, "store verification");
-    case StoreVerificationEvent::kRebuilt:
+    case StoreVerificationEvent::kCompleteReconciliation:
       return CheckedChange(state_, kVerified, kChanges, "store verification");
   }
 }
 
-bool StoreVerification::Note(LossSign sign) {
+bool StoreVerification::Note(DataLossIndication sign) {
   if (state_ == kSuspected || state_ == kLost) return false;
   Change(StoreVerificationEvent::kSign);
   sign_ = sign;
@@ -65,15 +65,15 @@
   return true;
 }
 
-void StoreVerification::OnRound(CheckSays mine, bool others_stand) {
-  if (mine == CheckSays::kNoAnswer) return;
-  if (state_ == kLost && mine == CheckSays::kStands) {
+void StoreVerification::OnRound(StoreCheck mine, bool others_stand) {
+  if (mine == StoreCheck::kNoAnswer) return;
+  if (state_ == kLost && mine == StoreCheck::kStands) {
     // What was missing is there: it was this controller's view that lacked it.
     Change(StoreVerificationEvent::kCleared);
     return;
   }
   if (state_ != kSuspected) return;
-  if (mine == CheckSays::kStands) {
+  if (mine == StoreCheck::kStands) {
     Change(StoreVerificationEvent::kCleared);
     return;
   }
@@ -94,7 +94,8 @@
   rebuilt_ = rebuilt;
   if (later && !first) {
     if (rebuilt) {
-      if (state_ != kVerified) Change(StoreVerificationEvent::kRebuilt);
+      if (state_ != kVerified)
+        Change(StoreVerificationEvent::kCompleteReconciliation);
     } else if (state_ != kRebuilding) {
       Change(StoreVerificationEvent::kOpened);
     }
@@ -102,7 +103,7 @@
   }
   // A suspicion about this epoch is for the checks to settle.
   if (state_ == kRebuilding && rebuilt) {
-    Change(StoreVerificationEvent::kRebuilt);
+    Change(StoreVerificationEvent::kCompleteReconciliation);
   }
   if (state_ == kVerified && !rebuilt) Change(StoreVerificationEvent::kOpened);
 }
