--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -1,4 +1,4 @@
-// Whether this controller may believe what the state service says. A missing
+// Whether this controller may believe what the key-value store says. A missing
 // record proves something only while it may. Signs of a loss raise a
 // suspicion, which is settled by fresh checks, this controller's and the
 // others'.
@@ -19,7 +19,7 @@
   kRebuilding,  // one is open, and what is remembered is being written back
 };
 
-enum class LossSign : uint8_t {
+enum class DataLossIndication : uint8_t {
   kNone,
   kStepBack,       // a lower revision than an earlier answer's
   kEpochMissing,   // the epoch's records are not there, or are another's
@@ -28,31 +28,31 @@
   kUnknownTask,    // a task runs whose job has no record
   kOtherEpoch,     // another controller remembers another epoch
 };
-std::string_view NameOf(LossSign sign);
+std::string_view NameOf(DataLossIndication sign);
 
-// What a fresh look at the state service says, with everything that the sign
+// What a fresh look at the key-value store says, with everything that the sign
 // asks for looked at again.
-enum class CheckSays : uint8_t { kNoAnswer, kStands, kGone };
+enum class StoreCheck : uint8_t { kNoAnswer, kStands, kGone };
 
 enum class StoreVerificationEvent : uint8_t {
   kSign,
   kCleared,
   kConfirmed,
-  kOpened,   // a later epoch that is not yet rebuilt has been seen
-  kRebuilt,  // one that is
+  kOpened,  // a later epoch that is not yet rebuilt has been seen
+  kCompleteReconciliation,  // one that is
 };
 
 class StoreVerification {
  public:
   StoreVerificationState state() const { return state_; }
-  LossSign sign() const { return sign_; }
+  DataLossIndication sign() const { return sign_; }
 
   // A sign was seen. True when it is news: the suspicion has to be settled.
-  bool Note(LossSign sign);
+  bool Note(DataLossIndication sign);
   // A round of checks is over, while suspected, or later while nobody has
   // opened a new epoch. `others_stand`: another controller that looked at the
   // same moment finds nothing wrong.
-  void OnRound(CheckSays mine, bool others_stand);
+  void OnRound(StoreCheck mine, bool others_stand);
   // The epoch as recorded now.
   void OnEpoch(uint64_t number, bool rebuilt);
 
@@ -75,7 +75,7 @@
   void Change(StoreVerificationEvent event);
 
   StoreVerificationState state_ = StoreVerificationState::kVerified;
-  LossSign sign_ = LossSign::kNone;
+  DataLossIndication sign_ = DataLossIndication::kNone;
   uint64_t epoch_ = 0;
   bool rebuilt_ = true;
   int agreeing_ = 0;  // rounds in a row that found it gone
--- a/core/rollout/rollout.cc
+++ b/core/rollout/rollout.cc
@@ -33,7 +33,7 @@
     : record_(record), step_since_(now) {}
 
 void Rollout::OnRecord(const RolloutRecord& record, Time now) {
-  if (record.stamp <= record_.stamp) return;
+  if (record.mod_revision <= record_.mod_revision) return;
   RolloutStep step = record_.step;
   if (record.step != step) {
     CheckedChange(step, record.step, kChanges, "roll-out");
@@ -43,7 +43,7 @@
 }
 
 double Rollout::Interval() const {
-  return std::max(spec().check.interval_s, pace_s_);
+  return std::max(spec().check.interval_seconds, pace_seconds_);
 }
 
 void Rollout::ChangeHealth(Instance& i, Health next, Time now) {
@@ -52,7 +52,7 @@
   if (next == Health::kHealthy) i.healthy_since = now;
 }
 
-void Rollout::OnCheck(const ResidentKey& key, const CheckOutcome& outcome,
+void Rollout::OnCheck(const TaskAttemptKey& key, const CheckOutcome& outcome,
                       Time now) {
   const auto it = instances_.find(key);
   if (it == instances_.end()) return;
@@ -68,7 +68,7 @@
     i.proven = false;
     i.last_good = now;
     if (Baked(i, now)) i.relapses = 0;
-    (i.view.is_new ? new_latency_ : old_latency_).Add(outcome.latency_s);
+    (i.view.is_new ? new_latency_ : old_latency_).Add(outcome.latency_seconds);
     if (i.good >= spec().check.good_in_row) {
       ChangeHealth(i, Health::kHealthy, now);
     }
@@ -82,15 +82,15 @@
   // machine is heard a moment before the next check passes.
   if (outcome.answered || i.heard_at_start > i.first_bad) i.proven = true;
   // One that has never passed gets the time to start.
-  const bool starting =
-      i.health == Health::kUnknown && now - i.seen_running < spec().start_s;
+  const bool starting = i.health == Health::kUnknown &&
+                        now - i.seen_running < spec().start_seconds;
   if (i.bad >= spec().check.bad_in_row && i.proven && !starting) {
     ChangeHealth(i, Health::kFailing, now);
   }
 }
 
-std::vector<ResidentKey> Rollout::TakeDue(size_t most, Time now) {
-  std::vector<ResidentKey> due;
+std::vector<TaskAttemptKey> Rollout::TakeDue(size_t most, Time now) {
+  std::vector<TaskAttemptKey> due;
   for (auto& [key, i] : instances_) {
     if (due.size() >= most) break;
     if (!i.view.running || i.checking || now < i.next_check) continue;
@@ -102,7 +102,7 @@
 }
 
 void Rollout::Take(const RolloutView& view, Time now) {
-  std::map<ResidentKey, Instance> next;
+  std::map<TaskAttemptKey, Instance> next;
   for (const InstanceView& seen : view.instances) {
     const auto it = instances_.find(seen.key);
     Instance i = it == instances_.end() ? Instance{} : std::move(it->second);
@@ -118,13 +118,13 @@
 
 bool Rollout::Healthy(const Instance& i, Time now) const {
   const HealthCheck& check = spec().check;
-  const double fresh = 2 * (Interval() + check.timeout_s);
+  const double fresh = 2 * (Interval() + check.timeout_seconds);
   return i.view.running && !i.view.stopping && i.health == Health::kHealthy &&
          i.bad == 0 && now - i.last_good <= fresh;
 }
 
 bool Rollout::Baked(const Instance& i, Time now) const {
-  return Healthy(i, now) && now - i.healthy_since >= spec().bake_s;
+  return Healthy(i, now) && now - i.healthy_since >= spec().bake_seconds;
 }
 
 // A check that passes now and fails two minutes later: a new instance carries
@@ -151,9 +151,9 @@
   return out;
 }
 
-bool Rollout::MayStop(const ResidentKey& key, Time now) const {
+bool Rollout::MayStop(const TaskAttemptKey& key, Time now) const {
   const auto it = instances_.find(key);
-  // Not looked at yet, or not of this roll-out's picture: no.
+  // Not looked at yet, or not of this rollout's picture: no.
   if (it == instances_.end()) return false;
   const Instance& i = it->second;
   if (i.health == Health::kFailing) return true;
@@ -168,7 +168,7 @@
   return counted >= spec().floor + (Counts(i, now) ? 1 : 0);
 }
 
-void Rollout::NoteStopping(const ResidentKey& key) {
+void Rollout::NoteStopping(const TaskAttemptKey& key) {
   const auto it = instances_.find(key);
   if (it != instances_.end()) it->second.view.stopping = true;
 }
@@ -180,10 +180,10 @@
   });
 }
 
-Rollout::Verdict Rollout::Judge(Time now) const {
+Rollout::HealthExpression Rollout::Judge(Time now) const {
   constexpr uint64_t kEnough = 100;
   constexpr double kQuantile = 0.9;
-  Verdict out;
+  HealthExpression out;
   bool witness = false;  // somebody passes, or answers at least
   for (const auto& [key, i] : instances_) {
     witness = witness || Healthy(i, now);
@@ -254,7 +254,7 @@
   const RolloutCounts counts = Count(now);
   const bool to_gone = view.to_known && !view.to_live;
   if (at == kDeclared && !view.to_known) {
-    if (record_.wish == RolloutWish::kAbort) {
+    if (record_.request == RolloutRequest::kAbort) {
       return go(kRolledBack, "aborted by its user before the new job came");
     }
     return plan;
@@ -263,23 +263,23 @@
     // Where the check itself is at fault, the old ones may never pass it.
     const bool back = counts.old_healthy >= view.from_tasks ||
                       (counts.old_running >= view.from_tasks &&
-                       now - step_since_ > spec().start_s);
+                       now - step_since_ > spec().start_seconds);
     if (counts.new_there == 0 && back) return go(kRolledBack, record_.reason);
     return plan;
   }
   if (to_gone) {
     return go(kRollingBack, spec().to + " was ended by its user");
   }
-  if (record_.wish == RolloutWish::kAbort) {
+  if (record_.request == RolloutRequest::kAbort) {
     return go(kRollingBack, "aborted by its user");
   }
   if (at == kPaused) {
-    if (record_.wish == RolloutWish::kResume) {
+    if (record_.request == RolloutRequest::kResume) {
       return go(record_.paused_in, "resumed by its user");
     }
     return plan;
   }
-  if (record_.wish == RolloutWish::kPause) {
+  if (record_.request == RolloutRequest::kPause) {
     return go(kPaused, "paused by its user");
   }
   if (at == kDeclared) {
@@ -288,7 +288,7 @@
     }
     return go(kAdvancing, {});
   }
-  const Verdict verdict = Judge(now);
+  const HealthExpression verdict = Judge(now);
   if (verdict.fails) {
     return go(verdict.pause ? kPaused : kRollingBack, verdict.why);
   }
@@ -300,7 +300,8 @@
       counts.old_there == 0) {
     return go(kWatching, {});
   }
-  if (at == kWatching && all_healthy && now - step_since_ >= spec().watch_s) {
+  if (at == kWatching && all_healthy &&
+      now - step_since_ >= spec().watch_seconds) {
     return go(kDone, {});
   }
   return plan;
@@ -351,8 +352,8 @@
   limited_ = true;
 }
 
-std::vector<ResidentKey> Rollout::Victims(Time now) const {
-  std::vector<ResidentKey> out;
+std::vector<TaskAttemptKey> Rollout::Victims(Time now) const {
+  std::vector<TaskAttemptKey> out;
   if (step() == kPaused || step() == kDeclared) return out;
   const bool back = step() == kRollingBack;
   const uint32_t there = static_cast<uint32_t>(
@@ -364,7 +365,7 @@
   if (!back && !AllSeen()) return out;
   uint32_t excess = there - most;
   // First those that do nobody any good, then those that must move anyway.
-  std::vector<std::pair<int, ResidentKey>> order;
+  std::vector<std::pair<int, TaskAttemptKey>> order;
   for (const auto& [key, i] : instances_) {
     if (i.view.is_new != back || i.view.stopping) continue;
     const int rank = !Healthy(i, now) ? 0 : i.view.leaving ? 1 : 2;
@@ -391,7 +392,7 @@
   Limit(view, now);
   // A step that is not recorded yet has not begun.
   if (!plan.next) plan.stop = Victims(now);
-  for (const ResidentKey& key : plan.stop) NoteStopping(key);
+  for (const TaskAttemptKey& key : plan.stop) NoteStopping(key);
   return plan;
 }
 
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -1,4 +1,4 @@
-// A roll-out: one service takes the place of another, held to a floor of
+// A rollout: one service takes the place of another, held to a floor of
 // healthy instances. Decides how many replicas of each may be there and which
 // must go; knows nothing of machines, time sources or sockets.
 #pragma once
@@ -30,14 +30,14 @@
 inline constexpr size_t kRolloutSteps = 9;
 
 // What its user has asked for since the step was recorded.
-enum class RolloutWish : uint8_t { kNone, kPause, kResume, kAbort };
+enum class RolloutRequest : uint8_t { kNone, kPause, kResume, kAbort };
 
 struct HealthCheck {
   uint16_t port = 0;
   bool port_per_task = false;  // the port of task n is `port` + n
   std::string path = "/";      // {job} and {task} are put in
-  double interval_s = 1;
-  double timeout_s = 1;
+  double interval_seconds = 1;
+  double timeout_seconds = 1;
   uint32_t good_in_row = 2;
   uint32_t bad_in_row = 2;
   std::string verdict = "status == 200";  // an expression, see script/verdict.h
@@ -50,30 +50,31 @@
   std::string id;
   std::string from;  // job ids
   std::string to;
-  uint32_t floor = 0;   // healthy instances, of both jobs together
-  uint32_t surge = 1;   // replicas above those of `from`
-  double start_s = 60;  // from running to the first good checks
-  double bake_s = 120;  // how long one must pass before it counts for the floor
-  double watch_s = 300;
+  uint32_t floor = 0;         // healthy instances, of both jobs together
+  uint32_t surge = 1;         // replicas above those of `from`
+  double start_seconds = 60;  // from running to the first good checks
+  double bake_seconds =
+      120;  // how long one must pass before it counts for the floor
+  double watch_seconds = 300;
   HealthCheck check;
 };
 
-// A roll-out as the state service holds it, written at changes of step only.
+// A rollout as the key-value store holds it, written at changes of step only.
 struct RolloutRecord {
   std::shared_ptr<const RolloutSpec> spec;
   RolloutStep step = RolloutStep::kDeclared;
   RolloutStep paused_in = RolloutStep::kDeclared;
-  RolloutWish wish = RolloutWish::kNone;
+  RolloutRequest request = RolloutRequest::kNone;
   std::string reason;
   double declared_wall = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 inline bool Ended(RolloutStep step) { return step >= RolloutStep::kDone; }
 
 // A replica as the leader sees it at this moment.
 struct InstanceView {
-  ResidentKey key;
+  TaskAttemptKey key;
   bool is_new = false;
   bool running = false;
   bool stopping = false;
@@ -93,7 +94,7 @@
 };
 
 struct RolloutPlan {
-  std::vector<ResidentKey> stop;
+  std::vector<TaskAttemptKey> stop;
   // The step to record; nothing changes before it is.
   std::optional<RolloutStep> next;
   std::string reason;
@@ -102,7 +103,7 @@
 struct CheckOutcome {
   bool answered = false;  // an HTTP response came in time
   bool good = false;
-  double latency_s = 0;
+  double latency_seconds = 0;
 };
 
 struct RolloutCounts {
@@ -124,16 +125,17 @@
   const RolloutRecord& record() const { return record_; }
   RolloutStep step() const { return record_.step; }
 
-  // Takes in a record read from the state service: a step that has been
+  // Takes in a record read from the key-value store: a step that has been
   // recorded, or a wish of its user.
   void OnRecord(const RolloutRecord& record, Time now);
-  void OnCheck(const ResidentKey& key, const CheckOutcome& outcome, Time now);
+  void OnCheck(const TaskAttemptKey& key, const CheckOutcome& outcome,
+               Time now);
   // Checks of one instance are at least so far apart, s: what the leader's
   // processor allows when many are to be checked.
-  void SetPace(double pace_s) { pace_s_ = pace_s; }
+  void SetPace(double pace_seconds) { pace_seconds_ = pace_seconds; }
   // Instances that are due for a check, at most so many; they count as being
   // checked from here on.
-  std::vector<ResidentKey> TakeDue(size_t most, Time now);
+  std::vector<TaskAttemptKey> TakeDue(size_t most, Time now);
   RolloutPlan Review(const RolloutView& view, Time now);
 
   // How many replicas may be there, those on their way out included.
@@ -141,8 +143,8 @@
   uint32_t MostOfOld() const { return most_old_; }
   // The floor's one place: whether the instance may be stopped for whatever
   // reason short of its user's own cancellation.
-  bool MayStop(const ResidentKey& key, Time now) const;
-  void NoteStopping(const ResidentKey& key);
+  bool MayStop(const TaskAttemptKey& key, Time now) const;
+  void NoteStopping(const TaskAttemptKey& key);
   RolloutCounts Count(Time now) const;
   size_t instances() const { return instances_.size(); }
   const LatencyHistogram& old_latency() const { return old_latency_; }
@@ -180,23 +182,23 @@
   // Every instance that runs has been looked at by this leader.
   bool AllSeen() const;
   // Why the new ones fail, if they do; `pause` when it can't be blamed on them.
-  struct Verdict {
+  struct HealthExpression {
     bool fails = false;
     bool pause = false;
     std::string why;
   };
-  Verdict Judge(Time now) const;
+  HealthExpression Judge(Time now) const;
   RolloutPlan Next(const RolloutView& view, Time now) const;
   void Limit(const RolloutView& view, Time now);
-  std::vector<ResidentKey> Victims(Time now) const;
+  std::vector<TaskAttemptKey> Victims(Time now) const;
 
   RolloutRecord record_;
-  std::map<ResidentKey, Instance> instances_;
+  std::map<TaskAttemptKey, Instance> instances_;
   uint32_t most_new_ = 0;
   uint32_t most_old_ = UINT32_MAX;
   bool limited_ = false;  // the limits have been set once
   Time step_since_;
-  double pace_s_ = 0;
+  double pace_seconds_ = 0;
   LatencyHistogram old_latency_;
   LatencyHistogram new_latency_;
 };
--- a/core/upgrade/version_gate.cc
+++ b/core/upgrade/version_gate.cc
@@ -12,7 +12,7 @@
 using enum GateState;
 
 // None leads back from kOpen. What was seen and not marked yet may be lost with
-// the state service's data, and is recorded anew.
+// the key-value store's data, and is recorded anew.
 constexpr std::array kChanges = {
     std::pair{kClosed, kAllSeen},
     std::pair{kClosed, kOpen},
@@ -60,13 +60,13 @@
   } else if (!open()) {
     Change(all ? kAllSeen : kClosed);
   }
-  wanted_ = GateWrite::kNothing;
+  required_write_ = GateWrite::kNothing;
   if (!Present(own)) {
-    wanted_ = GateWrite::kOwn;
-    replaces_ = own == nullptr ? 0 : own->stamp;
+    required_write_ = GateWrite::kOwn;
+    replaces_ = own == nullptr ? 0 : own->mod_revision;
   } else if (!Present(mark) && (all || open())) {
-    wanted_ = GateWrite::kMark;
-    replaces_ = mark == nullptr ? 0 : mark->stamp;
+    required_write_ = GateWrite::kMark;
+    replaces_ = mark == nullptr ? 0 : mark->mod_revision;
   }
 }
 
--- a/core/upgrade/version_gate.h
+++ b/core/upgrade/version_gate.h
@@ -20,7 +20,7 @@
 // What a controller, or the mark for all of them, says of itself.
 struct VersionRecord {
   uint32_t version = 0;
-  uint64_t stamp = 0;
+  uint64_t mod_revision = 0;
 };
 
 enum class GateState : uint8_t {
@@ -46,7 +46,7 @@
   GateState state() const { return state_; }
   bool open() const { return state_ == GateState::kOpen; }
   // What this controller has to record next, and in place of which stamp.
-  GateWrite Wanted() const { return wanted_; }
+  GateWrite RequiredWrite() const { return required_write_; }
   uint64_t replaces() const { return replaces_; }
 
  private:
@@ -58,7 +58,7 @@
   std::vector<std::string> names_;  // all of them
   const size_t nodes_;
   GateState state_ = GateState::kClosed;
-  GateWrite wanted_ = GateWrite::kNothing;
+  GateWrite required_write_ = GateWrite::kNothing;
   uint64_t replaces_ = 0;
 };
 
--- a/script/verdict.cc
+++ b/health_expression/health_expression.cc
@@ -1,4 +1,4 @@
-#include "script/verdict.h"
+#include "health_expression/health_expression.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/pointer.h>
@@ -7,10 +7,10 @@
 #include <lua.hpp>
 #include <optional>
 
-namespace oxbow::script {
+namespace oxbow::health_expression {
 
 // What one judgement works on. The JSON is parsed when first asked for.
-struct Verdict::Run {
+struct HealthExpression::Run {
   const Answer& answer;
   std::optional<rapidjson::Document> json;
 
@@ -68,7 +68,7 @@
 // Everything that can raise is inside the protected call: the expression is
 // its first argument, the run its second. What the expression sees is a table
 // of its own each time, so that nothing is carried from one answer to the next.
-int Verdict::Run::Call(lua_State* lua) {
+int HealthExpression::Run::Call(lua_State* lua) {
   auto* current = static_cast<Run*>(lua_touserdata(lua, 2));
   const Answer& seen = current->answer;
   lua_newtable(lua);
@@ -105,9 +105,9 @@
   return 1;
 }
 
-void* Verdict::Allocate(void* self, void* block, size_t old_size,
-                        size_t new_size) {
-  auto* verdict = static_cast<Verdict*>(self);
+void* HealthExpression::Allocate(void* self, void* block, size_t old_size,
+                                 size_t new_size) {
+  auto* verdict = static_cast<HealthExpression*>(self);
   const size_t old = block == nullptr ? 0 : old_size;
   if (new_size == 0) {
     verdict->used_ -= old;
@@ -120,7 +120,7 @@
   return moved;
 }
 
-Verdict::Verdict(const std::string& expression, Limits limits)
+HealthExpression::HealthExpression(const std::string& expression, Limits limits)
     : limits_(limits), lua_(lua_newstate(Allocate, this)) {
   if (lua_ == nullptr) {
     error_ = "no memory";
@@ -137,11 +137,11 @@
   }
 }
 
-Verdict::~Verdict() {
+HealthExpression::~HealthExpression() {
   if (lua_ != nullptr) lua_close(lua_);
 }
 
-Verdict::Result Verdict::Judge(const Answer& answer) {
+HealthExpression::Result HealthExpression::Judge(const Answer& answer) {
   if (!error_.empty()) return Result::kError;
   Run run{answer, std::nullopt};
   lua_pushcfunction(lua_, &Run::Call);
@@ -159,8 +159,8 @@
   return result;
 }
 
-std::string Verdict::WhatIsWrong(const std::string& expression) {
-  return Verdict(expression).error();
+std::string HealthExpression::WhatIsWrong(const std::string& expression) {
+  return HealthExpression(expression).error();
 }
 
-}  // namespace oxbow::script
+}  // namespace oxbow::health_expression
--- a/script/verdict.h
+++ b/health_expression/health_expression.h
@@ -8,7 +8,7 @@
 
 struct lua_State;
 
-namespace oxbow::script {
+namespace oxbow::health_expression {
 
 // What an expression sees:
 //   status      the HTTP status
@@ -19,7 +19,7 @@
 //   value(p)    string, number or boolean at JSON pointer p; nil: none
 //
 //   status == 200 and count("/chargers") > 0
-class Verdict {
+class HealthExpression {
  public:
   struct Limits {
     size_t memory = 256 * 1024;  // bytes, of one expression
@@ -32,12 +32,12 @@
   };
   enum class Result { kGood, kBad, kError };
 
-  Verdict(const std::string& expression, Limits limits);
-  explicit Verdict(const std::string& expression)
-      : Verdict(expression, Limits()) {}
-  ~Verdict();
-  Verdict(const Verdict&) = delete;
-  Verdict& operator=(const Verdict&) = delete;
+  HealthExpression(const std::string& expression, Limits limits);
+  explicit HealthExpression(const std::string& expression)
+      : HealthExpression(expression, Limits()) {}
+  ~HealthExpression();
+  HealthExpression(const HealthExpression&) = delete;
+  HealthExpression& operator=(const HealthExpression&) = delete;
 
   // What keeps the expression from being used; empty when it is good.
   const std::string& error() const { return error_; }
@@ -58,4 +58,4 @@
   std::string error_;
 };
 
-}  // namespace oxbow::script
+}  // namespace oxbow::health_expression
--- a/net/http.cc
+++ b/net/http.cc
@@ -106,9 +106,9 @@
   out += ReasonPhrase(response.status);
   out += "\r\nContent-Type: application/json\r\nContent-Length: ";
   out += std::to_string(response.body.size());
-  if (response.retry_after_s > 0) {
+  if (response.retry_after_seconds > 0) {
     out += "\r\nRetry-After: ";
-    out += std::to_string(response.retry_after_s);
+    out += std::to_string(response.retry_after_seconds);
   }
   if (!response.allow.empty()) {
     out += "\r\nAllow: ";
@@ -307,7 +307,7 @@
     if (ContainsToken(value, "keep-alive")) request_.keep_alive = true;
   } else if (EqualsIgnoreCase(name, "Retry-After")) {
     int seconds = 0;
-    if (ParseNumber(value, &seconds)) retry_after_s_ = seconds;
+    if (ParseNumber(value, &seconds)) retry_after_seconds_ = seconds;
   }
 }
 
--- a/net/http.h
+++ b/net/http.h
@@ -23,8 +23,8 @@
 struct HttpResponse {
   int status = 200;
   std::string body;
-  int retry_after_s = 0;   // sent when above 0
-  std::string_view allow;  // sent when not empty
+  int retry_after_seconds = 0;  // sent when above 0
+  std::string_view allow;       // sent when not empty
   bool keep_alive = true;
 };
 
@@ -74,7 +74,7 @@
   int status() const { return status_; }
   std::string& body() { return request_.body; }
   bool keep_alive() const { return request_.keep_alive; }
-  int retry_after_s() const { return retry_after_s_; }
+  int retry_after_seconds() const { return retry_after_seconds_; }
 
  private:
   void Become(State next);
@@ -96,7 +96,7 @@
   bool chunked_ = false;
   size_t remaining_ = 0;
   int status_ = 0;
-  int retry_after_s_ = 0;
+  int retry_after_seconds_ = 0;
   HttpRequest request_;
 };
 
--- a/net/http_client.cc
+++ b/net/http_client.cc
@@ -16,10 +16,10 @@
       urgent_(urgent) {}
 
 Task<ClientResult> HttpClient::Request(std::string method, std::string target,
-                                       std::string body, Time timeout_s) {
+                                       std::string body, Time timeout_seconds) {
   // A connection is mostly there in a few milliseconds; a machine without
   // power never answers, and the caller wants the rest of its time.
-  const Time deadline = loop_.Now() + timeout_s;
+  const Time deadline = loop_.Now() + timeout_seconds;
   ClientResult result;
   std::unique_ptr<Socket> socket;
   while (!idle_.empty() && !socket) {
@@ -56,7 +56,7 @@
   result.outcome = Outcome::kAnswered;
   result.status = parser.status();
   result.body = std::move(parser.body());
-  result.retry_after_s = parser.retry_after_s();
+  result.retry_after_seconds = parser.retry_after_seconds();
   if (parser.keep_alive() && !surplus && idle_.size() < max_idle_) {
     idle_.push_back(std::move(socket));
   }
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -20,7 +20,7 @@
   Outcome outcome = Outcome::kNotSent;
   int status = 0;
   std::string body;
-  int retry_after_s = 0;
+  int retry_after_seconds = 0;
 
   bool ok() const { return outcome == Outcome::kAnswered && status == 200; }
 };
@@ -32,7 +32,7 @@
              size_t max_idle = 4, bool urgent = false);
 
   Task<ClientResult> Request(std::string method, std::string target,
-                             std::string body, Time timeout_s);
+                             std::string body, Time timeout_seconds);
   const Address& address() const { return address_; }
 
  private:
--- a/net/http_server.cc
+++ b/net/http_server.cc
@@ -30,7 +30,7 @@
   bool open = true;
   while (open) {
     parser.Reset();
-    const Time idle_deadline = loop_.Now() + limits_.idle_s;
+    const Time idle_deadline = loop_.Now() + limits_.idle_seconds;
     Time deadline = idle_deadline;
     for (;;) {
       if (!rest.empty()) {
@@ -40,7 +40,7 @@
       if (parser.done() || parser.failed()) break;
       // A request that trickles in must not hold its connection for ever.
       if (parser.started() && deadline == idle_deadline) {
-        deadline = loop_.Now() + limits_.request_s;
+        deadline = loop_.Now() + limits_.request_seconds;
       }
       const ssize_t n =
           co_await socket->Read(buffer.data(), buffer.size(), deadline);
@@ -63,7 +63,7 @@
     open = response.keep_alive;
     const std::string wire = Serialize(response);
     const bool written =
-        co_await socket->Write(wire, loop_.Now() + limits_.response_s);
+        co_await socket->Write(wire, loop_.Now() + limits_.response_seconds);
     if (!written) break;
   }
   --open_;
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -15,9 +15,9 @@
   using Handler = std::function<Task<HttpResponse>(HttpRequest request)>;
   struct Limits {
     size_t connections = 400;
-    Time idle_s = 75;     // between requests
-    Time request_s = 5;   // from a request's first byte to its last
-    Time response_s = 5;  // to take the response off our hands
+    Time idle_seconds = 75;     // between requests
+    Time request_seconds = 5;   // from a request's first byte to its last
+    Time response_seconds = 5;  // to take the response off our hands
     HttpParser::Limits message;
   };
 
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -158,12 +158,12 @@
     return false;
   }
 
-  // Cuts a controller off from the state service and from the others, both
+  // Cuts a controller off from the key-value store and from the others, both
   // ways, or joins it to them again. Users and workers reach it.
   void Isolate(int i, bool cut) {
     for (int from = 0; from < controllers_; ++from) {
       for (int way = 0; way < controllers_; ++way) {
-        // Its way to the state service comes first.
+        // Its way to the key-value store comes first.
         const int to = way == 0 ? -1 : way <= from ? way - 1 : way;
         if (from == i || to == i) ways_[from][way]->Cut(cut);
       }
@@ -229,7 +229,7 @@
   std::mt19937_64 random;
   std::map<std::string, Cue> cues;
   std::vector<std::shared_ptr<FakeWorker>> workers;
-  FakeState& state() { return state_; }
+  FakeKeyValueStore& state() { return state_; }
 
  private:
   std::string ConfigOf(int i) const {
@@ -265,11 +265,11 @@
   const int controllers_;
   const std::string tuning_;
   std::vector<Program> programs_;
-  FakeState state_;
+  FakeKeyValueStore state_;
   FakeCloud cloud_;
   std::vector<net::Address> listen_;
   std::vector<net::Address> back_;
-  // Of each controller: to the state service, then to the others in order.
+  // Of each controller: to the key-value store, then to the others in order.
   std::vector<std::vector<std::unique_ptr<Link>>> ways_;
   std::vector<pid_t> pids_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -1,4 +1,4 @@
-// Roll-outs on loopback: real controllers as processes, killed and started
+// Rollouts on loopback: real controllers as processes, killed and started
 // again, against stand-ins for everything else. The workers count healthy
 // instances themselves.
 
@@ -124,7 +124,7 @@
     } else if (kind == Kind::kLater) {
       cue.sick_after = Between(0.5, bake - 0.7);
     } else if (kind == Kind::kFlapping) {
-      cue.flap_s = Between(0.5, 1.2);
+      cue.flap_seconds = Between(0.5, 1.2);
     }
     cue.way = kind == Kind::kEmpty    ? Cue::Way::kEmpty
               : kind == Kind::kSilent ? Cue::Way::kSilent
@@ -137,7 +137,7 @@
       co_await c_.loop.Sleep(0.05);
     }
     EXPECT_EQ(c_.Well(from), kTasks) << from << " never came up";
-    // Which of the two goes in the end the roll-out says.
+    // Which of the two goes in the end the rollout says.
     known_.CancelAsked(from);
     known_.CancelAsked(to);
     const int floor = kTasks - n % 2;
--- a/tests/combined_faults_test.cc
+++ b/tests/combined_faults_test.cc
@@ -65,7 +65,7 @@
     type.total = {4, 0, 64};
     type.cache_gb = 100;
     type.price = type.spot_price = 1;
-    type.boot_s = 2;
+    type.boot_seconds = 2;
     type.zones = {"a", "b"};
     sim_.types["small"] = type;
     sim_.capacity["small"] = 2;
@@ -75,7 +75,8 @@
     for (const char* name : {"a", "b", "c"}) sim_.AddController(name);
     sim_.controller("b").zone = "b";
     sim_.troubles.random.seed(seed ^ 0x9e3779b97f4a7c15);
-    if (Has(Fault::kReportsForTheNext)) sim_.troubles.reports_for_next = 0.02;
+    if (Has(Fault::kReportsForTheNext))
+      sim_.troubles.heartbeats_for_next = 0.02;
     if (Has(Fault::kCancelAtEnd)) sim_.troubles.cancel_at_end = 0.5;
     if (Has(Fault::kOddRequests)) sim_.troubles.odd_requests = 0.5;
     if (Has(Fault::kLateWrites) || Has(Fault::kAnswersOfWritesLost)) {
@@ -96,7 +97,7 @@
       const std::string wrong = Wrong();
       if (!wrong.empty()) return wrong;
     }
-    Calm();
+    IsQuiescent();
     for (double t = 0; t < kCalm; t += kStep) {
       if (sim_.leader() == nullptr) sim_.Lead("a");
       AskAgain();
@@ -151,7 +152,7 @@
     // Every fault is worse with a change of leader now and then.
     const double leads_for = Has(Fault::kLeadersEnd) ? 8 : 30;
     if (sim_.leader() == nullptr) {
-      if (now >= next_leader_ && !sim_.state_down) sim_.Lead(Controller());
+      if (now >= next_leader_ && !sim_.state_down) sim_.Lead(Leader());
     } else if (Every(leads_for)) {
       sim_.Crash();
       next_leader_ = now + (Happens(0.7) ? 0 : Between(0, 12));
@@ -180,24 +181,24 @@
         w.hangs_until = now + Between(0.5, 14);
       }
       const bool cut = now < cut_until_ && w.zone == "b";
-      w.reports_cut = cut || now < spell.mute_until;
+      w.heartbeats_cut = cut || now < spell.mute_until;
       w.answers_cut = now < spell.deaf_until;
-      w.orders_cut = cut || now < spell.deaf_until;
+      w.commands_cut = cut || now < spell.deaf_until;
     }
   }
 
-  void Calm() {
+  void IsQuiescent() {
     sim_.state_down = false;
     sim_.late_writes.reset();
     sim_.troubles = Troubles();
     sim_.controller("b").refused = false;
     for (auto& [host, w] : sim_.workers()) {
-      w.reports_cut = w.orders_cut = w.answers_cut = false;
+      w.heartbeats_cut = w.commands_cut = w.answers_cut = false;
       w.hangs_until = 0;
     }
   }
 
-  std::string Controller() {
+  std::string Leader() {
     // Behind a cut nobody leads the rest.
     const char* const names[] = {"a", "c", "b"};
     return names[Whole(0, sim_.now() < cut_until_ ? 1 : 2)];
@@ -243,7 +244,7 @@
     spec.image = fmt::format("img-{}", Whole(0, 2));
     spec.image_gb = 0.4;
     spec.one_zone = spec.kind != JobKind::kService && Happens(0.5);
-    spec.estimate_s = Between(2, 12);
+    spec.estimate_seconds = Between(2, 12);
     sim_.Submit(spec);
   }
 
--- a/tests/delegated_lease_test.cc
+++ b/tests/delegated_lease_test.cc
@@ -4,8 +4,8 @@
 
 #include <gtest/gtest.h>
 
-#include "core/lease/cut_signs.h"
 #include "core/lease/delegated_lease_record.h"
+#include "core/lease/partition_detector.h"
 #include "core/model/state_machine.h"
 
 namespace oxbow {
@@ -27,9 +27,10 @@
 
 TEST(DelegatedZoneLease, TasksOutliveTheTimeThatACancellationHas) {
   WorkerSettings w;
-  EXPECT_DOUBLE_EQ(DelegatedLeaseTerm(w) + w.lease_s + CancellationMargin(w),
-                   w.cancel_s);
-  w.cancel_s = w.lease_s;
+  EXPECT_DOUBLE_EQ(
+      DelegatedLeaseTerm(w) + w.lease_seconds + CancellationMargin(w),
+      w.cancel_seconds);
+  w.cancel_seconds = w.lease_seconds;
   EXPECT_EQ(DelegatedLeaseTerm(w), 0);
 }
 
@@ -53,10 +54,10 @@
 
 TEST(DelegatedZoneLease, KeepsAlthoughItStandsBack) {
   DelegatedLease lease = Ready(0);
-  EXPECT_TRUE(lease.AskedToStandBack(1));
+  EXPECT_TRUE(lease.OnYieldRequested(1));
   EXPECT_FALSE(lease.Renew(1.9));
   EXPECT_TRUE(lease.Renew(2.1));
-  EXPECT_FALSE(lease.AskedToStandBack(2.5));  // it has just kept
+  EXPECT_FALSE(lease.OnYieldRequested(2.5));  // it has just kept
   EXPECT_NEAR(lease.RenewedAgo(2.5), 0.4, 1e-9);
 }
 
@@ -78,26 +79,26 @@
   // One that can be asked stands back, and has not kept for a lease.
   DelegatedLeases rights(Deployment(), 100, std::set<std::string>{"b"});
   rights.Grant("b", "life", 50, 150);
-  rights.StoodBack("b", "life", 60, -1, 160, 160.1);
+  rights.LeaseYielded("b", "life", 60, -1, 160, 160.1);
   EXPECT_FALSE(rights.MayBeRenewed("z", 160.5));
   EXPECT_TRUE(rights.MayBeRenewed("z", 161.1));  // its word is over
-  rights.StoodBack("b", "life", 62, 3, 162, 162.1);
+  rights.LeaseYielded("b", "life", 62, 3, 162, 162.1);
   EXPECT_TRUE(rights.MayBeRenewed("z", 162.5));  // kept three seconds ago
 }
 
 TEST(DelegatedZoneLease, StartedAgainItHasForgottenThatItStoodBack) {
   DelegatedLeases rights(Deployment(), 100, std::set<std::string>{});
   rights.Grant("b", "one", 50, 150);
-  rights.StoodBack("b", "one", 60, -1, 160, 160.1);
+  rights.LeaseYielded("b", "one", 60, -1, 160, 160.1);
   rights.Grant("b", "two", 0.1, 160.3);
   EXPECT_TRUE(rights.MayBeRenewed("z", 160.5));
   // The word of its former life was held back on the way.
-  rights.StoodBack("b", "one", 60, -1, 160.2, 160.6);
+  rights.LeaseYielded("b", "one", 60, -1, 160.2, 160.6);
   EXPECT_TRUE(rights.MayBeRenewed("z", 160.7));
   // The new life has not kept; the former may have, until just before it.
-  rights.StoodBack("b", "two", 0.5, -1, 160.6, 160.7);
+  rights.LeaseYielded("b", "two", 0.5, -1, 160.6, 160.7);
   EXPECT_TRUE(rights.MayBeRenewed("z", 160.8));
-  rights.StoodBack("b", "two", 12, -1, 172, 172.1);
+  rights.LeaseYielded("b", "two", 12, -1, 172, 172.1);
   EXPECT_FALSE(rights.MayBeRenewed("z", 172.2));
 }
 
@@ -124,7 +125,7 @@
   EXPECT_EQ(record.step(), RecordStep::kRead);
   record.WasRead(40);  // it did come
   record.LeaseGranted(8, 2);
-  EXPECT_EQ(record.stamp(), 40U);
+  EXPECT_EQ(record.mod_revision(), 40U);
   EXPECT_EQ(record.lease_id(), 8U);
   record.Written(2.1);
   EXPECT_EQ(record.step(), RecordStep::kRenew);
@@ -150,61 +151,61 @@
 
 // --- a zone that is cut off, or a controller that alone is
 
-WorkerReport Shows(const std::string& host, uint64_t seq, uint64_t token) {
-  WorkerReport r;
+Heartbeat Shows(const std::string& host, uint64_t seq, uint64_t token) {
+  Heartbeat r;
   r.host = host;
-  r.session = 1;
+  r.incarnation = 1;
   r.seq = seq;
   r.token = token;
   return r;
 }
 
-TEST(CutSigns, WorkersAreKeptFromALeaderThatAsksForThem) {
-  CutSigns signs(Deployment().workers);
-  EXPECT_FALSE(signs.SentOn(Shows("n", 5, 9), 0));
+TEST(PartitionDetector, WorkersAreKeptFromALeaderThatAsksForThem) {
+  PartitionDetector signs(Deployment().workers);
+  EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 0));
   signs.Kept(Shows("n", 5, 9), 0);
-  EXPECT_FALSE(signs.SentOn(Shows("n", 6, 9), 1));
+  EXPECT_FALSE(signs.Redirected(Shows("n", 6, 9), 1));
   signs.Kept(Shows("n", 6, 9), 1);
   // Between the two it has answered somebody.
-  EXPECT_TRUE(signs.SentOn(Shows("n", 8, 9), 2));
+  EXPECT_TRUE(signs.Redirected(Shows("n", 8, 9), 2));
   // So the others of the zone are not cut off either.
-  EXPECT_TRUE(signs.SentOn(Shows("m", 50, 9), 3));
+  EXPECT_TRUE(signs.Redirected(Shows("m", 50, 9), 3));
 }
 
-TEST(CutSigns, WorkersAreKeptFromANewLeader) {
-  CutSigns signs(Deployment().workers);
+TEST(PartitionDetector, WorkersAreKeptFromANewLeader) {
+  PartitionDetector signs(Deployment().workers);
   signs.Kept(Shows("n", 5, 9), 0);
-  EXPECT_TRUE(signs.SentOn(Shows("n", 6, 10), 1));
+  EXPECT_TRUE(signs.Redirected(Shows("n", 6, 10), 1));
 }
 
-TEST(CutSigns, WorkerBehindACutLosesItsLeaseToAFalseSign) {
-  CutSigns signs(Deployment().workers);
+TEST(PartitionDetector, WorkerBehindACutLosesItsLeaseToAFalseSign) {
+  PartitionDetector signs(Deployment().workers);
   signs.Kept(Shows("n", 5, 9), 0);
-  // It has tried the others, in vain: each report made for them counts.
-  EXPECT_FALSE(signs.SentOn(Shows("n", 9, 9), 6));
+  // It has tried the others, in vain: each heartbeat made for them counts.
+  EXPECT_FALSE(signs.Redirected(Shows("n", 9, 9), 6));
   signs.Kept(Shows("n", 9, 9), 6);
-  // A new session counts from one again.
-  WorkerReport next = Shows("n", 3, 9);
-  next.session = 2;
-  EXPECT_FALSE(signs.SentOn(next, 7));
+  // A new incarnation counts from one again.
+  Heartbeat next = Shows("n", 3, 9);
+  next.incarnation = 2;
+  EXPECT_FALSE(signs.Redirected(next, 7));
   signs.Kept(next, 7);
   // A copy of an older report.
-  EXPECT_FALSE(signs.SentOn(Shows("n", 5, 9), 7.5));
+  EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 7.5));
   signs.Kept(Shows("n", 5, 9), 7.5);
   next.seq = 4;
-  EXPECT_FALSE(signs.SentOn(next, 8));
+  EXPECT_FALSE(signs.Redirected(next, 8));
 }
 
-TEST(CutSigns, OneThatNobodyElseAnswersIsSentOnAgainAndAgain) {
-  CutSigns signs(Deployment().workers);
+TEST(PartitionDetector, OneThatNobodyElseAnswersIsSentOnAgainAndAgain) {
+  PartitionDetector signs(Deployment().workers);
   signs.Kept(Shows("n", 5, 9), 0);
-  EXPECT_TRUE(signs.SentOn(Shows("n", 7, 9), 1));
-  EXPECT_FALSE(signs.SentOn(Shows("n", 12, 9), 5));  // it is back
+  EXPECT_TRUE(signs.Redirected(Shows("n", 7, 9), 1));
+  EXPECT_FALSE(signs.Redirected(Shows("n", 12, 9), 5));  // it is back
   signs.Kept(Shows("n", 12, 9), 5);
-  EXPECT_FALSE(signs.SentOn(Shows("n", 14, 9), 6));
+  EXPECT_FALSE(signs.Redirected(Shows("n", 14, 9), 6));
   // For a lease, for there may be a leader by now.
   signs.Kept(Shows("n", 24, 9), 11);
-  EXPECT_TRUE(signs.SentOn(Shows("n", 26, 9), 12));
+  EXPECT_TRUE(signs.Redirected(Shows("n", 26, 9), 12));
 }
 
 }  // namespace
--- a/tests/chain_memory.cc
+++ b/tests/dependency_graph_memory.cc
@@ -7,16 +7,16 @@
 #include <cstdio>
 #include <string>
 
-#include "core/chains/chains.h"
-#include "core/controller/catalog.h"
+#include "core/dependencies/dependency_graph.h"
+#include "core/leader/catalog.h"
 
 namespace {
 
 using namespace oxbow;
 
-class Estimates : public Chains::Estimates {
-  double PathSeconds(const JobSpec&) const override { return 30; }
-  DueTimes DueOf(const JobSpec&, Time) const override { return {}; }
+class Estimates : public DependencyGraph::Estimates {
+  double CriticalPathSeconds(const JobSpec&) const override { return 30; }
+  DueTimes DueTimesOf(const JobSpec&, Time) const override { return {}; }
 };
 
 std::string IdOf(int n) {
@@ -38,7 +38,7 @@
   for (int n = 0; n < kEnded; ++n) {
     // Ids come in no order, and one in twelve is cancelled.
     const int id = static_cast<int>((n * 7919LL) % 1'500'000);
-    catalog.RememberEnd(
+    catalog.RememberTerminalState(
         IdOf(id),
         {id % 12 == 0 ? TerminalState::kAborted : TerminalState::kDone, 8, 0});
   }
@@ -51,7 +51,7 @@
     spec.team = "ops-desk";
     spec.image = "img-0007";
     spec.types = {"blue-mahoe", "doctor-bird"};
-    spec.waits_on = {IdOf(1'999'999 + n), IdOf(1'999'998 + n)};
+    spec.dependencies = {IdOf(1'999'999 + n), IdOf(1'999'998 + n)};
     catalog.Put(keys::Of(keys::kWaiting, spec.id),
                 WaitingRecord{std::make_shared<JobSpec>(spec), 1, 0},
                 static_cast<uint64_t>(n) + 1);
@@ -59,7 +59,7 @@
   std::printf("%d waiting records: %.1f MiB\n", kWaiting, Mib() - before);
   before = Mib();
   const Estimates estimates;
-  Chains chains(estimates);
+  DependencyGraph chains(estimates);
   for (const auto& [id, record] : catalog.waiting()) {
     chains.Add(record.spec, 0,
                [](const std::string&) { return TerminalState::kNone; });
--- a/tests/chains_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,8 +1,9 @@
 // The code of core/chains: what jobs inherit, every order of events of three
 // jobs under two leaders, and random graphs under failing leaders and late
-// writes, with an account of its own (Sim::CheckChainStart, CheckOrphans).
+// writes, with an account of its own (Sim::CheckChainStart,
+// CheckOrphanedTasks).
 
-#include "core/chains/chains.h"
+#include "core/dependencies/dependency_graph.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -18,41 +19,42 @@
 namespace {
 
 // Each job takes 10 s.
-class TenSeconds : public Chains::Estimates {
+class TenSeconds : public DependencyGraph::Estimates {
  public:
-  double PathSeconds(const JobSpec& spec) const override {
-    return spec.estimate_s;
+  double CriticalPathSeconds(const JobSpec& spec) const override {
+    return spec.estimate_seconds;
   }
-  DueTimes DueOf(const JobSpec& spec, Time submitted) const override {
-    if (!spec.deadline_s) return {};
-    return {submitted + *spec.deadline_s, submitted + 1.5 * *spec.deadline_s};
+  DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const override {
+    if (!spec.deadline_seconds) return {};
+    return {submitted + *spec.deadline_seconds,
+            submitted + 1.5 * *spec.deadline_seconds};
   }
 };
 
 const TenSeconds kEstimates;
 
 std::shared_ptr<JobSpec> SpecOf(const std::string& id,
-                                std::vector<std::string> waits_on) {
+                                std::vector<std::string> dependencies) {
   auto spec = std::make_shared<JobSpec>();
   spec->id = id;
   spec->priority = Priority::kLow;
-  spec->estimate_s = 10;
-  spec->waits_on = std::move(waits_on);
+  spec->estimate_seconds = 10;
+  spec->dependencies = std::move(dependencies);
   return spec;
 }
 
-const Chains::EndOf kNobodyEnded = [](const std::string&) {
+const DependencyGraph::TerminalStateOf kNobodyEnded = [](const std::string&) {
   return TerminalState::kNone;
 };
 
-TEST(Chains, InheritAlongTheLongestPathThatIsLeft) {
-  Chains chains(kEstimates);
+TEST(DependencyGraph, InheritAlongTheLongestPathThatIsLeft) {
+  DependencyGraph chains(kEstimates);
   // a and b before c, c before d, a before d too.
   chains.Add(SpecOf("c", {"a", "b"}), 0, kNobodyEnded);
   EXPECT_EQ(chains.InheritedBy("a").priority, Priority::kLow);
   const auto last = SpecOf("d", {"c", "a"});
   last->priority = Priority::kHigh;
-  last->deadline_s = 100;
+  last->deadline_seconds = 100;
   chains.Add(last, 50, kNobodyEnded);
   const std::vector<std::string> changed = chains.TakeChanged();
   EXPECT_EQ(std::set<std::string>(changed.begin(), changed.end()),
@@ -65,8 +67,8 @@
   EXPECT_EQ(chains.InheritedBy("a").priority, Priority::kLow);
 }
 
-TEST(Chains, AWalkEndsEvenInACircleAndInALongChain) {
-  Chains chains(kEstimates);
+TEST(DependencyGraph, AWalkEndsEvenInACircleAndInALongChain) {
+  DependencyGraph chains(kEstimates);
   chains.Add(SpecOf("x", {"y"}), 0, kNobodyEnded);
   chains.Add(SpecOf("y", {"x"}), 0, kNobodyEnded);
   EXPECT_EQ(chains.InheritedBy("x").priority, Priority::kLow);
@@ -74,7 +76,7 @@
   for (int i = 1; i < kLength; ++i) {
     const auto spec =
         SpecOf(fmt::format("job-{:06}", i), {fmt::format("job-{:06}", i - 1)});
-    spec->deadline_s = 1e6;
+    spec->deadline_seconds = 1e6;
     chains.Add(spec, 0, kNobodyEnded);
   }
   EXPECT_EQ(chains.InheritedBy("job-000000").due.first,
@@ -103,7 +105,7 @@
   int job = 0;
   Rec to = Rec::kLive;
   uint64_t leader = 0;
-  int stamp = 0;
+  int mod_revision = 0;
 };
 
 // The records, a leader with the real Chains, its write under way, and one
@@ -111,10 +113,10 @@
 struct Simulation {
   std::vector<std::vector<int>> needs;
   std::array<Rec, 3> rec{};
-  std::array<int, 3> stamp{};
+  std::array<int, 3> mod_revision{};
   std::array<bool, 3> user_cancelled{};
   uint64_t leader = 1;
-  Chains chains{kEstimates};
+  DependencyGraph chains{kEstimates};
   std::optional<Txn> write;
   std::optional<Txn> late;
   bool lost_one = false;
@@ -122,7 +124,7 @@
   static std::string Id(int job) {
     return std::string(1, static_cast<char>('0' + job));
   }
-  TerminalState EndOf(int job) const {
+  TerminalState TerminalStateOf(int job) const {
     return rec[job] == Rec::kDone      ? TerminalState::kDone
            : rec[job] == Rec::kAborted ? TerminalState::kAborted
                                        : TerminalState::kNone;
@@ -130,10 +132,12 @@
   void TakeUp() {
     for (int job = 0; job < 3; ++job) {
       if (rec[job] != Rec::kWaiting) continue;
-      std::vector<std::string> waits_on;
-      for (const int need : needs[job]) waits_on.push_back(Id(need));
-      chains.Add(SpecOf(Id(job), waits_on), 0,
-                 [this](const std::string& id) { return EndOf(id[0] - '0'); });
+      std::vector<std::string> dependencies;
+      for (const int need : needs[job]) dependencies.push_back(Id(need));
+      chains.Add(SpecOf(Id(job), dependencies), 0,
+                 [this](const std::string& id) {
+                   return TerminalStateOf(id[0] - '0');
+                 });
     }
     Next();
   }
@@ -142,20 +146,21 @@
     const std::string id = chains.TakeDue();
     if (id.empty()) return;
     const int job = id[0] - '0';
-    write =
-        Txn{job,
-            chains.Find(id)->state == ChainState::kReleasing ? Rec::kLive
-                                                             : Rec::kAborted,
-            leader, stamp[job]};
+    write = Txn{job,
+                chains.Find(id)->state == DependencyState::kReleasing
+                    ? Rec::kLive
+                    : Rec::kAborted,
+                leader, mod_revision[job]};
   }
   bool Apply(const Txn& txn) {
-    if (txn.leader != leader || txn.stamp != stamp[txn.job]) return false;
+    if (txn.leader != leader || txn.mod_revision != mod_revision[txn.job])
+      return false;
     Set(txn.job, txn.to);
     return true;
   }
   void Set(int job, Rec to) {
     rec[job] = to;
-    ++stamp[job];
+    ++mod_revision[job];
     for (const int need : needs[job]) {
       ASSERT_TRUE(to != Rec::kLive || rec[need] == Rec::kDone) << "too early";
     }
@@ -169,13 +174,13 @@
     if (rec[job] == Rec::kWaiting) {
       chains.PutBackDue(Id(job));
     } else {
-      const ChainJob* chain = chains.Find(Id(job));
-      const bool wish = chain != nullptr &&
-                        chain->state == ChainState::kCancelling &&
-                        rec[job] == Rec::kLive;
+      const DependentJob* chain = chains.Find(Id(job));
+      const bool request = chain != nullptr &&
+                           chain->state == DependencyState::kCancelling &&
+                           rec[job] == Rec::kLive;
       chains.Remove(Id(job));
-      if (wish) Set(job, Rec::kAborted);
-      chains.OnEnd(Id(job), EndOf(job));
+      if (request) Set(job, Rec::kAborted);
+      chains.OnEnd(Id(job), TerminalStateOf(job));
     }
     Next();
   }
@@ -183,16 +188,16 @@
     std::string key =
         fmt::format("{}{}{}|", lost_one, leader, write.has_value());
     for (int job = 0; job < 3; ++job) {
-      const ChainJob* chain = chains.Find(Id(job));
+      const DependentJob* chain = chains.Find(Id(job));
       key += fmt::format("{}{}{}{}.{} ", static_cast<char>(rec[job]),
-                         stamp[job], user_cancelled[job],
+                         mod_revision[job], user_cancelled[job],
                          chain ? static_cast<int>(chain->state) : -1,
                          chain ? chain->open.size() : 0);
     }
     for (const auto& txn : {write, late}) {
       if (txn) {
         key += fmt::format("{}{}{}{};", txn->job, static_cast<char>(txn->to),
-                           txn->leader, txn->stamp);
+                           txn->leader, txn->mod_revision);
       } else {
         key += "-;";
       }
@@ -289,7 +294,7 @@
         for (int job = 0; job < 3; ++job) {
           if (w.rec[job] == Rec::kWaiting) w.user_cancelled[job] = false;
         }
-        w.chains = Chains(kEstimates);
+        w.chains = DependencyGraph(kEstimates);
         w.TakeUp();
       });
     }
@@ -316,14 +321,14 @@
 class ChainStorm {
  public:
   explicit ChainStorm(uint64_t seed) : random_(seed) {
-    sim_.settings.state.txn_ops = Happens(0.5) ? 5 : 16;
+    sim_.settings.store.txn_ops = Happens(0.5) ? 5 : 16;
     sim_.settings.teams.push_back({"t", 0, 0, 0, 0});
     MachineType type;
     type.name = "small";
     type.total = {4, 0, 64};
     type.cache_gb = 100;
     type.price = type.spot_price = 1;
-    type.boot_s = 3;
+    type.boot_seconds = 3;
     type.zones = {"a"};
     sim_.types["small"] = type;
     for (int i = 1; i <= 3; ++i) {
@@ -333,7 +338,7 @@
     sim_.late_writes->random.seed(seed ^ 0xd1b54a32d192ed03);
     sim_.late_writes->unanswered = Between(0, 0.3);
     sim_.late_writes->copied = Between(0, 0.3);
-    sim_.late_writes->longest_s = 6;
+    sim_.late_writes->longest_seconds = 6;
     if (Happens(0.5)) sim_.OpenEpoch();
     sim_.Lead();
   }
@@ -395,9 +400,9 @@
     spec.tasks = 1 + static_cast<uint32_t>(jobs_ % 2);
     spec.need = {1, 0, 1};
     spec.image = "img";
-    spec.estimate_s = Between(1, 6);
-    if (Happens(0.3)) spec.deadline_s = 40;
-    spec.waits_on = {needs.begin(), needs.end()};
+    spec.estimate_seconds = Between(1, 6);
+    if (Happens(0.3)) spec.deadline_seconds = 40;
+    spec.dependencies = {needs.begin(), needs.end()};
     sim_.Submit(spec);
   }
 
--- a/tests/election_exploration_test.cc
+++ b/tests/election_exploration_test.cc
@@ -1,11 +1,11 @@
-// Every controller ends at every step of a search, a take-over, a hand-over, an
-// outage bridged by promises or by delegates, and is
-// back within a fraction of a second; then a second one ends as well, before,
-// while and after the first is back. All of them are played, not drawn: a plan
-// names them.
+// Every controller ends at every step of a search, a take-over, a leadership
+// transfer, an outage bridged by promises or by delegates, and is back within a
+// fraction of a second; then a second one ends as well, before, while and after
+// the first is back. All of them are played, not drawn: a plan names them.
 //
-// What must hold: never two leaders at once, no leader takes a session for over
-// that somebody keeps alive, and a while after the last trouble somebody leads.
+// What must hold: never two leaders at once, no leader takes an incarnation for
+// over that somebody keeps alive, and a while after the last trouble somebody
+// leads.
 
 #include <gtest/gtest.h>
 
@@ -31,8 +31,8 @@
   kOutage,          // bridged by promises
   kOutageNoLeader,  // the leader ends in it: delegates by promises
   kAllGone,  // all end and are back one after the other: a delegate by key
-  kLeaderRefused,  // by the state service alone
-  kLeaderApart,    // from state service and peers, not from workers
+  kLeaderRefused,  // by the key-value store alone
+  kLeaderApart,    // from key-value store and peers, not from workers
   kFollowersApart,
   kLeaderLeftOut,  // after an outage the service is back, but not for it
   kOneLetIn,       // after one without a leader, for one of three alone
--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -6,7 +6,7 @@
 
 #include <map>
 
-#include "core/controller/queue_order.h"
+#include "core/leader/queue_ranking.h"
 
 namespace oxbow::test {
 namespace {
@@ -45,10 +45,10 @@
   EXPECT_FALSE(sizes.IsLargest("c", 4));
 }
 
-class Order : public ::testing::Test {
+class WorkerCommand : public ::testing::Test {
  protected:
   Order() {
-    tuning.begin_within_s = 240;
+    tuning.begin_within_seconds = 240;
     settings.objectives = {{"wait", "train", 80, 0.9, 0},
                            {"finished", "train", 350, 0.9, 0},
                            {"deadline", "sync", 0, 0.8, 1.0}};
@@ -60,8 +60,8 @@
     spec->job_class = kind == JobKind::kGang ? "train" : "sync";
     spec->tasks = tasks;
     spec->need = {8, 0, 1};
-    spec->estimate_s = 100;
-    if (kind == JobKind::kArray) spec->deadline_s = 60;
+    spec->estimate_seconds = 100;
+    if (kind == JobKind::kArray) spec->deadline_seconds = 60;
     return {JobRecord{spec, 0, TerminalState::kNone, 1}, -1, submitted,
             submitted};
   }
@@ -71,40 +71,40 @@
 
 // A gang of the largest size behind a stream of small ones, of which there is
 // always one that is quicker.
-TEST_F(Order, TheLargestGangGetsItsTurnAmongSmallOnes) {
-  QueueOrder order(settings, tuning);
+TEST_F(WorkerCommand, TheLargestGangGetsItsTurnAmongSmallOnes) {
+  QueueRanking order(settings, tuning);
   const Job large = Waiting("large", JobKind::kGang, 8, 0);
   const Job small = Waiting("small", JobKind::kGang, 1, 55);
   order.Seen(large.spec());
   order.Seen(small.spec());
-  EXPECT_TRUE(
-      order.PlaceOf(small, 100, 59).Before(order.PlaceOf(large, 100, 59)));
-  EXPECT_TRUE(
-      order.PlaceOf(large, 100, 61).Before(order.PlaceOf(small, 100, 61)));
+  EXPECT_TRUE(order.PositionOf(small, 100, 59)
+                  .Before(order.PositionOf(large, 100, 59)));
+  EXPECT_TRUE(order.PositionOf(large, 100, 61)
+                  .Before(order.PositionOf(small, 100, 61)));
   // Having had more than its share, the minimum share stands back for the quick
   // ones.
-  order.Placed(large, order.PlaceOf(large, 100, 61), 61);
-  EXPECT_TRUE(
-      order.PlaceOf(small, 100, 62).Before(order.PlaceOf(large, 100, 62)));
+  order.Placed(large, order.PositionOf(large, 100, 61), 61);
+  EXPECT_TRUE(order.PositionOf(small, 100, 62)
+                  .Before(order.PositionOf(large, 100, 62)));
 }
 
-TEST_F(Order, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
-  QueueOrder order(settings, tuning);
+TEST_F(WorkerCommand, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
+  QueueRanking order(settings, tuning);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
   const Job small = Waiting("small", JobKind::kArray, 10, 115);
-  EXPECT_FALSE(
-      order.PlaceOf(large, 18, 119).Before(order.PlaceOf(small, 18, 119)));
-  const QueuePlace place = order.PlaceOf(large, 18, 121);
-  EXPECT_TRUE(place.Before(order.PlaceOf(small, 18, 121)));
+  EXPECT_FALSE(order.PositionOf(large, 18, 119)
+                   .Before(order.PositionOf(small, 18, 119)));
+  const QueuePosition place = order.PositionOf(large, 18, 121);
+  EXPECT_TRUE(place.Before(order.PositionOf(small, 18, 121)));
   EXPECT_TRUE(place.by_minimum_share);
-  EXPECT_EQ(QueueOrder::FirstShare(large.spec()), 21u);
+  EXPECT_EQ(QueueRanking::MinimumShareOf(large.spec()), 21u);
 }
 
-TEST_F(Order, WithoutTheRuleNothingGoesOutOfTurn) {
-  tuning.begin_within_s = 0;
-  QueueOrder order(settings, tuning);
+TEST_F(WorkerCommand, WithoutTheRuleNothingGoesOutOfTurn) {
+  tuning.begin_within_seconds = 0;
+  QueueRanking order(settings, tuning);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
-  EXPECT_FALSE(order.PlaceOf(large, 18, 1000).by_minimum_share);
+  EXPECT_FALSE(order.PositionOf(large, 18, 1000).by_minimum_share);
 }
 
 }  // namespace
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -6,7 +6,7 @@
 #include <cstdlib>
 
 #include "clients/peer.h"
-#include "core/leader_health/reach.h"
+#include "core/leader_health/reachability_survey.h"
 #include "net/http.h"
 #include "wire/job_json.h"
 #include "wire/records.h"
@@ -53,9 +53,10 @@
 }
 
 void Reports(std::string_view bytes) {
-  WorkerReport report;
-  if (!wire::ParseReport(bytes, &report)) return;
-  Must(!report.host.empty() && report.session > 0, "half a report was taken");
+  Heartbeat heartbeat;
+  if (!wire::ParseReport(bytes, &heartbeat)) return;
+  Must(!heartbeat.host.empty() && heartbeat.incarnation > 0,
+       "half a report was taken");
 }
 
 void Http(std::string_view bytes) {
@@ -101,7 +102,7 @@
   if (!json::Parse(bytes, &doc)) return;
   for (const std::string_view key :
        {keys::kLeader, keys::kJob, keys::kWaiting, keys::kMachine,
-        keys::kRental, keys::kTerminal, keys::kRollout, keys::kRolloutEnd}) {
+        keys::kScaleOut, keys::kTerminal, keys::kRollout, keys::kRolloutEnd}) {
     Record record;
     wire::DecodeRecord(keys::Of(key, "x"), doc, &record);
   }
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -95,7 +95,7 @@
       "Connection: close\r\nContent-Length: 2\r\n\r\n{}");
   EXPECT_TRUE(p.done());
   EXPECT_EQ(p.status(), 503);
-  EXPECT_EQ(p.retry_after_s(), 3);
+  EXPECT_EQ(p.retry_after_seconds(), 3);
   EXPECT_FALSE(p.keep_alive());
 }
 
--- a/tests/known_account.h
+++ b/tests/known_account.h
@@ -19,7 +19,8 @@
 class KnownAccount {
  public:
   // `forgotten_s`: how long nothing may be said about a job.
-  explicit KnownAccount(double forgotten_s) : forgotten_s_(forgotten_s) {}
+  explicit KnownAccount(double forgotten_seconds)
+      : forgotten_seconds_(forgotten_seconds) {}
 
   void Accepted(const std::string& id, double now) {
     Entry& entry = jobs_[id];
@@ -70,7 +71,7 @@
   std::vector<std::string> Forgotten(double now) const {
     std::vector<std::string> out;
     for (const auto& [id, entry] : jobs_) {
-      if (entry.accepted && Silence(entry, now) > forgotten_s_) {
+      if (entry.accepted && Silence(entry, now) > forgotten_seconds_) {
         out.push_back(id);
       }
     }
@@ -112,7 +113,7 @@
     return now - std::max(entry.heard, trouble_);
   }
 
-  const double forgotten_s_;
+  const double forgotten_seconds_;
   std::map<std::string, Entry> jobs_;
   double trouble_ = 0;
 };
--- a/tests/known_watch.h
+++ b/tests/known_watch.h
@@ -26,21 +26,22 @@
   // After this long without an answer, s, a job counts as forgotten: 75 s at
   // the deployments' lease of 10 s, in the same proportion at a shorter one.
   // OXBOW_FORGOTTEN_S says another, 75 in the long form.
-  static double ForgottenAfter(double lease_s) {
+  static double ForgottenAfter(double lease_seconds) {
     const char* text = std::getenv("OXBOW_FORGOTTEN_S");
     constexpr double kLeases = 7.5;
-    return text == nullptr ? kLeases * lease_s : std::strtod(text, nullptr);
+    return text == nullptr ? kLeases * lease_seconds
+                           : std::strtod(text, nullptr);
   }
 
   // `present`: how many tasks of a job there are on machines.
   KnownWatch(net::Loop& loop, std::vector<net::Address> controllers,
-             double lease_s, uint64_t seed,
+             double lease_seconds, uint64_t seed,
              std::function<int(const std::string&)> present)
-      : account(ForgottenAfter(lease_s)),
-        forgotten_s_(ForgottenAfter(lease_s)),
+      : account(ForgottenAfter(lease_seconds)),
+        forgotten_seconds_(ForgottenAfter(lease_seconds)),
         loop_(loop),
         controllers_(std::move(controllers)),
-        poll_s_(0.2 * lease_s),
+        poll_seconds_(0.2 * lease_seconds),
         random_(seed),
         present_(std::move(present)) {}
 
@@ -62,16 +63,16 @@
   net::Task<void> Run() {
     double last = loop_.Now();
     while (!over_) {
-      co_await loop_.Sleep(0.1 * poll_s_);
+      co_await loop_.Sleep(0.1 * poll_seconds_);
       const double now = loop_.Now();
       // One that did not run asked nobody: the whole machine stood still.
-      if (now > last + poll_s_) account.Trouble(now);
+      if (now > last + poll_seconds_) account.Trouble(now);
       last = now;
       longest_ = std::max(longest_, account.LongestSilence(now));
       for (const std::string& id : account.Forgotten(now)) {
         if (told_.insert(id).second) {
           ADD_FAILURE() << id << " is forgotten: no question about it was "
-                        << "answered for " << forgotten_s_ << " s";
+                        << "answered for " << forgotten_seconds_ << " s";
         }
       }
     }
@@ -81,8 +82,8 @@
   net::Task<void> Finish() {
     const double from = loop_.Now();
     while (!account.Unheard(from).empty() &&
-           loop_.Now() < from + forgotten_s_) {
-      co_await loop_.Sleep(0.1 * poll_s_);
+           loop_.Now() < from + forgotten_seconds_) {
+      co_await loop_.Sleep(0.1 * poll_seconds_);
     }
     for (const std::string& id : account.Unheard(from)) {
       if (account.Lives(id) && present_(id) == 0) {
@@ -103,8 +104,9 @@
   // One user: stays with a controller as long as its connection does, since a
   // balancer of connections leaves it there, whatever it is answered.
   net::Task<void> Ask(std::string id) {
-    std::uniform_real_distribution<double> pause(0.5 * poll_s_, 1.5 * poll_s_);
-    constexpr double kTimeout_s = 2;
+    std::uniform_real_distribution<double> pause(0.5 * poll_seconds_,
+                                                 1.5 * poll_seconds_);
+    constexpr double kTimeoutSeconds = 2;
     std::unique_ptr<net::HttpClient> client;
     while (!over_) {
       if (client == nullptr) {
@@ -112,8 +114,8 @@
         client = std::make_unique<net::HttpClient>(loop_, to, 100'000, 1);
       }
       const double asked = loop_.Now();
-      const net::ClientResult answer =
-          co_await client->Request("GET", "/v2/runs/" + id, "", kTimeout_s);
+      const net::ClientResult answer = co_await client->Request(
+          "GET", "/v2/runs/" + id, "", kTimeoutSeconds);
       if (over_) break;
       if (answer.outcome != net::Outcome::kAnswered) {
         client.reset();
@@ -127,10 +129,10 @@
     }
   }
 
-  const double forgotten_s_;
+  const double forgotten_seconds_;
   net::Loop& loop_;
   const std::vector<net::Address> controllers_;
-  const double poll_s_;
+  const double poll_seconds_;
   std::mt19937_64 random_;
   std::function<int(const std::string&)> present_;
   std::set<std::string> asked_;
--- a/tests/leader_health_test.cc
+++ b/tests/leader_health_test.cc
@@ -34,7 +34,7 @@
 
 LeaderHealth::Limits SomeLimits() { return {0.125, 0.2, 0.5, 5, 4, 2}; }
 
-// Deaf from the start, at a time when hand-overs are allowed.
+// Deaf from the start, at a time when leadership transfers are allowed.
 LeaderHealth Deaf(Time until) {
   LeaderHealth health(SomeLimits(), 0);
   for (Time t = 0; t <= until; t += 0.05) health.Observe({20, 20, 20}, t);
@@ -54,13 +54,14 @@
   const std::string none(20, '0');
   const std::string all(20, '1');
   const std::string most = all.substr(0, 15) + none.substr(0, 5);
-  const auto verdict =
-      health.RoundAnswered({{"a", true, false, none},
-                            {"b", true, true, most},
-                            {"c", true, false, all},  // can't: no state service
-                            {"d", true, true, all}},
-                           4);
-  EXPECT_EQ(verdict.kind, LeaderHealth::Verdict::Kind::kOffer);
+  const auto verdict = health.RoundAnswered(
+      {{"a", true, false, none},
+       {"b", true, true, most},
+       {"c", true, false, all},  // can't: no key-value store
+       {"d", true, true, all}},
+      4);
+  EXPECT_EQ(verdict.kind,
+            LeaderHealth::Verdict::Kind::kOfferLeadershipTransfer);
   EXPECT_EQ(verdict.to, "d");
   health.OfferRefused(4);
   EXPECT_EQ(health.state(), LeaderHealthState::kSuspect);
@@ -99,7 +100,7 @@
   EXPECT_FALSE(health.WantsRound(t));
   const Time deaf = t;
   for (; !health.WantsRound(t); t += 0.05) health.Observe({20, 20, 20}, t);
-  EXPECT_LT(t - deaf, SomeLimits().pause_s);
+  EXPECT_LT(t - deaf, SomeLimits().pause_seconds);
 }
 
 TEST(LeaderHealth, ADeafnessThatWasNotWatchedHasNotLasted) {
@@ -126,7 +127,7 @@
 
 LossLimiter::Limits Tenth() {
   LossLimiter::Limits limits;
-  limits.window_s = 10;
+  limits.window_seconds = 10;
   limits.fleet.fill(0.1);
   limits.zone = 0.2;
   limits.service = 0.5;
@@ -142,7 +143,7 @@
   for (int i = 0; i < 900; ++i) {
     const Loss loss{LossCause::kSilent, i % 2 ? "a" : "b", {}};
     if (limiter.Ask(loss, fleet, fleet / 2, 1 + i * 0.01) !=
-        LossVerdict::kAllowed) {
+        LossDecision::kAllowed) {
       continue;
     }
     ++allowed;
@@ -157,10 +158,10 @@
   const auto ask = [&](LossCause cause, Time now) {
     return limiter.Ask({cause, "a", {}}, 10, 10, now);
   };
-  EXPECT_EQ(ask(LossCause::kSilent, 0), LossVerdict::kAllowed);
-  EXPECT_EQ(ask(LossCause::kSilent, 1), LossVerdict::kFleetLimit);
-  EXPECT_EQ(ask(LossCause::kIdle, 1), LossVerdict::kAllowed);
-  EXPECT_EQ(ask(LossCause::kSilent, 10.5), LossVerdict::kAllowed);
+  EXPECT_EQ(ask(LossCause::kSilent, 0), LossDecision::kAllowed);
+  EXPECT_EQ(ask(LossCause::kSilent, 1), LossDecision::kFleetLimit);
+  EXPECT_EQ(ask(LossCause::kIdle, 1), LossDecision::kAllowed);
+  EXPECT_EQ(ask(LossCause::kSilent, 10.5), LossDecision::kAllowed);
 }
 
 TEST(LossLimiter, HoldsAZoneAndAService) {
@@ -169,23 +170,23 @@
     return limiter.Ask({LossCause::kSilent, zone, std::move(parts)}, 100, 10,
                        0);
   };
-  EXPECT_EQ(ask("a", {}), LossVerdict::kAllowed);
-  EXPECT_EQ(ask("a", {}), LossVerdict::kAllowed);
-  EXPECT_EQ(ask("a", {}), LossVerdict::kZoneLimit);
+  EXPECT_EQ(ask("a", {}), LossDecision::kAllowed);
+  EXPECT_EQ(ask("a", {}), LossDecision::kAllowed);
+  EXPECT_EQ(ask("a", {}), LossDecision::kZoneLimit);
   // The first may take what it finds; then half of the service at most.
-  EXPECT_EQ(ask("b", {{"s", 2, 6}}), LossVerdict::kAllowed);
-  EXPECT_EQ(ask("c", {{"s", 2, 6}}), LossVerdict::kServiceLimit);
-  EXPECT_EQ(ask("c", {{"s", 1, 6}}), LossVerdict::kAllowed);
+  EXPECT_EQ(ask("b", {{"s", 2, 6}}), LossDecision::kAllowed);
+  EXPECT_EQ(ask("c", {{"s", 2, 6}}), LossDecision::kServiceLimit);
+  EXPECT_EQ(ask("c", {{"s", 1, 6}}), LossDecision::kAllowed);
 }
 
-// The two thresholds that lay the wrong way round at a report of 0.18 lease.
+// The two thresholds that lay the wrong way round at a heartbeat of 0.18 lease.
 TEST(SilenceTimeouts, IsInOrderForEveryRatioOfReportToLease) {
   for (double ratio = 0.05; ratio <= 1.0 / 3; ratio += 0.005) {
     for (const double suspect : {0.1, 0.3, 0.6, 1.0}) {
       for (const double give_up : {0.2, 0.45, 1.0}) {
         WorkerSettings workers;
-        workers.lease_s = 22;
-        workers.report_s = ratio * workers.lease_s;
+        workers.lease_seconds = 22;
+        workers.heartbeat_interval_seconds = ratio * workers.lease_seconds;
         Tuning tuning;
         tuning.suspect_ratio = suspect;
         tuning.give_up_ratio = give_up;
@@ -195,8 +196,8 @@
     }
   }
   WorkerSettings workers;
-  workers.report_s = 8;
-  workers.lease_s = 10;
+  workers.heartbeat_interval_seconds = 8;
+  workers.lease_seconds = 10;
   EXPECT_NE(SilenceTimeouts::From(workers, {}).Check(workers), "");
 }
 
--- a/tests/leadership_simulation.h
+++ b/tests/leadership_simulation.h
@@ -27,7 +27,7 @@
 
 struct Key {
   int holder = -1;  // -1: the key is not there
-  uint64_t life = 0;
+  uint64_t process_incarnation = 0;
   uint64_t revision = 0;
   uint64_t lease = 0;
   bool renews_only = false;
@@ -35,19 +35,19 @@
 };
 
 struct Worker {
-  Time counted = 0;  // when the last report that was answered was sent
-  Time began = 0;    // its session
-  Time next_report = 0;
+  Time counted = 0;  // when the last heartbeat that was answered was sent
+  Time began = 0;    // its incarnation
+  Time next_heartbeat = 0;
 };
 
-struct Node {
+struct ControllerNode {
   std::unique_ptr<Leadership> right;  // null: the process is not there
-  uint64_t life = 0;
+  uint64_t process_incarnation = 0;
   Time back_at = 0;
   Time stalled_until = 0;
-  Time refused_until = 0;  // by the state service alone
-  Time apart_until = 0;    // from the state service and the other controllers
-  bool fails = true;       // the last call to the state service
+  Time refused_until = 0;  // by the key-value store alone
+  Time apart_until = 0;    // from the key-value store and the other controllers
+  bool fails = true;       // the last call to the key-value store
   Time next_renewal = 0;
   Time next_hello = 0;
   Time next_promise = 0;
@@ -56,7 +56,7 @@
   Time free_since = 1e18;
   Time wanted_until = 0;
   Key seen;
-  // As leader: since when each worker's session is counted.
+  // As leader: since when each worker's incarnation is counted.
   uint64_t office = 0;
   std::vector<Time> counted = std::vector<Time>(kWorkers, 0);
   std::vector<bool> over = std::vector<bool>(kWorkers, false);
@@ -94,7 +94,7 @@
   struct Later {
     Time at;
     int node;  // -1: of nobody
-    uint64_t life;
+    uint64_t process_incarnation;
     std::function<void()> what;
   };
 
@@ -106,7 +106,9 @@
   }
   bool Every(double seconds) { return !calm_ && Happens(kStep / seconds); }
   static std::string Name(int i) { return std::string(1, 'a' + i); }
-  std::string Life(int i) const { return std::to_string(nodes_[i].life); }
+  std::string Life(int i) const {
+    return std::to_string(nodes_[i].process_incarnation);
+  }
   void Wrong(const std::string& what) {
     if (wrong_.empty()) wrong_ = fmt::format("at {:.2f} s: {}", now_, what);
   }
@@ -116,13 +118,13 @@
     for (int other = 0; other < kNodes; ++other) {
       if (other != i) peers.push_back(Name(other));
     }
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     const Time refused = n.refused_until;
     const Time apart = n.apart_until;
-    n = Node();
+    n = ControllerNode();
     n.refused_until = refused;
     n.apart_until = apart;
-    n.life = ++lives_;
+    n.process_incarnation = ++lives_;
     n.right = std::make_unique<Leadership>(peers, kLeaderLease, kPromise,
                                            kDelegation, now_);
   }
@@ -139,7 +141,8 @@
   void Send(int to, std::function<void()> what) {
     if (Happens(lost_)) return;
     const double way = Happens(held_) ? Between(0.1, 5) : Between(0, 0.02);
-    later_.push_back({now_ + way, to, nodes_[to].life, std::move(what)});
+    later_.push_back(
+        {now_ + way, to, nodes_[to].process_incarnation, std::move(what)});
   }
   // A question and its answer; `answer` runs there, `take` here if it comes.
   template <typename Answer, typename Take>
@@ -147,19 +150,20 @@
     if (now_ < nodes_[from].apart_until || now_ < nodes_[to].apart_until) {
       return;
     }
-    Send(to, [this, from, to, answer, take, life = nodes_[from].life] {
+    Send(to, [this, from, to, answer, take,
+              process_incarnation = nodes_[from].process_incarnation] {
       const auto said = answer(nodes_[to]);
-      if (nodes_[from].life != life) return;
+      if (nodes_[from].process_incarnation != process_incarnation) return;
       Send(from, [this, from, take, said] { take(nodes_[from], said); });
     });
   }
 
-  bool Reaches(const Node& n) const {
+  bool Reaches(const ControllerNode& n) const {
     return now_ >= outage_until_ && now_ >= n.refused_until &&
            now_ >= n.apart_until;
   }
-  // A call to the state service; false: refused.
-  bool Call(Node& n) {
+  // A call to the key-value store; false: refused.
+  bool Call(ControllerNode& n) {
     n.fails = !Reaches(n);
     return !n.fails;
   }
@@ -182,13 +186,14 @@
     });
     for (Later& l : due) {
       if (l.node >= 0 &&
-          (!nodes_[l.node].right || nodes_[l.node].life != l.life)) {
+          (!nodes_[l.node].right ||
+           nodes_[l.node].process_incarnation != l.process_incarnation)) {
         continue;
       }
       l.what();
     }
     for (int i = 0; i < kNodes; ++i) {
-      Node& n = nodes_[i];
+      ControllerNode& n = nodes_[i];
       if (!n.right) {
         if (now_ >= n.back_at) Launch(i);
         continue;
@@ -202,13 +207,13 @@
       for (int i = 0; i < kNodes; ++i) End(i);
     }
     int leaders = 0;
-    for (Node& n : nodes_) leaders += n.right && n.right->Valid(now_);
+    for (ControllerNode& n : nodes_) leaders += n.right && n.right->Valid(now_);
     if (leaders > 1) Wrong("two leaders");
     // Who keeps may be unknown to a leader by promises alone, and that one
     // takes nothing for over.
     bool by_lease = false;
     bool keeps = false;
-    for (Node& n : nodes_) {
+    for (ControllerNode& n : nodes_) {
       if (!n.right) continue;
       by_lease = by_lease || (n.right->Valid(now_) &&
                               n.right->state() == LeaderState::kLeading);
@@ -219,15 +224,15 @@
   }
 
   void Act(int i) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     Leadership& r = *n.right;
     for (int other = 0; other < kNodes; ++other) {
       if (other == i || now_ < n.next_hello || r.Proven(now_)) {
         continue;
       }
       Ask(
-          i, other, [this](Node& to) { return to.right->Role(now_); },
-          [other](Node& me, LeaderRole role) {
+          i, other, [this](ControllerNode& to) { return to.right->Role(now_); },
+          [other](ControllerNode& me, LeaderRole role) {
             me.right->PeerIs(Name(other), role);
           });
     }
@@ -278,10 +283,10 @@
       if (other == i) continue;
       Ask(
           i, other,
-          [this](Node& to) {
+          [this](ControllerNode& to) {
             return to.right->AskedToPromise(!Call(to), now_);
           },
-          [other, revision, sent = now_](Node& me, bool yes) {
+          [other, revision, sent = now_](ControllerNode& me, bool yes) {
             if (yes && me.right->revision() == revision) {
               me.right->PromiseGranted(Name(other), sent);
             }
@@ -290,11 +295,12 @@
   }
 
   void Seek(int i) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     Leadership& r = *n.right;
     const bool proven = r.MaySeek(now_);
     if (!proven && !r.MayTakeKey(now_)) return;
-    const bool mine = n.seen.holder == i && n.seen.life != n.life;
+    const bool mine = n.seen.holder == i &&
+                      n.seen.process_incarnation != n.process_incarnation;
     const bool own = mine && !n.seen.renews_only && r.OwnProven(now_);
     const bool first = proven || now_ >= n.free_since + 0.25 || mine;
     if (!first || (!mine && n.seen.holder >= 0)) return;
@@ -303,29 +309,31 @@
     // the process has ended meanwhile.
     const Time sent = now_;
     const bool leads = proven || own;
-    later_.push_back(
-        {now_ + Between(0, 0.3), i, n.life, [this, i, sent, leads] {
-           Node& me = nodes_[i];
-           if (!Call(me) || key_.revision != me.right->seen()) {
-             me.right->SeekFailed();
-             return;
-           }
-           key_ = {i, me.life, ++revision_, 0, !leads, sent + kLeaderLease};
-           me.right->Won(key_.revision, 1, sent, leads);
-           me.seen = key_;
-         }});
+    later_.push_back({now_ + Between(0, 0.3), i, n.process_incarnation,
+                      [this, i, sent, leads] {
+                        ControllerNode& me = nodes_[i];
+                        if (!Call(me) || key_.revision != me.right->seen()) {
+                          me.right->SeekFailed();
+                          return;
+                        }
+                        key_ = {i,      me.process_incarnation, ++revision_, 0,
+                                !leads, sent + kLeaderLease};
+                        me.right->Won(key_.revision, 1, sent, leads);
+                        me.seen = key_;
+                      }});
   }
 
   void AskForDelegation(int i) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     Leadership& r = *n.right;
     if (!n.fails) {
       const uint64_t number = r.DelegationOver(now_);
       if (number == 0) return;
       for (int other = 0; other < kNodes; ++other) {
         if (other == i) continue;
-        Send(other, [this, i, other, number, life = Life(i)] {
-          nodes_[other].right->DelegationReleased(Name(i), life, number);
+        Send(other, [this, i, other, number, process_incarnation = Life(i)] {
+          nodes_[other].right->DelegationReleased(Name(i), process_incarnation,
+                                                  number);
         });
       }
       return;
@@ -337,17 +345,17 @@
       if (other == i) continue;
       Ask(
           i, other,
-          [this, i, number, life = Life(i)](Node& to) {
-            return to.right->AskedToDelegate(Name(i), life, number, !Call(to),
-                                             now_);
+          [this, i, number, process_incarnation = Life(i)](ControllerNode& to) {
+            return to.right->AskedToDelegate(Name(i), process_incarnation,
+                                             number, !Call(to), now_);
           },
-          [other, sent = now_](Node& me, bool yes) {
+          [other, sent = now_](ControllerNode& me, bool yes) {
             if (yes) me.right->DelegationGranted(Name(other), sent);
           });
     }
   }
 
-  void Lead(Node& n) {
+  void Lead(ControllerNode& n) {
     Leadership& r = *n.right;
     if (n.office != r.revision()) {
       n.office = r.revision();
@@ -357,7 +365,7 @@
         n.over[w] = false;
       }
     }
-    if (r.state() != LeaderState::kLeading) return;  // as Controller::Tick
+    if (r.state() != LeaderState::kLeading) return;  // as Leader::Tick
     for (int w = 0; w < kWorkers; ++w) {
       if (n.over[w] ||
           now_ <= n.counted[w] + kWorkerLease * (1 + kDrift) + 0.05) {
@@ -377,13 +385,14 @@
     if (now_ - worker.counted > kWorkerLease) {
       worker.counted = worker.began = now_;
     }
-    if (Every(30)) worker.next_report = now_ + Between(5, 15);  // it is cut off
-    if (now_ < worker.next_report) return;
-    worker.next_report = now_ + Between(0.4, 0.8);
+    if (Every(30))
+      worker.next_heartbeat = now_ + Between(5, 15);  // it is cut off
+    if (now_ < worker.next_heartbeat) return;
+    worker.next_heartbeat = now_ + Between(0.4, 0.8);
     const int to = static_cast<int>(Between(0, kNodes - 0.001));
     if (!nodes_[to].right) return;
     Send(to, [this, w, to, sent = now_, began = worker.began] {
-      Node& n = nodes_[to];
+      ControllerNode& n = nodes_[to];
       bool answered = false;
       if (n.right->Valid(now_)) {
         if (n.office == n.right->revision()) {
@@ -416,7 +425,7 @@
   uint64_t revision_ = 10;
   uint64_t lives_ = 0;
   Key key_;
-  std::vector<Node> nodes_;
+  std::vector<ControllerNode> nodes_;
   std::vector<Worker> workers_;
   std::vector<Later> later_;
   std::string wrong_;
--- a/tests/leadership_simulation_test.cc
+++ b/tests/leadership_simulation_test.cc
@@ -1,10 +1,10 @@
 // Randomized simulations round the right to lead and to keep: controllers that
 // end and are back within a fraction of a second or after ten, that stall, that
-// reach the state service or don't, outages, messages between them late, lost
+// reach the key-value store or don't, outages, messages between them late, lost
 // and held; workers that report to any of them. A seed makes a run.
 //
-// What must hold: never two leaders at once, and no leader takes a session for
-// over that somebody keeps alive.
+// What must hold: never two leaders at once, and no leader takes an incarnation
+// for over that somebody keeps alive.
 
 #include "tests/leadership_simulation.h"
 
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -10,7 +10,7 @@
 constexpr double kLease = 2.5;
 constexpr double kPromise = 6;
 
-Leadership Leading(Time now) {
+Leadership ActiveLeader(Time now) {
   Leadership l({"b", "c"}, kLease, kPromise, 0, 0);
   l.PeerDoesNotLead("b");
   l.PeerDoesNotLead("c");
@@ -22,14 +22,14 @@
 TEST(Leadership, TwoLeadersBecauseTheLeaseCountsFromTheAnswer) {
   // The renewal was sent at 10 and answered at 12: the service may count from
   // any moment in between, so the holder counts from 10, less the drift.
-  Leadership l = Leading(8);
+  Leadership l = ActiveLeader(8);
   l.RenewGranted(10);
   EXPECT_TRUE(l.Valid(10 + kLease * (1 - kDrift) - 0.001));
   EXPECT_FALSE(l.Valid(10 + kLease));
 }
 
 TEST(Leadership, TwoLeadersBecauseALapsedOneActsAgain) {
-  Leadership l = Leading(10);
+  Leadership l = ActiveLeader(10);
   EXPECT_FALSE(l.Valid(13));
   l.RenewGranted(13);  // an answer that was on its way
   EXPECT_FALSE(l.Valid(13.1));
@@ -37,7 +37,7 @@
 }
 
 TEST(Leadership, WorkersLostInAnOutageTheOthersCanBridge) {
-  Leadership l = Leading(10);
+  Leadership l = ActiveLeader(10);
   l.PromiseGranted("b", 11);
   l.PromiseGranted("c", 12);
   EXPECT_TRUE(l.Valid(16));
@@ -47,13 +47,13 @@
 }
 
 TEST(Leadership, TwoLeadersBecauseOnePeerHasNotPromised) {
-  Leadership l = Leading(10);
+  Leadership l = ActiveLeader(10);
   l.PromiseGranted("b", 11);
   EXPECT_FALSE(l.Valid(13));
 }
 
 TEST(Leadership, TwoLeadersBecauseAPromiseComesAfterTheLapse) {
-  Leadership l = Leading(10);
+  Leadership l = ActiveLeader(10);
   EXPECT_FALSE(l.Valid(13));
   l.PromiseGranted("b", 12);
   l.PromiseGranted("c", 12);
@@ -107,7 +107,7 @@
 }
 
 TEST(Leadership, LapsedLeaderNeverLeadsAgain) {
-  Leadership l = Leading(10);
+  Leadership l = ActiveLeader(10);
   EXPECT_FALSE(l.Valid(13));
   EXPECT_FALSE(l.MaySeek(100));
   l.Retire();
@@ -115,7 +115,7 @@
 }
 
 TEST(Leadership, OldPromisesCarryIntoANewLeadership) {
-  Leadership l = Leading(10);
+  Leadership l = ActiveLeader(10);
   l.PromiseGranted("b", 11);
   l.PromiseGranted("c", 11);
   l.Lost();
--- a/tests/limits_test.cc
+++ b/tests/limits_test.cc
@@ -1,4 +1,4 @@
-// What is stored and larger than what the state service takes now.
+// What is stored and larger than what the key-value store takes now.
 
 #include <gtest/gtest.h>
 
@@ -42,8 +42,8 @@
   spec->job_class = std::string(500, 'c');
   for (int i = 0; spec->image.size() < 3000; ++i) spec->image += "\u00e9";
   spec->types = std::vector<std::string>(200, "a-machine-type");
-  const JobRecord ended = EndedRecord({spec, 0, TerminalState::kNone, 0},
-                                      TerminalState::kDone, true);
+  const JobRecord ended = TerminatedRecord({spec, 0, TerminalState::kNone, 0},
+                                           TerminalState::kDone, true);
   EXPECT_LE(wire::EncodeRecord(ended).size(), kMostBytes);
   rapidjson::Document doc;
   doc.Parse(wire::EncodeRecord(ended).c_str());
--- a/tests/link.h
+++ b/tests/link.h
@@ -37,10 +37,10 @@
     while (cut_) co_await loop_.Sleep(0.02);
     SocketPtr far = co_await net::Socket::Connect(loop_, to_, loop_.Now() + 1);
     if (far == nullptr) co_return;
-    net::Spawn(Pump(near, far));
-    net::Spawn(Pump(far, near));
+    net::Spawn(DispatchCommands(near, far));
+    net::Spawn(DispatchCommands(far, near));
   }
-  net::Task<void> Pump(SocketPtr from, SocketPtr to) {
+  net::Task<void> DispatchCommands(SocketPtr from, SocketPtr to) {
     std::array<char, 16'384> buffer;
     for (;;) {
       const ssize_t n =
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -1,5 +1,5 @@
 // The network layer and a whole controller over loopback, against stand-ins
-// for the state service and the cloud.
+// for the key-value store and the cloud.
 
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
@@ -9,7 +9,7 @@
 #include <ctime>
 #include <map>
 
-#include "app/node.h"
+#include "app/controller_node.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "tests/stand_ins.h"
@@ -30,7 +30,7 @@
 using net::Loop;
 using net::Task;
 using test::FakeCloud;
-using test::FakeState;
+using test::FakeKeyValueStore;
 using test::FreePort;
 using test::Local;
 
@@ -75,7 +75,7 @@
 TEST(Loopback, DropsHalfSentRequestsInTime) {
   Loop loop;
   net::HttpServer::Limits limits;
-  limits.request_s = 0.2;
+  limits.request_seconds = 0.2;
   net::HttpServer server(loop, Local(0), limits, Echo);
   net::Spawn(server.Run());
   RunToEnd(loop, [](Loop& l, uint16_t port) -> Task<void> {
@@ -137,9 +137,10 @@
 }
 
 // One that waits for the jobs of that list, as JSON.
-std::string WaitingJson(const std::string& id, const std::string& waits_on) {
+std::string WaitingJson(const std::string& id,
+                        const std::string& dependencies) {
   std::string json = JobJson(id);
-  json.insert(json.size() - 1, R"(,"waits_on":)" + waits_on);
+  json.insert(json.size() - 1, R"(,"waits_on":)" + dependencies);
   return json;
 }
 
@@ -212,14 +213,14 @@
     settings_.zone = "a";
     settings_.listen = Local(FreePort()).ToString();
     settings_.peer_listen = Local(FreePort()).ToString();
-    settings_.state_address = Local(state_.port()).ToString();
+    settings_.store_address = Local(state_.port()).ToString();
     settings_.cloud_address = Local(cloud_.port()).ToString();
     settings_.teams.push_back({"t", 0, 0, 0, 0});
     settings_.peers = peers;
     settings_.nodes = static_cast<int>(peers.size()) + 1;
     // Short leases keep the test short.
     settings_.workers = {0.2, 2.0, 8.0, 1.0, 8.0};
-    node_ = std::make_unique<app::Node>(loop_, settings_, tuning_);
+    node_ = std::make_unique<app::ControllerNode>(loop_, settings_, tuning_);
     node_->Start();
     net::Address address;
     net::ParseAddress(settings_.listen, &address);
@@ -237,7 +238,7 @@
   Task<int> Status(std::string method, std::string path, std::string body) {
     const auto r = co_await client_->Request(method, path, body, 5);
     last_body_ = r.body;
-    last_retry_ = r.retry_after_s;
+    last_retry_ = r.retry_after_seconds;
     co_return r.outcome == net::Outcome::kAnswered ? r.status : 0;
   }
   // Repeats what is answered with 503, as users do.
@@ -253,11 +254,11 @@
   }
 
   Loop loop_;
-  FakeState state_;
+  FakeKeyValueStore state_;
   FakeCloud cloud_;
   Settings settings_;
   Tuning tuning_;
-  std::unique_ptr<app::Node> node_;
+  std::unique_ptr<app::ControllerNode> node_;
   std::unique_ptr<net::HttpClient> client_;
   std::string last_body_;
   int last_retry_ = 0;
@@ -527,7 +528,7 @@
   }(this));
 }
 
-// With tiers and roll-outs, which are off until a tuning file turns them on.
+// With tiers and rollouts, which are off until a tuning file turns them on.
 class OperatedNode : public WholeNode {
  public:
   OperatedNode() : WholeNode(Operated()) {}
@@ -570,7 +571,7 @@
   }(this));
 }
 
-// A roll-out's declaration without an answer is carried out when the roll-out
+// A rollout's declaration without an answer is carried out when the rollout
 // has ended: it does not begin again. Nor is a wish that came late fulfilled.
 TEST_F(OperatedNode, ARolloutDeclaredLateDoesNotBeginAgain) {
   RunToEnd(loop_, [](OperatedNode* t) -> Task<void> {
@@ -603,7 +604,7 @@
   }(this));
 }
 
-// Two controllers; the second never reaches the state service.
+// Two controllers; the second never reaches the key-value store.
 class CutOffNode : public WholeNode {
  public:
   CutOffNode() {
@@ -611,10 +612,10 @@
     cut_off_.node = "b";
     cut_off_.listen = Local(FreePort()).ToString();
     cut_off_.peer_listen = Local(FreePort()).ToString();
-    cut_off_.state_address = Local(FreePort()).ToString();
+    cut_off_.store_address = Local(FreePort()).ToString();
     cut_off_.peers = {{"a", "a", settings_.peer_listen}};
     cut_off_.nodes = 2;
-    other_ = std::make_unique<app::Node>(loop_, cut_off_, tuning_);
+    other_ = std::make_unique<app::ControllerNode>(loop_, cut_off_, tuning_);
     other_->Start();
     net::Address address;
     net::ParseAddress(cut_off_.listen, &address);
@@ -632,7 +633,7 @@
   }
 
   Settings cut_off_;
-  std::unique_ptr<app::Node> other_;
+  std::unique_ptr<app::ControllerNode> other_;
   std::unique_ptr<net::HttpClient> near_;
 };
 
--- a/tests/calendar_test.cc
+++ b/tests/maintenance_calendar_test.cc
@@ -1,13 +1,13 @@
 // The calendar: times out of rules, what may be booked, and what may start.
 
-#include "core/calendar/calendar.h"
+#include "core/maintenance/maintenance_calendar.h"
 
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
 #include "app/recurrence.h"
-#include "core/calendar/check.h"
+#include "core/maintenance/window_validation.h"
 #include "wire/calendar_json.h"
 
 namespace oxbow::test {
@@ -18,28 +18,28 @@
 // 2026-03-01T00:00:00Z
 constexpr double kMarch = 1772323200;
 
-Booking Rule(BookingKind kind, const std::string& zone,
-             const std::string& starts, double length,
-             const std::string& rule) {
-  Booking b;
+MaintenanceWindow Rule(BookingKind kind, const std::string& zone,
+                       const std::string& starts, double length,
+                       const std::string& rule) {
+  MaintenanceWindow b;
   b.id = "b";
   b.kind = kind;
   b.zone = zone;
   b.starts = starts;
-  b.length_s = length;
+  b.length_seconds = length;
   b.rule = rule;
   return b;
 }
 
-std::string Expand(Booking& b, double from = kMarch, double length = 300 * kDay,
-                   size_t most = 300) {
+std::string Expand(MaintenanceWindow& b, double from = kMarch,
+                   double length = 300 * kDay, size_t most = 300) {
   return app::WorkOutTimes({from, length, most}, &b);
 }
 
 TEST(Recurrence, DaysOfTwentyThreeAndTwentyFiveHours) {
   // Berlin: 29 March 2026 has 23 hours, 25 October has 25.
-  Booking b = Rule(BookingKind::kWindow, "Europe/Berlin", "2026-03-28T00:00:00",
-                   kDay, "FREQ=DAILY;COUNT=3");
+  MaintenanceWindow b = Rule(BookingKind::kWindow, "Europe/Berlin",
+                             "2026-03-28T00:00:00", kDay, "FREQ=DAILY;COUNT=3");
   ASSERT_EQ(Expand(b), "");
   // They touch, so they are one: 71 hours.
   ASSERT_EQ(b.times.size(), 1U);
@@ -55,8 +55,9 @@
 
 TEST(Recurrence, MissingAndDoubledHour) {
   // 02:00 to 03:00 is missing on 29 March: nothing is left of the window.
-  Booking b = Rule(BookingKind::kWindow, "Europe/Berlin", "2026-03-28T02:00:00",
-                   kHour, "FREQ=DAILY;COUNT=3");
+  MaintenanceWindow b =
+      Rule(BookingKind::kWindow, "Europe/Berlin", "2026-03-28T02:00:00", kHour,
+           "FREQ=DAILY;COUNT=3");
   ASSERT_EQ(Expand(b), "");
   EXPECT_EQ(b.times.size(), 2U);
   // The doubled one on 25 October: a window is the second, a peak is both.
@@ -72,7 +73,7 @@
 }
 
 TEST(Recurrence, LeapDayIsFoundYearsAhead) {
-  Booking b =
+  MaintenanceWindow b =
       Rule(BookingKind::kWindow, "America/Jamaica", "2024-02-29T01:00:00",
            kHour, "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29");
   ASSERT_EQ(Expand(b), "");
@@ -82,8 +83,8 @@
 }
 
 TEST(Recurrence, ExceptionsAreLeftOut) {
-  Booking b = Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00", kHour,
-                   "FREQ=DAILY;COUNT=4");
+  MaintenanceWindow b = Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00",
+                             kHour, "FREQ=DAILY;COUNT=4");
   b.except = {"2026-03-03T00:00:00"};
   ASSERT_EQ(Expand(b), "");
   ASSERT_EQ(b.times.size(), 3U);
@@ -92,7 +93,7 @@
 
 TEST(Recurrence, WhatCannotBeFollowedIsRefusedByName) {
   const auto wrong = [](const std::string& rule) {
-    Booking b =
+    MaintenanceWindow b =
         Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00", kHour, rule);
     return Expand(b);
   };
@@ -102,27 +103,27 @@
             std::string::npos);
   EXPECT_NE(wrong("FREQ=SECONDLY").find("HOURLY"), std::string::npos);
   EXPECT_NE(wrong("nightly").find("no RRULE"), std::string::npos);
-  Booking b = Rule(BookingKind::kWindow, "Mars/Olympus", "2026-03-02T00:00:00",
-                   kHour, "");
+  MaintenanceWindow b = Rule(BookingKind::kWindow, "Mars/Olympus",
+                             "2026-03-02T00:00:00", kHour, "");
   EXPECT_EQ(Expand(b), "zone: Mars/Olympus is not known here");
   b = Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00+02", kHour, "");
   EXPECT_NE(Expand(b).find("starts"), std::string::npos);
 }
 
 TEST(Recurrence, ARuleWithoutEndIsBounded) {
-  Booking b = Rule(BookingKind::kPeak, "UTC", "2020-01-01T00:00:00", kHour / 2,
-                   "FREQ=HOURLY");
+  MaintenanceWindow b = Rule(BookingKind::kPeak, "UTC", "2020-01-01T00:00:00",
+                             kHour / 2, "FREQ=HOURLY");
   ASSERT_EQ(Expand(b, kMarch, 4000 * kDay, 300), "");
   EXPECT_EQ(b.times.size(), 300U);
   EXPECT_EQ(b.known_until, b.times.back().from + kHour);
   // One that leaves no gap is one stretch.
-  b.length_s = kHour;
+  b.length_seconds = kHour;
   ASSERT_EQ(Expand(b, kMarch, 10 * kDay, 300), "");
   ASSERT_EQ(b.times.size(), 1U);
   EXPECT_EQ(b.times[0].to, b.known_until);
   const std::string text = wire::WriteBooking(b);
-  Booking again;
-  EXPECT_EQ(wire::ReadBooking("b", text, true, &again), "");
+  MaintenanceWindow again;
+  EXPECT_EQ(wire::ReadMaintenanceWindow("b", text, true, &again), "");
 }
 
 class CalendarRules : public testing::Test {
@@ -140,7 +141,7 @@
   void Book(const std::string& id, BookingKind kind,
             std::vector<UtcInterval> times,
             Overrun overrun = Overrun::kHoldBack, double known_until = 0) {
-    Booking b;
+    MaintenanceWindow b;
     b.id = id;
     b.kind = kind;
     b.work.cores_above = 64;
@@ -150,13 +151,13 @@
     calendar_.Take(b, ++version_, 0);
   }
   // The wall clock shows so much and is right by its bound.
-  HeldBy At(double wall, double run_s = 1) {
+  HeldBy At(double wall, double run_seconds = 1) {
     calendar_.Confirmed(0, 0);
     calendar_.ReadWall({wall, 0, 0});
-    return calendar_.MayStart(spec_, "", run_s, 0).hold;
+    return calendar_.MayStart(spec_, "", run_seconds, 0).hold;
   }
 
-  Calendar calendar_;
+  MaintenanceCalendar calendar_;
   JobSpec spec_;
   uint64_t version_ = 0;
 };
@@ -214,11 +215,11 @@
   EXPECT_EQ(At(900, 500), HeldBy::kFree);
   Book("noon", BookingKind::kPeak, {{1000, 2000}}, Overrun::kSaveAndStop);
   EXPECT_EQ(At(900, 500), HeldBy::kWontFit);  // it can't save
-  spec_.checkpoint_s = 10;
+  spec_.checkpoint_seconds = 10;
   EXPECT_EQ(At(900, 500), HeldBy::kFree);
   EXPECT_EQ(At(1001), HeldBy::kInPeak);
   EXPECT_EQ(calendar_.Caught(spec_, "", 0, 0), OverrunStep::kSaveAndStop);
-  spec_.checkpoint_s = 0;
+  spec_.checkpoint_seconds = 0;
   EXPECT_EQ(calendar_.Caught(spec_, "", 0, 0), OverrunStep::kTakeBack);
   calendar_.ReadWall({900, 0, 0});
   EXPECT_EQ(calendar_.Caught(spec_, "", 0, 0), OverrunStep::kNone);
@@ -231,7 +232,7 @@
 }
 
 TEST_F(CalendarRules, AnOldCalendarStartsNothingThatItNames) {
-  using enum CalendarStanding;
+  using enum CalendarFreshness;
   EXPECT_EQ(calendar_.standing(1e6), kNone);
   Book("noon", BookingKind::kPeak, {{1e6, 2e6}});
   EXPECT_EQ(At(1000), HeldBy::kFree);
@@ -246,7 +247,7 @@
 
 TEST_F(CalendarRules, AnOlderVersionIsNoNewsAndACancelledOneStaysGone) {
   Book("noon", BookingKind::kPeak, {{1000, 2000}});
-  Booking old;
+  MaintenanceWindow old;
   old.id = "noon";
   calendar_.Take(old, 0, 0);
   EXPECT_EQ(At(1500), HeldBy::kInPeak);
@@ -260,7 +261,7 @@
 class BookingChecks : public testing::Test {
  protected:
   BookingChecks() {
-    settings_.workers.lease_s = 10;
+    settings_.workers.lease_seconds = 10;
     settings_.clock_off_ms = 25;
     Objective objective;
     objective.job_class = "rebuild";
@@ -272,7 +273,7 @@
     booking_.id = "night";
     booking_.work.classes = {"rebuild"};
     booking_.room_share = 0.5;
-    booking_.length_s = 1000;
+    booking_.length_seconds = 1000;
     booking_.times = {{2000, 3000}};
   }
   std::string Why() { return WhyNoBooking(booking_, context_); }
@@ -282,12 +283,12 @@
 
   Settings settings_;
   BookingContext context_;
-  Booking booking_;
+  MaintenanceWindow booking_;
 };
 
 TEST_F(BookingChecks, NamesTheValueThatIsWrong) {
   EXPECT_EQ(Why(), "");
-  Booking other = booking_;
+  MaintenanceWindow other = booking_;
   other.id = "other";
   other.room_share = 0.6;
   other.times = {{2500, 2600}};
@@ -320,19 +321,23 @@
 }
 
 TEST(CalendarJson, ReadsBackWhatItWrote) {
-  Booking b = Rule(BookingKind::kPeak, "Europe/Berlin", "2026-03-28T08:00:00",
-                   kHour, "FREQ=DAILY");
+  MaintenanceWindow b = Rule(BookingKind::kPeak, "Europe/Berlin",
+                             "2026-03-28T08:00:00", kHour, "FREQ=DAILY");
   b.work.teams = {"vision"};
   b.work.accelerators_above = 8;
   b.overrun = Overrun::kSaveAndStop;
   ASSERT_EQ(Expand(b), "");
-  Booking again;
-  ASSERT_EQ(wire::ReadBooking("b", wire::WriteBooking(b), true, &again), "");
+  MaintenanceWindow again;
+  ASSERT_EQ(
+      wire::ReadMaintenanceWindow("b", wire::WriteBooking(b), true, &again),
+      "");
   EXPECT_EQ(wire::WriteBooking(again), wire::WriteBooking(b));
   EXPECT_EQ(again.times.size(), b.times.size());
-  EXPECT_EQ(wire::ReadBooking("a b", "{}", true, &again), "the id a b");
-  EXPECT_EQ(wire::ReadBooking("b", "{\"kind\":\"hour\"}", true, &again),
-            "field kind");
+  EXPECT_EQ(wire::ReadMaintenanceWindow("a b", "{}", true, &again),
+            "the id a b");
+  EXPECT_EQ(
+      wire::ReadMaintenanceWindow("b", "{\"kind\":\"hour\"}", true, &again),
+      "field kind");
 }
 
 }  // namespace
--- a/tests/calendar_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -1,5 +1,5 @@
 // Randomized simulations round the edges of windows and peaks: leaders die,
-// stall and are cut from the state service there, their wall clocks off by up
+// stall and are cut from the key-value store there, their wall clocks off by up
 // to the bound, messages late and lost, bookings made, cancelled and lost. An
 // account of its own, by true time, is asked at every start.
 
@@ -26,7 +26,7 @@
     faults.random.seed(seed ^ 0x9e3779b97f4a7c15);
     faults.lost = Happens(0.5) ? 0 : Between(0, 0.05);
     faults.held = Happens(0.3) ? 0 : Between(0, 0.1);
-    faults.longest_s = Between(2, 30);
+    faults.longest_seconds = Between(2, 30);
     sim_.tuning.calendar_on = 1;
     bound_ = Happens(0.5) ? 0.025 : Between(0.1, 0.7);
     sim_.settings.clock_off_ms = 1000 * bound_;
@@ -35,7 +35,7 @@
     type.name = "small";
     type.total = {4, 0, 64};
     type.cache_gb = 100;
-    type.boot_s = 3;
+    type.boot_seconds = 3;
     type.zones = {"a", "b"};
     sim_.types["small"] = type;
     sim_.capacity["small"] = machines / 2;
@@ -72,7 +72,9 @@
   int leaders() const { return leaders_; }
   // Longest that work ran on after the end of its window, s.
   double latest_end() const { return latest_end_; }
-  double used() const { return window_s_ > 0 ? used_s_ / window_s_ : 0; }
+  double used() const {
+    return window_seconds_ > 0 ? used_seconds_ / window_seconds_ : 0;
+  }
   std::string TroubleTold() const {
     return fmt::format("{} leaders, {} stalls, {} outages", leaders_, stalls_,
                        outages_);
@@ -96,7 +98,7 @@
 
   void Book(const std::string& id, BookingKind kind, const std::string& name,
             Overrun overrun, std::vector<UtcInterval> times) {
-    Booking b;
+    MaintenanceWindow b;
     b.id = id;
     b.kind = kind;
     b.work.classes = {name};
@@ -173,8 +175,8 @@
       }
     }
     if (open) {
-      window_s_ += 1;
-      used_s_ +=
+      window_seconds_ += 1;
+      used_seconds_ +=
           running / (0.5 * 4.0 * static_cast<double>(sim_.workers().size()));
     } else if (running > 0 && ended > 0) {
       latest_end_ = std::max(latest_end_, wall - ended);
@@ -217,7 +219,7 @@
       ++outages_;
     }
     sim_.state_down = now < state_until_;
-    // Cut from the state service alone: it leads by promises.
+    // Cut from the key-value store alone: it leads by promises.
     if (Every(60)) cut_until_[sim_.leading()] = now + Between(5, 150);
     for (const std::string& name : names_) {
       SimController& c = sim_.controller(name);
@@ -254,9 +256,9 @@
     spec.need = {1, 0, 1};
     spec.image = fmt::format("img-{}", static_cast<int>(Between(0, 3)));
     spec.image_gb = 0.4;
-    spec.estimate_s = Between(1, 12);
-    spec.checkpoint_s = Happens(0.5) ? 1 : 0;
-    spec.save_s = 0.5;
+    spec.estimate_seconds = Between(1, 12);
+    spec.checkpoint_seconds = Happens(0.5) ? 1 : 0;
+    spec.save_seconds = 0.5;
     sim_.Submit(spec);
   }
 
@@ -279,8 +281,8 @@
   int leaders_ = 0;
   int stalls_ = 0;
   int outages_ = 0;
-  double window_s_ = 0;
-  double used_s_ = 0;
+  double window_seconds_ = 0;
+  double used_seconds_ = 0;
   double latest_end_ = 0;
   Time next_measure_ = 0;
 };
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -11,17 +11,17 @@
 namespace oxbow {
 namespace {
 
-constexpr double kMemory_s = 300;
-constexpr double kSettle_s = 1;
+constexpr double kMemorySeconds = 300;
+constexpr double kSettleSeconds = 1;
 
 class Packing : public testing::Test {
  protected:
-  Packing() : board_(kMemory_s, kSettle_s), placer_(tuning_, 1) {
+  Packing() : board_(kMemorySeconds, kSettleSeconds), placer_(tuning_, 1) {
     tuning_.fragmentation_weight = 2;
     type_.name = "big";
     type_.total = {64, 8, 384};
     type_.cache_gb = 50;
-    type_.fetch_gb_per_s = 0.25;
+    type_.fetch_gb_per_second = 0.25;
     type_.price = 10;
     type_.zones = {"a", "b"};
     placer_.SetFragmentation(&board_);
@@ -39,7 +39,7 @@
   }
   void Ask(const JobSpec& spec, Time now = 0) {
     board_.Note(spec, now);
-    board_.Settle(now + 2 * kSettle_s * ++asked_);
+    board_.Settle(now + 2 * kSettleSeconds * ++asked_);
   }
   Machine* Add(double gpus_used, const std::string& zone = "a") {
     const auto n = static_cast<int32_t>(machines_.size());
@@ -53,7 +53,7 @@
     all_.push_back(m);
     return m;
   }
-  Machine* Choose(const JobSpec& spec, double aim_s = 1e18) {
+  Machine* Choose(const JobSpec& spec, double wait_slo_seconds = 1e18) {
     JobRecord record;
     record.spec = std::make_shared<JobSpec>(spec);
     const Job job(record, -1, 0, 0);
@@ -62,7 +62,8 @@
       if (spec.need.FitsIn(m->free())) fitting.push_back(m);
     }
     return placer_.Choose(
-        job, fitting, {}, [](const Machine&) { return 0; }, 0.25, aim_s);
+        job, fitting, {}, [](const Machine&) { return 0; }, 0.25,
+        wait_slo_seconds);
   }
 
   Tuning tuning_;
@@ -112,14 +113,14 @@
 
 TEST_F(Packing, TheMixForgets) {
   Ask(Spec(JobKind::kGang, 8, 10), 0);
-  Ask(Spec(JobKind::kService, 2, 10), 5 * kMemory_s);
+  Ask(Spec(JobKind::kService, 2, 10), 5 * kMemorySeconds);
   ASSERT_EQ(board_.shapes().size(), 2U);
   EXPECT_LT(board_.shapes()[0].share, 0.05);
   // However many sorts are asked for, few are looked at.
   for (int i = 1; i <= 40; ++i) {
     JobSpec spec = Spec(JobKind::kArray, 1, 1);
     spec.need.cpus = i * i;
-    Ask(spec, 5 * kMemory_s);
+    Ask(spec, 5 * kMemorySeconds);
   }
   EXPECT_LE(board_.shapes().size(), 12U);
 }
@@ -131,8 +132,8 @@
   Machine* little = Add(2);
   Machine* much = Add(6);
   const JobSpec small = Spec(JobKind::kService, 2, 2);
-  EXPECT_TRUE(placer_.Breaks(small, *all_[0], 1e18));
-  EXPECT_FALSE(placer_.Breaks(small, *little, 1e18));
+  EXPECT_TRUE(placer_.FragmentsWholeMachine(small, *all_[0], 1e18));
+  EXPECT_FALSE(placer_.FragmentsWholeMachine(small, *little, 1e18));
   EXPECT_EQ(Choose(small), much);
   // The weights on a whole machine are no reason to break it.
   all_[0]->ImageCached("img", 14, 1);
@@ -152,13 +153,13 @@
   EXPECT_EQ(Choose(small, 1000), fragmented);
   EXPECT_EQ(Choose(small, 200), whole);  // 42 GB would take 252 s and more
   // Nor would draining it of short work help.
-  EXPECT_TRUE(placer_.Breaks(small, *fragmented, 200));
+  EXPECT_TRUE(placer_.FragmentsWholeMachine(small, *fragmented, 200));
 }
 
 TEST_F(Packing, AServiceIsNotGatheredOnOneMachine) {
-  EXPECT_EQ(GatherLimit(1), 1);
-  EXPECT_EQ(GatherLimit(4), 1);
-  EXPECT_EQ(GatherLimit(8), 2);
+  EXPECT_EQ(ReplicasPerMachineLimit(1), 1);
+  EXPECT_EQ(ReplicasPerMachineLimit(4), 1);
+  EXPECT_EQ(ReplicasPerMachineLimit(8), 2);
   Ask(Spec(JobKind::kGang, 8, 10));
   Machine* fuller = Add(4);
   Machine* other = Add(2);
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -2,8 +2,8 @@
 
 #include <gtest/gtest.h>
 
-#include "core/lease/token.h"
-#include "core/provision/provision.h"
+#include "core/autoscaler/capacity_planning.h"
+#include "core/lease/fencing_token.h"
 
 namespace oxbow {
 namespace {
@@ -86,14 +86,14 @@
   JobSpec spec;
   spec.tasks = 6;
   spec.need = {1, 0, 1};
-  SupplyInput input;
+  AutoscalerInput input;
   input.types = &types;
   input.rooms = {{{"small", "a", false}, {2, 0, 16}}};
   input.demand = {{&spec, 6, {}}};
   input.most_machines = 10;
-  const auto rent = PlanRentals(input);
+  const auto rent = PlanScaleOut(input);
   ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent.begin()->first, (SupplyKey{"small", "a", false}));
+  EXPECT_EQ(rent.begin()->first, (MachinePool{"small", "a", false}));
   EXPECT_EQ(rent.begin()->second, 1);
 }
 
--- a/tests/tiers_test.cc
+++ b/tests/priority_tiers_test.cc
@@ -1,13 +1,12 @@
 // Tiers: what a record may say, which one is in force, and what each decision
 // makes of it.
 
-#include "core/tiers/tiers.h"
-
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "core/tiers/policy.h"
+#include "core/priority_tiers/tier_policy.h"
+#include "core/priority_tiers/tier_set.h"
 #include "wire/tiers_json.h"
 
 namespace oxbow {
@@ -58,7 +57,7 @@
   EXPECT_EQ(name(Spec("x", kHigh, kArray)), "rest");
   EXPECT_EQ(set->at(0).name, "ops");
   EXPECT_EQ(set->at(3).name, "rest");
-  EXPECT_EQ(set->at(3).floor_s, TierBounds{}.usual_floor_s);
+  EXPECT_EQ(set->at(3).floor_seconds, TierBounds{}.usual_floor_seconds);
   EXPECT_EQ(*Read(wire::WriteTiers(set->listed())), *set);
 }
 
@@ -140,7 +139,7 @@
   EXPECT_NE(in_force.refused(), "");
   put(kText, 4);
   EXPECT_EQ(in_force.source(), kRecorded);
-  in_force.OnNoRecord();  // lost with the state service's data
+  in_force.OnNoRecord();  // lost with the key-value store's data
   EXPECT_EQ(in_force.source(), kLastKnown);
   EXPECT_EQ(in_force.version(), 4U);
   in_force.OnWithdrawn();
@@ -220,7 +219,7 @@
 // on dying, the number of tiers changes.
 TEST(Recovery, EveryWaitEnds) {
   const RecoveryLimits limits = RecoveryLimits::From({});
-  EXPECT_LT(limits.LongestWait(), 12 * WorkerSettings{}.lease_s);
+  EXPECT_LT(limits.LongestWait(), 12 * WorkerSettings{}.lease_seconds);
   std::mt19937_64 random(7);
   for (int round = 0; round < 200; ++round) {
     Recovery r(limits);
@@ -280,7 +279,7 @@
     EXPECT_FALSE(policy.active());
     EXPECT_EQ(policy.Classify(nightly_.spec()), 0);
     policy.Begin(view_, 1);
-    EXPECT_EQ(policy.Order(nightly_, 0), 0);
+    EXPECT_EQ(policy.RankOf(nightly_, 0), 0);
     EXPECT_TRUE(policy.MayStart(nightly_, 0));
     EXPECT_TRUE(policy.MayUse(nightly_, 0, "a", {90, 0, 1}, true));
     EXPECT_TRUE(policy.WithinShare(nightly_, 0, {190, 0, 1}));
@@ -325,7 +324,7 @@
   Wait(nightly_, 2, 119);
   policy_.Survey(1, {{"a", {{20, 0, 20}, {12, 0, 40}}}});
   policy_.Begin(view_, 1);
-  EXPECT_EQ(policy_.Order(nightly_, 2), 4);
+  EXPECT_EQ(policy_.RankOf(nightly_, 2), 4);
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {4, 0, 4}, false));
   view_.waiting.clear();
   Wait(nightly_, 2, 121);
@@ -333,8 +332,8 @@
   view_.best_wanted = 100;  // and in a recovery too
   policy_.Begin(view_, 3);
   EXPECT_TRUE(policy_.recovery().holds());
-  EXPECT_EQ(policy_.Order(longer, 2), 1);  // after the best tier
-  EXPECT_EQ(policy_.Order(nightly_, 2), 4);
+  EXPECT_EQ(policy_.RankOf(longer, 2), 1);  // after the best tier
+  EXPECT_EQ(policy_.RankOf(nightly_, 2), 4);
   EXPECT_TRUE(policy_.MayStart(longer, 2));
   EXPECT_FALSE(policy_.MayStart(nightly_, 2));
   EXPECT_TRUE(policy_.MayUse(longer, 2, "a", {4, 0, 4}, true));
--- a/tests/random_simulation_test.cc
+++ b/tests/random_simulation_test.cc
@@ -1,6 +1,6 @@
 // Randomized simulations round the core: messages between a leader, its
 // successors and the workers late, held, lost and out of order, connections
-// refused, processes stalled, workers hanging, reports cut while orders get
+// refused, processes stalled, workers hanging, reports cut while commands get
 // through. After every step, what the leader takes for gone is compared with
 // what is there, and the rules of the protocol are checked. A seed makes a run;
 // it repeats exactly.
@@ -20,13 +20,14 @@
 // How long a deaf leader may stay when another could lead, s: doubt, three
 // rounds with their pauses.
 constexpr double kUnfitFor = 9;
-// Copies of reports come so late, s; and a dead machine's tasks are counted no
-// longer than so after the last news of it: 4 s, a lease, and a stalled leader.
+// Copies of heartbeats come so late, s; and a dead machine's tasks are counted
+// no longer than so after the last news of it: 4 s, a lease, and a stalled
+// leader.
 constexpr double kLatestCopy = 80;
 constexpr double kHeldFor = 25;
 
 // What comes on top of the rest.
-// kOutages: the state service is out for up to twice the time that a
+// kOutages: the key-value store is out for up to twice the time that a
 // cancellation has, mostly after a leader's end; the others keep the workers.
 enum class Kind { kPlain, kDeaf, kCopies, kLateWrites, kOutages };
 
@@ -40,7 +41,7 @@
     faults.lost = Share(0.08);
     faults.held = Share(0.10);
     faults.refused = Share(0.10);
-    faults.longest_s = Between(2, 30);
+    faults.longest_seconds = Between(2, 30);
     // A deletion that is confirmed ends a doubt sooner than a lease does, so in
     // half of the runs nothing but leases ends any.
     if (Happens(0.5)) sim_.tuning.give_up_ratio = 50;
@@ -52,7 +53,7 @@
     type.cache_gb = 100;
     type.price = 1;
     type.spot_price = 1;
-    type.boot_s = 3;
+    type.boot_seconds = 3;
     type.zones = {"a", "b"};
     sim_.types["small"] = type;
     sim_.capacity["small"] = 2;
@@ -63,7 +64,7 @@
     if (Happens(0.5)) names_ = {"a", "b", "c"};
     if (kind_ == Kind::kCopies) {
       faults.copied = Between(0.05, 0.4);
-      faults.latest_copy_s = kLatestCopy;
+      faults.latest_copy_seconds = kLatestCopy;
       faults.lost = faults.held = 0;
       // Nobody inside a zone keeps anything, so that the bound is the leader's.
       names_.clear();
@@ -112,7 +113,7 @@
   }
 
   int starts() const { return sim_.starts(); }
-  int hand_overs() const { return sim_.hand_overs(); }
+  int leadership_transfers() const { return sim_.leadership_transfers(); }
   int late_writes_tried() const { return sim_.late_writes_tried(); }
 
  private:
@@ -177,8 +178,9 @@
       if (Every(20)) weather.no_reports_until = now + Between(2, 25);
       if (Every(20)) weather.no_orders_until = now + Between(1, 20);
       if (Every(30)) weather.hung_until = now + Between(0.5, 16);
-      w.reports_cut = kind_ != Kind::kCopies && now < weather.no_reports_until;
-      w.orders_cut = now < weather.no_orders_until;
+      w.heartbeats_cut =
+          kind_ != Kind::kCopies && now < weather.no_reports_until;
+      w.commands_cut = now < weather.no_orders_until;
       w.hung = now < weather.hung_until;
       if (kind_ == Kind::kDeaf) Deafen(w, weather);
       if (kind_ == Kind::kCopies && !w.dead && Every(80)) {
@@ -189,10 +191,11 @@
     }
   }
 
-  // Jobs are cancelled, the state service goes, and often the leader after it.
+  // Jobs are cancelled, the key-value store goes, and often the leader after
+  // it.
   void LongOutage() {
     const Time now = sim_.now();
-    const double cancel_s = sim_.settings.workers.cancel_s;
+    const double cancel_seconds = sim_.settings.workers.cancel_seconds;
     if (now >= state_until_ && Every(40)) {
       for (int n = std::max(1, submitted_ - 5); n <= submitted_; ++n) {
         if (Happens(0.5)) sim_.CancelJob(Name(n));
@@ -201,7 +204,7 @@
       end_after_ = Happens(0.7) ? state_after_ + Between(0, 3) : 1e18;
     }
     if (now >= state_after_) {
-      state_until_ = now + Between(1, 2 * cancel_s);
+      state_until_ = now + Between(1, 2 * cancel_seconds);
       state_after_ = 1e18;
     }
     if (now >= end_after_) {
@@ -224,7 +227,7 @@
       if (Happens(0.6)) weather.no_orders_until = weather.no_answers_until;
     }
     w.answers_cut = now < weather.no_answers_until || now < zone;
-    w.orders_cut = w.orders_cut || now < zone;
+    w.commands_cut = w.commands_cut || now < zone;
   }
 
   static std::string Name(int number) {
@@ -248,9 +251,9 @@
     spec.image_gb = 0.4;
     spec.spread = spec.kind == JobKind::kService;
     spec.one_zone = spec.kind == JobKind::kGang;
-    spec.estimate_s = Between(2, 15);
-    spec.checkpoint_s = spec.kind == JobKind::kGang ? 2 : 0;
-    spec.save_s = 0.5;
+    spec.estimate_seconds = Between(2, 15);
+    spec.checkpoint_seconds = spec.kind == JobKind::kGang ? 2 : 0;
+    spec.save_seconds = 0.5;
     sim_.Submit(spec);
   }
 
@@ -294,7 +297,7 @@
   const int seeds = SeedsFromEnvironment(250);
   const char* only = std::getenv("OXBOW_SEED");  // to look at one
   int starts = 0;
-  int hand_overs = 0;
+  int leadership_transfers = 0;
   for (int i = 0; i < seeds; ++i) {
     const auto seed = static_cast<uint64_t>(GetParam() + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
@@ -302,11 +305,11 @@
     const std::string wrong = day.Play();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others";
     starts += day.starts();
-    hand_overs += day.hand_overs();
+    leadership_transfers += day.leadership_transfers();
   }
   // A simulation in which nothing runs would show nothing.
   EXPECT_GT(starts, seeds);
-  EXPECT_GT(hand_overs, seeds / 8);
+  EXPECT_GT(leadership_transfers, seeds / 8);
 }
 
 class DeafSimulations : public testing::TestWithParam<int> {};
--- a/tests/answer_gate_test.cc
+++ b/tests/read_consistency_gate_test.cc
@@ -1,7 +1,7 @@
 // What may be told of a job: the gate by itself, and every order of what two
-// controllers, the state service and a user can do about the end of one job.
+// controllers, the key-value store and a user can do about the end of one job.
 
-#include "core/answers/answer_gate.h"
+#include "core/read_consistency/read_consistency_gate.h"
 
 #include <gtest/gtest.h>
 
@@ -19,13 +19,15 @@
 namespace oxbow {
 namespace {
 
-using State = AnswerGate::State;
+using State = ReadConsistencyGate::State;
 
 const std::string kId = "job-000001";
-std::vector<EndWrite> End(uint64_t stamp) { return {{kId, stamp}}; }
+std::vector<TerminalStateWrite> End(uint64_t mod_revision) {
+  return {{kId, mod_revision}};
+}
 
-TEST(AnswerGate, AConflictOverAnotherKeyIsARefusal) {
-  AnswerGate gate;
+TEST(ReadConsistencyGate, AConflictOverAnotherKeyIsARefusal) {
+  ReadConsistencyGate gate;
   gate.Left(1, End(7));
   EXPECT_TRUE(gate.InDoubt(kId, 7));
   gate.Refused(1, {"job-000002"});
@@ -36,8 +38,8 @@
   EXPECT_FALSE(gate.InDoubt(kId, 8)) << "the record has been read since";
 }
 
-TEST(AnswerGate, ARefusalLeavesAnEarlierOneLoose) {
-  AnswerGate gate;
+TEST(ReadConsistencyGate, ARefusalLeavesAnEarlierOneLoose) {
+  ReadConsistencyGate gate;
   gate.Left(1, End(7));
   gate.Unanswered(1);
   EXPECT_EQ(gate.StateOf(kId), State::kLoose);
@@ -51,16 +53,16 @@
 }
 
 // Seen in an outage storm: a move that was put back was asked for again.
-TEST(AnswerGate, AJobMayStandTwiceInATransaction) {
-  AnswerGate gate;
+TEST(ReadConsistencyGate, AJobMayStandTwiceInATransaction) {
+  ReadConsistencyGate gate;
   gate.Left(1, {{kId, 7}, {kId, 7}});
   EXPECT_EQ(gate.StateOf(kId), State::kSent);
   gate.Unanswered(1);
   EXPECT_EQ(gate.StateOf(kId), State::kLoose);
 }
 
-TEST(AnswerGate, WhatStandsOnAnotherStampIsVoid) {
-  AnswerGate gate;
+TEST(ReadConsistencyGate, WhatStandsOnAnotherStampIsVoid) {
+  ReadConsistencyGate gate;
   gate.Left(1, End(7));
   gate.Unanswered(1);
   gate.Left(2, End(9));
@@ -74,29 +76,29 @@
 enum class Without { kNothing, kDoubt, kDoubtAfterRead, kRead };
 
 struct Model {
-  // The state service: one job, the leader key.
+  // The key-value store: one job, the leader key.
   bool exists = false;
   bool ended = false;
-  uint64_t stamp = 0;
-  uint64_t mandate = 1;
+  uint64_t mod_revision = 0;
+  uint64_t leadership_preconditions = 1;
   uint64_t revision = 1;
   // A write of the end that may be carried out late.
   std::optional<std::pair<uint64_t, uint64_t>> late;  // stamp, mandate
   std::optional<uint64_t> late_acceptance;            // stamp it rests on: 0
 
-  struct Node {
+  struct ControllerNode {
     bool knows_job = false;
     bool knows_end = false;
-    uint64_t stamp = 0;  // of the record as it is known
+    uint64_t mod_revision = 0;  // of the record as it is known
     bool leads = false;
-    uint64_t mandate = 0;
-    AnswerGate gate;
+    uint64_t leadership_preconditions = 0;
+    ReadConsistencyGate gate;
     uint64_t txn = 0;
     bool answer_due = false;  // of the write under way
     bool carried_out = false;
     bool must_read = false;  // before anything is written again
   };
-  std::array<Node, 2> nodes;
+  std::array<ControllerNode, 2> nodes;
 
   // What the user has been told by any controller.
   bool told_accepted = false;
@@ -105,13 +107,13 @@
   int lost = 1;
   int refusals = 1;
   int restarts = 1;
-  int changes = 1;
+  int mutations = 1;
 
   auto Key() const {
     std::vector<uint64_t> key{exists,
                               ended,
-                              stamp,
-                              mandate,
+                              mod_revision,
+                              leadership_preconditions,
                               revision,
                               late ? late->first + 1 : 0,
                               late ? late->second + 1 : 0,
@@ -121,12 +123,13 @@
                               static_cast<uint64_t>(lost),
                               static_cast<uint64_t>(refusals),
                               static_cast<uint64_t>(restarts),
-                              static_cast<uint64_t>(changes)};
-    for (const Node& n : nodes) {
+                              static_cast<uint64_t>(mutations)};
+    for (const ControllerNode& n : nodes) {
       uint64_t rests_on = 0;  // the write in doubt
       while (rests_on <= revision && !n.gate.InDoubt(kId, rests_on)) ++rests_on;
       key.insert(key.end(),
-                 {n.knows_job, n.knows_end, n.stamp, n.leads, n.mandate,
+                 {n.knows_job, n.knows_end, n.mod_revision, n.leads,
+                  n.leadership_preconditions,
                   static_cast<uint64_t>(n.gate.StateOf(kId)), rests_on,
                   n.answer_due, n.carried_out, n.must_read});
     }
@@ -142,7 +145,7 @@
   size_t Run(std::string* broken) {
     Model first;
     first.nodes[0].leads = true;
-    first.nodes[0].mandate = first.mandate;
+    first.nodes[0].leadership_preconditions = first.leadership_preconditions;
     Add(first);
     while (!open_.empty() && broken_.empty()) {
       const Model m = open_.front();
@@ -168,10 +171,10 @@
     if (seen_.insert(m.Key()).second) open_.push_back(std::move(m));
   }
 
-  static void See(const Model& m, Model::Node* n) {
+  static void See(const Model& m, Model::ControllerNode* n) {
     n->knows_job = m.exists;
     n->knows_end = n->knows_end || m.ended;
-    n->stamp = m.stamp;
+    n->mod_revision = m.mod_revision;
     if (n->knows_end) n->gate.Stands(kId);
   }
 
@@ -185,7 +188,7 @@
       Add(late);
     }
     m.exists = true;
-    m.stamp = ++m.revision;
+    m.mod_revision = ++m.revision;
     Add(m);  // nobody was told: the answer was lost
     m.told_accepted = true;
     Add(m);
@@ -197,41 +200,42 @@
       m.late_acceptance.reset();
       if (!m.exists) {
         m.exists = true;
-        m.stamp = ++m.revision;
+        m.mod_revision = ++m.revision;
       }
       Add(m);
     }
     if (before.late) {
       Model m = before;
-      CarryOut(&m, *m.late);
+      Execute(&m, *m.late);
       m.late.reset();
       Add(m);
     }
   }
 
-  static bool CarryOut(Model* m, std::pair<uint64_t, uint64_t> write) {
-    if (!m->exists || write.first != m->stamp || write.second != m->mandate) {
+  static bool Execute(Model* m, std::pair<uint64_t, uint64_t> write) {
+    if (!m->exists || write.first != m->mod_revision ||
+        write.second != m->leadership_preconditions) {
       return false;
     }
     m->ended = true;
-    m->stamp = ++m->revision;
+    m->mod_revision = ++m->revision;
     return true;
   }
 
   // The leader writes the end; every way that can go.
   void Write(Model m, size_t i) {
-    Model::Node& n = m.nodes[i];
+    Model::ControllerNode& n = m.nodes[i];
     if (!n.leads || !n.knows_job || n.knows_end || n.answer_due ||
         n.must_read) {
       return;
     }
-    n.gate.Left(++n.txn, End(n.stamp));
-    const std::pair write{n.stamp, n.mandate};
+    n.gate.Left(++n.txn, End(n.mod_revision));
+    const std::pair write{n.mod_revision, n.leadership_preconditions};
     n.answer_due = true;
     if (m.refusals > 0) {
       Model refused = m;
       --refused.refusals;
-      Model::Node& r = refused.nodes[i];
+      Model::ControllerNode& r = refused.nodes[i];
       r.answer_due = false;
       r.gate.Refused(r.txn);
       Add(refused);
@@ -244,22 +248,22 @@
       Add(late);
       Model lost = m;
       --lost.lost;
-      CarryOut(&lost, write);
+      Execute(&lost, write);
       GiveUp(&lost.nodes[i]);
       Add(lost);
     }
-    n.carried_out = CarryOut(&m, write);
+    n.carried_out = Execute(&m, write);
     Add(m);
   }
 
-  static void GiveUp(Model::Node* n) {
+  static void GiveUp(Model::ControllerNode* n) {
     n->answer_due = false;
     n->must_read = true;
     n->gate.Unanswered(n->txn);
   }
 
   void Answer(Model m, size_t i) {
-    Model::Node& n = m.nodes[i];
+    Model::ControllerNode& n = m.nodes[i];
     if (!n.answer_due) return;
     n.answer_due = false;
     if (std::exchange(n.carried_out, false)) {
@@ -274,7 +278,7 @@
 
   // The read before the leader writes again.
   void Read(Model m, size_t i) {
-    Model::Node& n = m.nodes[i];
+    Model::ControllerNode& n = m.nodes[i];
     if (!n.must_read) return;
     n.must_read = false;
     See(m, &n);
@@ -297,37 +301,37 @@
 
   // The right of the one before has run out by its own clock.
   void TakeOver(Model m, size_t i) {
-    if (m.nodes[i].leads || m.changes == 0) return;
-    --m.changes;
-    Model::Node& old = m.nodes[1 - i];
+    if (m.nodes[i].leads || m.mutations == 0) return;
+    --m.mutations;
+    Model::ControllerNode& old = m.nodes[1 - i];
     old.leads = old.answer_due = old.carried_out = old.must_read = false;
     old.gate = {};
-    m.mandate = ++m.revision;
-    Model::Node& n = m.nodes[i];
+    m.leadership_preconditions = ++m.revision;
+    Model::ControllerNode& n = m.nodes[i];
     n.leads = true;
-    n.mandate = m.mandate;
+    n.leadership_preconditions = m.leadership_preconditions;
     See(m, &n);  // it has followed up to its own key
     Add(m);
   }
 
-  JobSight SightOf(const Model::Node& n) const {
-    if (!n.leads || !n.knows_job) return JobSight::kUnseen;
-    if (n.knows_end) return JobSight::kEnded;
+  JobObservation ObservationOf(const Model::ControllerNode& n) const {
+    if (!n.leads || !n.knows_job) return JobObservation::kUnseen;
+    if (n.knows_end) return JobObservation::kEnded;
     const bool doubt =
-        n.gate.InDoubt(kId, n.stamp) && without_ != Without::kDoubt;
-    return doubt ? JobSight::kInDoubt : JobSight::kLive;
+        n.gate.InDoubt(kId, n.mod_revision) && without_ != Without::kDoubt;
+    return doubt ? JobObservation::kInDoubt : JobObservation::kLive;
   }
 
-  // With the state service there for the node, and without it.
+  // With the key-value store there for the node, and without it.
   void Poll(const Model& before, size_t i) {
     for (const bool reaches : {false, true}) {
       Model m = before;
-      Model::Node& n = m.nodes[i];
-      Evidence evidence{
-          n.knows_end ? TerminalState::kDone : TerminalState::kNone, SightOf(n),
-          RecordRead::kNone};
-      Telling telling = Decide(evidence);
-      if (telling == Telling::kReadFirst) {
+      Model::ControllerNode& n = m.nodes[i];
+      StatusEvidence evidence{
+          n.knows_end ? TerminalState::kDone : TerminalState::kNone,
+          ObservationOf(n), RecordRead::kNone};
+      StatusDecision decision = Decide(evidence);
+      if (decision == StatusDecision::kReadFirst) {
         evidence.read = RecordRead::kUnclear;
         // Not a fresh one: as the node knows it from before.
         if (without_ == Without::kRead) {
@@ -339,19 +343,20 @@
         }
         evidence.end =
             n.knows_end ? TerminalState::kDone : TerminalState::kNone;
-        evidence.sight = SightOf(n);
-        telling = Decide(evidence);
+        evidence.observation = ObservationOf(n);
+        decision = Decide(evidence);
       }
-      if (m.told_end &&
-          (telling == Telling::kLive || telling == Telling::kDenial)) {
+      if (m.told_end && (decision == StatusDecision::kLive ||
+                         decision == StatusDecision::kDenial)) {
         broken_ = "an end was told, then something older";
       }
-      if (m.told_accepted && telling == Telling::kDenial) {
+      if (m.told_accepted && decision == StatusDecision::kDenial) {
         broken_ = "accepted, then denied";
       }
-      m.told_end = m.told_end || telling == Telling::kEnd;
-      m.told_accepted = m.told_accepted || telling == Telling::kLive;
-      if (telling == Telling::kEnd && !m.ended) broken_ = "invented end";
+      m.told_end = m.told_end || decision == StatusDecision::kEnd;
+      m.told_accepted = m.told_accepted || decision == StatusDecision::kLive;
+      if (decision == StatusDecision::kEnd && !m.ended)
+        broken_ = "invented end";
       Add(m);
     }
   }
@@ -364,7 +369,7 @@
 
 // Two controllers, one job, one write that is lost or late, one refusal, one
 // restart and one change of leader, in every order.
-TEST(AnswerGate, NoOrderOfEventsBringsAnOlderAnswer) {
+TEST(ReadConsistencyGate, NoOrderOfEventsBringsAnOlderAnswer) {
   std::string broken;
   const size_t states = Exploration(Without::kNothing).Run(&broken);
   EXPECT_EQ(broken, "");
@@ -372,7 +377,7 @@
   EXPECT_GT(states, 1000U);
 }
 
-TEST(AnswerGate, WithoutAGuardTheExplorationFindsAnOlderAnswer) {
+TEST(ReadConsistencyGate, WithoutAGuardTheExplorationFindsAnOlderAnswer) {
   for (const Without without :
        {Without::kDoubt, Without::kDoubtAfterRead, Without::kRead}) {
     std::string broken;
--- a/tests/moves_test.cc
+++ b/tests/rebalancer_test.cc
@@ -1,7 +1,7 @@
 // Moves of replicas: the plan, and every order in which things can happen to
 // them in a small fleet.
 
-#include "core/moves/moves.h"
+#include "core/rebalancing/rebalancer.h"
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -11,13 +11,13 @@
 #include <deque>
 #include <unordered_set>
 
-#include "core/moves/plan.h"
+#include "core/rebalancing/rebalancing_plan.h"
 
 namespace oxbow {
 namespace {
 
 // --- exhaustive: two services of two replicas, three machines, one leader
-// change, a machine that dies, a demand that vanishes; orders to workers are
+// change, a machine that dies, a demand that vanishes; commands to workers are
 // delivered at any later moment or lost, writes stand at any later moment or
 // fail. What the leader may know is what the protocol lets it know. The moves
 // are the core's own.
@@ -31,13 +31,13 @@
 // another: those are left out together.
 struct Without {
   bool whole = false;     // other replicas are not looked at before a stop
-  bool token = false;     // orders of a former leader are not waited out
+  bool token = false;     // commands of a former leader are not waited out
   bool cool_off = false;  // a successor does not look at the claims
   bool gone = false;      // a leg is placed before the old one is surely gone
   bool limit = false;     // any number of a service at once
 };
 
-struct Order {
+struct WorkerCommand {
   bool start = false;
   int leg = 0;
   int machine = 0;
@@ -52,22 +52,22 @@
   std::array<uint8_t, kLegs> there{};    // masks of machines, in truth
   std::array<uint8_t, kLegs> belief{};   // may be there
   std::array<uint8_t, kLegs> stopped{};  // told to stop, as the leader knows
-  std::array<uint8_t, kLegs> seen{};     // there, by a report since the start
-  bool exited = false;                   // a replica, once, of its own accord
-  std::array<int, kMachines> token{};    // the leader that the worker has seen
-  std::array<bool, kMachines> heard{};   // by this leader
-  std::vector<Order> orders;             // under way
+  std::array<uint8_t, kLegs> seen{};    // there, by a heartbeat since the start
+  bool exited = false;                  // a replica, once, of its own accord
+  std::array<int, kMachines> token{};   // the leader that the worker has seen
+  std::array<bool, kMachines> heard{};  // by this leader
+  std::vector<WorkerCommand> commands;  // under way
   std::map<std::string, MoveClaim> stored;
   std::vector<MoveClaim> writes;  // under way, of this leader
-  Mover mover{Limits()};
+  Rebalancer rebalancer{Limits()};
 
   static MoveLimits Limits() {
     MoveLimits limits;
     limits.at_once = 2;
     limits.budget = 2;
     limits.zone_share = limits.team_share = 1;
-    limits.lease_s = 2;
-    limits.report_s = 1;
+    limits.lease_seconds = 2;
+    limits.heartbeat_interval_seconds = 1;
     limits.cool_leases = 3;
     return limits;
   }
@@ -83,7 +83,7 @@
       key += fmt::format("{}{}", token[m], heard[m]);
     }
     std::vector<std::string> sorted;
-    for (const Order& o : orders) {
+    for (const WorkerCommand& o : commands) {
       sorted.push_back(
           fmt::format("{}{}{}{}", o.start, o.leg, o.machine, o.leader));
     }
@@ -93,7 +93,7 @@
     for (const auto& [id, c] : stored) {
       key += fmt::format("s{}{}{}{:.1f}", id, c.job, c.task, c.until_wall);
     }
-    for (const auto& [id, m] : mover.moves()) {
+    for (const auto& [id, m] : rebalancer.moves()) {
       key += fmt::format("m{}{}{}{}{:.1f}{:.1f}{:.1f}", id, m.claim.job,
                          m.claim.task, m.claim.to, m.since, m.until, m.cool) +
              std::string(NameOf(m.state));
@@ -137,7 +137,7 @@
   // The first bad state's description; empty for none.
   std::string Run(bool mid_move = false) {
     Simulation start;
-    start.mover = Mover(Simulation::Limits());
+    start.rebalancer = Rebalancer(Simulation::Limits());
     // s0: 0 and 1; s1: 1 and 2.
     start.there = start.belief = start.seen = {1, 2, 2, 4};
     start.heard.fill(true);
@@ -145,12 +145,12 @@
       // The first leader has recorded a claim, its stop is under way, and it
       // is gone.
       start.now = 0;
-      start.orders.push_back({false, 0, 0, 0});
+      start.commands.push_back({false, 0, 0, 0});
       MoveClaim claim;
       claim.job = "s0";
       claim.from = Host(0);
       claim.to = Host(2);
-      const auto begun = start.mover.Begin(claim, "a", "t", 0, 0, 0);
+      const auto begun = start.rebalancer.Begin(claim, "a", "t", 0, 0, 0);
       start.stored[begun->id] = *begun;
       ChangeLeader(start);
     }
@@ -193,15 +193,16 @@
         bad_ = "a service below its floor";
       }
     }
-    for (const auto& [id, m] : w.mover.moves()) {
+    for (const auto& [id, m] : w.rebalancer.moves()) {
       if (!Ended(m.state) && w.now > m.until + 1) bad_ = "a state without end";
     }
   }
 
   bool Outstanding(const Simulation& w, int machine, int leader) const {
-    return std::any_of(w.orders.begin(), w.orders.end(), [&](const Order& o) {
-      return o.machine == machine && o.leader == leader;
-    });
+    return std::any_of(w.commands.begin(), w.commands.end(),
+                       [&](const WorkerCommand& o) {
+                         return o.machine == machine && o.leader == leader;
+                       });
   }
   bool Good(const Simulation& w, int machine) const {
     return w.heard[machine] &&
@@ -218,29 +219,31 @@
     return Good(w, std::countr_zero(w.belief[leg]));
   }
 
-  MoveSight SightOf(const Simulation& w, const Mover::Move& move) const {
-    MoveSight sight;
+  ReplicaMoveObservation ObservationOf(const Simulation& w,
+                                       const Rebalancer::Move& move) const {
+    ReplicaMoveObservation observation;
     const int leg = LegOf(move.claim);
     const int from = move.claim.from[0] - '0';
     const int to = move.claim.to[0] - '0';
-    sight.live = true;
-    sight.on_source = (w.belief[leg] & (1 << from)) != 0;
-    sight.runs = w.belief[leg] == (1 << from) && w.stopped[leg] == 0;
-    sight.on_target = (w.belief[leg] & (1 << to)) != 0;
-    sight.runs_on_target =
+    observation.live = true;
+    observation.on_source = (w.belief[leg] & (1 << from)) != 0;
+    observation.runs = w.belief[leg] == (1 << from) && w.stopped[leg] == 0;
+    observation.on_target = (w.belief[leg] & (1 << to)) != 0;
+    observation.runs_on_target =
         w.belief[leg] == (1 << to) && !Outstanding(w, to, w.leader);
-    sight.wants = w.belief[leg] == 0;
-    sight.target_good = to != w.dead && Good(w, to);
-    sight.source_good = from != w.dead && Good(w, from);
+    observation.wants = w.belief[leg] == 0;
+    observation.target_good = to != w.dead && Good(w, to);
+    observation.source_good = from != w.dead && Good(w, from);
     int missing = 0;
     const int first = leg / kReplicas * kReplicas;
     for (int l = first; l < first + kReplicas; ++l) {
       missing += l != leg && !RunsSurely(w, l);
     }
-    sight.whole = without_.whole || missing <= w.mover.Down(move.claim.job);
-    sight.allowed = true;
-    sight.wanted = w.wanted;
-    return sight;
+    observation.whole =
+        without_.whole || missing <= w.rebalancer.Down(move.claim.job);
+    observation.allowed = true;
+    observation.wanted = w.wanted;
+    return observation;
   }
 
   // A move stops a leg: as far as the leader can know, the service keeps its
@@ -255,7 +258,7 @@
   }
 
   void Send(Simulation& w, bool start, int leg, int machine) {
-    w.orders.push_back({start, leg, machine, w.leader});
+    w.commands.push_back({start, leg, machine, w.leader});
     if (start) w.belief[leg] |= 1 << machine;
     if (!start) w.stopped[leg] |= 1 << machine;
     w.seen[leg] = 0;
@@ -263,8 +266,9 @@
 
   void Tick(Simulation& w) {
     ++w.now;
-    for (const auto& [id, move] : std::map(w.mover.moves())) {
-      if (w.mover.Step(id, SightOf(w, move), w.now) == MoveAct::kStop) {
+    for (const auto& [id, move] : std::map(w.rebalancer.moves())) {
+      if (w.rebalancer.Step(id, ObservationOf(w, move), w.now) ==
+          ReplicaMoveAction::kStop) {
         Send(w, false, LegOf(move.claim), move.claim.from[0] - '0');
         Stopped(w, LegOf(move.claim));
       }
@@ -277,7 +281,7 @@
       const bool gone =
           without_.gone ? (w.belief[l] & ~w.stopped[l]) == 0 : w.belief[l] == 0;
       if (!gone) continue;
-      const std::string* held = w.mover.TargetFor(Service(l));
+      const std::string* held = w.rebalancer.TargetFor(Service(l));
       for (int m = kMachines - 1; m >= 0; --m) {
         const bool here = held == nullptr || *held == Host(m);
         if (!here || m == w.dead || !Good(w, m)) continue;
@@ -286,10 +290,12 @@
         break;
       }
     }
-    w.mover.Forget(w.now);
-    for (const auto& [id, move] : w.mover.moves()) {
-      settled_ += move.state == MoveState::kSettled && move.since == w.now;
-      given_up_ += move.state == MoveState::kGivenUp && move.since == w.now;
+    w.rebalancer.Forget(w.now);
+    for (const auto& [id, move] : w.rebalancer.moves()) {
+      settled_ +=
+          move.state == ReplicaMoveState::kSettled && move.since == w.now;
+      given_up_ +=
+          move.state == ReplicaMoveState::kGivenUp && move.since == w.now;
     }
   }
 
@@ -297,10 +303,10 @@
   // machines, each way of it; then the leader's turn. False: the same as one
   // with other choices.
   bool Step(Simulation& w, Choices& choose) {
-    std::vector<Order> orders = std::move(w.orders);
-    w.orders.clear();
-    for (const Order& o : orders) {
-      // An order that the worker would refuse may as well be lost.
+    std::vector<WorkerCommand> commands = std::move(w.commands);
+    w.commands.clear();
+    for (const WorkerCommand& o : commands) {
+      // A command that the worker would refuse may as well be lost.
       const bool dead = o.machine == w.dead || o.leader < w.token[o.machine];
       switch (dead ? 1 : choose(3)) {
         case 0:
@@ -309,7 +315,7 @@
         case 1:
           break;
         default:
-          w.orders.push_back(o);
+          w.commands.push_back(o);
       }
     }
     if (!w.writes.empty()) {
@@ -317,11 +323,11 @@
       switch (choose(4)) {
         case 0:
           w.stored[claim.id] = claim;
-          w.mover.Recorded(claim.id, w.now);
+          w.rebalancer.Recorded(claim.id, w.now);
           w.writes.erase(w.writes.begin());
           break;
         case 1:
-          w.mover.Refused(claim.id, w.now);
+          w.rebalancer.Refused(claim.id, w.now);
           w.writes.erase(w.writes.begin());
           break;
         case 2:  // it stands, its answer never comes
@@ -341,7 +347,7 @@
       w.dead = 2;  // a target, and the home of a replica
       Bury(w);
     } else if (event == 3) {
-      if (!w.wanted || w.mover.under_way() == 0) return false;
+      if (!w.wanted || w.rebalancer.under_way() == 0) return false;
       w.wanted = false;
     } else if (event == 4) {
       if (w.exited || w.there[1] == 0) return false;
@@ -357,7 +363,7 @@
     return true;
   }
 
-  static void Execute(Simulation& w, const Order& o) {
+  static void Execute(Simulation& w, const WorkerCommand& o) {
     w.token[o.machine] = o.leader;
     const auto bit = static_cast<uint8_t>(1 << o.machine);
     if (o.start) {
@@ -367,7 +373,7 @@
     }
   }
 
-  // A message of the worker under the leader's token, newer than its orders.
+  // A message of the worker under the leader's token, newer than its commands.
   void Report(Simulation& w, int m) {
     if (!without_.token) w.token[m] = w.leader;
     w.heard[m] = true;
@@ -393,9 +399,10 @@
     // Nothing is known: each leg may be wherever it ever was.
     for (int l = 0; l < kLegs; ++l) w.belief[l] = (1 << kMachines) - 1;
     if (w.dead >= 0) Bury(w);
-    w.mover = Mover(Simulation::Limits());
+    w.rebalancer = Rebalancer(Simulation::Limits());
     if (!without_.cool_off) {
-      for (const auto& [id, claim] : w.stored) w.mover.Restore(claim, 0, w.now);
+      for (const auto& [id, claim] : w.stored)
+        w.rebalancer.Restore(claim, 0, w.now);
     }
   }
 
@@ -425,8 +432,8 @@
       if (!RunsSurely(w, l)) continue;
       for (int to = 0; to < kMachines; ++to) {
         if (w.belief[l] == (1 << to) || to == w.dead || !Good(w, to) ||
-            !w.mover.MayBegin(Service(l), kReplicas, "t", Host(to), "a", true,
-                              w.now)) {
+            !w.rebalancer.MayBegin(Service(l), kReplicas, "t", Host(to), "a",
+                                   true, w.now)) {
           continue;
         }
         options.emplace_back(l, to);
@@ -440,12 +447,12 @@
     claim.task = static_cast<uint32_t>(leg % kReplicas);
     claim.from = Host(std::countr_zero(w.belief[leg]));
     claim.to = Host(to);
-    const auto begun = w.mover.Begin(claim, "a", "t", 0, 0, w.now);
+    const auto begun = w.rebalancer.Begin(claim, "a", "t", 0, 0, w.now);
     if (begun) w.writes.push_back(*begun);
   }
 
   const Without without_;
-  const int ticks_;  // of a report each; a lease is two
+  const int ticks_;  // of a heartbeat each; a lease is two
   std::deque<Simulation> open_;
   std::unordered_set<std::string> seen_;
   std::string bad_;
@@ -482,7 +489,7 @@
     int ticks;
     bool mid_move;
   };
-  // A former leader's orders are kept from a second leg by two guards, one
+  // A former leader's commands are kept from a second leg by two guards, one
   // behind the other.
   const std::array cases = {
       Case{"whole", {.whole = true}, 4, false},
--- a/tests/moves_simulation_test.cc
+++ b/tests/rebalancing_simulation_test.cc
@@ -1,5 +1,5 @@
 // Randomized simulations round the moves: orders and reports late, lost and
-// refused, leaders killed and stalled, the state service out, demands that
+// refused, leaders killed and stalled, the key-value store out, demands that
 // vanish. But for a lease that runs out, no trouble in them takes a replica
 // away by itself, so whatever is missing of a service was stopped by a move,
 // and that is one at the most.
@@ -26,7 +26,7 @@
     faults.lost = Between(0, 0.02);
     faults.held = Between(0, 0.05);
     faults.refused = Between(0, 0.05);
-    faults.longest_s = Between(1, 30);
+    faults.longest_seconds = Between(1, 30);
     sim_.tuning.fragmentation_weight = 2;
     sim_.tuning.moves_at_once = 4;
     sim_.tuning.moves_cool_leases = 2;
@@ -38,10 +38,10 @@
     type.name = "big";
     type.total = {64, 8, 384};
     type.cache_gb = 50;
-    type.fetch_gb_per_s = 10;
+    type.fetch_gb_per_second = 10;
     type.price = 1;
     type.spot_price = 1;
-    type.boot_s = 3;
+    type.boot_seconds = 3;
     type.zones = {"a", "b"};
     sim_.types["big"] = type;
     sim_.capacity["big"] = 0;
@@ -59,10 +59,10 @@
       if (!sim_.broken().empty()) return At(sim_.broken().front());
       const auto wrong = sim_.WronglyGone();
       if (!wrong.empty()) return At(wrong.front());
-      // A worker that no report was answered for in a whole lease has killed
+      // A worker that no heartbeat was answered for in a whole lease has killed
       // its tasks: that is no move's doing, and counting begins anew.
       uint64_t sessions = 0;
-      for (const auto& [host, w] : sim_.workers()) sessions += w.session;
+      for (const auto& [host, w] : sim_.workers()) sessions += w.incarnation;
       if (std::exchange(sessions_, sessions) != sessions) {
         for (auto& [id, service] : services_) service.whole = false;
       }
@@ -99,13 +99,13 @@
 
   // How far the moves have come, over all leaders.
   void Watch() {
-    const Mover* mover =
-        sim_.leader() == nullptr ? nullptr : sim_.leader()->mover();
-    if (mover == nullptr) return;
-    if (mover->settled() < last_settled_) last_settled_ = 0;
-    settled_ += mover->settled() - last_settled_;
-    last_settled_ = mover->settled();
-    for (const auto& [id, move] : mover->moves()) {
+    const Rebalancer* rebalancer =
+        sim_.leader() == nullptr ? nullptr : sim_.leader()->rebalancer();
+    if (rebalancer == nullptr) return;
+    if (rebalancer->settled() < last_settled_) last_settled_ = 0;
+    settled_ += rebalancer->settled() - last_settled_;
+    last_settled_ = rebalancer->settled();
+    for (const auto& [id, move] : rebalancer->moves()) {
       stopped_ += move.stopped == sim_.now();
     }
   }
@@ -152,9 +152,9 @@
     spec.image = small ? "img" : "train";
     spec.image_gb = 0.5;
     spec.one_zone = !small;
-    spec.estimate_s = Between(5, 12);
-    spec.checkpoint_s = small ? 0 : 2;
-    spec.save_s = small ? 0 : 0.5;
+    spec.estimate_seconds = Between(5, 12);
+    spec.checkpoint_seconds = small ? 0 : 2;
+    spec.save_seconds = small ? 0 : 0.5;
     sim_.Submit(spec);
     if (small) {
       services_[spec.id] = {static_cast<int>(spec.tasks), false};
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -1,12 +1,12 @@
-// Epochs, the verification of the state service, what is remembered against
+// Epochs, the verification of the key-value store, what is remembered against
 // what it holds, and how jobs ended: each by itself.
 
 #include <gtest/gtest.h>
 
-#include "clients/memory_page.h"
-#include "core/controller/catalog.h"
+#include "clients/retained_records_page.h"
+#include "core/leader/catalog.h"
+#include "core/lease/fencing_token.h"
 #include "core/lease/leadership.h"
-#include "core/lease/token.h"
 #include "core/recovery/peer_choice.h"
 #include "core/recovery/store_epoch.h"
 #include "core/recovery/store_verification.h"
@@ -27,14 +27,14 @@
 
 std::string JobKey(const std::string& id) { return keys::Of(keys::kJob, id); }
 
-void OpenEpoch(Catalog& catalog, uint64_t number, uint64_t stamp) {
+void OpenEpoch(Catalog& catalog, uint64_t number, uint64_t mod_revision) {
   StoreEpoch epoch;
   epoch.number = number;
   epoch.id = "e" + std::to_string(number);
   epoch.rebuilt = number == 1;
   catalog.Put(keys::Of(keys::kEpochMark, epoch.id), EpochMark{number, 0},
-              stamp);
-  catalog.Put(std::string(keys::kEpoch), epoch, stamp);
+              mod_revision);
+  catalog.Put(std::string(keys::kEpoch), epoch, mod_revision);
 }
 
 // --- terms
@@ -75,23 +75,23 @@
 };
 
 TEST_F(SuspectedDataLoss, ASignAloneIsNoLoss) {
-  EXPECT_TRUE(verification_.Note(LossSign::kStepBack));
-  EXPECT_FALSE(
-      verification_.Note(LossSign::kEpochMissing));  // looked at already
+  EXPECT_TRUE(verification_.Note(DataLossIndication::kStepBack));
+  EXPECT_FALSE(verification_.Note(
+      DataLossIndication::kEpochMissing));  // looked at already
   EXPECT_FALSE(verification_.MayDeny());
-  verification_.OnRound(CheckSays::kStands, false);
+  verification_.OnRound(StoreCheck::kStands, false);
   EXPECT_EQ(verification_.state(), kVerified);
   EXPECT_TRUE(verification_.MayDeny());
 }
 
 TEST_F(SuspectedDataLoss, ALossTakesRoundsThatAgree) {
-  verification_.Note(LossSign::kEpochMissing);
-  verification_.OnRound(CheckSays::kGone, false);
+  verification_.Note(DataLossIndication::kEpochMissing);
+  verification_.OnRound(StoreCheck::kGone, false);
   EXPECT_EQ(verification_.state(), kSuspected);
-  verification_.OnRound(CheckSays::kNoAnswer,
+  verification_.OnRound(StoreCheck::kNoAnswer,
                         false);  // an outage settles nothing
   EXPECT_EQ(verification_.state(), kSuspected);
-  verification_.OnRound(CheckSays::kGone, false);
+  verification_.OnRound(StoreCheck::kGone, false);
   EXPECT_EQ(verification_.state(), kLost);
   EXPECT_FALSE(verification_.MayAccept(true));
   EXPECT_FALSE(verification_.MaySeek());
@@ -99,18 +99,18 @@
 
 // It reads a stale copy: the others find everything in its place.
 TEST_F(SuspectedDataLoss, AHoleThatOnlyOneSeesIsNoLoss) {
-  verification_.Note(LossSign::kStepBack);
-  for (int i = 0; i < 20; ++i) verification_.OnRound(CheckSays::kGone, true);
+  verification_.Note(DataLossIndication::kStepBack);
+  for (int i = 0; i < 20; ++i) verification_.OnRound(StoreCheck::kGone, true);
   EXPECT_EQ(verification_.state(), kSuspected);
   EXPECT_FALSE(verification_.MaySeek());
-  verification_.OnRound(CheckSays::kStands, true);
+  verification_.OnRound(StoreCheck::kStands, true);
   EXPECT_EQ(verification_.state(), kVerified);
 }
 
 TEST_F(SuspectedDataLoss, DuringTheRebuildOnlyTheLeaderAccepts) {
-  verification_.Note(LossSign::kEpochMissing);
-  verification_.OnRound(CheckSays::kGone, false);
-  verification_.OnRound(CheckSays::kGone, false);
+  verification_.Note(DataLossIndication::kEpochMissing);
+  verification_.OnRound(StoreCheck::kGone, false);
+  verification_.OnRound(StoreCheck::kGone, false);
   verification_.OnEpoch(2, false);
   EXPECT_EQ(verification_.state(), kRebuilding);
   EXPECT_TRUE(verification_.MayAccept(true));
@@ -122,9 +122,9 @@
 
 TEST_F(SuspectedDataLoss, LostAgainInMidRebuild) {
   verification_.OnEpoch(2, false);
-  EXPECT_TRUE(verification_.Note(LossSign::kStepBack));
-  verification_.OnRound(CheckSays::kGone, false);
-  verification_.OnRound(CheckSays::kGone, false);
+  EXPECT_TRUE(verification_.Note(DataLossIndication::kStepBack));
+  verification_.OnRound(StoreCheck::kGone, false);
+  verification_.OnRound(StoreCheck::kGone, false);
   EXPECT_EQ(verification_.state(), kLost);
   verification_.OnEpoch(3, false);
   EXPECT_EQ(verification_.state(), kRebuilding);
@@ -145,9 +145,9 @@
     OpenEpoch(catalog_, 1, 5);
     catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
     catalog_.Put(JobKey("job-000002"), JobOf("job-000002"), 20);
-    catalog_.Followed(20);
+    catalog_.AdvanceWatch(20);
   }
-  TerminalState EndOf(const std::string& id) {
+  TerminalState TerminalStateOf(const std::string& id) {
     return catalog_.FindJob(id)->terminal_state;
   }
   Catalog catalog_;
@@ -157,9 +157,9 @@
 TEST_F(Remembering, ANewEpochIsOwedEverything) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.EraseMissing({}, 100);
-  EXPECT_EQ(catalog_.owed().size(), 2U);
+  EXPECT_EQ(catalog_.pending_writes().size(), 2U);
   ASSERT_NE(catalog_.FindJob("job-000001"), nullptr);
-  EXPECT_EQ(catalog_.FindJob("job-000001")->stamp, 0U);
+  EXPECT_EQ(catalog_.FindJob("job-000001")->mod_revision, 0U);
   // A read that does not find it either.
   catalog_.Missing(JobKey("job-000001"), 100);
   EXPECT_NE(catalog_.FindJob("job-000001"), nullptr);
@@ -168,22 +168,22 @@
 TEST_F(Remembering, AnOlderCopyIsReplacedUnderItsStamp) {
   OpenEpoch(catalog_, 2, 15);
   EXPECT_FALSE(catalog_.Put(JobKey("job-000002"), JobOf("job-000002"), 8));
-  EXPECT_TRUE(catalog_.owed().contains(JobKey("job-000002")));
-  EXPECT_EQ(catalog_.FindJob("job-000002")->stamp, 8U);
+  EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000002")));
+  EXPECT_EQ(catalog_.FindJob("job-000002")->mod_revision, 8U);
 }
 
 TEST_F(Remembering, WhatTheServiceStillHoldsIsNotOwed) {
   OpenEpoch(catalog_, 2, 15);
   EXPECT_TRUE(catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10));
-  EXPECT_FALSE(catalog_.owed().contains(JobKey("job-000001")));
+  EXPECT_FALSE(catalog_.pending_writes().contains(JobKey("job-000001")));
 }
 
 TEST_F(Remembering, AChangeInTheNewEpochBeatsMemory) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.Put(JobKey("job-000001"),
                JobOf("job-000001", TerminalState::kAborted), 4);
-  EXPECT_EQ(EndOf("job-000001"), TerminalState::kAborted);
-  EXPECT_FALSE(catalog_.owed().contains(JobKey("job-000001")));
+  EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
+  EXPECT_FALSE(catalog_.pending_writes().contains(JobKey("job-000001")));
 }
 
 TEST_F(Remembering, AnEndBeatsALaterLiveRecord) {
@@ -194,7 +194,7 @@
                                 {1, 12}));
   EXPECT_FALSE(
       catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 19}));
-  EXPECT_EQ(EndOf("job-000001"), TerminalState::kAborted);
+  EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
 }
 
 TEST_F(Remembering, AJobThatHasEndedIsNotRevivedByAnOlderCopy) {
@@ -204,7 +204,7 @@
   ASSERT_EQ(catalog_.FindJob("job-000001"), nullptr);
   OpenEpoch(catalog_, 2, 15);
   catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
-  EXPECT_EQ(EndOf("job-000001"), TerminalState::kAborted);
+  EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
   // Nor by another controller that remembers it alive.
   EXPECT_FALSE(
       catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 10}));
@@ -214,10 +214,10 @@
 TEST_F(Remembering, AnEndThatOthersKnowOfIsAppliedToWhatLives) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.ended().Add("job-000001", TerminalState::kAborted);
-  catalog_.ApplyEnds();
-  EXPECT_EQ(EndOf("job-000001"), TerminalState::kAborted);
-  EXPECT_TRUE(catalog_.owed().contains(JobKey("job-000001")));
-  EXPECT_EQ(EndOf("job-000002"), TerminalState::kNone);
+  catalog_.ApplyTerminalStates();
+  EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
+  EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000001")));
+  EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kNone);
 }
 
 // It may have been acted on, or told to its user, in a service that had stepped
@@ -225,7 +225,7 @@
 TEST_F(Remembering, AnEndThatWasReadIsNeverSetAside) {
   EXPECT_TRUE(catalog_.Put(JobKey("job-000002"),
                            JobOf("job-000002", TerminalState::kAborted), 15));
-  EXPECT_EQ(EndOf("job-000002"), TerminalState::kAborted);
+  EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kAborted);
   EXPECT_TRUE(catalog_.Put(JobKey("job-000001"),
                            JobOf("job-000001", TerminalState::kDone), 5));
   EXPECT_EQ(catalog_.FindTerminalState("job-000001"), TerminalState::kDone);
@@ -236,12 +236,12 @@
 TEST_F(Remembering, ACancellationIsToldOnceItsRecordHasMoved) {
   catalog_.Put(JobKey("job-000002"),
                JobOf("job-000002", TerminalState::kAborted), 25);
-  EXPECT_EQ(EndOf("job-000002"), TerminalState::kAborted);
+  EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kNone);
   EXPECT_EQ(catalog_.ended().Find("job-000002"), TerminalState::kNone);
   catalog_.Erase(JobKey("job-000002"), 26);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kAborted);
-  EXPECT_EQ(catalog_.FindEnd("job-000002").tasks, 1U);
+  EXPECT_EQ(catalog_.FindTerminalRecord("job-000002").tasks, 1U);
   // A live record that goes alone tells of no end.
   catalog_.Erase(JobKey("job-000001"), 27);
   EXPECT_EQ(catalog_.FindTerminalState("job-000001"), TerminalState::kNone);
@@ -253,14 +253,14 @@
       catalog_.Remember(JobKey("job-000002"), JobOf("job-000002"), {1, 19}));
   EXPECT_TRUE(
       catalog_.Remember(JobKey("job-000003"), JobOf("job-000003"), {1, 25}));
-  EXPECT_TRUE(catalog_.owed().contains(JobKey("job-000003")));
+  EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000003")));
 }
 
 TEST_F(Remembering, LostTwiceItKeepsTheVersionItIsRememberedBy) {
   OpenEpoch(catalog_, 2, 3);
   OpenEpoch(catalog_, 3, 3);
   EXPECT_EQ(catalog_.VersionOf(JobKey("job-000002")), (Version{1, 20}));
-  EXPECT_EQ(catalog_.owed().size(), 2U);
+  EXPECT_EQ(catalog_.pending_writes().size(), 2U);
 }
 
 TEST_F(Remembering, AnEarlierEpochsRecordIsNotTakenBack) {
@@ -341,25 +341,26 @@
 TEST(PeerChoice, EveryRequestMayReachEveryPeerThatAnswers) {
   PeerChoice choice(4, 0.1, 0.5, 5);
   choice.Helped(2);
-  EXPECT_EQ(choice.Order(), (std::vector<size_t>{2, 3, 0, 1}));
-  for (const size_t peer : choice.Order()) EXPECT_TRUE(choice.Answers(peer));
+  EXPECT_EQ(choice.PreferenceOrder(), (std::vector<size_t>{2, 3, 0, 1}));
+  for (const size_t peer : choice.PreferenceOrder())
+    EXPECT_TRUE(choice.IsResponsive(peer));
 }
 
 TEST(PeerChoice, NobodyWaitsForASilentPeerUntilATrialHasFoundIt) {
   PeerChoice choice(2, 0.1, 0.5, 5);
   choice.Silent(0, 1);
   choice.Silent(0, 1.01);  // another that waited for it
-  EXPECT_FALSE(choice.Answers(0));
-  EXPECT_TRUE(choice.Answers(1));
+  EXPECT_FALSE(choice.IsResponsive(0));
+  EXPECT_TRUE(choice.IsResponsive(1));
   EXPECT_FALSE(choice.MayTry(0, 1.05));
   EXPECT_TRUE(choice.MayTry(0, 1.11));
   EXPECT_FALSE(choice.MayTry(0, 1.12));  // under way
-  EXPECT_FALSE(choice.Answers(0));
+  EXPECT_FALSE(choice.IsResponsive(0));
   choice.Silent(0, 1.2);
   EXPECT_FALSE(choice.MayTry(0, 1.35));  // twice as long
   EXPECT_TRUE(choice.MayTry(0, 1.41));
   choice.Answered(0);
-  EXPECT_TRUE(choice.Answers(0));
+  EXPECT_TRUE(choice.IsResponsive(0));
   EXPECT_FALSE(choice.MayTry(0, 1.42));
 }
 
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -1,4 +1,4 @@
-// Roll-outs under random trouble, the verdict's expressions, the latencies.
+// Rollouts under random trouble, the verdict's expressions, the latencies.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 #include <ctime>
 
 #include "core/rollout/latency.h"
-#include "script/verdict.h"
+#include "health_expression/health_expression.h"
 #include "tests/sim.h"
 #include "wire/rollout_json.h"
 
@@ -23,7 +23,7 @@
   int bad = 0;
 };
 
-// One roll-out, with leaders killed, machines drained, the state service out
+// One rollout, with leaders killed, machines drained, the key-value store out
 // and writes late at random times from a seed.
 class TroubledRollout {
  public:
@@ -35,7 +35,7 @@
     type.name = "small";
     type.total = {4, 0, 64};
     type.cache_gb = 100;
-    type.boot_s = 3;
+    type.boot_seconds = 3;
     type.zones = {"a", "b"};
     sim_.types["small"] = type;
     for (int i = 1; i <= 4; ++i) {
@@ -52,11 +52,11 @@
     spec.to = "job-000002";
     spec.floor = tasks_ - static_cast<uint32_t>(Happens(0.5));
     spec.surge = static_cast<uint32_t>(Between(1, 3));
-    spec.start_s = 5;
-    spec.bake_s = Between(4, 8);
-    spec.watch_s = 5;
-    spec.check.interval_s = 0.5;
-    spec.check.timeout_s = 0.5;
+    spec.start_seconds = 5;
+    spec.bake_seconds = Between(4, 8);
+    spec.watch_seconds = 5;
+    spec.check.interval_seconds = 0.5;
+    spec.check.timeout_seconds = 0.5;
     sim_.floor = static_cast<int>(spec.floor);
     sim_.floor_jobs = {spec.from, spec.to};
     Illness ill;
@@ -69,10 +69,10 @@
         ill.sick_after = 0;
         break;
       case Build::kBadLater:
-        ill.sick_after = Between(1, spec.bake_s - 1);
+        ill.sick_after = Between(1, spec.bake_seconds - 1);
         break;
       case Build::kFlapping:
-        ill.flap_s = Between(0.8, 3);
+        ill.flap_seconds = Between(0.8, 3);
         break;
     }
     sim_.illness[spec.to] = ill;
@@ -195,7 +195,7 @@
     spec.from = "job-000001";
     spec.to = "job-000002";
     spec.floor = 2;
-    spec.bake_s = 10;
+    spec.bake_seconds = 10;
     spec.check.good_in_row = 1;
     spec.check.bad_in_row = 2;
     view.from_live = view.to_known = view.to_live = true;
@@ -208,7 +208,7 @@
     RolloutRecord record;
     record.spec = std::make_shared<RolloutSpec>(spec);
     record.step = step;
-    record.stamp = 1;
+    record.mod_revision = 1;
     return {record, 100};
   }
   void Add(uint32_t task, bool is_new) {
@@ -224,8 +224,8 @@
       rollout->OnCheck(i.key, {true, true, 0.01}, now);
     }
   }
-  ResidentKey Old() const { return view.instances[0].key; }
-  ResidentKey New() const { return view.instances[2].key; }
+  TaskAttemptKey Old() const { return view.instances[0].key; }
+  TaskAttemptKey New() const { return view.instances[2].key; }
 
   RolloutSpec spec;
   RolloutView view;
@@ -337,17 +337,17 @@
   EXPECT_NE(plan.reason.find("slowly"), std::string::npos);
 }
 
-using script::Verdict;
+using health_expression::HealthExpression;
 
-Verdict::Result JudgeOnce(const std::string& expression, int status,
-                          std::string_view body, double ms = 1) {
-  Verdict verdict(expression);
+HealthExpression::Result JudgeOnce(const std::string& expression, int status,
+                                   std::string_view body, double ms = 1) {
+  HealthExpression verdict(expression);
   EXPECT_EQ(verdict.error(), "");
   return verdict.Judge({status, body, ms});
 }
 
 TEST(Verdicts, SeeTheAnswer) {
-  using enum Verdict::Result;
+  using enum HealthExpression::Result;
   EXPECT_EQ(JudgeOnce("status == 200", 200, ""), kGood);
   EXPECT_EQ(JudgeOnce("status == 200", 503, ""), kBad);
   // 200, but with empty results: what the users fear.
@@ -364,16 +364,16 @@
 }
 
 TEST(Verdicts, WhatIsNotTrueOrFalseIsAnError) {
-  using enum Verdict::Result;
+  using enum HealthExpression::Result;
   EXPECT_EQ(JudgeOnce("status", 200, ""), kError);
   EXPECT_EQ(JudgeOnce("nothing.at.all", 200, ""), kError);
   EXPECT_EQ(JudgeOnce("count()", 200, ""), kError);
-  EXPECT_NE(Verdict::WhatIsWrong("status =="), "");
-  EXPECT_NE(Verdict::WhatIsWrong(std::string("\x1bLua")), "");
+  EXPECT_NE(HealthExpression::WhatIsWrong("status =="), "");
+  EXPECT_NE(HealthExpression::WhatIsWrong(std::string("\x1bLua")), "");
 }
 
 TEST(Verdicts, AreBoundedAndReachNothing) {
-  using enum Verdict::Result;
+  using enum HealthExpression::Result;
   EXPECT_EQ(JudgeOnce("(function() while true do end end)()", 200, ""), kError);
   EXPECT_EQ(JudgeOnce("(function() local s = body while true do s = s .. s "
                       "end end)()",
@@ -385,7 +385,7 @@
   }
   // One that has run into a limit is as good as new for the next answer, and
   // nothing is carried from one to the next.
-  Verdict verdict(
+  HealthExpression verdict(
       "(function() if has('loop') then while true do end end "
       "local seen = kept kept = 1 return seen == nil end)()");
   EXPECT_EQ(verdict.Judge({200, "loop", 1}), kError);
@@ -405,16 +405,16 @@
     p.spec.floor = count / 2;
     for (uint32_t i = 0; i < count; ++i) p.Add(i / 2, i % 2 == 1);
     Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-    Verdict verdict("status == 200 and count('/chargers') > 0");
+    HealthExpression verdict("status == 200 and count('/chargers') > 0");
     const std::string body = R"({"chargers":[{"id":1},{"id":2}]})";
     constexpr int kSeconds = 20;
     const auto start = std::clock();
     for (int i = 0; i < kSeconds * 4; ++i) {
       const double now = 100 + i * 0.25;
       rollout.Review(p.view, now);
-      for (const ResidentKey& key : rollout.TakeDue(count, now)) {
+      for (const TaskAttemptKey& key : rollout.TakeDue(count, now)) {
         const bool good =
-            verdict.Judge({200, body, 1}) == Verdict::Result::kGood;
+            verdict.Judge({200, body, 1}) == HealthExpression::Result::kGood;
         rollout.OnCheck(key, {true, good, 0.001}, now);
       }
     }
--- a/tests/scenario_test.cc
+++ b/tests/scenario_test.cc
@@ -64,10 +64,10 @@
       type.total = {Number(o, "cpus", 8), Number(o, "gpus", 0),
                     Number(o, "mem", 64)};
       type.cache_gb = Number(o, "cache", 100);
-      type.fetch_gb_per_s = Number(o, "fetch", 1);
+      type.fetch_gb_per_second = Number(o, "fetch", 1);
       type.price = Number(o, "price", 1);
       type.spot_price = Number(o, "spot_price", type.price / 2);
-      type.boot_s = Number(o, "boot", 5);
+      type.boot_seconds = Number(o, "boot", 5);
       if (o.contains("capacity")) {
         sim_.capacity[name] = static_cast<int>(Number(o, "capacity", 0));
       }
@@ -83,7 +83,7 @@
     } else if (verb == "wait-aim") {
       Objective aim;
       aim.kind = "wait";
-      words >> aim.job_class >> aim.within_s;
+      words >> aim.job_class >> aim.within_seconds;
       sim_.settings.objectives.push_back(aim);
     } else if (verb == "set") {
       words >> name >> word;
@@ -104,7 +104,7 @@
       } else if (name == "moves_at_once") {
         sim_.tuning.moves_at_once = std::stod(word);
       } else if (name == "txn_ops") {
-        sim_.settings.state.txn_ops = static_cast<int>(std::stod(word));
+        sim_.settings.store.txn_ops = static_cast<int>(std::stod(word));
       } else if (name == "silent_share") {
         sim_.tuning.silent_share = std::stod(word);
       } else {
@@ -175,10 +175,10 @@
       double seconds = 0;
       words >> word >> seconds;
       if (word == "again") {
-        sim_.next_write_again_s = seconds;
+        sim_.next_write_again_seconds = seconds;
       } else {
         sim_.next_write = word == "late" ? Fate::kLate : Fate::kLostAnswer;
-        if (seconds > 0) sim_.next_write_late_s = seconds;
+        if (seconds > 0) sim_.next_write_late_seconds = seconds;
       }
     } else if (verb == "late-writes") {
       // late-writes [unanswered=SHARE] [answer-lost=SHARE] [copied=SHARE]
@@ -218,14 +218,14 @@
         if (zone == "all" || w.zone == zone) Disturb(w, word, values);
       }
     } else if (verb == "keep") {
-      // keep HOST: its last report reaches the next leader as it begins
+      // keep HOST: its last heartbeat reaches the next leader as it begins
       words >> name;
-      sim_.KeepForNext(sim_.LastReport(name));
+      sim_.KeepForNext(sim_.LastHeartbeat(name));
     } else if (verb == "copy") {
-      words >> name;  // copy HOST S: its last report comes again S from now
+      words >> name;  // copy HOST S: its last heartbeat comes again S from now
       double after = 0;
       words >> after;
-      sim_.Copy(sim_.LastReport(name), after);
+      sim_.Copy(sim_.LastHeartbeat(name), after);
     } else if (verb == "tier") {
       // tier NAME RANK [class=A,B] [team=..] [kept=S] [most=S] [floor=S]
       ReadTier(words);
@@ -241,7 +241,7 @@
       }
       tiers_.clear();
     } else if (verb == "book") {
-      sim_.Book(ReadBooking(words));
+      sim_.Book(ReadMaintenanceWindow(words));
     } else if (verb == "unbook") {
       words >> name;
       sim_.CancelBooking(name);
@@ -249,16 +249,16 @@
       sim_.Declare(ReadRollout(words));
     } else if (verb == "wish") {
       words >> name >> word;
-      sim_.Wish(name, word == "pause"    ? RolloutWish::kPause
-                      : word == "resume" ? RolloutWish::kResume
-                                         : RolloutWish::kAbort);
+      sim_.RequestRollout(name, word == "pause"    ? RolloutRequest::kPause
+                                : word == "resume" ? RolloutRequest::kResume
+                                                   : RolloutRequest::kAbort);
     } else if (verb == "sick") {
       // sick JOB [after=S] [flap=S] [mute]; with none, from now on
       words >> name;
       const Options o = ReadOptions(words);
       Illness& ill = sim_.illness[name];
       ill.sick_after = Number(o, "after", 1e18);
-      ill.flap_s = Number(o, "flap", 0);
+      ill.flap_seconds = Number(o, "flap", 0);
       ill.mute = o.contains("mute");
       if (!o.contains("after") && !o.contains("flap")) {
         ill.sick_from = sim_.now();
@@ -278,7 +278,7 @@
       sim_.floor_jobs.clear();
       while (words >> name) sim_.floor_jobs.push_back(name);
     } else if (verb == "cloud") {
-      words >> word >> sim_.rent_s;  // cloud answers-after S
+      words >> word >> sim_.rent_seconds;  // cloud answers-after S
     } else if (verb == "never-boot") {
       words >> word;
       sim_.never_boot = word == "on";
@@ -316,26 +316,26 @@
       w.dead = true;
       w.died_at = sim_.now();
     } else if (word == "answers-cut") {
-      // answers-cut [S]: its reports come to the leader so far apart
+      // answers-cut [S]: its heartbeats come to the leader so far apart
       w.answers_cut = true;
-      words >> w.retry_s;
-      if (!words) w.retry_s = SimWorker().retry_s;
+      words >> w.retry_seconds;
+      if (!words) w.retry_seconds = SimWorker().retry_seconds;
     } else if (word == "answers-open") {
       w.answers_cut = false;
     } else if (word == "copies")
-      words >> w.copy_after;  // copies S: every report again, S later
+      words >> w.copy_after;  // copies S: every heartbeat again, S later
     else if (word == "hangs")
       w.hung = true;
     else if (word == "resumes")
       w.hung = false;
     else if (word == "cut" || word == "mute")
-      w.reports_cut = true;  // commands still reach it
+      w.heartbeats_cut = true;  // commands still reach it
     else if (word == "healed")
-      w.reports_cut = false;
+      w.heartbeats_cut = false;
     else if (word == "orders-cut")
-      w.orders_cut = true;
+      w.commands_cut = true;
     else if (word == "orders-open")
-      w.orders_cut = false;
+      w.commands_cut = false;
     else if (word == "kept")
       w.kept = true;
     else if (word == "not-kept")
@@ -387,8 +387,8 @@
 
   // book ID window|peak class=C from=S to=S [overrun=WORD] [room=R], from now
   // on
-  Booking ReadBooking(std::istringstream& words) const {
-    Booking b;
+  MaintenanceWindow ReadMaintenanceWindow(std::istringstream& words) const {
+    MaintenanceWindow b;
     std::string kind;
     words >> b.id >> kind;
     const Options o = ReadOptions(words);
@@ -412,11 +412,11 @@
     spec.to = o.at("to");
     spec.floor = static_cast<uint32_t>(Number(o, "floor", 1));
     spec.surge = static_cast<uint32_t>(Number(o, "surge", 1));
-    spec.start_s = Number(o, "start", 5);
-    spec.bake_s = Number(o, "bake", 4);
-    spec.watch_s = Number(o, "watch", 5);
-    spec.check.interval_s = Number(o, "interval", 0.5);
-    spec.check.timeout_s = Number(o, "timeout", 0.5);
+    spec.start_seconds = Number(o, "start", 5);
+    spec.bake_seconds = Number(o, "bake", 4);
+    spec.watch_seconds = Number(o, "watch", 5);
+    spec.check.interval_seconds = Number(o, "interval", 0.5);
+    spec.check.timeout_seconds = Number(o, "timeout", 0.5);
     return spec;
   }
 
@@ -435,7 +435,7 @@
     list("team", &tier.match.teams);
     tier.kept_share = Number(o, "kept", 0);
     tier.most_share = Number(o, "most", 1);
-    tier.floor_s = Number(o, "floor", 0);
+    tier.floor_seconds = Number(o, "floor", 0);
     tiers_.push_back(tier);
   }
 
@@ -461,13 +461,13 @@
     spec.one_zone = o.contains("one_zone");
     spec.spread = o.contains("spread");
     spec.spot = o.contains("spot");
-    spec.estimate_s = Number(o, "run", 5);
-    spec.checkpoint_s = Number(o, "checkpoint", 0);
-    spec.save_s = Number(o, "save", 0);
-    if (o.contains("due")) spec.deadline_s = Number(o, "due", 0);
+    spec.estimate_seconds = Number(o, "run", 5);
+    spec.checkpoint_seconds = Number(o, "checkpoint", 0);
+    spec.save_seconds = Number(o, "save", 0);
+    if (o.contains("due")) spec.deadline_seconds = Number(o, "due", 0);
     std::istringstream needs(o.contains("waits") ? o.at("waits") : "");
     for (std::string id; std::getline(needs, id, ',');) {
-      spec.waits_on.push_back(id);
+      spec.dependencies.push_back(id);
     }
     sim_.Submit(spec);
   }
@@ -548,7 +548,7 @@
     } else if (what == "on") {
       words >> name;
       actual = sim_.CountOn(name);
-    } else if (what == "records") {  // in the state service, by prefix
+    } else if (what == "records") {  // in the key-value store, by prefix
       words >> name;
       actual = sim_.CountRecords(name);
     } else if (what == "late-writes") {  // that were tried
@@ -578,7 +578,7 @@
     } else if (what == "lost-alive") {
       actual = sim_.lost_alive();
     } else if (what == "hand-overs") {
-      actual = sim_.hand_overs();
+      actual = sim_.leadership_transfers();
     } else {
       FAIL() << "unknown expectation";
     }
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(app::ParseSettings(kGood, &s), "");
   EXPECT_EQ(s.node, "a");
   EXPECT_EQ(s.peers.size(), 1U);
-  EXPECT_EQ(s.workers.lease_s, 12);
+  EXPECT_EQ(s.workers.lease_seconds, 12);
   EXPECT_EQ(s.state.txn_ops, 8);
   EXPECT_EQ(s.teams[0].cpus_max, 8);
 }
@@ -156,15 +156,15 @@
   EXPECT_EQ(copy.tasks, 16U);
   EXPECT_EQ(copy.types, spec.types);
   EXPECT_FALSE(copy.zone);
-  EXPECT_EQ(copy.deadline_s, 900);
-  EXPECT_EQ(copy.waits_on, spec.waits_on);
-  EXPECT_EQ(copy.waits_on.size(), 2U);
+  EXPECT_EQ(copy.deadline_seconds, 900);
+  EXPECT_EQ(copy.dependencies, spec.dependencies);
+  EXPECT_EQ(copy.dependencies.size(), 2U);
 }
 
 TEST(JobDescriptions, WhatCanNeverRunIsSaid) {
   std::map<std::string, MachineType> types;
   types["g8"] = {"g8", {96, 8, 768}, 200, 1, 12, 4, 45, {"a", "b"}};
-  const std::vector<TeamSettings> teams = {{"t", 0, 100, 0, 0}};
+  const std::vector<TeamQuota> teams = {{"t", 0, 100, 0, 0}};
   JobSpec spec;
   spec.team = "t";
   spec.tasks = 4;
@@ -191,14 +191,14 @@
       "legs":[{"leg":"job-000412/3","try_no":2,"status":"running"},
               {"leg":"job-000398/0","try_no":1,"status":"exited",
                "exit_reason":"done"}]})";
-  WorkerReport r;
+  Heartbeat r;
   ASSERT_TRUE(wire::ParseReport(good, &r));
   EXPECT_EQ(r.tasks.size(), 2U);
   EXPECT_EQ(r.tasks[0].task, 3U);
   EXPECT_EQ(r.tasks[1].reason, ExitReason::kDone);
-  EXPECT_FALSE(r.notice_s);
+  EXPECT_FALSE(r.notice_seconds);
   // A task that can't be understood must not look like one that is not there.
-  WorkerReport bad;
+  Heartbeat bad;
   EXPECT_FALSE(wire::ParseReport(Replace(good, "job-000412/3", "job"), &bad));
   EXPECT_FALSE(wire::ParseReport("[]", &bad));
 }
