--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -26,7 +26,7 @@
 
 std::optional<double> RandomFaults::Travel() {
   if (Happens(lost)) return std::nullopt;
-  if (Happens(held)) return Between(0.5, longest_s);
+  if (Happens(held)) return Between(0.5, longest_seconds);
   return Between(0.0, 0.1);
 }
 
@@ -34,7 +34,7 @@
   settings.node = "a";
   settings.nodes = 1;
   settings.workers = {1.0, 10.0, 40.0, 4.0, 40.0};
-  settings.state.txn_ops = 16;
+  settings.store.txn_ops = 16;
 }
 
 void Sim::AddWorker(const std::string& host, const std::string& type,
@@ -46,12 +46,12 @@
   w.spot = spot;
   w.up_at = now_;
   w.lease_from = now_;
-  w.next_report = now_ + 0.1;
+  w.next_heartbeat = now_ + 0.1;
   workers_[host] = w;
 }
 
-void Sim::SetFate(const std::string& host, Fate fate, double late_s) {
-  fates_[host] = {fate, late_s};
+void Sim::SetFate(const std::string& host, Fate fate, double late_seconds) {
+  fates_[host] = {fate, late_seconds};
 }
 
 void Sim::AskForZones() {
@@ -72,7 +72,7 @@
         now_ < c.next_ask) {
       continue;
     }
-    c.next_ask = now_ + StandBackFor(settings.workers);
+    c.next_ask = now_ + LeaseYieldSeconds(settings.workers);
     if (leader_->OnDelegationAsked(name, "life", now_, now_)) {
       c.lease->Granted(now_);
     }
@@ -122,28 +122,29 @@
     if (old_version && key.starts_with(keys::kWaiting)) continue;
     catalog_.Put(key, value.first, value.second);
   }
-  catalog_.Followed(revision_);
+  catalog_.AdvanceWatch(revision_);
   leads_since_ = now_;
   for (auto& [host, w] : workers_) {
-    w.seen_session = 0;
+    w.seen_incarnation = 0;
     w.risen = w.unproven = false;
   }
   leader_ =
-      std::make_unique<Controller>(settings, tuning, catalog_, revision_, now_,
-                                   kEpochOffset, 7, RecordedDelegates());
-  if (rebuilds) leader_->OnEndsOwed({}, /*whole=*/true);
+      std::make_unique<Leader>(settings, tuning, catalog_, revision_, now_,
+                               kEpochOffset, 7, RecordedDelegates());
+  if (rebuilds) leader_->OnUnrecordedTerminalStates({}, /*whole=*/true);
   FollowTiers();
   leader_->UseTiers(tiers_in_force_[leading_].set());
   bookings_told_.clear();
   ReadBookings();
-  TellBookings();
+  PublishMaintenanceWindows();
   LookAtClocks();
   leader_->UseMoves(wire::kMoveCodec, now_);
   std::vector<MachineType> all;
   for (const auto& [name, type] : types) all.push_back(type);
   leader_->OnTypes(all);
-  Perform();
-  for (const WorkerReport& report : std::exchange(kept_, {})) Copy(report, 0);
+  ExecuteActions();
+  for (const Heartbeat& heartbeat : std::exchange(kept_, {}))
+    Copy(heartbeat, 0);
 }
 
 void Sim::OpenEpoch() {
@@ -174,7 +175,7 @@
   submitted.spec = spec;
   submitted.submitted = now_;
   jobs_[spec.id] = std::move(submitted);
-  if (!spec.waits_on.empty()) {
+  if (!spec.dependencies.empty()) {
     const std::string waiting = keys::Of(keys::kWaiting, spec.id);
     const WaitingRecord record{std::make_shared<JobSpec>(spec),
                                now_ + kEpochOffset, 0};
@@ -184,7 +185,7 @@
     catalog_.Put(waiting, record, revision_);
     if (leader_) {
       leader_->OnWaitingRecord(spec.id, now_);
-      Perform();
+      ExecuteActions();
     }
     return;
   }
@@ -196,7 +197,7 @@
   catalog_.Put(key, record, revision_);
   if (leader_) {
     leader_->OnJobRecord(spec.id, now_);
-    Perform();
+    ExecuteActions();
   }
 }
 
@@ -239,7 +240,7 @@
   }
 }
 
-void Sim::Book(const Booking& booking) {
+void Sim::Book(const MaintenanceWindow& booking) {
   bookings_[booking.id] = {booking, ++revision_, false};
 }
 
@@ -270,7 +271,7 @@
   }
 }
 
-void Sim::TellBookings() {
+void Sim::PublishMaintenanceWindows() {
   for (const auto& [id, b] : booking_views_[leading_].bookings) {
     uint64_t& told = bookings_told_[id];
     if (told >= b.version) continue;
@@ -300,11 +301,11 @@
   news_.emplace_back(key, revision_);
 }
 
-void Sim::Wish(const std::string& id, RolloutWish wish) {
+void Sim::RequestRollout(const std::string& id, RolloutRequest request) {
   const std::string key = keys::Of(keys::kRollout, id);
   const auto it = store_.find(key);
   if (it == store_.end()) return;
-  std::get<RolloutRecord>(it->second.first).wish = wish;
+  std::get<RolloutRecord>(it->second.first).request = request;
   it->second.second = ++revision_;
   news_.emplace_back(key, revision_);
 }
@@ -338,9 +339,9 @@
     } else if (key.starts_with(keys::kOperator)) {
       leader_->OnOperatorRecord(key.substr(keys::kOperator.size()), now_);
     }
-    Perform();
+    ExecuteActions();
   }
-  catalog_.Followed(revision_);
+  catalog_.AdvanceWatch(revision_);
 }
 
 bool Sim::Well(const SimTask& t) const {
@@ -350,7 +351,8 @@
   const Illness& ill = it->second;
   const double ran = now_ - t.running_since;
   if (now_ >= ill.sick_from || ran >= ill.sick_after) return false;
-  return ill.flap_s <= 0 || static_cast<int64_t>(ran / ill.flap_s) % 2 == 0;
+  return ill.flap_seconds <= 0 ||
+         static_cast<int64_t>(ran / ill.flap_seconds) % 2 == 0;
 }
 
 int Sim::CountWell() const {
@@ -386,17 +388,17 @@
     After(kLatency, [answer, well] { answer({true, well, kLatency}); });
     return;
   }
-  After(check.spec->check.timeout_s, [answer] { answer({}); });
+  After(check.spec->check.timeout_seconds, [answer] { answer({}); });
 }
 
 void Sim::CancelJob(const std::string& id) {
   if (!leader_) return;
   cancel_asked_.insert(id);
   leader_->Cancel(id, now_);
-  Perform();
+  ExecuteActions();
 }
 
-void Sim::CancelBurst(int count, double hang_s) {
+void Sim::CancelBurst(int count, double hang_seconds) {
   constexpr double kWithin = 0.2;
   constexpr size_t kMostHang = 8;
   std::set<std::string> chosen;
@@ -417,9 +419,9 @@
   for (const std::string& id : chosen) {
     After(kWithin * nth++ / count, [this, id] { CancelJob(id); });
   }
-  if (hang_s <= 0) return;
+  if (hang_seconds <= 0) return;
   for (const std::string& host : hosts) {
-    workers_.at(host).hangs_until = now_ + hang_s;
+    workers_.at(host).hangs_until = now_ + hang_seconds;
   }
 }
 
@@ -430,7 +432,7 @@
       CancelJob(id);
     } else if (store_.contains(keys::Of(keys::kJob, id))) {
       leader_->OnJobRecord(id, now_);
-      Perform();
+      ExecuteActions();
     }
     if (!leader_) return;
   }
@@ -449,7 +451,7 @@
   now_ += kStep;
   ReadBookings();
   if (leader_ && now_ >= stalled_until_) {
-    TellBookings();
+    PublishMaintenanceWindows();
     LookAtClocks();
   }
   std::vector<Later> due;
@@ -467,9 +469,9 @@
   for (auto& [host, w] : workers_) AdvanceWorker(w);
   if (leader_ && now_ >= stalled_until_) {
     leader_->Tick(now_, !by_promises);
-    Perform();
+    ExecuteActions();
   }
-  NoteSessions();
+  RecordIncarnations();
   if (!controllers_.empty()) WatchReach();
   if (troubles.Happens(troubles.odd_requests * kStep)) RequestOddly();
   NoteCancelled();
@@ -480,19 +482,19 @@
   CheckIndices();
 }
 
-void Sim::NoteSessions() {
+void Sim::RecordIncarnations() {
   if (!leader_) return;
   for (const auto& m : leader_->machines()) {
     const auto it = workers_.find(m->host());
     if (it == workers_.end()) continue;
     SimWorker& w = it->second;
-    const uint64_t seen = m->session.number();
-    if (w.seen_session != 0 && seen > w.seen_session) {
+    const uint64_t seen = m->incarnation.number();
+    if (w.seen_incarnation != 0 && seen > w.seen_incarnation) {
       // The first may have been over before this leader heard of it.
       w.unproven = w.risen;
       w.risen = true;
     }
-    w.seen_session = seen;
+    w.seen_incarnation = seen;
   }
 }
 
@@ -500,9 +502,9 @@
   if (w.dead || now_ < w.up_at) return;
   // Holds for a hung machine too: what it finds first when it goes on is that
   // its lease has ended.
-  if (now_ - w.lease_from > settings.workers.lease_s) {
+  if (now_ - w.lease_from > settings.workers.lease_seconds) {
     w.tasks.clear();
-    ++w.session;
+    ++w.incarnation;
     w.lease_from = now_;
   }
   if (w.Hangs(now_)) return;
@@ -531,7 +533,7 @@
       changed = true;
     }
     if (t.phase == TaskPhase::kRunning && spec.kind != JobKind::kService &&
-        now_ - t.running_since >= spec.estimate_s) {
+        now_ - t.running_since >= spec.estimate_seconds) {
       t.phase = TaskPhase::kExited;
       t.reason = ExitReason::kDone;
       EndTask(t);
@@ -554,8 +556,8 @@
       }
     }
   }
-  if (now_ >= w.next_report || (changed && now_ + 0.5 >= w.next_report)) {
-    SendReport(w);
+  if (now_ >= w.next_heartbeat || (changed && now_ + 0.5 >= w.next_heartbeat)) {
+    SendHeartbeat(w);
   }
 }
 
@@ -568,30 +570,30 @@
   }
 }
 
-WorkerReport Sim::ReportOf(SimWorker& w) {
-  WorkerReport r;
+Heartbeat Sim::HeartbeatOf(SimWorker& w) {
+  Heartbeat r;
   r.host = w.host;
   r.endpoint = "10.0.0.1:" + std::to_string(1000 + w.host.size());
   r.type = w.type;
   r.zone = w.zone;
   r.spot = w.spot;
-  r.session = w.session;
+  r.incarnation = w.incarnation;
   r.seq = ++w.seq;
   r.token = w.token;
-  r.notice_s = w.notice;
-  r.relayed = !w.by_way.empty();
+  r.notice_seconds = w.notice;
+  r.forwarded = !w.by_way.empty();
   for (const auto& [name, t] : w.tasks) {
     r.tasks.push_back({t.job, t.task, t.attempt, t.phase, t.reason, t.saved});
   }
   return r;
 }
 
-void Sim::SendReport(SimWorker& w) {
-  w.next_report = now_ + settings.workers.report_s;
-  if (faults) return ReportWithFaults(w);
+void Sim::SendHeartbeat(SimWorker& w) {
+  w.next_heartbeat = now_ + settings.workers.heartbeat_interval_seconds;
+  if (faults) return SendHeartbeatWithFaults(w);
   // One report in flight.
   if (now_ < w.waits_until) {
-    w.next_report = w.waits_until;
+    w.next_heartbeat = w.waits_until;
     return;
   }
   if (w.kept) {
@@ -601,36 +603,36 @@
   if (!w.by_way.empty() && controllers_[w.by_way].gone) {
     // Refused; so is the next one that it tries, perhaps.
     w.by_way.clear();
-    w.waits_until = now_ + 2 * kRetryPause_s;
+    w.waits_until = now_ + 2 * kRetryPauseSeconds;
     return;
   }
-  const WorkerReport report = ReportOf(w);
-  sent_[w.host] = report;
-  if (w.copy_after > 0) Copy(report, w.copy_after);
-  if (troubles.Happens(troubles.reports_for_next)) KeepForNext(report);
-  if (w.reports_cut || !leader_ || !LeaderNode().Hears(w.host)) {
+  const Heartbeat heartbeat = HeartbeatOf(w);
+  sent_[w.host] = heartbeat;
+  if (w.copy_after > 0) Copy(heartbeat, w.copy_after);
+  if (troubles.Happens(troubles.heartbeats_for_next)) KeepForNext(heartbeat);
+  if (w.heartbeats_cut || !leader_ || !LeaderNode().Hears(w.host)) {
     if (KeptInZone(w)) w.lease_from = now_;
     return;
   }
   const Time sent = now_;
-  const uint64_t session = w.session;
-  const ReportReply reply = leader_->OnReport(report, now_);
-  Perform();
+  const uint64_t incarnation = w.incarnation;
+  const HeartbeatResponse reply = leader_->OnHeartbeat(heartbeat, now_);
+  ExecuteActions();
   if (w.answers_cut) {
-    w.waits_until = now_ + w.retry_s;
+    w.waits_until = now_ + w.retry_seconds;
     return;
   }
   if (reply.withheld) {
     NoteWithheld(w);
-    w.waits_until = now_ + kRetryPause_s;
+    w.waits_until = now_ + kRetryPauseSeconds;
     return;
   }
   if (reply.refused) {
     Break("refused a report that is waited for: " + w.host);
-    w.waits_until = now_ + kRetryPause_s;
+    w.waits_until = now_ + kRetryPauseSeconds;
     return;
   }
-  AcceptReply(w, reply, session, sent);
+  AcceptReply(w, reply, incarnation, sent);
 }
 
 // Only one that has heard nothing of this leader is left without an answer, and
@@ -641,22 +643,22 @@
   }
 }
 
-void Sim::Copy(const WorkerReport& report, double after) {
-  After(after, [this, report] {
+void Sim::Copy(const Heartbeat& heartbeat, double after) {
+  After(after, [this, heartbeat] {
     if (!leader_) return;
     OnLeader(leader_->revision(),
-             [this, report] { leader_->OnReport(report, now_); });
+             [this, heartbeat] { leader_->OnHeartbeat(heartbeat, now_); });
   });
 }
 
-void Sim::AcceptReply(SimWorker& w, const ReportReply& reply, uint64_t session,
-                      Time sent) {
-  if (reply.token < w.token || session != w.session) return;
+void Sim::AcceptReply(SimWorker& w, const HeartbeatResponse& reply,
+                      uint64_t incarnation, Time sent) {
+  if (reply.token < w.token || incarnation != w.incarnation) return;
   w.unproven = false;
   w.heard_from = reply.token >> kTokenBits;
   w.token = reply.token;
   w.lease_from = sent;
-  Execute(w, reply.orders);
+  Execute(w, reply.commands);
 }
 
 void Sim::OnLeader(uint64_t revision, std::function<void()> what) {
@@ -669,7 +671,7 @@
     return;
   }
   what();
-  Perform();
+  ExecuteActions();
 }
 
 void Sim::OnWorker(const std::string& host,
@@ -687,141 +689,145 @@
   what(it->second);
 }
 
-// One report in flight; an answer is good for 4 s after its report was sent.
-void Sim::ReportWithFaults(SimWorker& w) {
-  constexpr double kReportLifetime_s = 4.0;
+// One report in flight; an answer is good for 4 s after its heartbeat was sent.
+void Sim::SendHeartbeatWithFaults(SimWorker& w) {
+  constexpr double kHeartbeatLifetimeSeconds = 4.0;
   if (now_ < w.waits_until) {
-    w.next_report = w.waits_until;
+    w.next_heartbeat = w.waits_until;
     return;
   }
-  const uint64_t number = ++w.reports;
-  const WorkerReport report = ReportOf(w);
-  if (troubles.Happens(troubles.reports_for_next)) KeepForNext(report);
-  w.waits_until = now_ + kReportLifetime_s;
+  const uint64_t number = ++w.heartbeats;
+  const Heartbeat heartbeat = HeartbeatOf(w);
+  if (troubles.Happens(troubles.heartbeats_for_next)) KeepForNext(heartbeat);
+  w.waits_until = now_ + kHeartbeatLifetimeSeconds;
   const std::optional<double> there = faults->Travel();
   std::optional<double> back = faults->Travel();
   if (w.answers_cut) back.reset();
   if (faults->copied > 0 && faults->Happens(faults->copied)) {
-    Copy(report, faults->Between(0.5, faults->latest_copy_s));
+    Copy(heartbeat, faults->Between(0.5, faults->latest_copy_seconds));
   }
   if (!leader_ && state_down && delegated && there && back) {
     w.waits_until = 0;
     w.lease_from = now_;
     return;
   }
-  if (w.reports_cut || !there || !LeaderNode().Hears(w.host)) {
+  if (w.heartbeats_cut || !there || !LeaderNode().Hears(w.host)) {
     if (KeptInZone(w)) {
       w.waits_until = 0;
       w.lease_from = now_;
     }
     return;
   }
-  After(*there, [this, report, number, back, sent = now_] {
+  After(*there, [this, heartbeat, number, back, sent = now_] {
     if (!leader_) return;
-    OnLeader(leader_->revision(), [this, report, number, back, sent] {
-      const ReportReply reply = leader_->OnReport(report, now_);
+    OnLeader(leader_->revision(), [this, heartbeat, number, back, sent] {
+      const HeartbeatResponse reply = leader_->OnHeartbeat(heartbeat, now_);
       if (!back) return;
-      After(*back, [this, report, number, reply, sent] {
-        OnWorker(report.host, [this, report, number, reply,
-                               sent](SimWorker& worker) {
-          if (worker.reports != number || now_ > sent + kReportLifetime_s) {
+      After(*back, [this, heartbeat, number, reply, sent] {
+        OnWorker(heartbeat.host, [this, heartbeat, number, reply,
+                                  sent](SimWorker& worker) {
+          if (worker.heartbeats != number ||
+              now_ > sent + kHeartbeatLifetimeSeconds) {
             return;
           }
           worker.waits_until = 0;
           if (reply.withheld) {
             NoteWithheld(worker);
-            worker.waits_until = now_ + kRetryPause_s;
+            worker.waits_until = now_ + kRetryPauseSeconds;
             return;
           }
           if (reply.refused) {
-            if (worker.session == report.session) {
+            if (worker.incarnation == heartbeat.incarnation) {
               Break("refused a report that is waited for: " + worker.host);
             }
-            worker.waits_until = now_ + kRetryPause_s;
+            worker.waits_until = now_ + kRetryPauseSeconds;
             return;
           }
-          AcceptReply(worker, reply, report.session, sent);
+          AcceptReply(worker, reply, heartbeat.incarnation, sent);
         });
       });
     });
   });
 }
 
-void Sim::DoWithFaults(const SendOrders& orders) {
+void Sim::DoWithFaults(const SendCommands& commands) {
   constexpr double kTimeout = 1.5;
   const uint64_t revision = leader_->revision();
   auto answered = std::make_shared<bool>(false);
-  const auto answer = [this, orders, revision, answered](
-                          OrderOutcome outcome,
-                          std::optional<WorkerReport> report) {
-    OnLeader(revision,
-             [this, orders, answered, outcome, report = std::move(report)] {
-               if (std::exchange(*answered, true)) return;
-               leader_->OnOrderAnswer(orders.host, orders.batch, outcome,
-                                      report ? &*report : nullptr, now_);
-             });
+  const auto answer = [this, commands, revision, answered](
+                          CommandOutcome outcome,
+                          std::optional<Heartbeat> heartbeat) {
+    OnLeader(revision, [this, commands, answered, outcome,
+                        heartbeat = std::move(heartbeat)] {
+      if (std::exchange(*answered, true)) return;
+      leader_->OnCommandResponse(commands.host, commands.batch, outcome,
+                                 heartbeat ? &*heartbeat : nullptr, now_);
+    });
   };
-  const auto it = workers_.find(orders.host);
-  const bool cut = it == workers_.end() || it->second.orders_cut ||
-                   !LeaderNode().Sends(orders.host);
+  const auto it = workers_.find(commands.host);
+  const bool cut = it == workers_.end() || it->second.commands_cut ||
+                   !LeaderNode().Sends(commands.host);
   if (faults->Happens(faults->refused)) {
-    After(kLatency, [answer] { answer(OrderOutcome::kNotSent, {}); });
+    After(kLatency, [answer] { answer(CommandOutcome::kNotSent, {}); });
     return;
   }
-  After(kTimeout, [answer] { answer(OrderOutcome::kUnknown, {}); });
+  After(kTimeout, [answer] { answer(CommandOutcome::kUnknown, {}); });
   const std::optional<double> there = faults->Travel();
   const std::optional<double> back = faults->Travel();
   if (cut || !there) return;
-  After(*there, [this, orders, answer, back] {
-    OnWorker(orders.host, [this, orders, answer, back](SimWorker& w) {
-      const bool good = orders.token >= w.token && orders.session == w.session;
+  After(*there, [this, commands, answer, back] {
+    OnWorker(commands.host, [this, commands, answer, back](SimWorker& w) {
+      const bool good =
+          commands.token >= w.token && commands.incarnation == w.incarnation;
       if (good) {
-        w.token = orders.token;
-        Execute(w, orders.orders);
+        w.token = commands.token;
+        Execute(w, commands.commands);
       }
       if (!back) return;
-      After(*back, [answer, good, report = ReportOf(w)] {
-        answer(good ? OrderOutcome::kExecuted : OrderOutcome::kRefused, report);
+      After(*back, [answer, good, heartbeat = HeartbeatOf(w)] {
+        answer(good ? CommandOutcome::kExecuted : CommandOutcome::kRefused,
+               heartbeat);
       });
     });
   });
 }
 
-void Sim::Execute(SimWorker& w, const std::vector<Order>& orders) {
-  for (const Order& o : orders) {
+void Sim::Execute(SimWorker& w, const std::vector<WorkerCommand>& commands) {
+  for (const WorkerCommand& o : commands) {
     const std::string name = Name(o.job_id, o.task, o.attempt);
     const auto it = w.tasks.find(name);
     switch (o.kind) {
-      case OrderKind::kStart:
+      case CommandKind::kStart:
         if (it == w.tasks.end()) StartTask(w, o);
         break;
-      case OrderKind::kStop: {
+      case CommandKind::kStop: {
         if (it == w.tasks.end() || it->second.phase == TaskPhase::kExited) {
           break;
         }
         SimTask& t = it->second;
         const JobSpec& spec = jobs_.at(t.job).spec;
-        if (t.phase == TaskPhase::kRunning && spec.checkpoint_s > 0 &&
-            o.grace_s >= spec.save_s) {
+        if (t.phase == TaskPhase::kRunning && spec.checkpoint_seconds > 0 &&
+            o.grace_seconds >= spec.save_seconds) {
           t.phase = TaskPhase::kSaving;
-          t.ready_at = now_ + spec.save_s;
-        } else if (t.phase != TaskPhase::kSaving || o.grace_s <= 0) {
+          t.ready_at = now_ + spec.save_seconds;
+        } else if (t.phase != TaskPhase::kSaving || o.grace_seconds <= 0) {
           t.phase = TaskPhase::kExited;
           t.reason = ExitReason::kStopped;
         }
         break;
       }
-      case OrderKind::kForget:
+      case CommandKind::kForget:
         if (it != w.tasks.end() && it->second.phase == TaskPhase::kExited) {
           w.tasks.erase(it);
         }
         break;
     }
   }
-  if (!orders.empty()) w.next_report = std::min(w.next_report, now_ + 0.5);
+  if (!commands.empty())
+    w.next_heartbeat = std::min(w.next_heartbeat, now_ + 0.5);
 }
 
-void Sim::StartTask(SimWorker& w, const Order& o) {
+void Sim::StartTask(SimWorker& w, const WorkerCommand& o) {
   const JobSpec& spec = jobs_.at(o.job_id).spec;
   SimTask t;
   t.job = o.job_id;
@@ -849,8 +855,9 @@
       const std::string why = forbidden(spec, true_wall());
       if (!why.empty()) Break("heavy start: " + o.job_id + " " + why);
     }
-    const double fetch =
-        w.images.contains(spec.image) ? 0 : spec.image_gb / type.fetch_gb_per_s;
+    const double fetch = w.images.contains(spec.image)
+                             ? 0
+                             : spec.image_gb / type.fetch_gb_per_second;
     t.ready_at = now_ + fetch;
     if (!spec.AllowsType(w.type) || !spec.AllowsZone(w.zone) ||
         (w.spot && !spec.spot)) {
@@ -879,55 +886,58 @@
   w.tasks[Name(o.job_id, o.task, o.attempt)] = t;
 }
 
-void Sim::Do(const SendOrders& orders) {
-  if (faults) return DoWithFaults(orders);
-  auto [fate, late] = fates_.contains(orders.host)
-                          ? fates_[orders.host]
+void Sim::Do(const SendCommands& commands) {
+  if (faults) return DoWithFaults(commands);
+  auto [fate, late] = fates_.contains(commands.host)
+                          ? fates_[commands.host]
                           : std::pair{Fate::kNormal, 0.0};
-  fates_.erase(orders.host);
+  fates_.erase(commands.host);
   const uint64_t revision = leader_->revision();
-  const auto answer = [this, orders, revision](OrderOutcome outcome,
-                                               const WorkerReport* report) {
+  const auto answer = [this, commands, revision](CommandOutcome outcome,
+                                                 const Heartbeat* heartbeat) {
     if (!leader_ || leader_->revision() != revision) return;
-    leader_->OnOrderAnswer(orders.host, orders.batch, outcome, report, now_);
-    Perform();
+    leader_->OnCommandResponse(commands.host, commands.batch, outcome,
+                               heartbeat, now_);
+    ExecuteActions();
   };
-  const auto execute = [this, orders]() -> std::optional<bool> {
-    const auto it = workers_.find(orders.host);
+  const auto execute = [this, commands]() -> std::optional<bool> {
+    const auto it = workers_.find(commands.host);
     if (it == workers_.end() || it->second.dead || it->second.Hangs(now_) ||
-        it->second.orders_cut || !LeaderNode().Sends(orders.host)) {
+        it->second.commands_cut || !LeaderNode().Sends(commands.host)) {
       return {};
     }
     SimWorker& w = it->second;
-    if (orders.token < w.token || orders.session != w.session) return false;
-    w.token = orders.token;
-    Execute(w, orders.orders);
+    if (commands.token < w.token || commands.incarnation != w.incarnation)
+      return false;
+    w.token = commands.token;
+    Execute(w, commands.commands);
     return true;
   };
-  const auto it = workers_.find(orders.host);
+  const auto it = workers_.find(commands.host);
   const bool silent = it == workers_.end() || it->second.dead ||
-                      it->second.Hangs(now_) || it->second.orders_cut ||
-                      !LeaderNode().Sends(orders.host);
+                      it->second.Hangs(now_) || it->second.commands_cut ||
+                      !LeaderNode().Sends(commands.host);
   if (fate == Fate::kRefusedConnection) {
-    After(kLatency, [answer] { answer(OrderOutcome::kNotSent, nullptr); });
+    After(kLatency, [answer] { answer(CommandOutcome::kNotSent, nullptr); });
     return;
   }
   if (silent || fate != Fate::kNormal) {
-    After(1.5, [answer] { answer(OrderOutcome::kUnknown, nullptr); });
+    After(1.5, [answer] { answer(CommandOutcome::kUnknown, nullptr); });
     if (fate == Fate::kLostAnswer) After(kLatency, [execute] { execute(); });
     if (fate == Fate::kLate) After(late, [execute] { execute(); });
     return;
   }
-  After(kLatency, [this, orders, execute, answer] {
+  After(kLatency, [this, commands, execute, answer] {
     const std::optional<bool> done = execute();
-    if (!done) return answer(OrderOutcome::kUnknown, nullptr);
-    const WorkerReport report = ReportOf(workers_.at(orders.host));
-    answer(*done ? OrderOutcome::kExecuted : OrderOutcome::kRefused, &report);
+    if (!done) return answer(CommandOutcome::kUnknown, nullptr);
+    const Heartbeat heartbeat = HeartbeatOf(workers_.at(commands.host));
+    answer(*done ? CommandOutcome::kExecuted : CommandOutcome::kRefused,
+           &heartbeat);
   });
 }
 
 // What has moved to the ended ones never lives again, and an end never changes.
-void Sim::CheckChange(const KeyChange& change) {
+void Sim::CheckChange(const Mutation& change) {
   const bool deletes = std::holds_alternative<std::monostate>(change.record);
   const auto ended = [&](std::string_view live, std::string_view end) {
     return !deletes && change.key.starts_with(live) &&
@@ -950,14 +960,14 @@
 }
 
 // Who leads next knows of a rental's machines by its record, or by theirs.
-void Sim::CheckSettled(const WriteTransaction& txn) {
-  for (const KeyChange& change : txn.changes) {
+void Sim::CheckSettled(const CompareAndSwap& txn) {
+  for (const Mutation& change : txn.mutations) {
     if (!std::holds_alternative<std::monostate>(change.record) ||
-        !change.key.starts_with(keys::kRental)) {
+        !change.key.starts_with(keys::kScaleOut)) {
       continue;
     }
     for (const std::string& host :
-         rented_[change.key.substr(keys::kRental.size())]) {
+         rented_[change.key.substr(keys::kScaleOut.size())]) {
       if (workers_.contains(host) &&
           !store_.contains(keys::Of(keys::kMachine, host))) {
         Break("rented and not recorded: " + host);
@@ -966,28 +976,28 @@
   }
 }
 
-uint64_t Sim::ApplyLate(const WriteTransaction& txn) {
+uint64_t Sim::ApplyLate(const CompareAndSwap& txn) {
   std::vector<std::string> failed;
   const uint64_t at = Apply(txn, &failed);
   ++late_writes_tried_;
   if (at == 0) return 0;
-  for (const KeyChange& change : txn.changes) {
+  for (const Mutation& change : txn.mutations) {
     late_changes_.push_back(change.key);
   }
   return at;
 }
 
-uint64_t Sim::Apply(const WriteTransaction& txn,
+uint64_t Sim::Apply(const CompareAndSwap& txn,
                     std::vector<std::string>* failed) {
-  for (const Condition& c : txn.conditions) {
+  for (const Precondition& c : txn.preconditions) {
     const auto it = store_.find(c.key);
-    if ((it == store_.end() ? 0 : it->second.second) != c.stamp) {
+    if ((it == store_.end() ? 0 : it->second.second) != c.mod_revision) {
       failed->push_back(c.key);
     }
   }
   if (!failed->empty()) return 0;
   ++revision_;
-  for (const KeyChange& change : txn.changes) {
+  for (const Mutation& change : txn.mutations) {
     if (const auto* job = std::get_if<JobRecord>(&change.record)) {
       TerminalState& told = told_[job->spec->id];
       if (told != TerminalState::kNone && told != job->terminal_state) {
@@ -1019,7 +1029,7 @@
   return revision_;
 }
 
-void Sim::Write(const WriteTransaction& txn) {
+void Sim::Write(const CompareAndSwap& txn) {
   ++transactions_;
   const uint64_t id = txn.id;
   const uint64_t leader = leader_->revision();
@@ -1028,27 +1038,27 @@
                           const std::vector<std::string>& failed) {
     if (!leader_ || leader_->revision() != leader) return;
     leader_->OnWriteAnswer(id, outcome, at, failed, now_);
-    Perform();
+    ExecuteActions();
   };
   if (state_down) {
     After(kLatency, [answer] { answer(WriteOutcome::kNotExecuted, 0, {}); });
     return;
   }
-  if (txn.changes.size() > state_takes) {
+  if (txn.mutations.size() > state_takes) {
     After(kLatency, [answer] { answer(WriteOutcome::kRefused, 0, {}); });
     return;
   }
   Fate fate = std::exchange(next_write, Fate::kNormal);
-  double late = next_write_late_s;
-  double again = std::exchange(next_write_again_s, 0);
+  double late = next_write_late_seconds;
+  double again = std::exchange(next_write_again_seconds, 0);
   if (late_writes) {
     LateWrites& w = *late_writes;
     const auto happens = [&](double share) {
       return std::bernoulli_distribution(share)(w.random);
     };
     const auto seconds = [&] {
-      return std::uniform_real_distribution<double>(w.least_s,
-                                                    w.longest_s)(w.random);
+      return std::uniform_real_distribution<double>(
+          w.least_seconds, w.longest_seconds)(w.random);
     };
     if (fate == Fate::kNormal && happens(w.unanswered)) {
       fate = Fate::kLate;
@@ -1074,43 +1084,45 @@
   }
 }
 
-void Sim::Rent(const RentMachines& rent) {
+void Sim::Rent(const RequestScaleOut& rent) {
   const std::string name = rent.name;
   const uint64_t leader = leader_->revision();
-  After(rent_s, [this, name, rent, leader] {
+  After(rent_seconds, [this, name, rent, leader] {
     auto& hosts = rented_[name];
     if (hosts.empty()) {
-      int room = rent.rental.count;
-      const auto limit = capacity.find(rent.rental.type);
+      int room = rent.scale_out.count;
+      const auto limit = capacity.find(rent.scale_out.type);
       if (limit != capacity.end()) {
         room = std::min(room, limit->second);
         limit->second -= room;
       }
       for (int i = 0; i < room; ++i) {
         const std::string host = "n-" + std::to_string(next_host_++);
-        AddWorker(host, rent.rental.type, rent.rental.zone, rent.rental.spot);
+        AddWorker(host, rent.scale_out.type, rent.scale_out.zone,
+                  rent.scale_out.spot);
         SimWorker& w = workers_[host];
-        w.up_at = never_boot ? 1e12 : now_ + types.at(w.type).boot_s;
+        w.up_at = never_boot ? 1e12 : now_ + types.at(w.type).boot_seconds;
         w.lease_from = w.up_at;
-        w.next_report = w.up_at;
+        w.next_heartbeat = w.up_at;
         hosts.push_back(host);
       }
     }
     if (!leader_ || leader_->revision() != leader) return;
-    leader_->OnRentAnswer(
-        name, hosts.empty() ? RentOutcome::kNoCapacity : RentOutcome::kGranted,
-        hosts, now_);
-    Perform();
+    leader_->OnScaleOutResponse(name,
+                                hosts.empty() ? ScaleOutOutcome::kNoCapacity
+                                              : ScaleOutOutcome::kGranted,
+                                hosts, now_);
+    ExecuteActions();
   });
 }
 
-void Sim::Perform() {
+void Sim::ExecuteActions() {
   while (leader_) {
     const std::vector<Action> actions = leader_->TakeActions();
     if (actions.empty()) return;
     const uint64_t leader = leader_->revision();
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<SendOrders>(&action)) {
+      if (const auto* send = std::get_if<SendCommands>(&action)) {
         Do(*send);
       } else if (const auto* probe = std::get_if<Probe>(&action);
                  probe != nullptr && faults) {
@@ -1119,10 +1131,10 @@
         if (!there || !back || !LeaderNode().Sends(probe->host)) continue;
         After(*there, [this, leader, host = probe->host, back] {
           OnWorker(host, [this, leader, back](SimWorker& w) {
-            if (w.orders_cut) return;
-            After(*back, [this, leader, report = ReportOf(w)] {
-              OnLeader(leader, [this, report] {
-                leader_->OnProbeAnswer(report, now_);
+            if (w.commands_cut) return;
+            After(*back, [this, leader, heartbeat = HeartbeatOf(w)] {
+              OnLeader(leader, [this, heartbeat] {
+                leader_->OnProbeAnswer(heartbeat, now_);
               });
             });
           });
@@ -1132,14 +1144,14 @@
           const auto it = workers_.find(host);
           if (it == workers_.end() || it->second.dead ||
               it->second.Hangs(now_) || now_ < it->second.up_at ||
-              it->second.orders_cut || !leader_ || !LeaderNode().Sends(host) ||
-              leader_->revision() != leader) {
+              it->second.commands_cut || !leader_ ||
+              !LeaderNode().Sends(host) || leader_->revision() != leader) {
             return;
           }
-          leader_->OnProbeAnswer(ReportOf(it->second), now_);
-          Perform();
+          leader_->OnProbeAnswer(HeartbeatOf(it->second), now_);
+          ExecuteActions();
         });
-      } else if (const auto* txn = std::get_if<WriteTransaction>(&action)) {
+      } else if (const auto* txn = std::get_if<CompareAndSwap>(&action)) {
         Write(*txn);
       } else if (const auto* read = std::get_if<ReadKeys>(&action)) {
         After(kLatency, [this, leader, keys = read->keys, id = read->id] {
@@ -1155,45 +1167,46 @@
             }
           }
           leader_->OnReadAnswer(id, !state_down, now_);
-          Perform();
+          ExecuteActions();
         });
       } else if (const auto* check = std::get_if<CheckInstance>(&action)) {
         Check(*check);
-      } else if (const auto* rent = std::get_if<RentMachines>(&action)) {
+      } else if (const auto* rent = std::get_if<RequestScaleOut>(&action)) {
         Rent(*rent);
       } else if (const auto* gone = std::get_if<DeleteMachines>(&action)) {
         After(0.2, [this, leader, hosts = gone->hosts] {
           for (const std::string& host : hosts) {
             const auto it = workers_.find(host);
-            // Asked once a report, and twice the probes' time for the answer.
+            // Asked once a heartbeat, and twice the probes' time for the
+            // answer.
             if (it != workers_.end() && !it->second.notice &&
                 CountOn(host) > 0 &&
                 now_ - it->second.reachable_from >
-                    2.5 * settings.workers.report_s) {
+                    2.5 * settings.workers.heartbeat_interval_seconds) {
               ++lost_alive_;
             }
             deletions_ += static_cast<int>(workers_.erase(host));
           }
           if (!leader_ || leader_->revision() != leader) return;
           leader_->OnDeleteAnswer(hosts, true, now_);
-          Perform();
+          ExecuteActions();
         });
-      } else if (const auto* note = std::get_if<Note>(&action);
+      } else if (const auto* note = std::get_if<LogEvent>(&action);
                  note != nullptr && std::getenv("OXBOW_SIM_LOG") != nullptr) {
         std::fprintf(stderr, "%.2f %s\n", now_, note->text.c_str());
       } else if (const auto* ask = std::get_if<AskReach>(&action)) {
         AnswerReach(*ask);
-      } else if (const auto* back = std::get_if<AskStandBack>(&action)) {
+      } else if (const auto* back = std::get_if<RequestLeaseYield>(&action)) {
         for (const std::string& name : back->peers) {
           SimController& c = controllers_[name];
           if (c.gone || c.refused || !c.lease ||
-              !c.lease->AskedToStandBack(now_)) {
+              !c.lease->OnYieldRequested(now_)) {
             continue;
           }
           After(kLatency, [this, leader, name, sent = now_,
                            ago = c.lease->RenewedAgo(now_)] {
             OnLeader(leader, [this, name, ago, sent] {
-              leader_->OnStoodBack(name, "life", now_, ago, sent, now_);
+              leader_->OnLeaseYielded(name, "life", now_, ago, sent, now_);
             });
           });
         }
@@ -1205,9 +1218,10 @@
                   leader_->OnDelegatesRead(read, sent, now_);
                 });
               });
-      } else if (const auto* offer = std::get_if<OfferLead>(&action)) {
-        AnswerOffer(*offer);
-      } else if (const auto* job = std::get_if<AskJob>(&action)) {
+      } else if (const auto* offer =
+                     std::get_if<OfferLeadershipTransfer>(&action)) {
+        AnswerTransferOffer(*offer);
+      } else if (const auto* job = std::get_if<RequestJobRecord>(&action)) {
         // The shell reads the live record, then how it ended.
         After(kLatency, [this, leader, id = job->id] {
           const auto end = store_.find(keys::Of(keys::kTerminal, id));
@@ -1215,9 +1229,10 @@
               end == store_.end()) {
             return;
           }
-          catalog_.RememberEnd(id, std::get<TerminalRecord>(end->second.first));
+          catalog_.RememberTerminalState(
+              id, std::get<TerminalRecord>(end->second.first));
         });
-      } else if (const auto* ask = std::get_if<ReadEnd>(&action)) {
+      } else if (const auto* ask = std::get_if<ReadTerminalState>(&action)) {
         After(kLatency, [this, leader, id = ask->id] {
           if (!leader_ || leader_->revision() != leader) return;
           for (const std::string_view prefix :
@@ -1226,14 +1241,14 @@
             if (state_down || it == store_.end()) continue;
             if (const auto* end =
                     std::get_if<TerminalRecord>(&it->second.first)) {
-              catalog_.RememberEnd(id, *end);
+              catalog_.RememberTerminalState(id, *end);
             } else {
               catalog_.Put(it->first, it->second.first, it->second.second);
             }
             break;
           }
-          leader_->OnEndRead(id, now_);
-          Perform();
+          leader_->OnTerminalStateRead(id, now_);
+          ExecuteActions();
         });
       } else if (const auto* quit = std::get_if<Resign>(&action)) {
         After(0, [this, leader, unfit = quit->unfit] {
@@ -1247,7 +1262,7 @@
 }
 
 bool Sim::Reaches(const SimController& c, const SimWorker& w) const {
-  return !w.dead && !w.Hangs(now_) && !w.orders_cut && now_ >= w.up_at &&
+  return !w.dead && !w.Hangs(now_) && !w.commands_cut && now_ >= w.up_at &&
          c.Sends(w.host);
 }
 
@@ -1260,8 +1275,9 @@
         });
     if (!reached) w.reachable_from = now_;
   }
-  std::erase_if(handed_over_,
-                [&](Time t) { return t <= now_ - settings.workers.lease_s; });
+  std::erase_if(transferred_at_, [&](Time t) {
+    return t <= now_ - settings.workers.lease_seconds;
+  });
   const SimController& self = controllers_[leading_];
   constexpr int kEnough = 4;
   const bool another =
@@ -1276,10 +1292,10 @@
                                       Reaches(c.second, w->second);
                              }) >= kEnough;
       });
-  const bool unfit =
-      another && now_ >= stalled_until_ && !state_down && self.in_cut &&
-      self.out_cut &&
-      handed_over_.size() < static_cast<size_t>(tuning.most_hand_overs);
+  const bool unfit = another && now_ >= stalled_until_ && !state_down &&
+                     self.in_cut && self.out_cut &&
+                     transferred_at_.size() <
+                         static_cast<size_t>(tuning.max_leadership_transfers);
   if (!unfit) fit_at_ = now_;
 }
 
@@ -1309,7 +1325,7 @@
           OnLeader(revision, [this, host] {
             const auto it = workers_.find(host);
             if (it == workers_.end()) return;
-            leader_->OnProbeAnswer(ReportOf(it->second), now_);
+            leader_->OnProbeAnswer(HeartbeatOf(it->second), now_);
           });
         });
       }
@@ -1325,19 +1341,20 @@
   });
 }
 
-void Sim::AnswerOffer(const OfferLead& offer) {
+void Sim::AnswerTransferOffer(const OfferLeadershipTransfer& offer) {
   After(kLatency, [this, revision = leader_->revision(), offer] {
     OnLeader(revision, [this, offer] {
       SimController& to = controllers_[offer.to];
       if (to.gone || to.refused || to.no_state || state_down ||
-          handed_over_.size() >= static_cast<size_t>(tuning.most_hand_overs)) {
-        leader_->OnOfferRefused(offer.to + " does not take over", now_);
+          transferred_at_.size() >=
+              static_cast<size_t>(tuning.max_leadership_transfers)) {
+        leader_->OnTransferRejected(offer.to + " does not take over", now_);
         return;
       }
-      handed_over_.push_back(now_);
-      leader_->OnOfferAgreed();
+      transferred_at_.push_back(now_);
+      leader_->OnTransferAccepted();
       leader_.reset();
-      ++hand_overs_;
+      ++leadership_transfers_;
       if (to.dies_on_offer) to.gone = true;
       Succeed(offer.to);
     });
@@ -1350,7 +1367,8 @@
   const bool there = !name.empty() && !controllers_[name].gone;
   const double wait =
       there ? 0.1
-            : tuning.leader_lease_ratio * settings.workers.lease_s / 2 + 0.1;
+            : tuning.leader_lease_ratio * settings.workers.lease_seconds / 2 +
+                  0.1;
   After(wait, [this, name, there, before = leading_] {
     if (leader_) return;
     if (there) return Lead(name);
@@ -1441,7 +1459,7 @@
   }
   if (there >= spec.tasks || (gang && there > 0)) return false;
   const uint32_t wanted = gang ? spec.tasks : 1;
-  for (const TeamSettings& team : settings.teams) {
+  for (const TeamQuota& team : settings.teams) {
     if (team.name != spec.team) continue;
     const auto held = teams.find(team.name);
     Resources used = held == teams.end() ? Resources() : held->second;
@@ -1502,10 +1520,10 @@
   if (!leader_) return wrong;
   for (const auto& m : leader_->machines()) {
     const auto it = workers_.find(m->host());
-    for (const auto& [key, r] : m->residents) {
+    for (const auto& [key, r] : m->task_attempts) {
       const std::string name = Name(key.job_id, key.task, key.attempt);
       // A start that is under way may not be there yet.
-      if (r.holds && r.order == StartOrder::kSettled &&
+      if (r.holds && r.order == StartProgress::kSettled &&
           (it == workers_.end() || !it->second.tasks.contains(name))) {
         wrong.push_back("not there: " + name + " on " + m->host());
       }
@@ -1531,7 +1549,7 @@
 }
 
 void Sim::CheckChainStart(const JobSpec& spec) {
-  for (const std::string& need : spec.waits_on) {
+  for (const std::string& need : spec.dependencies) {
     if (completed_[need].size() != jobs_.at(need).spec.tasks ||
         RecordedAs(need) != "done") {
       Break("too_early: " + spec.id + " before " + need);
@@ -1540,10 +1558,10 @@
 }
 
 // Whom its user was told to be cancelled takes all along that need it.
-void Sim::CheckOrphans() {
+void Sim::CheckOrphanedTasks() {
   for (const auto& [id, job] : jobs_) {
-    if (job.spec.waits_on.empty()) continue;
-    for (const std::string& need : job.spec.waits_on) {
+    if (job.spec.dependencies.empty()) continue;
+    for (const std::string& need : job.spec.dependencies) {
       StoredJob& before = jobs_.at(need);
       StoredJob& after = jobs_.at(id);
       if (before.told &&
@@ -1554,15 +1572,16 @@
         after.told_before = before.told_before;
       }
     }
-    const bool over = job.told_before &&
-                      now_ > *job.told_before + settings.workers.cancel_s &&
-                      now_ > job.submitted + settings.workers.cancel_s;
+    const bool over =
+        job.told_before &&
+        now_ > *job.told_before + settings.workers.cancel_seconds &&
+        now_ > job.submitted + settings.workers.cancel_seconds;
     if (over && RecordedAs(id) != "aborted") Break("orphaned: " + id);
   }
 }
 
 void Sim::CheckRules() {
-  CheckOrphans();
+  CheckOrphanedTasks();
   std::map<std::string, Resources> teams;
   for (const auto& [host, w] : workers_) {
     if (w.dead) continue;
@@ -1570,7 +1589,7 @@
       if (t.phase == TaskPhase::kExited) continue;
       const StoredJob& job = jobs_.at(t.job);
       if (Present(t)) teams[job.spec.team] += job.spec.need;
-      if (job.told && now_ > *job.told + settings.workers.cancel_s) {
+      if (job.told && now_ > *job.told + settings.workers.cancel_seconds) {
         Break("ran_cancelled: " + name);
       }
       // What any controller takes for the proof that it may tell.
@@ -1585,7 +1604,7 @@
     Break("floor: " + std::to_string(CountWell()) + " are well at " +
           std::to_string(now_));
   }
-  for (const TeamSettings& team : settings.teams) {
+  for (const TeamQuota& team : settings.teams) {
     const Resources used = teams[team.name];
     if ((team.cpus_max > 0 && used.cpus > team.cpus_max + 1e-6) ||
         (team.gpus_max > 0 && used.gpus > team.gpus_max + 1e-6)) {
@@ -1607,7 +1626,7 @@
     Resources lasting;
     Resources leaving;
     std::array<Resources, kPriorities> used_by;
-    for (const auto& [key, r] : m->residents) {
+    for (const auto& [key, r] : m->task_attempts) {
       if (r.job == nullptr) continue;
       Presence& here = jobs[r.job][m->index()];
       ++here.listed;
@@ -1660,7 +1679,7 @@
     if (it == workers_.end() || it->second.dead) continue;
     for (const auto& [name, t] : it->second.tasks) {
       if (t.phase == TaskPhase::kExited ||
-          m->residents.contains({t.job, t.task, t.attempt})) {
+          m->task_attempts.contains({t.job, t.task, t.attempt})) {
         continue;
       }
       wrong.push_back("taken for gone: " + name + " on " + m->host());
@@ -1678,7 +1697,7 @@
                       (it->second.dead && now_ - it->second.died_at > bound &&
                        now_ - m->last_heard > bound);
     const bool holds =
-        std::any_of(m->residents.begin(), m->residents.end(),
+        std::any_of(m->task_attempts.begin(), m->task_attempts.end(),
                     [](const auto& e) { return e.second.holds; });
     if (dead && it != workers_.end() && holds) {
       held.push_back("still counted on the dead " + m->host());
@@ -1743,14 +1762,15 @@
   if (state == TerminalState::kDone) return "done";
   if (state == TerminalState::kAborted) return "aborted";
   JobView view;
-  const JobSight sight = leader_ ? leader_->View(id, &view) : JobSight::kUnseen;
-  if (sight == JobSight::kUnseen) return "unknown";
-  if (sight == JobSight::kInDoubt) return "in-doubt";
+  const JobObservation observation =
+      leader_ ? leader_->View(id, &view) : JobObservation::kUnseen;
+  if (observation == JobObservation::kUnseen) return "unknown";
+  if (observation == JobObservation::kInDoubt) return "in-doubt";
   return std::string(view.status);
 }
 
-// Whoever reads the state service tells an end as soon as it stands there; from
-// then on the leader must not tell anything older by its own picture.
+// Whoever reads the key-value store tells an end as soon as it stands there;
+// from then on the leader must not tell anything older by its own picture.
 void Sim::CheckAnswers() {
   if (!leader_ || now_ < stalled_until_) return;
   for (auto it = ends_elsewhere_.begin(); it != ends_elsewhere_.end();) {
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -1,6 +1,6 @@
-// Stand-ins for the state service, the cloud and the workers, in virtual time,
-// round the real core. They follow the protocol, not the core's expectations,
-// and note every broken rule.
+// Stand-ins for the key-value store, the cloud and the workers, in virtual
+// time, round the real core. They follow the protocol, not the core's
+// expectations, and note every broken rule.
 #pragma once
 
 #include <deque>
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "core/controller/controller.h"
-#include "core/tiers/tiers.h"
+#include "core/leader/leader.h"
+#include "core/priority_tiers/tier_set.h"
 
 namespace oxbow::test {
 
@@ -39,36 +39,37 @@
   bool dead = false;
   Time died_at = 0;
   bool hung = false;
-  Time hangs_until = 0;      // as if hung, until then
-  bool reports_cut = false;  // its reports don't arrive
-  bool orders_cut = false;   // nothing sent to its address arrives
-  bool answers_cut = false;  // no answer to its reports arrives
-  double retry_s = 5.25;     // then, until its next report comes to the leader
-  double copy_after = 0;     // each report comes again so much later; 0: none
-  bool faulty = false;       // every task errs
-  bool kept = false;         // another controller answers, without orders
-  std::string by_way;        // its reports come by way of that controller
+  Time hangs_until = 0;         // as if hung, until then
+  bool heartbeats_cut = false;  // its heartbeats don't arrive
+  bool commands_cut = false;    // nothing sent to its address arrives
+  bool answers_cut = false;     // no answer to its heartbeats arrives
+  double retry_seconds =
+      5.25;               // then, until its next heartbeat comes to the leader
+  double copy_after = 0;  // each heartbeat comes again so much later; 0: none
+  bool faulty = false;    // every task errs
+  bool kept = false;      // another controller answers, without commands
+  std::string by_way;     // its heartbeats come by way of that controller
   std::optional<double> notice;
-  uint64_t session = 1;
+  uint64_t incarnation = 1;
   uint64_t seq = 0;
   uint64_t token = 0;
   Time lease_from = 0;  // when the last answered report was sent
-  Time next_report = 0;
-  Time waits_until = 0;       // for the answer to its report
-  uint64_t seen_session = 0;  // by this leader; 0: none
-  bool risen = false;         // it saw a session end
-  bool unproven = false;      // it saw another end, and no answer arrived since
-  uint64_t heard_from = 0;    // the leadership whose answer arrived last
-  uint64_t reports = 0;       // sent
-  Time reachable_from = 0;    // by a controller that can be asked
+  Time next_heartbeat = 0;
+  Time waits_until = 0;           // for the answer to its heartbeat
+  uint64_t seen_incarnation = 0;  // by this leader; 0: none
+  bool risen = false;             // it saw an incarnation end
+  bool unproven = false;    // it saw another end, and no answer arrived since
+  uint64_t heard_from = 0;  // the leadership whose answer arrived last
+  uint64_t heartbeats = 0;  // sent
+  Time reachable_from = 0;  // by a controller that can be asked
   std::set<std::string> images;
   std::map<std::string, SimTask> tasks;  // by "job/task#attempt"
 
   bool Hangs(Time now) const { return hung || now < hangs_until; }
   // Alive, with every message to and from it getting through.
   bool Sound(Time now) const {
-    return !dead && now >= up_at && !Hangs(now) && !reports_cut &&
-           !orders_cut && !answers_cut && !faulty && !notice;
+    return !dead && now >= up_at && !Hangs(now) && !heartbeats_cut &&
+           !commands_cut && !answers_cut && !faulty && !notice;
   }
 };
 
@@ -79,10 +80,10 @@
   std::mt19937_64 random;
   double lost = 0;
   double held = 0;
-  double refused = 0;  // of connections for orders
-  double longest_s = 0;
-  double copied = 0;  // of reports
-  double latest_copy_s = 0;
+  double refused = 0;  // of connections for commands
+  double longest_seconds = 0;
+  double copied = 0;  // of heartbeats
+  double latest_copy_seconds = 0;
 
   bool Happens(double share) {
     return std::bernoulli_distribution(share)(random);
@@ -98,7 +99,7 @@
 struct Illness {
   Time sick_from = 1e18;     // on the clock
   double sick_after = 1e18;  // s of running, each for itself
-  double flap_s = 0;         // well and sick in turn, for so long each
+  double flap_seconds = 0;   // well and sick in turn, for so long each
   bool mute = false;         // sick ones do not answer at all
 };
 
@@ -107,13 +108,13 @@
   std::string zone;  // its own; empty: none
   std::optional<DelegatedLease> lease;
   Time next_ask = 0;              // for the right to keep its zone's workers
-  Time recorded_until = 0;        // that right, in the state service
+  Time recorded_until = 0;        // that right, in the key-value store
   bool gone = false;              // its process is not there
   bool refused = false;           // the other controllers don't reach it
-  bool no_state = false;          // it doesn't reach the state service
+  bool no_state = false;          // it doesn't reach the key-value store
   double wall_off = 0;            // its wall clock, s ahead of true time
   bool dies_on_offer = false;     // it agrees to lead and is gone
-  bool in_cut = false;            // no worker's report gets to it
+  bool in_cut = false;            // no worker's heartbeat gets to it
   bool out_cut = false;           // nothing it sends gets to a worker
   std::set<std::string> unheard;  // these workers, both ways
 
@@ -135,16 +136,16 @@
   double unanswered = 0;   // share
   double answer_lost = 0;  // share, of those carried out at once
   double copied = 0;       // share, also of those without an answer
-  double least_s = 2;
-  double longest_s = 12;
+  double least_seconds = 2;
+  double longest_seconds = 12;
 };
 
-// Faults of users and of reports, drawn from a seed.
+// Faults of users and of heartbeats, drawn from a seed.
 struct Troubles {
   std::mt19937_64 random;
-  double reports_for_next = 0;  // share of reports: KeepForNext
-  double cancel_at_end = 0;     // share of jobs: CancelAtEnd
-  double odd_requests = 0;      // a second: RequestOddly
+  double heartbeats_for_next = 0;  // share of heartbeats: KeepForNext
+  double cancel_at_end = 0;        // share of jobs: CancelAtEnd
+  double odd_requests = 0;         // a second: RequestOddly
 
   bool Happens(double share) {
     return share > 0 && std::bernoulli_distribution(share)(random);
@@ -160,7 +161,7 @@
   std::map<std::string, MachineType> types;
   std::map<std::string, int> capacity;  // per type; absent: no limit
   bool never_boot = false;
-  double rent_s = 0.2;  // until the cloud answers
+  double rent_seconds = 0.2;  // until the cloud answers
   bool state_down = false;
   size_t state_takes = SIZE_MAX;  // changes in a transaction; more: refused
   bool by_promises = false;       // what the right to lead rests on
@@ -171,13 +172,14 @@
   std::optional<LateWrites> late_writes;
   Troubles troubles;
   Fate next_write = Fate::kNormal;
-  double next_write_late_s = 30;  // if its fate is kLate
-  double next_write_again_s = 0;  // carried out once more so much later; 0: not
+  double next_write_late_seconds = 30;  // if its fate is kLate
+  double next_write_again_seconds =
+      0;  // carried out once more so much later; 0: not
 
   void AddWorker(const std::string& host, const std::string& type,
                  const std::string& zone, bool spot);
   SimWorker& worker(const std::string& host) { return workers_.at(host); }
-  void SetFate(const std::string& host, Fate fate, double late_s);
+  void SetFate(const std::string& host, Fate fate, double late_seconds);
   // A leader takes office, the one before is gone.
   void Lead() { Lead(leading_); }
   void Lead(const std::string& name);
@@ -193,18 +195,19 @@
   int transactions() const { return transactions_; }
   int late_writes_tried() const { return late_writes_tried_; }
   int CountLateChanges(const std::string& prefix) const;
-  // The state service's data get an epoch; and they are all lost, the leader
+  // The key-value store's data get an epoch; and they are all lost, the leader
   // with them: the next one remembers what this one knew, in a new epoch.
   void OpenEpoch();
   void LoseRecords();
-  // Keys with that prefix in the state service.
+  // Keys with that prefix in the key-value store.
   int CountRecords(const std::string& prefix) const;
-  int hand_overs() const { return hand_overs_; }
+  int leadership_transfers() const { return leadership_transfers_; }
   // Machines deleted although they lived with tasks on them and some
   // controller had reached them for longer than it takes to ask.
   int lost_alive() const { return lost_alive_; }
   // For how long the leader has reached nobody, while another controller that
-  // could lead reached four machines and more, and hand-overs were left.
+  // could lead reached four machines and more, and leadership transfers were
+  // left.
   double unfit_for() const { return now_ - fit_at_; }
   // The leader stops without a word.
   void Crash() { leader_.reset(); }
@@ -213,16 +216,16 @@
   void Stall(double seconds) { stalled_until_ = now_ + seconds; }
   // A report that comes once more, to whoever leads by then; nobody waits for
   // the answer.
-  void Copy(const WorkerReport& report, double after);
+  void Copy(const Heartbeat& heartbeat, double after);
   void NoteWithheld(const SimWorker& w);
-  // A copy of the report reaches the next leader just as it begins.
-  void KeepForNext(const WorkerReport& report) { kept_.push_back(report); }
-  // The last report that the worker has sent.
-  const WorkerReport& LastReport(const std::string& host) {
+  // A copy of the heartbeat reaches the next leader just as it begins.
+  void KeepForNext(const Heartbeat& heartbeat) { kept_.push_back(heartbeat); }
+  // The last heartbeat that the worker has sent.
+  const Heartbeat& LastHeartbeat(const std::string& host) {
     return sent_.at(host);
   }
   // Tasks started where no answer has arrived since this leader has seen a
-  // session of the worker end.
+  // incarnation of the worker end.
   int starts_on_deaf() const { return starts_on_deaf_; }
   // Dead machines on which the leader still counts tasks, so many s after they
   // died, it took office, and it heard the last that was news of them.
@@ -235,7 +238,7 @@
   void CancelJob(const std::string& id);
   // Users cancel so many jobs that run, within 0.2 s; up to eight of the
   // machines of these jobs hang for so long.
-  void CancelBurst(int count, double hang_s);
+  void CancelBurst(int count, double hang_seconds);
   // Its user cancels the job at the moment at which its last task ends.
   void CancelAtEnd(const std::string& id) { cancel_at_end_.insert(id); }
   // Users repeat the submissions of jobs that live, and cancel jobs that have
@@ -250,7 +253,7 @@
   // Tasks that the leader counts as present where there is none.
   std::vector<std::string> Phantoms() const;
 
-  // The record of the tiers, as operators leave it in the state service;
+  // The record of the tiers, as operators leave it in the key-value store;
   // absent: there is none.
   struct TiersRecord {
     std::string text;
@@ -260,15 +263,15 @@
   void RecordTiers(std::optional<TiersRecord> record);
   const TiersInForce& tiers_in_force() { return tiers_in_force_[leading_]; }
 
-  // A user declares a roll-out, or asks for something about it.
+  // A user declares a rollout, or asks for something about it.
   void Declare(const RolloutSpec& spec);
-  void Wish(const std::string& id, RolloutWish wish);
+  void RequestRollout(const std::string& id, RolloutRequest request);
 
   // Operators book, or cancel. A leader learns of it as it does of records; one
-  // that does not reach the state service keeps what it knew.
-  void Book(const Booking& booking);
+  // that does not reach the key-value store keeps what it knew.
+  void Book(const MaintenanceWindow& booking);
   void CancelBooking(const std::string& id);
-  // The state service has lost its bookings. Until they are written back, by
+  // The key-value store has lost its bookings. Until they are written back, by
   // what the controllers know, nobody takes its word for any.
   void LoseBookings(double seconds) {
     bookings_.clear();
@@ -291,7 +294,7 @@
   std::optional<RolloutRecord> RolloutOf(const std::string& id) const;
 
   Time now() const { return now_; }
-  Controller* leader() { return leader_.get(); }
+  Leader* leader() { return leader_.get(); }
   Catalog& catalog() { return catalog_; }
   int CountRunning(const std::string& job) const;
   int CountPresent(const std::string& job) const;
@@ -310,7 +313,7 @@
  private:
   static constexpr double kEpochOffset = 1e6;
   struct SimBooking {
-    Booking booking;
+    MaintenanceWindow booking;
     uint64_t version = 0;
     bool withdrawn = false;
   };
@@ -338,12 +341,12 @@
   };
 
   void Step();
-  void Perform();
-  void Do(const SendOrders& orders);
-  void DoWithFaults(const SendOrders& orders);
-  void ReportWithFaults(SimWorker& w);
-  void AcceptReply(SimWorker& w, const ReportReply& reply, uint64_t session,
-                   Time sent);
+  void ExecuteActions();
+  void Do(const SendCommands& commands);
+  void DoWithFaults(const SendCommands& commands);
+  void SendHeartbeatWithFaults(SimWorker& w);
+  void AcceptReply(SimWorker& w, const HeartbeatResponse& reply,
+                   uint64_t incarnation, Time sent);
   // Controllers in zones ask for the right to keep their workers.
   void AskForZones();
   // Whether a controller inside answers a worker that nobody else hears.
@@ -353,34 +356,34 @@
   void OnLeader(uint64_t revision, std::function<void()> what);
   // Runs on the worker once it does not hang any more, if it is still there.
   void OnWorker(const std::string& host, std::function<void(SimWorker&)> what);
-  void Execute(SimWorker& w, const std::vector<Order>& orders);
-  void StartTask(SimWorker& w, const Order& o);
+  void Execute(SimWorker& w, const std::vector<WorkerCommand>& commands);
+  void StartTask(SimWorker& w, const WorkerCommand& o);
   void AdvanceWorker(SimWorker& w);
-  void SendReport(SimWorker& w);
-  WorkerReport ReportOf(SimWorker& w);
-  void Write(const WriteTransaction& txn);
+  void SendHeartbeat(SimWorker& w);
+  Heartbeat HeartbeatOf(SimWorker& w);
+  void Write(const CompareAndSwap& txn);
   // Revision of the change; 0 with the failed keys when a condition fails.
-  uint64_t Apply(const WriteTransaction& txn, std::vector<std::string>* failed);
-  void CheckChange(const KeyChange& change);
-  void CheckSettled(const WriteTransaction& txn);
-  uint64_t ApplyLate(const WriteTransaction& txn);
-  void Rent(const RentMachines& rent);
+  uint64_t Apply(const CompareAndSwap& txn, std::vector<std::string>* failed);
+  void CheckChange(const Mutation& change);
+  void CheckSettled(const CompareAndSwap& txn);
+  uint64_t ApplyLate(const CompareAndSwap& txn);
+  void Rent(const RequestScaleOut& rent);
   void After(double seconds, std::function<void()> what);
-  // Brings what has changed in the state service to the leader.
+  // Brings what has changed in the key-value store to the leader.
   void Watch();
   void ReadBookings();
-  void TellBookings();
+  void PublishMaintenanceWindows();
   void LookAtClocks();
   void Check(const CheckInstance& check);
   // Whether the machine answers a probe of that controller.
   bool Reaches(const SimController& c, const SimWorker& w) const;
   void WatchReach();
   void AnswerReach(const AskReach& ask);
-  void AnswerOffer(const OfferLead& offer);
+  void AnswerTransferOffer(const OfferLeadershipTransfer& offer);
   // The one that goes for the free key first.
   void Succeed(const std::string& name);
   SimController& LeaderNode() { return controllers_[leading_]; }
-  // Every controller that reaches the state service follows the record.
+  // Every controller that reaches the key-value store follows the record.
   void FollowTiers();
   bool Well(const SimTask& t) const;
   void NoteCancelled();
@@ -399,9 +402,9 @@
   void CheckAnswers();
   // An account of its own of jobs that wait for others.
   void CheckChainStart(const JobSpec& spec);
-  void CheckOrphans();
+  void CheckOrphanedTasks();
   // What the leader has seen of the workers' sessions.
-  void NoteSessions();
+  void RecordIncarnations();
   // The leader's indices against a fresh count of what they stand for.
   void CheckIndices();
   void Break(const std::string& what);
@@ -415,7 +418,7 @@
   bool remembers_ = false;  // the next leader, what the last one knew
   std::vector<std::pair<std::string, uint64_t>> news_;  // key, revision
   Catalog catalog_;
-  std::unique_ptr<Controller> leader_;
+  std::unique_ptr<Leader> leader_;
   std::string leading_ = "a";
   std::map<std::string, SimController> controllers_;
   std::optional<TiersRecord> tiers_record_;
@@ -426,7 +429,7 @@
   std::map<std::string, BookingView> booking_views_;  // by controller
   Time rebuilt_at_ = 0;
   std::map<std::string, uint64_t> bookings_told_;  // to the leader, versions
-  std::vector<Time> handed_over_;                  // within a lease
+  std::vector<Time> transferred_at_;               // within a lease
   Time fit_at_ = 100;
   std::map<std::string, SimWorker> workers_;
   std::map<std::string, std::pair<Fate, double>> fates_;
@@ -435,12 +438,12 @@
   std::map<std::string, std::set<uint32_t>> completed_;
   std::map<std::string, TerminalState> told_;
   std::set<std::string> cancel_asked_;
-  // Jobs whose end any other controller may have read in the state service and
-  // told, while the leader has not told it yet.
+  // Jobs whose end any other controller may have read in the key-value store
+  // and told, while the leader has not told it yet.
   std::set<std::string> ends_elsewhere_;
   std::set<std::string> cancel_at_end_;
-  std::vector<WorkerReport> kept_;            // for the next leader
-  std::map<std::string, WorkerReport> sent_;  // the last of each worker
+  std::vector<Heartbeat> kept_;            // for the next leader
+  std::map<std::string, Heartbeat> sent_;  // the last of each worker
   std::vector<Later> later_;
   std::vector<std::string> broken_;
   int next_host_ = 1000;
@@ -450,7 +453,7 @@
   int late_writes_tried_ = 0;
   std::vector<std::string> late_changes_;  // keys
   int deletions_ = 0;
-  int hand_overs_ = 0;
+  int leadership_transfers_ = 0;
   int lost_alive_ = 0;
   int starts_on_deaf_ = 0;
   Time leads_since_ = 100;
--- a/tests/stand_ins.cc
+++ b/tests/stand_ins.cc
@@ -39,9 +39,9 @@
   }
 }
 
-// --- the state service
+// --- the key-value store
 
-FakeState::FakeState(net::Loop& loop)
+FakeKeyValueStore::FakeKeyValueStore(net::Loop& loop)
     : loop_(loop), server_(loop, Local(0), {}, [this](HttpRequest r) {
         return Handle(std::move(r));
       }) {
@@ -49,40 +49,41 @@
   net::Spawn(EndLeases());
 }
 
-std::string FakeState::Ledger() const {
+std::string FakeKeyValueStore::Ledger() const {
   return fmt::format("\"ledger_no\":{}", revision_);
 }
 
-std::string FakeState::Value(const std::string& key) const {
+std::string FakeKeyValueStore::Value(const std::string& key) const {
   const auto it = keys_.find(key);
   return it == keys_.end() ? std::string() : it->second.value;
 }
 
-std::shared_ptr<const FakeState::Copy> FakeState::Save() const {
+std::shared_ptr<const FakeKeyValueStore::Copy> FakeKeyValueStore::Save() const {
   return std::make_shared<Copy>(
       Copy{keys_, log_, leases_, next_lease_, revision_});
 }
 
-void FakeState::Restore(const Copy& copy, bool revision_goes_on) {
+void FakeKeyValueStore::Restore(const Copy& copy, bool revision_goes_on) {
   keys_ = copy.keys;
   log_ = copy.log;
   leases_ = copy.leases;
-  for (auto& [id, lease] : leases_) lease.until = loop_.Now() + lease.ttl_s;
+  for (auto& [id, lease] : leases_)
+    lease.until = loop_.Now() + lease.ttl_seconds;
   if (revision_goes_on) return;
   next_lease_ = copy.next_lease;
   revision_ = copy.revision;
 }
 
-void FakeState::LoseAll(bool revision_goes_on) {
+void FakeKeyValueStore::EraseAll(bool revision_goes_on) {
   Restore(Copy(), revision_goes_on);
 }
 
-void FakeState::Lose(const std::string& prefix) {
+void FakeKeyValueStore::Lose(const std::string& prefix) {
   std::erase_if(keys_,
                 [&](const auto& e) { return e.first.starts_with(prefix); });
 }
 
-Task<HttpResponse> FakeState::Follow(const HttpRequest& request) {
+Task<HttpResponse> FakeKeyValueStore::Watch(const HttpRequest& request) {
   HttpResponse response;
   const std::string prefix(request.query("prefix"));
   const auto after = std::stoull(std::string(request.query("after")));
@@ -91,28 +92,28 @@
   }
   std::string log;
   for (const Change& c : log_) {
-    if (c.stamp <= after || !c.key.starts_with(prefix)) continue;
+    if (c.mod_revision <= after || !c.key.starts_with(prefix)) continue;
     if (!log.empty()) log += ",";
     log += c.value.empty()
                ? fmt::format(R"({{"delete":"{}")", c.key)
                : fmt::format(R"({{"set":"{}","v":{})", c.key, c.value);
-    log += fmt::format(R"(,"stamp":{}}})", c.stamp);
+    log += fmt::format(R"(,"stamp":{}}})", c.mod_revision);
   }
   response.body = "{" + Ledger() + ",\"log\":[" + log + "]}";
   co_return response;
 }
 
-Task<HttpResponse> FakeState::Handle(HttpRequest request) {
+Task<HttpResponse> FakeKeyValueStore::Handle(HttpRequest request) {
   HttpResponse response;
   const std::string path(request.path());
-  if (path == "/follow") co_return co_await Follow(request);
+  if (path == "/follow") co_return co_await Watch(request);
   if (down) {
     response.status = 503;
     co_return response;
   }
   const auto item = [](const Change& c) {
     return fmt::format(R"({{"key":"{}","v":{},"stamp":{},"permit":{}}})", c.key,
-                       c.value, c.stamp, c.lease);
+                       c.value, c.mod_revision, c.lease);
   };
   if (path == "/kv") {
     const std::string prefix(request.query("prefix"));
@@ -144,25 +145,28 @@
   co_return response;
 }
 
-bool FakeState::Sets(const std::string& body, const std::string& prefix) {
+bool FakeKeyValueStore::Sets(const std::string& body,
+                             const std::string& prefix) {
   return !prefix.empty() &&
          body.find("\"set\":\"" + prefix) != std::string::npos;
 }
 
-int FakeState::CarryOutHeld() {
+int FakeKeyValueStore::CarryOutHeld() {
   HttpResponse response;
   Transaction(held_.at(0), &response);
   held_.erase(held_.begin());
   return response.status;
 }
 
-void FakeState::Transaction(const std::string& body, HttpResponse* response) {
+void FakeKeyValueStore::Transaction(const std::string& body,
+                                    HttpResponse* response) {
   rapidjson::Document doc;
   doc.Parse(body.c_str());
   std::string failed;
   for (const auto& c : doc["if"].GetArray()) {
     const auto it = keys_.find(c["key"].GetString());
-    if ((it == keys_.end() ? 0 : it->second.stamp) != c["stamp"].GetUint64()) {
+    if ((it == keys_.end() ? 0 : it->second.mod_revision) !=
+        c["stamp"].GetUint64()) {
       if (!failed.empty()) failed += ",";
       failed += fmt::format("\"{}\"", c["key"].GetString());
     }
@@ -207,18 +211,19 @@
   response->body = "{" + Ledger() + "}";
 }
 
-void FakeState::Put(const std::string& key, const std::string& value) {
+void FakeKeyValueStore::Put(const std::string& key, const std::string& value) {
   ++revision_;
   keys_[key] = {key, value, revision_, 0};
   log_.push_back(keys_[key]);
 }
 
-void FakeState::Delete(const std::string& key) {
+void FakeKeyValueStore::Delete(const std::string& key) {
   keys_.erase(key);
   log_.push_back({key, "", revision_, 0});
 }
 
-void FakeState::Leases(const HttpRequest& request, HttpResponse* response) {
+void FakeKeyValueStore::Leases(const HttpRequest& request,
+                               HttpResponse* response) {
   const std::string path(request.path());
   if (path == "/leases") {
     rapidjson::Document doc;
@@ -236,16 +241,16 @@
   } else if (request.method == "DELETE") {
     it->second.until = 0;
   } else {
-    it->second.until = loop_.Now() + it->second.ttl_s;
+    it->second.until = loop_.Now() + it->second.ttl_seconds;
   }
 }
 
-Task<void> FakeState::EndLeases() {
+Task<void> FakeKeyValueStore::EndLeases() {
   for (;;) {
     co_await loop_.Sleep(0.02);
     for (auto it = leases_.begin(); it != leases_.end();) {
       // In an outage no lease ends, and afterwards each has its full time.
-      if (down) it->second.until = loop_.Now() + it->second.ttl_s;
+      if (down) it->second.until = loop_.Now() + it->second.ttl_seconds;
       if (loop_.Now() < it->second.until) {
         ++it;
         continue;
@@ -339,7 +344,7 @@
   while (!dead_) {
     co_await loop_.Sleep(0.02);
     const double now = loop_.Now();
-    if (now - lease_from_ > timing_.lease_s) {
+    if (now - lease_from_ > timing_.lease_seconds) {
       instances_.clear();
       ++session_;
       lease_from_ = now;
@@ -348,10 +353,10 @@
     if (notice_ > 0) notice_ = std::max(0.001, notice_ - 0.02);
     if (cut_ || (now < next && !changed_)) continue;
     changed_ = false;
-    next = now + timing_.report_s;
+    next = now + timing_.heartbeat_interval_seconds;
     if (!co_await Report()) {
       at_ = (at_ + 1) % clients_.size();
-      co_await loop_.Sleep(timing_.report_s / 2);
+      co_await loop_.Sleep(timing_.heartbeat_interval_seconds / 2);
     }
   }
 }
@@ -374,10 +379,10 @@
 
 Task<bool> FakeWorker::Report() {
   const double sent = loop_.Now();
-  const uint64_t session = session_;
+  const uint64_t incarnation = session_;
   if (controllers_[at_].first == avoided_) co_return false;
   const net::ClientResult answer = co_await clients_[at_]->Request(
-      "POST", "/v1/report", Message(), timing_.lease_s * 0.4);
+      "POST", "/v1/report", Message(), timing_.lease_seconds * 0.4);
   if (answer.outcome != net::Outcome::kAnswered || dead_) co_return false;
   rapidjson::Document doc;
   if (!json::Parse(answer.body, &doc)) co_return false;
@@ -393,7 +398,7 @@
   }
   if (answer.status != 200) co_return false;
   const uint64_t token = json::GetUint(doc, "fence");
-  if (token < token_ || session != session_) co_return true;
+  if (token < token_ || incarnation != session_) co_return true;
   if (token > token_) changed_ = true;
   token_ = token;
   lease_from_ = sent;
@@ -477,7 +482,8 @@
   if (it == cues_.end()) return true;
   const Cue& cue = it->second;
   if (ran >= cue.sick_after) return false;
-  return cue.flap_s <= 0 || static_cast<int64_t>(ran / cue.flap_s) % 2 == 0;
+  return cue.flap_seconds <= 0 ||
+         static_cast<int64_t>(ran / cue.flap_seconds) % 2 == 0;
 }
 
 int FakeWorker::Well(const std::string& job) const {
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,6 +1,6 @@
-// Stand-ins on loopback for what a controller talks to: the state service, the
-// cloud, and workers whose instances answer health checks on cue. They follow
-// the published protocol and keep their own account of what is there.
+// Stand-ins on loopback for what a controller talks to: the key-value store,
+// the cloud, and workers whose instances answer health checks on cue. They
+// follow the published protocol and keep their own account of what is there.
 #pragma once
 
 #include <functional>
@@ -20,19 +20,19 @@
 uint16_t FreePort();
 
 // Keys with revisions, transactions, watches, leases that end.
-class FakeState {
+class FakeKeyValueStore {
  public:
   bool down = false;
   size_t most_value = SIZE_MAX;  // bytes; a larger one is refused
 
-  explicit FakeState(net::Loop& loop);
+  explicit FakeKeyValueStore(net::Loop& loop);
   uint16_t port() const { return server_.port(); }
   // Data is lost, in the ways that are known of such services.
   struct Copy;
   std::shared_ptr<const Copy> Save() const;
   // An older copy comes back; `revision_goes_on`: from where it is.
   void Restore(const Copy& copy, bool revision_goes_on);
-  void LoseAll(bool revision_goes_on);
+  void EraseAll(bool revision_goes_on);
   void Lose(const std::string& prefix);
   void LoseLeases() { leases_.clear(); }
 
@@ -55,16 +55,16 @@
   struct Change {
     std::string key;
     std::string value;  // empty: deleted
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint64_t lease = 0;
   };
   struct Lease {
-    double ttl_s = 0;
+    double ttl_seconds = 0;
     double until = 0;
   };
 
   net::Task<net::HttpResponse> Handle(net::HttpRequest request);
-  net::Task<net::HttpResponse> Follow(const net::HttpRequest& request);
+  net::Task<net::HttpResponse> Watch(const net::HttpRequest& request);
   void Transaction(const std::string& body, net::HttpResponse* response);
   static bool Sets(const std::string& body, const std::string& prefix);
   void Leases(const net::HttpRequest& request, net::HttpResponse* response);
@@ -86,7 +86,7 @@
   net::HttpServer server_;
 };
 
-struct FakeState::Copy {
+struct FakeKeyValueStore::Copy {
   std::map<std::string, Change> keys;
   std::vector<Change> log;
   std::map<uint64_t, Lease> leases;
@@ -112,7 +112,7 @@
 // How the instances of a job answer.
 struct Cue {
   double sick_after = 1e18;  // s of running
-  double flap_s = 0;
+  double flap_seconds = 0;
   double done_after = 1e18;  // s of running; a service never is
   enum class Way { kError, kEmpty, kSilent } way = Way::kError;
 };
@@ -122,8 +122,8 @@
 class FakeWorker {
  public:
   struct Timing {
-    double report_s = 0.2;
-    double lease_s = 2;
+    double heartbeat_interval_seconds = 0.2;
+    double lease_seconds = 2;
     uint16_t health_port = 0;
   };
 
--- a/tests/state_loss_test.cc
+++ b/tests/state_loss_test.cc
@@ -1,5 +1,5 @@
-// The state service loses data under three real controllers: what runs goes on
-// running, what was told stays true, and new jobs run again.
+// The key-value store loses data under three real controllers: what runs goes
+// on running, what was told stays true, and new jobs run again.
 
 #include <gtest/gtest.h>
 
@@ -21,7 +21,7 @@
 
 struct Loss {
   const char* name;
-  std::function<void(FakeState&, const FakeState::Copy&)> what;
+  std::function<void(FakeKeyValueStore&, const FakeKeyValueStore::Copy&)> what;
   bool all_end = false;       // all controllers end at the same moment
   bool jobs_known = true;     // somebody remembers every job that runs
   bool remembers_end = true;  // and the one that was cancelled
@@ -197,28 +197,42 @@
 
 const auto kLosses = testing::Values(
     Loss{"everything; the revision begins anew",
-         [](FakeState& s, const FakeState::Copy&) { s.LoseAll(false); }},
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy&) {
+           s.EraseAll(false);
+         }},
     Loss{"everything; the revision goes on",
-         [](FakeState& s, const FakeState::Copy&) { s.LoseAll(true); }},
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy&) {
+           s.EraseAll(true);
+         }},
     Loss{"an older copy with its revision",
-         [](FakeState& s, const FakeState::Copy& c) { s.Restore(c, false); }},
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy& c) {
+           s.Restore(c, false);
+         }},
     Loss{"an older copy, the revision goes on",
-         [](FakeState& s, const FakeState::Copy& c) { s.Restore(c, true); }},
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy& c) {
+           s.Restore(c, true);
+         }},
     Loss{"jobs and machines",
-         [](FakeState& s, const FakeState::Copy&) {
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy&) {
            s.Lose("ob/live/j/");
            s.Lose("ob/live/m/");
          }},
-    Loss{"leases only",
-         [](FakeState& s, const FakeState::Copy&) { s.LoseLeases(); }},
+    Loss{"leases only", [](FakeKeyValueStore& s,
+                           const FakeKeyValueStore::Copy&) { s.LoseLeases(); }},
     Loss{"everything, and all controllers end",
-         [](FakeState& s, const FakeState::Copy&) { s.LoseAll(false); }, true,
-         false, false},
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy&) {
+           s.EraseAll(false);
+         },
+         true, false, false},
     Loss{"the same, the revision goes on",
-         [](FakeState& s, const FakeState::Copy&) { s.LoseAll(true); }, true,
-         false, false},
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy&) {
+           s.EraseAll(true);
+         },
+         true, false, false},
     Loss{"an older copy, and all controllers end",
-         [](FakeState& s, const FakeState::Copy& c) { s.Restore(c, false); },
+         [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy& c) {
+           s.Restore(c, false);
+         },
          true, true, false});
 
 INSTANTIATE_TEST_SUITE_P(Losses, StateLoss, kLosses);
@@ -229,16 +243,17 @@
 // (--gtest_also_run_disabled_tests) until that is mended.
 INSTANTIATE_TEST_SUITE_P(
     DISABLED_AllButOne, StateLoss,
-    testing::Values(Loss{"an older copy, and all but one end",
-                         [](FakeState& s, const FakeState::Copy& c) {
-                           s.Restore(c, false);
-                         },
-                         false, true, true, true},
-                    Loss{"the same, the revision goes on",
-                         [](FakeState& s, const FakeState::Copy& c) {
-                           s.Restore(c, true);
-                         },
-                         false, true, true, true}));
+    testing::Values(
+        Loss{"an older copy, and all but one end",
+             [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy& c) {
+               s.Restore(c, false);
+             },
+             false, true, true, true},
+        Loss{"the same, the revision goes on",
+             [](FakeKeyValueStore& s, const FakeKeyValueStore::Copy& c) {
+               s.Restore(c, true);
+             },
+             false, true, true, true}));
 
 // Losses of every kind in a row, together with what else fails: a controller
 // killed before, at or in the middle of the rebuild, an outage, a second loss,
@@ -262,7 +277,7 @@
     for (int i = 0; i < kServices; ++i) co_await UntilWell(IdOf(i), 30);
     net::Spawn(watcher_.Count());
     for (int i = 0; i < kControllers; ++i) net::Spawn(PollAll(i));
-    std::shared_ptr<const FakeState::Copy> copy = c_.state().Save();
+    std::shared_ptr<const FakeKeyValueStore::Copy> copy = c_.state().Save();
     for (int n = 0; n < losses_; ++n) {
       const std::string id = IdOf(1000 + n);
       co_await Submit(id);
@@ -309,15 +324,15 @@
     return std::uniform_int_distribution<int>(0, count - 1)(c_.random);
   }
 
-  void LoseOnce(const FakeState::Copy& copy) {
-    FakeState& s = c_.state();
+  void LoseOnce(const FakeKeyValueStore::Copy& copy) {
+    FakeKeyValueStore& s = c_.state();
     switch (Of(7)) {
       case 0:
         ++happened_["all-anew"];
-        return s.LoseAll(false);
+        return s.EraseAll(false);
       case 1:
         ++happened_["all"];
-        return s.LoseAll(true);
+        return s.EraseAll(true);
       case 2:
         ++happened_["copy-back"];
         return s.Restore(copy, false);
@@ -336,11 +351,11 @@
     }
   }
 
-  Task<void> LoseSomething(const FakeState::Copy& copy) {
+  Task<void> LoseSomething(const FakeKeyValueStore::Copy& copy) {
     co_await Lose(copy);
     known_.Trouble();  // the last of it
   }
-  Task<void> Lose(const FakeState::Copy& copy) {
+  Task<void> Lose(const FakeKeyValueStore::Copy& copy) {
     int killed = -1;
     const int what = losses_ <= kShort ? 3 + Of(3) : Of(6);
     if (what == 1 || what == 2) {  // the leader, or any
@@ -520,11 +535,11 @@
       EXPECT_EQ(cancelled.status, 200);
     }
     co_await c->loop.Sleep(2);
-    const int newcomer = (c->Leader() + 1) % kControllers;
-    c->Kill(newcomer);
+    const int bootstrapping = (c->Leader() + 1) % kControllers;
+    c->Kill(bootstrapping);
     co_await c->loop.Sleep(0.3);
-    c->state().LoseAll(false);
-    c->Launch(newcomer);
+    c->state().EraseAll(false);
+    c->Launch(bootstrapping);
     co_await c->loop.Sleep(2 * kLease);
     rapidjson::Document doc;
     doc.Parse(c->state().Value("ob/live/epoch").c_str());
@@ -545,9 +560,9 @@
   EXPECT_TRUE(ended);
 }
 
-// One controller hears its workers and its users, but neither the state service
-// nor its peers, whose connections stay open and say nothing. Users are told at
-// once, by it or by its silence about what it can't know, and nobody is
+// One controller hears its workers and its users, but neither the key-value
+// store nor its peers, whose connections stay open and say nothing. Users are
+// told at once, by it or by its silence about what it can't know, and nobody is
 // forgotten, during it or after.
 TEST(Isolated, UsersAreToldAtOnce) {
   Cluster cluster(1, "service.conf");
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -30,9 +30,9 @@
 
 constexpr int kUpgraded = 5;  // controllers
 // After an end: before the leader's lease has run out, and after it.
-constexpr double kSoonBack_s = 0.3;
-constexpr double kLateBack_s = 0.5 * kLease;
-constexpr double kBetweenSteps_s = 3;
+constexpr double kSoonBackSeconds = 0.3;
+constexpr double kLateBackSeconds = 0.5 * kLease;
+constexpr double kBetweenStepsSeconds = 3;
 
 enum class Version { kProduction, kPresent };
 
@@ -75,7 +75,7 @@
     known_.NeverSubmitted("job-099999");
     co_await c_.loop.Sleep(2);
     net::Spawn(Submit());
-    co_await c_.loop.Sleep(kBetweenSteps_s);
+    co_await c_.loop.Sleep(kBetweenStepsSeconds);
 
     co_await RollOut();
     submitting_ = false;
@@ -107,17 +107,19 @@
     // One that doesn't lead, then two at once with the leader among them.
     const int first = NotLeading(Version::kProduction);
     co_await Replace(std::vector<int>(1, first), Version::kPresent,
-                     kSoonBack_s);
+                     kSoonBackSeconds);
     const int second = NotLeading(Version::kProduction);
     const int leader = co_await AnyLeader();
-    co_await Replace(Distinct(leader, second), Version::kPresent, kLateBack_s);
+    co_await Replace(Distinct(leader, second), Version::kPresent,
+                     kLateBackSeconds);
     // The leader dies before its turn, or after: it comes back as it was.
     const int dies = co_await AnyLeader();
-    co_await Replace(std::vector<int>(1, dies), versions_[dies], kSoonBack_s);
+    co_await Replace(std::vector<int>(1, dies), versions_[dies],
+                     kSoonBackSeconds);
     // One goes back to the version in production.
     const int back = NotLeading(Version::kPresent);
     co_await Replace(std::vector<int>(1, back), Version::kProduction,
-                     kSoonBack_s);
+                     kSoonBackSeconds);
     // The rest, two at a time.
     for (;;) {
       std::vector<int> turn;
@@ -125,24 +127,24 @@
         if (versions_[i] == Version::kProduction) turn.push_back(i);
       }
       if (turn.empty()) break;
-      co_await Replace(turn, Version::kPresent, kLateBack_s);
+      co_await Replace(turn, Version::kPresent, kLateBackSeconds);
     }
   }
   Task<void> Replace(std::vector<int> controllers, Version version,
-                     double back_s) {
+                     double back_seconds) {
     known_.Trouble();
     const int leader = c_.Leader();
     for (const int i : controllers) {
       leaders_killed_ += i == leader;
       c_.Kill(i);
     }
-    co_await c_.loop.Sleep(back_s);
+    co_await c_.loop.Sleep(back_seconds);
     for (const int i : controllers) {
       versions_[i] = version;
       c_.SetProgram(i, ProgramOf(version));
       c_.Launch(i);
     }
-    co_await c_.loop.Sleep(kBetweenSteps_s);
+    co_await c_.loop.Sleep(kBetweenStepsSeconds);
   }
   static std::vector<int> Distinct(int a, int b) {
     return a == b ? std::vector<int>{a} : std::vector<int>{a, b};
@@ -172,16 +174,16 @@
       job.id = fmt::format("job-{:06}", 100'000 + number);
       job.service = number % 3 == 0;
       job.tasks = job.service ? 2 : 3;
-      const double runs_s = Between(0.5, 4);
-      if (!job.service) c_.cues[job.id].done_after = runs_s;
+      const double runs_seconds = Between(0.5, 4);
+      if (!job.service) c_.cues[job.id].done_after = runs_seconds;
       // Services would fill the machines if all stayed.
       const bool cancels = number % 4 == 1 || (job.service && number % 6 == 0);
       jobs_.push_back(job);
-      net::Spawn(Follow(number, cancels ? Between(0.1, 5) : -1));
+      net::Spawn(Watch(number, cancels ? Between(0.1, 5) : -1));
       co_await c_.loop.Sleep(0.4);
     }
   }
-  Task<void> Follow(size_t number, double cancel_after) {
+  Task<void> Watch(size_t number, double cancel_after) {
     const std::string id = jobs_[number].id;
     const auto accepted =
         co_await c_.Ask("POST", "/v2/runs", JobJson(jobs_[number]));
@@ -304,8 +306,8 @@
                   "service.conf", kUpgraded, ProgramOf(Version::kProduction));
   Upgrade upgrade(cluster);
   net::Spawn(upgrade.Run());
-  constexpr double kLongest_s = 120;
-  cluster.loop.At(cluster.loop.Now() + kLongest_s,
+  constexpr double kLongestSeconds = 120;
+  cluster.loop.At(cluster.loop.Now() + kLongestSeconds,
                   [&cluster] { cluster.loop.Stop(); });
   cluster.loop.Run();
   EXPECT_TRUE(upgrade.finished()) << "timed out";
--- a/tests/write_queue_test.cc
+++ b/tests/write_queue_test.cc
@@ -1,7 +1,7 @@
 // The leader's writes on their way, by themselves: what an answer means, and
 // what waits for it.
 
-#include "core/controller/write_queue.h"
+#include "core/leader/write_queue.h"
 
 #include <gtest/gtest.h>
 
@@ -13,18 +13,19 @@
 
 class Writes : public testing::Test, public WriteQueue::Owner {
  public:
-  Writes() { settings_.state.txn_ops = 4; }
+  Writes() { settings_.store.txn_ops = 4; }
 
-  bool Build(const WriteOp& op, WriteTransaction* txn) const override {
+  bool Build(const WriteOp& op, CompareAndSwap* txn) const override {
     if (already_so_.contains(op.name)) return false;
     for (int i = 0; i < conditions_each_; ++i) {
-      txn->conditions.push_back({keys::Of(keys::kMachine, op.name), 0});
+      txn->preconditions.push_back({keys::Of(keys::kMachine, op.name), 0});
     }
     if (creates_) {
-      txn->conditions.push_back({keys::Of(keys::kMachine, op.name + "0"), 0});
+      txn->preconditions.push_back(
+          {keys::Of(keys::kMachine, op.name + "0"), 0});
     }
     for (int i = 0; i < changes_each_; ++i) {
-      txn->changes.push_back(
+      txn->mutations.push_back(
           {keys::Of(keys::kMachine, op.name + std::to_string(i)), {}});
     }
     return true;
@@ -56,9 +57,9 @@
 TEST_F(Writes, EachTransactionIsConditionedOnTheLeaderKey) {
   Ask("a");
   queue_.Flush(0);
-  const auto txn = Last<WriteTransaction>();
-  EXPECT_EQ(txn.conditions.back().key, keys::kLeader);
-  EXPECT_EQ(txn.conditions.back().stamp, 77U);
+  const auto txn = Last<CompareAndSwap>();
+  EXPECT_EQ(txn.preconditions.back().key, keys::kLeader);
+  EXPECT_EQ(txn.preconditions.back().mod_revision, 77U);
 }
 
 // Sent again under a new condition at once, an unanswered write that is applied
@@ -66,7 +67,7 @@
 TEST_F(Writes, AnUnansweredOneIsReadBeforeAnythingElse) {
   Ask("a");
   queue_.Flush(0);
-  const auto txn = Last<WriteTransaction>();
+  const auto txn = Last<CompareAndSwap>();
   Ask("b");
   EXPECT_TRUE(queue_.OnAnswer(txn.id, WriteOutcome::kUnknown, 0, {}, 1));
   const auto read = Last<ReadKeys>();
@@ -85,7 +86,7 @@
   already_so_.insert("a");
   queue_.OnRead(again.id, true, 4);
   EXPECT_EQ(done_, (std::vector<std::pair<std::string, uint64_t>>{{"a", 0}}));
-  EXPECT_EQ(Last<WriteTransaction>().changes[0].key,
+  EXPECT_EQ(Last<CompareAndSwap>().mutations[0].key,
             keys::Of(keys::kMachine, "b0"));
 }
 
@@ -93,32 +94,34 @@
 // would be carried out then, were it not for the fence.
 TEST_F(Writes, AnUnansweredCreationIsFencedBeforeItIsRead) {
   const auto fence = [](int number) {
-    return Condition{keys::Of(keys::kFence, "77/" + std::to_string(number)), 0};
+    return Precondition{keys::Of(keys::kFence, "77/" + std::to_string(number)),
+                        0};
   };
-  const auto rests_on = [](const WriteTransaction& txn, const Condition& on) {
-    return std::any_of(
-        txn.conditions.begin(), txn.conditions.end(),
-        [&](const Condition& c) { return c.key == on.key && c.stamp == 0; });
+  const auto rests_on = [](const CompareAndSwap& txn, const Precondition& on) {
+    return std::any_of(txn.preconditions.begin(), txn.preconditions.end(),
+                       [&](const Precondition& c) {
+                         return c.key == on.key && c.mod_revision == 0;
+                       });
   };
   creates_ = true;
   Ask("a");
   queue_.Flush(0);
-  const auto first = Last<WriteTransaction>();
+  const auto first = Last<CompareAndSwap>();
   EXPECT_TRUE(rests_on(first, fence(0)));
   EXPECT_TRUE(queue_.OnAnswer(first.id, WriteOutcome::kUnknown, 0, {}, 1));
   // The fence is refused, then not answered; the third finds that it stands.
-  auto second = Last<WriteTransaction>();
-  EXPECT_EQ(second.changes.at(0).key, fence(0).key);
+  auto second = Last<CompareAndSwap>();
+  EXPECT_EQ(second.mutations.at(0).key, fence(0).key);
   EXPECT_TRUE(rests_on(second, fence(0)));
   EXPECT_TRUE(queue_.OnAnswer(second.id, WriteOutcome::kNotExecuted, 0, {}, 1));
   const size_t before = actions_.size();
   queue_.Flush(1);
   EXPECT_EQ(actions_.size(), before);  // not at once
-  queue_.Flush(1 + settings_.workers.report_s);
-  second = Last<WriteTransaction>();
+  queue_.Flush(1 + settings_.workers.heartbeat_interval_seconds);
+  second = Last<CompareAndSwap>();
   EXPECT_TRUE(queue_.OnAnswer(second.id, WriteOutcome::kUnknown, 0, {}, 9));
-  const auto third = Last<WriteTransaction>();
-  EXPECT_EQ(third.changes.at(0).key, fence(0).key);
+  const auto third = Last<CompareAndSwap>();
+  EXPECT_EQ(third.mutations.at(0).key, fence(0).key);
   EXPECT_NE(third.id, second.id);
   EXPECT_TRUE(
       queue_.OnAnswer(third.id, WriteOutcome::kConflict, 0, {fence(0).key}, 9));
@@ -126,7 +129,7 @@
   EXPECT_EQ(read.keys,
             std::vector<std::string>{keys::Of(keys::kMachine, "a0")});
   queue_.OnRead(read.id, true, 9);
-  EXPECT_TRUE(rests_on(Last<WriteTransaction>(), fence(1)));
+  EXPECT_TRUE(rests_on(Last<CompareAndSwap>(), fence(1)));
   EXPECT_EQ(queue_.phase(), WritePhase::kWriting);
 }
 
@@ -134,9 +137,9 @@
   creates_ = true;
   Ask("a");
   queue_.Flush(0);
-  EXPECT_TRUE(queue_.OnAnswer(Last<WriteTransaction>().id,
-                              WriteOutcome::kUnknown, 0, {}, 1));
-  EXPECT_FALSE(queue_.OnAnswer(Last<WriteTransaction>().id,
+  EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id, WriteOutcome::kUnknown,
+                              0, {}, 1));
+  EXPECT_FALSE(queue_.OnAnswer(Last<CompareAndSwap>().id,
                                WriteOutcome::kConflict, 0,
                                {std::string(keys::kLeader)}, 1));
 }
@@ -144,7 +147,7 @@
 TEST_F(Writes, ALateAnswerToAnEarlierOneIsNoNews) {
   Ask("a");
   queue_.Flush(0);
-  const auto first = Last<WriteTransaction>();
+  const auto first = Last<CompareAndSwap>();
   EXPECT_TRUE(queue_.OnAnswer(first.id, WriteOutcome::kNotExecuted, 0, {}, 0));
   queue_.Flush(1);
   EXPECT_TRUE(queue_.OnAnswer(first.id, WriteOutcome::kApplied, 90, {}, 1));
@@ -155,7 +158,7 @@
 TEST_F(Writes, WhenTheLeaderKeyHasChangedTheLeadershipIsOver) {
   Ask("a");
   queue_.Flush(0);
-  const uint64_t id = Last<WriteTransaction>().id;
+  const uint64_t id = Last<CompareAndSwap>().id;
   EXPECT_FALSE(queue_.OnAnswer(id, WriteOutcome::kConflict, 0,
                                {std::string(keys::kLeader)}, 1));
 }
@@ -163,7 +166,7 @@
 TEST_F(Writes, AConflictOfAnotherKeyIsAReasonToRead) {
   Ask("a");
   queue_.Flush(0);
-  EXPECT_TRUE(queue_.OnAnswer(Last<WriteTransaction>().id,
+  EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
                               WriteOutcome::kConflict, 0,
                               {keys::Of(keys::kMachine, "a0")}, 1));
   EXPECT_EQ(queue_.phase(), WritePhase::kReading);
@@ -176,25 +179,25 @@
   Ask("a");  // waits already
   EXPECT_EQ(queue_.waiting(), 4U);
   queue_.Flush(0);
-  EXPECT_EQ(Last<WriteTransaction>().changes.size(), 4U);
-  EXPECT_TRUE(queue_.OnAnswer(Last<WriteTransaction>().id,
-                              WriteOutcome::kApplied, 80, {}, 1));
+  EXPECT_EQ(Last<CompareAndSwap>().mutations.size(), 4U);
+  EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id, WriteOutcome::kApplied,
+                              80, {}, 1));
   EXPECT_EQ(done_.size(), 2U);
-  const auto rest = Last<WriteTransaction>();
-  EXPECT_EQ(rest.changes[0].key, keys::Of(keys::kMachine, "c0"));
-  EXPECT_EQ(rest.changes[2].key, keys::Of(keys::kMachine, "lazy0"));
+  const auto rest = Last<CompareAndSwap>();
+  EXPECT_EQ(rest.mutations[0].key, keys::Of(keys::kMachine, "c0"));
+  EXPECT_EQ(rest.mutations[2].key, keys::Of(keys::kMachine, "lazy0"));
   // One that is larger than the limit goes alone rather than never.
   changes_each_ = 9;
   Ask("large");
   EXPECT_TRUE(queue_.OnAnswer(rest.id, WriteOutcome::kApplied, 81, {}, 2));
-  EXPECT_EQ(Last<WriteTransaction>().changes.size(), 9U);
+  EXPECT_EQ(Last<CompareAndSwap>().mutations.size(), 9U);
 }
 
 // A lazy one that was put back waits among the urgent ones.
 TEST_F(Writes, WhatWaitsIsNotQueuedASecondTime) {
   Ask("a", /*lazy=*/true);
   queue_.Flush(0);
-  EXPECT_TRUE(queue_.OnAnswer(Last<WriteTransaction>().id,
+  EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
                               WriteOutcome::kNotExecuted, 0, {}, 0));
   Ask("a", /*lazy=*/true);
   EXPECT_EQ(queue_.waiting(), 1U);
@@ -208,9 +211,9 @@
   // Refuses whatever holds the large one, until nothing is sent any more.
   for (; queue_.phase() == WritePhase::kWriting; ++sent) {
     ASSERT_LT(sent, 20);
-    const auto txn = Last<WriteTransaction>();
+    const auto txn = Last<CompareAndSwap>();
     const bool large = std::any_of(
-        txn.changes.begin(), txn.changes.end(), [](const KeyChange& change) {
+        txn.mutations.begin(), txn.mutations.end(), [](const Mutation& change) {
           return change.key == keys::Of(keys::kMachine, "large0");
         });
     EXPECT_TRUE(queue_.OnAnswer(
@@ -222,7 +225,7 @@
   Ask("large");  // waits already
   queue_.Flush(2);
   EXPECT_EQ(queue_.phase(), WritePhase::kIdle);
-  queue_.Flush(2 + settings_.workers.lease_s);
+  queue_.Flush(2 + settings_.workers.lease_seconds);
   EXPECT_EQ(queue_.phase(), WritePhase::kWriting);
 }
 
@@ -231,7 +234,7 @@
   for (const char* name : {"a", "b", "c", "d"}) Ask(name);
   queue_.Flush(0);
   // Four times `txn_ops`, the leader key and the fence among them.
-  EXPECT_EQ(Last<WriteTransaction>().changes.size(), 3U);
+  EXPECT_EQ(Last<CompareAndSwap>().mutations.size(), 3U);
 }
 
 }  // namespace
--- a/tests/write_retry_test.cc
+++ b/tests/write_retry_test.cc
@@ -9,7 +9,7 @@
 namespace oxbow::clients {
 namespace {
 
-using enum StateStatus;
+using enum StoreStatus;
 
 TEST(RoundTrip, AFewOfThemAreWaitedForMoreWhenTheyVary) {
   RoundTrip steady(3);
@@ -37,17 +37,17 @@
 // Every order of answers to up to three copies: only what is certain of all of
 // them is told.
 TEST(WriteRetry, TellsOnlyWhatHoldsWhicheverCopyArrives) {
-  const std::vector<StateStatus> all = {kOk, kConflict, kRefused, kNotExecuted,
+  const std::vector<StoreStatus> all = {kOk, kConflict, kRefused, kNotExecuted,
                                         kUnknown};
-  for (const StateStatus first : all) {
-    for (const StateStatus second : all) {
-      for (const StateStatus third : all) {
+  for (const StoreStatus first : all) {
+    for (const StoreStatus second : all) {
+      for (const StoreStatus third : all) {
         WriteRetry retry;
         for (int i = 0; i < 3; ++i) retry.Sent();
-        StateStatus told = kUnknown;
+        StoreStatus told = kUnknown;
         bool silent = false;
         bool too_large = false;
-        for (const StateStatus answer : {first, second, third}) {
+        for (const StoreStatus answer : {first, second, third}) {
           if (told == kUnknown && (answer == kOk || answer == kConflict)) {
             told = answer;
           }
--- a/tests/zone_simulation.h
+++ b/tests/zone_simulation.h
@@ -1,5 +1,5 @@
 // The simulation of zones: controllers in zones, the network between
-// them and the workers, the state service, and what goes wrong.
+// them and the workers, the key-value store, and what goes wrong.
 #pragma once
 
 #include <fmt/format.h>
@@ -14,10 +14,10 @@
 #include <utility>
 #include <vector>
 
-#include "core/lease/cut_signs.h"
 #include "core/lease/delegated_lease.h"
 #include "core/lease/delegated_lease_record.h"
-#include "core/model/session.h"
+#include "core/lease/partition_detector.h"
+#include "core/model/worker_incarnation.h"
 
 namespace oxbow::test::zones {
 
@@ -38,22 +38,22 @@
   return s;
 }
 
-struct Record {        // of a right, in the state service
-  uint64_t stamp = 0;  // 0: not there
+struct Record {               // of a right, in the key-value store
+  uint64_t mod_revision = 0;  // 0: not there
   uint64_t lease = 0;
 };
 
 struct Worker {
   int zone = 0;
   int at = 0;
-  uint64_t session = 1;
+  uint64_t incarnation = 1;
   uint64_t seq = 0;
   uint64_t token = 0;
-  Time counted = 0;  // when the last report that was answered was sent
+  Time counted = 0;  // when the last heartbeat that was answered was sent
   Time began = 0;
-  Time next_report = 0;
+  Time next_heartbeat = 0;
   Time cut_until = 0;
-  uint64_t asked = 0;  // the report under way
+  uint64_t asked = 0;  // the heartbeat under way
   bool task = false;
   Time task_cancelled = 1e18;  // its user was told so
   Time kept_since = 1e18;      // by a zone's delegate, while a leader leads
@@ -62,7 +62,7 @@
 };
 
 struct View {  // the leader's, of a worker
-  Session session;
+  WorkerIncarnation incarnation;
   Time counted = 0;
   uint64_t seq = 0;
   Time heard = -1e9;
@@ -78,14 +78,14 @@
   std::vector<View> views{kWorkers};
 };
 
-struct Node {
-  uint64_t life = 0;  // 0: the process is not there
+struct ControllerNode {
+  uint64_t process_incarnation = 0;  // 0: the process is not there
   Time started = 0;
   Time back_at = 0;
-  Time apart_until = 0;  // no state service, no peers; its workers reach it
+  Time apart_until = 0;  // no key-value store, no peers; its workers reach it
   std::unique_ptr<DelegatedLease> lease;
   std::unique_ptr<DelegatedLeaseRecord> record;
-  std::unique_ptr<CutSigns> signs;
+  std::unique_ptr<PartitionDetector> signs;
   bool record_asked = false;
   Time next_record = 0;
   Time next_ask = 0;
@@ -111,7 +111,7 @@
     for (int w = 0; w < kWorkers; ++w) {
       workers_[w].zone = w % kZones;
       workers_[w].at = w % kNodes;
-      workers_[w].next_report = Between(0, 1);
+      workers_[w].next_heartbeat = Between(0, 1);
     }
   }
 
@@ -141,7 +141,9 @@
   bool Every(double seconds) { return Happens(kStep / seconds); }
   int Any(int n) { return static_cast<int>(Between(0, n - 0.001)); }
   static std::string Name(int i) { return std::string(1, 'a' + i); }
-  std::string Life(int i) const { return std::to_string(nodes_[i].life); }
+  std::string Life(int i) const {
+    return std::to_string(nodes_[i].process_incarnation);
+  }
   double Age(int i) const { return now_ - nodes_[i].started; }
   void Wrong(const std::string& what) {
     if (wrong_.empty()) wrong_ = fmt::format("at {:.2f} s: {}", now_, what);
@@ -152,18 +154,18 @@
   double Way() { return Happens(held_) ? Between(0.1, 8) : Between(0, 0.02); }
 
   void Launch(int i) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     const Time apart = n.apart_until;
-    n = Node();
+    n = ControllerNode();
     n.apart_until = apart;
-    n.life = ++lives_;
+    n.process_incarnation = ++lives_;
     n.started = now_;
     n.lease = std::make_unique<DelegatedLease>(settings_.workers);
     n.record = std::make_unique<DelegatedLeaseRecord>(*n.lease);
-    n.signs = std::make_unique<CutSigns>(settings_.workers);
+    n.signs = std::make_unique<PartitionDetector>(settings_.workers);
   }
   void End(int i) {
-    nodes_[i].life = 0;
+    nodes_[i].process_incarnation = 0;
     nodes_[i].office.reset();
     nodes_[i].back_at =
         now_ + (Happens(0.7) ? Between(0.05, 0.5) : Between(1, 10));
@@ -171,7 +173,7 @@
 
   // --- the network
   bool ZoneCut(int zone) const { return now_ < cut_until_[zone]; }
-  bool Up(int i) const { return nodes_[i].life != 0; }
+  bool Up(int i) const { return nodes_[i].process_incarnation != 0; }
   bool Reaches(int from, int to) const {  // between controllers
     return Up(from) && Up(to) && now_ >= nodes_[from].apart_until &&
            now_ >= nodes_[to].apart_until &&
@@ -190,17 +192,20 @@
   template <typename Answer, typename Take>
   void Ask(int from, int to, Answer answer, Take take) {
     if (!Reaches(from, to) || Happens(lost_)) return;
-    After(Way(), [=, this, life = nodes_[from].life, there = nodes_[to].life] {
-      if (nodes_[to].life != there) return;
-      const auto said = answer(nodes_[to]);
-      if (!Reaches(from, to) || Happens(lost_)) return;
-      After(Way(), [=, this] {
-        if (nodes_[from].life == life) take(nodes_[from], said);
-      });
-    });
+    After(Way(),
+          [=, this, process_incarnation = nodes_[from].process_incarnation,
+           there = nodes_[to].process_incarnation] {
+            if (nodes_[to].process_incarnation != there) return;
+            const auto said = answer(nodes_[to]);
+            if (!Reaches(from, to) || Happens(lost_)) return;
+            After(Way(), [=, this] {
+              if (nodes_[from].process_incarnation == process_incarnation)
+                take(nodes_[from], said);
+            });
+          });
   }
 
-  // --- the state service
+  // --- the key-value store
   bool LeaseStands(uint64_t lease) const {
     const auto it = leases_.find(lease);
     return it != leases_.end() && now_ <= it->second;
@@ -214,11 +219,11 @@
     }
     std::erase_if(leases_, [this](const auto& l) { return now_ > l.second; });
     for (Record& r : records_) {
-      if (r.stamp != 0 && !LeaseStands(r.lease)) r = {};
+      if (r.mod_revision != 0 && !LeaseStands(r.lease)) r = {};
     }
     if (holder_ >= 0 && !LeaseStands(key_lease_)) {
       holder_ = -1;
-      key_stamp_ = ++revision_;
+      key_mod_revision_ = ++revision_;
     }
     std::vector<Later> due;
     std::erase_if(later_, [&](Later& l) {
@@ -265,16 +270,16 @@
     }
   }
 
-  // Requests to the state service: refused, answered, or without an answer and
-  // executed up to half a minute later.
+  // Requests to the key-value store: refused, answered, or without an answer
+  // and executed up to half a minute later.
   template <typename Execute, typename Take>
   void AskState(int i, Execute execute, Take take) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     n.record_asked = true;
-    const uint64_t life = n.life;
+    const uint64_t process_incarnation = n.process_incarnation;
     const auto back = [=, this](int said) {
-      Node& me = nodes_[i];
-      if (me.life != life) return;
+      ControllerNode& me = nodes_[i];
+      if (me.process_incarnation != process_incarnation) return;
       me.record_asked = false;
       take(me, said);
     };
@@ -307,11 +312,11 @@
   std::map<uint64_t, Time> leases_;
   uint64_t last_lease_ = 0;
   uint64_t key_lease_ = 0;
-  uint64_t key_stamp_ = 1;
+  uint64_t key_mod_revision_ = 1;
   int holder_ = -1;
   uint64_t revision_ = 10;
   uint64_t lives_ = 0;
-  std::vector<Node> nodes_;
+  std::vector<ControllerNode> nodes_;
   std::vector<Worker> workers_;
   std::vector<Later> later_;
   std::string wrong_;
--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -1,12 +1,12 @@
 // Randomized simulations round zones that are cut off and controllers that are
-// out of reach: zones cut, controllers without state service and peers but with
-// their workers (one, several, all), outages, controllers that end and are back
-// within a fraction of a second, messages late and lost, writes to the state
-// service that arrive long after they were given up. A seed makes a run.
+// out of reach: zones cut, controllers without key-value store and peers but
+// with their workers (one, several, all), outages, controllers that end and are
+// back within a fraction of a second, messages late and lost, writes to the
+// state service that arrive long after they were given up. A seed makes a run.
 //
-// What must hold: no leader takes a session for over that lives on, a cancelled
-// task is gone within `cancel_s`, and where a leader leads that reaches a
-// worker both ways, nobody else keeps that worker for long.
+// What must hold: no leader takes an incarnation for over that lives on, a
+// cancelled task is gone within `cancel_s`, and where a leader leads that
+// reaches a worker both ways, nobody else keeps that worker for long.
 
 #include "tests/zone_simulation.h"
 
@@ -35,7 +35,7 @@
     return Up(i) && nodes_[i].office && now_ < nodes_[i].lease_until;
   }
   void Act(int i) override {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     if (now_ >= n.next_look) {
       n.next_look = now_ + 0.1;
       n.state_out = !ReachesState(i);
@@ -48,32 +48,36 @@
     if (!n.state_out && holder_ < 0 && n.revision == 0 && Every(0.3)) Seek(i);
     if (n.revision != 0 && now_ >= n.next_renewal) {
       n.next_renewal = now_ + 0.5;
-      if (ReachesState(i) && key_stamp_ == n.revision) {
+      if (ReachesState(i) && key_mod_revision_ == n.revision) {
         leases_[key_lease_] = now_ + kLeaderLease;
         n.lease_until = now_ + kLeaderLease * (1 - kDrift);
       }
     }
-    if (n.revision != 0 && !n.office) TakeOffice(i);
+    if (n.revision != 0 && !n.office) StartLeading(i);
     if (Leads(i)) Lead(i);
     AskForZone(i);
     KeepRecord(i);
   }
   void Seek(int i) {
-    const uint64_t seen = key_stamp_;
-    After(Between(0, 0.2), [this, i, seen, sent = now_, life = nodes_[i].life] {
-      Node& n = nodes_[i];
-      if (n.life != life || !ReachesState(i) || key_stamp_ != seen) return;
-      leases_.erase(key_lease_);
-      key_lease_ = ++last_lease_;
-      leases_[key_lease_] = now_ + kLeaderLease;
-      holder_ = i;
-      n.revision = key_stamp_ = ++revision_;
-      n.lease_until = sent + kLeaderLease * (1 - kDrift);
-      n.leader = i;
-    });
+    const uint64_t seen = key_mod_revision_;
+    After(Between(0, 0.2),
+          [this, i, seen, sent = now_,
+           process_incarnation = nodes_[i].process_incarnation] {
+            ControllerNode& n = nodes_[i];
+            if (n.process_incarnation != process_incarnation ||
+                !ReachesState(i) || key_mod_revision_ != seen)
+              return;
+            leases_.erase(key_lease_);
+            key_lease_ = ++last_lease_;
+            leases_[key_lease_] = now_ + kLeaderLease;
+            holder_ = i;
+            n.revision = key_mod_revision_ = ++revision_;
+            n.lease_until = sent + kLeaderLease * (1 - kDrift);
+            n.leader = i;
+          });
   }
-  void TakeOffice(int i) {
-    Node& n = nodes_[i];
+  void StartLeading(int i) {
+    ControllerNode& n = nodes_[i];
     std::optional<std::set<std::string>> recorded;
     if (ReachesState(i)) recorded = Recorded();
     n.office = std::make_unique<Office>();
@@ -84,7 +88,7 @@
     ++led_;
     for (int w = 0; w < kWorkers; ++w) {
       View& v = n.office->views[w];
-      v.session.Change(SessionEvent::kTakeover, 0, now_);
+      v.incarnation.Change(IncarnationEvent::kFailover, 0, now_);
       v.counted = now_;
       v.task = true;  // perhaps
       Probe(i, w);
@@ -93,12 +97,12 @@
   std::set<std::string> Recorded() const {
     std::set<std::string> names;
     for (int i = 0; i < kNodes; ++i) {
-      if (records_[i].stamp != 0) names.insert(Name(i));
+      if (records_[i].mod_revision != 0) names.insert(Name(i));
     }
     return names;
   }
   void AskForZone(int i) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     if (now_ < n.next_ask) return;
     n.next_ask = now_ + 0.3;
     if (Leads(i)) {
@@ -112,33 +116,34 @@
     n.missed = std::max(n.missed, sent);  // until it answers
     Ask(
         i, leader,
-        [this, i, leader, life = Life(i), age = Age(i)](Node& to) {
+        [this, i, leader, process_incarnation = Life(i),
+         age = Age(i)](ControllerNode& to) {
           if (!Leads(leader)) return 0;
           if (!Settled(leader, kZoneOf[i])) return 1;
-          to.office->rights->Grant(Name(i), life, age, now_);
+          to.office->rights->Grant(Name(i), process_incarnation, age, now_);
           return 2;
         },
-        [sent](Node& me, int said) {
+        [sent](ControllerNode& me, int said) {
           if (said > 0) me.met = std::max(me.met, sent + 0.3);
           if (said == 2) me.lease->Granted(sent);
         });
   }
   bool CutOff(int i) const {
-    const Node& n = nodes_[i];
+    const ControllerNode& n = nodes_[i];
     if (!n.state_out) return false;
     if (n.leader < 0 || n.leader == i) return !Leads(i);
     return n.missed > n.met;
   }
   void KeepRecord(int i) {
-    Node& n = nodes_[i];
+    ControllerNode& n = nodes_[i];
     if (n.record_asked || now_ < n.next_record) return;
     n.next_record = now_ + 0.2;
     const Time sent = now_;
     switch (n.record->step()) {
       case RecordStep::kRead:
         AskState(
-            i, [this, i] { return static_cast<int>(records_[i].stamp); },
-            [](Node& me, int said) {
+            i, [this, i] { return static_cast<int>(records_[i].mod_revision); },
+            [](ControllerNode& me, int said) {
               if (said >= 0) me.record->WasRead(static_cast<uint64_t>(said));
             });
         break;
@@ -149,7 +154,7 @@
               leases_[++last_lease_] = now_ + RecordTtl();
               return static_cast<int>(last_lease_);
             },
-            [sent](Node& me, int said) {
+            [sent](ControllerNode& me, int said) {
               if (said >= 0) {
                 me.record->LeaseGranted(static_cast<uint64_t>(said), sent);
               }
@@ -158,12 +163,15 @@
       case RecordStep::kWrite:
         AskState(
             i,
-            [this, i, stamp = n.record->stamp(), lease = n.record->lease_id()] {
-              if (records_[i].stamp != stamp || !LeaseStands(lease)) return -1;
+            [this, i, mod_revision = n.record->mod_revision(),
+             lease = n.record->lease_id()] {
+              if (records_[i].mod_revision != mod_revision ||
+                  !LeaseStands(lease))
+                return -1;
               records_[i] = {++revision_, lease};
               return 1;
             },
-            [this](Node& me, int said) {
+            [this](ControllerNode& me, int said) {
               if (said > 0) {
                 me.record->Written(now_);
               } else {
@@ -179,7 +187,7 @@
               leases_[lease] = now_ + RecordTtl();
               return 1;
             },
-            [sent](Node& me, int said) {
+            [sent](ControllerNode& me, int said) {
               if (said == 1) me.record->Renewed(sent);
               if (said == 0) me.record->LeaseEnded();
             });
@@ -188,7 +196,7 @@
   }
 
   // --- the leader
-  // As Controller::ZoneSettled.
+  // As Leader::ZoneSettled.
   bool Settled(int i, int zone) const {
     for (int w = 0; w < kWorkers; ++w) {
       const View& v = nodes_[i].office->views[w];
@@ -203,7 +211,7 @@
   }
   void Lead(int i) {
     Office& office = *nodes_[i].office;
-    const double lease = settings_.workers.lease_s;
+    const double lease = settings_.workers.lease_seconds;
     for (int w = 0; w < kWorkers; ++w) {
       View& v = office.views[w];
       Worker& worker = workers_[w];
@@ -215,17 +223,17 @@
       if (now_ - std::max(v.heard, office.since) > 1.6 && now_ - v.asked > 1) {
         Probe(i, w);
       }
-      if (v.session.state() == SessionState::kOver) continue;
-      const double early = 2 * StandBackFor(settings_.workers);
-      if (now_ <= v.session.MayLiveUntil(lease) - early) continue;
-      for (const std::string& name : office.rights->ToAsk(zone, now_)) {
+      if (v.incarnation.state() == IncarnationState::kExpired) continue;
+      const double early = 2 * LeaseYieldSeconds(settings_.workers);
+      if (now_ <= v.incarnation.MayLiveUntil(lease) - early) continue;
+      for (const std::string& name : office.rights->PeersToAsk(zone, now_)) {
         AskToStandBack(i, name[0] - 'a');
       }
-      if (now_ <= v.session.MayLiveUntil(lease) ||
+      if (now_ <= v.incarnation.MayLiveUntil(lease) ||
           office.rights->MayBeRenewed(zone, now_)) {
         continue;
       }
-      v.session.Change(SessionEvent::kRanOut, 0, now_);
+      v.incarnation.Change(IncarnationEvent::kExpire, 0, now_);
       v.task = false;
       v.reported = true;
       ++over_;
@@ -248,24 +256,24 @@
     if (to == i) return;
     Ask(
         i, to,
-        [this, to](Node& there) {
+        [this, to](ControllerNode& there) {
           there.met = now_ + 0.3;
-          const bool yes = there.lease->AskedToStandBack(now_);
+          const bool yes = there.lease->OnYieldRequested(now_);
           return std::tuple{yes, Life(to), Age(to),
                             there.lease->RenewedAgo(now_)};
         },
-        [this, i, to, sent = now_](Node& me, const auto& said) {
+        [this, i, to, sent = now_](ControllerNode& me, const auto& said) {
           if (!std::get<0>(said) || !Leads(i)) return;
-          me.office->rights->StoodBack(Name(to), std::get<1>(said),
-                                       std::get<2>(said), std::get<3>(said),
-                                       sent, now_);
+          me.office->rights->LeaseYielded(Name(to), std::get<1>(said),
+                                          std::get<2>(said), std::get<3>(said),
+                                          sent, now_);
         });
   }
-  WorkerReport ReportOf(int w) {
+  Heartbeat HeartbeatOf(int w) {
     Worker& me = workers_[w];
-    WorkerReport r;
+    Heartbeat r;
     r.host = std::to_string(w);
-    r.session = me.session;
+    r.incarnation = me.incarnation;
     r.seq = ++me.seq;
     r.token = me.token;
     if (me.task) r.tasks.push_back({});
@@ -279,24 +287,24 @@
       Expire(w);
       // Its order raises the token; the answer is its report.
       workers_[w].token = std::max(workers_[w].token, revision << 20);
-      const WorkerReport r = ReportOf(w);
+      const Heartbeat r = HeartbeatOf(w);
       After(Way(), [=, this] {
         if (Leads(i) && nodes_[i].revision == revision) Heard(i, w, r, false);
       });
     });
   }
-  // As Controller::OnReport and OnProbeAnswer.
-  void Heard(int i, int w, const WorkerReport& r, bool by_report) {
+  // As Leader::OnHeartbeat and OnProbeAnswer.
+  void Heard(int i, int w, const Heartbeat& r, bool by_heartbeat) {
     View& v = nodes_[i].office->views[w];
-    if (by_report) {
-      v.session.Change(SessionEvent::kAnswered, 0, now_);
+    if (by_heartbeat) {
+      v.incarnation.Change(IncarnationEvent::kAnswered, 0, now_);
       v.counted = std::max(v.counted, now_);
     }
-    if (!v.session.MayBeNews(r.session) ||
-        (r.session == v.session.number() && r.seq <= v.seq)) {
+    if (!v.incarnation.MayBeNews(r.incarnation) ||
+        (r.incarnation == v.incarnation.number() && r.seq <= v.seq)) {
       return;
     }
-    if (v.session.Change(SessionEvent::kShown, r.session, now_)) {
+    if (v.incarnation.Change(IncarnationEvent::kShown, r.incarnation, now_)) {
       v.counted = now_;
     }
     v.seq = r.seq;
@@ -308,24 +316,25 @@
   // --- a worker
   void Expire(int w) {
     Worker& me = workers_[w];
-    if (now_ - me.counted <= settings_.workers.lease_s) return;
+    if (now_ - me.counted <= settings_.workers.lease_seconds) return;
     me.task = false;
     me.task_cancelled = 1e18;
-    ++me.session;
+    ++me.incarnation;
     me.seq = 0;
     me.counted = me.began = now_;
   }
   void Work(int w) override {
     Worker& me = workers_[w];
     Expire(w);
-    if (me.task && now_ > me.task_cancelled + settings_.workers.cancel_s) {
+    if (me.task &&
+        now_ > me.task_cancelled + settings_.workers.cancel_seconds) {
       Wrong(fmt::format("worker {}'s cancelled task is still there", w));
     }
-    if (now_ < me.next_report || me.asked != 0) return;
+    if (now_ < me.next_heartbeat || me.asked != 0) return;
     me.asked = ++reports_;
     const uint64_t number = me.asked;
     const int to = me.at;
-    const WorkerReport r = ReportOf(w);
+    const Heartbeat r = HeartbeatOf(w);
     After(4, [=, this] { NoAnswer(w, number, /*at_once=*/true); });
     if (!ReachesWorker(to, me)) {
       // Silence behind a cut, a refusal where nothing listens.
@@ -334,8 +343,10 @@
     }
     if (Happens(lost_ / 4)) return;
     const double late = Happens(held_ / 4) ? Between(4, 20) : Between(0, 0.02);
-    After(late, [=, this, sent = now_, life = nodes_[to].life] {
-      if (nodes_[to].life == life) Arrives(w, to, number, r, sent);
+    After(late, [=, this, sent = now_,
+                 process_incarnation = nodes_[to].process_incarnation] {
+      if (nodes_[to].process_incarnation == process_incarnation)
+        Arrives(w, to, number, r, sent);
     });
   }
   void NoAnswer(int w, uint64_t number, bool next) {
@@ -343,11 +354,10 @@
     if (me.asked != number) return;
     me.asked = 0;
     if (next) me.at = (me.at + 1) % kNodes;
-    me.next_report = now_ + 1;
+    me.next_heartbeat = now_ + 1;
   }
-  void Arrives(int w, int i, uint64_t number, const WorkerReport& r,
-               Time sent) {
-    Node& n = nodes_[i];
+  void Arrives(int w, int i, uint64_t number, const Heartbeat& r, Time sent) {
+    ControllerNode& n = nodes_[i];
     int leader = Leads(i) ? i : -1;
     // Handed on to a leader in another zone.
     if (leader < 0 && n.leader >= 0 && Reaches(i, n.leader) &&
@@ -361,18 +371,18 @@
       Heard(leader, w, r, true);
       const uint64_t token = nodes_[leader].revision << 20;
       const int home = Happens(0.05) ? HomeOf(w, leader) : -1;
-      Answer(w, i, number, r.session, sent, home < 0 ? 200 : 421, home, token,
-             workers_[w].task_cancelled <= now_);
+      Answer(w, i, number, r.incarnation, sent, home < 0 ? 200 : 421, home,
+             token, workers_[w].task_cancelled <= now_);
       return;
     }
     // Until it is known whether it is cut off.
     const double wait = CutOff(i) ? 0.0 : 1.2;
-    After(wait, [=, this, life = n.life] {
-      Node& me = nodes_[i];
-      if (me.life != life) return;
+    After(wait, [=, this, process_incarnation = n.process_incarnation] {
+      ControllerNode& me = nodes_[i];
+      if (me.process_incarnation != process_incarnation) return;
       bool keeps = false;
       if (r.token > 0 && kZoneOf[i] == workers_[w].zone && CutOff(i)) {
-        if (me.signs->SentOn(r, now_)) {
+        if (me.signs->Redirected(r, now_)) {
           ++sent_on_;
         } else if (me.lease->Renew(now_)) {
           me.signs->Kept(r, now_);
@@ -383,8 +393,8 @@
         me.signs->Clear();
       }
       const int named = keeps || CutOff(i) || me.leader == i ? -1 : me.leader;
-      Answer(w, i, number, r.session, sent, keeps ? 200 : 421, named, r.token,
-             false);
+      Answer(w, i, number, r.incarnation, sent, keeps ? 200 : 421, named,
+             r.token, false);
     });
   }
   int HomeOf(int w, int leader) {
@@ -394,7 +404,7 @@
     }
     return -1;
   }
-  void Answer(int w, int from, uint64_t number, uint64_t session, Time sent,
+  void Answer(int w, int from, uint64_t number, uint64_t incarnation, Time sent,
               int status, int named, uint64_t token, bool kill) {
     if (!ReachesWorker(from, workers_[w]) || Happens(lost_ / 4)) return;
     After(Between(0, 0.02), [=, this] {
@@ -406,13 +416,15 @@
         NoAnswer(w, number, !other);
         if (other) {
           me.at = named;
-          me.next_report = now_ + Between(0, 0.5);
+          me.next_heartbeat = now_ + Between(0, 0.5);
         }
         return;
       }
       me.asked = 0;
-      me.next_report = now_ + Between(0.75, 1.25) * settings_.workers.report_s;
-      if (me.session != session || token < me.token) return;
+      me.next_heartbeat =
+          now_ +
+          Between(0.75, 1.25) * settings_.workers.heartbeat_interval_seconds;
+      if (me.incarnation != incarnation || token < me.token) return;
       const bool raised = token > me.token;
       me.token = token;
       me.counted = std::max(me.counted, sent);
@@ -439,9 +451,9 @@
     }
     // Behind a cut of its own nobody kept it.
     constexpr double kRound = 5;
-    if (now_ - me.kept_last > kRound || me.kept_from != key_stamp_) {
+    if (now_ - me.kept_last > kRound || me.kept_from != key_mod_revision_) {
       me.kept_since = now_;
-      me.kept_from = key_stamp_;
+      me.kept_from = key_mod_revision_;
     }
     me.kept_last = now_;
     me.kept_since = std::min(me.kept_since, now_);
@@ -482,7 +494,7 @@
     sent_on += simulation.sent_on();
     longest = std::max(longest, simulation.longest_kept());
     ASSERT_LT(simulation.longest_kept(),
-              kLongest * Deployment().workers.lease_s)
+              kLongest * Deployment().workers.lease_seconds)
         << "seed " << seed << ", after " << i;
   }
   std::printf(
--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -5,7 +5,7 @@
 #include <cctype>
 #include <cmath>
 
-#include "core/calendar/calendar.h"
+#include "core/maintenance/maintenance_calendar.h"
 #include "wire/field_reader.h"
 #include "wire/json.h"
 #include "wire/names.h"
@@ -60,7 +60,7 @@
 }
 
 // Pairs of begin and length, s.
-std::string ReadTimes(const rapidjson::Value& value, Booking* out) {
+std::string ReadTimes(const rapidjson::Value& value, MaintenanceWindow* out) {
   const auto* times = json::Find(value, "times");
   if (times == nullptr || !times->IsArray() || times->Size() > kMostTimes) {
     return "field times";
@@ -106,8 +106,9 @@
          });
 }
 
-std::string ReadBooking(const std::string& id, const std::string& text,
-                        bool with_times, Booking* out) {
+std::string ReadMaintenanceWindow(const std::string& id,
+                                  const std::string& text, bool with_times,
+                                  MaintenanceWindow* out) {
   *out = {};
   out->id = id;
   if (!ValidBookingId(id)) return "the id " + id.substr(0, 80);
@@ -123,9 +124,9 @@
   read.String("zone", &out->zone);
   read.String("starts", &out->starts);
   read.StringIfGiven("rule", &out->rule);
-  read.Amount("length_s", 1, &out->length_s);
+  read.Amount("length_s", 1, &out->length_seconds);
   if (!read.error().empty()) return read.error();
-  if (out->length_s > kLongest) return "field length_s";
+  if (out->length_seconds > kLongest) return "field length_s";
   if (out->zone.size() > 80) return "field zone";
   if (out->starts.size() > 30) return "field starts";
   if (out->rule.size() > kMostText) return "field rule";
@@ -135,7 +136,7 @@
   return wrong;
 }
 
-std::string WriteBooking(const Booking& booking) {
+std::string WriteBooking(const MaintenanceWindow& booking) {
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
@@ -162,7 +163,7 @@
   if (!booking.rule.empty()) json::Field(w, "rule", booking.rule);
   WriteNames(w, "except", booking.except);
   w.Key("length_s");
-  w.Double(booking.length_s);
+  w.Double(booking.length_seconds);
   w.Key("times");
   w.StartArray();
   for (const UtcInterval& t : booking.times) {
--- a/wire/calendar_json.h
+++ b/wire/calendar_json.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/calendar/booking.h"
+#include "core/maintenance/maintenance_window.h"
 
 namespace oxbow::wire {
 
@@ -15,8 +15,9 @@
 
 // Reads a booking; returns what is malformed, or nothing. A declaration has no
 // times yet, a record must have them.
-std::string ReadBooking(const std::string& id, const std::string& text,
-                        bool with_times, Booking* out);
-std::string WriteBooking(const Booking& booking);
+std::string ReadMaintenanceWindow(const std::string& id,
+                                  const std::string& text, bool with_times,
+                                  MaintenanceWindow* out);
+std::string WriteBooking(const MaintenanceWindow& booking);
 
 }  // namespace oxbow::wire
--- a/wire/job_json.cc
+++ b/wire/job_json.cc
@@ -51,17 +51,17 @@
   read.Bool("together", &out->one_zone);
   read.Bool("scatter", &out->spread);
   read.Bool("loaner", &out->spot);
-  read.Amount("reckon_s", 0, &out->estimate_s);
-  read.Amount("bookmark_s", 0, &out->checkpoint_s);
-  read.Amount("stow_s", 0, &out->save_s);
-  read.OptionalAmount("due_s", &out->deadline_s);
-  std::optional<std::vector<std::string>> waits_on;
-  read.OptionalStrings("waits_on", &waits_on);
+  read.Amount("reckon_s", 0, &out->estimate_seconds);
+  read.Amount("bookmark_s", 0, &out->checkpoint_seconds);
+  read.Amount("stow_s", 0, &out->save_seconds);
+  read.OptionalAmount("due_s", &out->deadline_seconds);
+  std::optional<std::vector<std::string>> dependencies;
+  read.OptionalStrings("waits_on", &dependencies);
   if (!read.error().empty()) return read.error();
   if (!ValidJobId(out->id)) return "field id";
-  if (waits_on) {
-    if (!ValidWaitsOn(*waits_on, out->id)) return "field waits_on";
-    out->waits_on = std::move(*waits_on);
+  if (dependencies) {
+    if (!ValidWaitsOn(*dependencies, out->id)) return "field waits_on";
+    out->dependencies = std::move(*dependencies);
   }
   return {};
 }
@@ -97,14 +97,14 @@
   w.Bool(spec.spread);
   w.Key("loaner");
   w.Bool(spec.spot);
-  number("reckon_s", spec.estimate_s);
-  number("bookmark_s", spec.checkpoint_s);
-  number("stow_s", spec.save_s);
-  if (spec.deadline_s) number("due_s", *spec.deadline_s);
-  if (!spec.waits_on.empty()) {
+  number("reckon_s", spec.estimate_seconds);
+  number("bookmark_s", spec.checkpoint_seconds);
+  number("stow_s", spec.save_seconds);
+  if (spec.deadline_seconds) number("due_s", *spec.deadline_seconds);
+  if (!spec.dependencies.empty()) {
     w.Key("waits_on");
     w.StartArray();
-    for (const std::string& id : spec.waits_on) json::String(w, id);
+    for (const std::string& id : spec.dependencies) json::String(w, id);
     w.EndArray();
   }
   w.EndObject();
@@ -112,10 +112,10 @@
 
 std::string WhyImpossible(const JobSpec& spec,
                           const std::map<std::string, MachineType>& types,
-                          const std::vector<TeamSettings>& teams) {
+                          const std::vector<TeamQuota>& teams) {
   const auto team =
       std::find_if(teams.begin(), teams.end(),
-                   [&](const TeamSettings& t) { return t.name == spec.team; });
+                   [&](const TeamQuota& t) { return t.name == spec.team; });
   if (team == teams.end()) return "unknown team";
   const bool fits = std::any_of(types.begin(), types.end(), [&](const auto& t) {
     const MachineType& type = t.second;
--- a/wire/job_json.h
+++ b/wire/job_json.h
@@ -23,6 +23,6 @@
 // Why the job can never run, or nothing.
 std::string WhyImpossible(const JobSpec& spec,
                           const std::map<std::string, MachineType>& types,
-                          const std::vector<TeamSettings>& teams);
+                          const std::vector<TeamQuota>& teams);
 
 }  // namespace oxbow::wire
--- a/wire/moves_json.h
+++ b/wire/moves_json.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "core/moves/moves.h"
+#include "core/rebalancing/rebalancer.h"
 
 namespace oxbow::wire {
 
--- a/wire/names.h
+++ b/wire/names.h
@@ -5,8 +5,8 @@
 #include <string_view>
 #include <utility>
 
+#include "core/model/heartbeat.h"
 #include "core/model/job.h"
-#include "core/model/report.h"
 #include "core/rollout/rollout.h"
 
 namespace oxbow::wire {
@@ -61,10 +61,10 @@
     Reason{ExitReason::kBusy, "in_use"},
     Reason{ExitReason::kUnknownTask, "no_such"}};
 
-using Op = std::pair<OrderKind, std::string_view>;
-inline constexpr std::array kOrders = {Op{OrderKind::kStart, "run"},
-                                       Op{OrderKind::kStop, "kill"},
-                                       Op{OrderKind::kForget, "clear"}};
+using Op = std::pair<CommandKind, std::string_view>;
+inline constexpr std::array kCommands = {Op{CommandKind::kStart, "run"},
+                                         Op{CommandKind::kStop, "kill"},
+                                         Op{CommandKind::kForget, "clear"}};
 
 using Terminal = std::pair<TerminalState, std::string_view>;
 inline constexpr std::array kTerminalStates = {
@@ -83,9 +83,10 @@
     Step{RolloutStep::kRolledBack, "rolled_back"},
     Step{RolloutStep::kFailed, "failed"}};
 
-using Wish = std::pair<RolloutWish, std::string_view>;
-inline constexpr std::array kRolloutWishes = {
-    Wish{RolloutWish::kNone, "none"}, Wish{RolloutWish::kPause, "pause"},
-    Wish{RolloutWish::kResume, "resume"}, Wish{RolloutWish::kAbort, "abort"}};
+using Wish = std::pair<RolloutRequest, std::string_view>;
+inline constexpr std::array kRolloutRequests = {
+    Wish{RolloutRequest::kNone, "none"}, Wish{RolloutRequest::kPause, "pause"},
+    Wish{RolloutRequest::kResume, "resume"},
+    Wish{RolloutRequest::kAbort, "abort"}};
 
 }  // namespace oxbow::wire
--- a/wire/operator_json.h
+++ b/wire/operator_json.h
@@ -1,5 +1,5 @@
-// JSON of the operators' records: as the state service holds them, and as they
-// are told to operators.
+// JSON of the operators' records: as the key-value store holds them, and as
+// they are told to operators.
 #pragma once
 
 #include <rapidjson/document.h>
--- a/wire/records.cc
+++ b/wire/records.cc
@@ -52,9 +52,9 @@
     w.Bool(r.spot);
     Field(w, "endpoint", r.endpoint);
     Key(w, "t");
-    w.Double(r.rented_wall);
+    w.Double(r.requested_wall);
   }
-  void operator()(const RentalRecord& r) const {
+  void operator()(const ScaleOutRecord& r) const {
     Field(w, "type", r.type);
     Field(w, "zone", r.zone);
     Key(w, "spot");
@@ -74,7 +74,7 @@
     w.EndObject();
     Field(w, "step", NameOf(kRolloutStepNames, r.step));
     Field(w, "paused_in", NameOf(kRolloutStepNames, r.paused_in));
-    Field(w, "wish", NameOf(kRolloutWishes, r.wish));
+    Field(w, "wish", NameOf(kRolloutRequests, r.request));
     Field(w, "reason", r.reason);
     Key(w, "t");
     w.Double(r.declared_wall);
@@ -163,11 +163,11 @@
   } else if (key.starts_with(keys::kVersion)) {
     *out = VersionRecord{static_cast<uint32_t>(json::GetUint(value, "version")),
                          0};
-  } else if (key.starts_with(keys::kRental)) {
-    *out = RentalRecord{json::GetString(value, "type"),
-                        json::GetString(value, "zone"),
-                        json::GetBool(value, "spot"),
-                        static_cast<int>(json::GetUint(value, "count")), 0};
+  } else if (key.starts_with(keys::kScaleOut)) {
+    *out = ScaleOutRecord{json::GetString(value, "type"),
+                          json::GetString(value, "zone"),
+                          json::GetBool(value, "spot"),
+                          static_cast<int>(json::GetUint(value, "count")), 0};
   } else if (key.starts_with(keys::kRollout) ||
              key.starts_with(keys::kRolloutEnd)) {
     const auto* spec = json::Find(value, "spec");
@@ -178,7 +178,8 @@
                 &record.step) ||
         !TermOf(kRolloutStepNames, json::GetString(value, "paused_in"),
                 &record.paused_in) ||
-        !TermOf(kRolloutWishes, json::GetString(value, "wish"), &record.wish)) {
+        !TermOf(kRolloutRequests, json::GetString(value, "wish"),
+                &record.request)) {
       return false;
     }
     record.spec = std::move(parsed);
--- a/wire/records.h
+++ b/wire/records.h
@@ -1,4 +1,4 @@
-// JSON of what the state service holds.
+// JSON of what the key-value store holds.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/controller/catalog.h"
+#include "core/leader/catalog.h"
 
 namespace oxbow::wire {
 
--- a/wire/rollout_json.cc
+++ b/wire/rollout_json.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cctype>
 
-#include "script/verdict.h"
+#include "health_expression/health_expression.h"
 #include "wire/field_reader.h"
 #include "wire/job_json.h"
 
@@ -19,8 +19,8 @@
   out->port = static_cast<uint16_t>(port);
   read.BoolIfGiven("port_per_task", &out->port_per_task);
   read.StringIfGiven("path", &out->path);
-  read.AmountIfGiven("interval_s", 0.05, &out->interval_s);
-  read.AmountIfGiven("timeout_s", 0.01, &out->timeout_s);
+  read.AmountIfGiven("interval_s", 0.05, &out->interval_seconds);
+  read.AmountIfGiven("timeout_s", 0.01, &out->timeout_seconds);
   read.CountIfGiven("good_in_row", 1, 1000, &out->good_in_row);
   read.CountIfGiven("bad_in_row", 1, 1000, &out->bad_in_row);
   read.StringIfGiven("verdict", &out->verdict);
@@ -57,9 +57,9 @@
   read.String("to", &out->to);
   read.Count("floor", 0, kMaxTasks, &out->floor);
   read.CountIfGiven("surge", 0, kMaxTasks, &out->surge);
-  read.AmountIfGiven("start_s", 0, &out->start_s);
-  read.AmountIfGiven("bake_s", 0, &out->bake_s);
-  read.AmountIfGiven("watch_s", 0, &out->watch_s);
+  read.AmountIfGiven("start_s", 0, &out->start_seconds);
+  read.AmountIfGiven("bake_s", 0, &out->bake_seconds);
+  read.AmountIfGiven("watch_s", 0, &out->watch_seconds);
   if (!read.error().empty()) return read.error();
   if (!ValidRolloutId(out->id)) return "field id";
   if (!ValidJobId(out->from)) return "field from";
@@ -83,17 +83,17 @@
   json::Field(w, "to", spec.to);
   count("floor", spec.floor);
   count("surge", spec.surge);
-  number("start_s", spec.start_s);
-  number("bake_s", spec.bake_s);
-  number("watch_s", spec.watch_s);
+  number("start_s", spec.start_seconds);
+  number("bake_s", spec.bake_seconds);
+  number("watch_s", spec.watch_seconds);
   w.Key("check");
   w.StartObject();
   count("port", spec.check.port);
   w.Key("port_per_task");
   w.Bool(spec.check.port_per_task);
   json::Field(w, "path", spec.check.path);
-  number("interval_s", spec.check.interval_s);
-  number("timeout_s", spec.check.timeout_s);
+  number("interval_s", spec.check.interval_seconds);
+  number("timeout_s", spec.check.timeout_seconds);
   count("good_in_row", spec.check.good_in_row);
   count("bad_in_row", spec.check.bad_in_row);
   json::Field(w, "verdict", spec.check.verdict);
@@ -109,7 +109,8 @@
   if (spec.surge == 0 && spec.floor == from_tasks) {
     return "with a floor of all replicas and no surge nothing could ever move";
   }
-  const std::string wrong = script::Verdict::WhatIsWrong(spec.check.verdict);
+  const std::string wrong =
+      health_expression::HealthExpression::WhatIsWrong(spec.check.verdict);
   if (!wrong.empty()) return "the verdict can't be used: " + wrong;
   return {};
 }
@@ -122,8 +123,8 @@
   WriteRolloutSpec(w, *record.spec);
   json::Field(w, "step", NameOf(kRolloutStepNames, record.step));
   if (!record.reason.empty()) json::Field(w, "reason", record.reason);
-  if (record.wish != RolloutWish::kNone) {
-    json::Field(w, "wish", NameOf(kRolloutWishes, record.wish));
+  if (record.request != RolloutRequest::kNone) {
+    json::Field(w, "wish", NameOf(kRolloutRequests, record.request));
   }
   if (counts != nullptr) {
     const auto count = [&](const char* key, uint32_t value) {
--- a/wire/rollout_json.h
+++ b/wire/rollout_json.h
@@ -1,4 +1,4 @@
-// Roll-outs as users declare and read them.
+// Rollouts as users declare and read them.
 #pragma once
 
 #include <rapidjson/document.h>
--- a/wire/tiers_json.cc
+++ b/wire/tiers_json.cc
@@ -68,7 +68,7 @@
   };
   std::string why = share("kept_share", &out->kept_share);
   if (why.empty()) why = share("most_share", &out->most_share);
-  if (why.empty()) why = share("floor_s", &out->floor_s);
+  if (why.empty()) why = share("floor_s", &out->floor_seconds);
   if (why.empty()) why = ReadMatch(value, &out->match);
   if (!why.empty()) return "tier " + out->name.substr(0, 64) + ", " + why;
   return {};
@@ -142,9 +142,9 @@
     w.Double(tier.kept_share);
     w.Key("most_share");
     w.Double(tier.most_share);
-    if (tier.floor_s > 0) {
+    if (tier.floor_seconds > 0) {
       w.Key("floor_s");
-      w.Double(tier.floor_s);
+      w.Double(tier.floor_seconds);
     }
     w.EndObject();
   }
--- a/wire/tiers_json.h
+++ b/wire/tiers_json.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/tiers/tiers.h"
+#include "core/priority_tiers/tier_set.h"
 
 namespace oxbow::wire {
 
--- a/wire/worker_json.cc
+++ b/wire/worker_json.cc
@@ -9,7 +9,7 @@
 namespace oxbow::wire {
 namespace {
 
-bool ReadTask(const rapidjson::Value& value, TaskReport* out) {
+bool ReadTask(const rapidjson::Value& value, TaskStatus* out) {
   const auto* leg = json::Find(value, "leg");
   if (leg == nullptr || !leg->IsString()) return false;
   const std::string_view name = json::View(*leg);
@@ -37,25 +37,25 @@
 
 }  // namespace
 
-void WriteOrders(json::Writer& w, const std::vector<Order>& orders) {
+void WriteOrders(json::Writer& w, const std::vector<WorkerCommand>& commands) {
   w.Key("orders");
   w.StartArray();
-  for (const Order& o : orders) {
+  for (const WorkerCommand& o : commands) {
     w.StartObject();
-    json::Field(w, "order", NameOf(kOrders, o.kind));
+    json::Field(w, "order", NameOf(kCommands, o.kind));
     json::Field(w, "leg", o.job_id + "/" + std::to_string(o.task));
     w.Key("try_no");
     w.Uint64(o.attempt);
-    if (o.kind == OrderKind::kStop) {
+    if (o.kind == CommandKind::kStop) {
       w.Key("wind_down_s");
-      w.Double(o.grace_s);
+      w.Double(o.grace_seconds);
     }
     w.EndObject();
   }
   w.EndArray();
 }
 
-bool ParseReport(std::string_view body, WorkerReport* out) {
+bool ParseReport(std::string_view body, Heartbeat* out) {
   rapidjson::Document doc;
   if (!json::Parse(body, &doc) || !doc.IsObject()) return false;
   out->host = json::GetString(doc, "host");
@@ -63,34 +63,34 @@
   out->type = json::GetString(doc, "fleet");
   out->zone = json::GetString(doc, "yard");
   out->spot = json::GetBool(doc, "loaner");
-  out->session = json::GetUint(doc, "tenure");
+  out->incarnation = json::GetUint(doc, "tenure");
   out->seq = json::GetUint(doc, "tally");
   out->token = json::GetUint(doc, "fence");
   const auto* notice = json::Find(doc, "warning_s");
   if (notice != nullptr && notice->IsNumber()) {
-    out->notice_s = notice->GetDouble();
+    out->notice_seconds = notice->GetDouble();
   }
   const auto* tasks = json::Find(doc, "legs");
   if (tasks != nullptr && tasks->IsArray()) {
     out->tasks.reserve(tasks->Size());
     for (const auto& item : tasks->GetArray()) {
-      TaskReport task;
+      TaskStatus task;
       // A report that can't be understood whole must not be taken for one
       // that lacks a task.
       if (!ReadTask(item, &task)) return false;
       out->tasks.push_back(std::move(task));
     }
   }
-  return !out->host.empty() && !out->endpoint.empty() && out->session > 0;
+  return !out->host.empty() && !out->endpoint.empty() && out->incarnation > 0;
 }
 
-std::string EncodeReply(const ReportReply& reply) {
+std::string EncodeReply(const HeartbeatResponse& reply) {
   rapidjson::StringBuffer buffer;
   json::Writer w(buffer);
   w.StartObject();
   w.Key("fence");
   w.Uint64(reply.token);
-  WriteOrders(w, reply.orders);
+  WriteOrders(w, reply.commands);
   w.EndObject();
   return json::Text(buffer);
 }
