--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -563,8 +563,8 @@
                                                  HeartbeatResponse* reply) {
   const Leader* leading = leader_runtime_.ActiveLeader();
   if (leading == nullptr) return false;
-  leader_runtime_.ResolveStatus(leading->revision(), [&](Leader& c) {
-    *reply = c.OnHeartbeat(heartbeat, loop_.Now());
+  leader_runtime_.ResolveStatus(leading->revision(), [&](Leader& leader) {
+    *reply = leader.OnHeartbeat(heartbeat, loop_.Now());
   });
   // The report may have ended this leadership; and a copy is not answered.
   return leader_runtime_.is_leading() && !reply->refused && !reply->withheld;
@@ -579,8 +579,8 @@
     out.leader =
         zone_coordinator_.BetterPlaceFor(heartbeat, leading->revision());
     if (!out.leader.empty()) {
-      leader_runtime_.ResolveStatus(leading->revision(), [&](Leader& c) {
-        c.OnProbeAnswer(heartbeat, loop_.Now());
+      leader_runtime_.ResolveStatus(leading->revision(), [&](Leader& leader) {
+        leader.OnProbeAnswer(heartbeat, loop_.Now());
       });
       out.result = Result::kElsewhere;
       co_return out;
--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -46,9 +46,9 @@
       co_await reach_.Ask(std::move(endpoints), probe_seconds_);
   round->answers[0].answered = true;
   round->answers[0].machines = std::move(found.machines);
-  callbacks_.tell(revision, [&](Leader& c) {
+  callbacks_.tell(revision, [&](Leader& leader) {
     for (const Heartbeat& heartbeat : found.reports) {
-      c.OnProbeAnswer(heartbeat, loop_.Now());
+      leader.OnProbeAnswer(heartbeat, loop_.Now());
     }
   });
   if (--round->left == 0) round->done.Set();
@@ -89,16 +89,17 @@
   co_await round->done.Wait(kWait * probe_seconds_);
   // One that answers after this is not looked at any more.
   std::vector<Reach> answers = round->answers;
-  callbacks_.tell(revision, [&](Leader& c) {
-    c.OnReach(ask.round, std::move(answers), loop_.Now());
+  callbacks_.tell(revision, [&](Leader& leader) {
+    leader.OnReach(ask.round, std::move(answers), loop_.Now());
   });
 }
 
 net::Task<void> LeaderHealthCoordinator::OfferTransfer(
     OfferLeadershipTransfer offer, uint64_t revision) {
   const auto refused = [&](const std::string& why) {
-    callbacks_.tell(revision,
-                    [&](Leader& c) { c.OnTransferRejected(why, loop_.Now()); });
+    callbacks_.tell(revision, [&](Leader& leader) {
+      leader.OnTransferRejected(why, loop_.Now());
+    });
   };
   if (!leadership_transfers_.Allows(loop_.Now())) {
     refused("too many hand-overs within a lease, though " + offer.why);
@@ -120,9 +121,9 @@
   }
   // The leadership may have ended, and another begun, while it was asked.
   bool still = false;
-  callbacks_.tell(revision, [&](Leader& c) {
+  callbacks_.tell(revision, [&](Leader& leader) {
     still = true;
-    c.OnTransferAccepted();
+    leader.OnTransferAccepted();
   });
   if (!still) co_return;
   for (const auto& peer : peers_) {
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -88,28 +88,28 @@
     FollowTiers();
     if (leader_) {
       Deliver(leader_->revision(),
-              [this](Leader& c) { c.UseTiers(tiers_.set()); });
+              [this](Leader& leader) { leader.UseTiers(tiers_.set()); });
     }
   }
   if (!leader_) return;
   const auto about = [&](std::string_view prefix, const auto& event) {
     if (!leader_ || !key.starts_with(prefix)) return;
     Deliver(leader_->revision(),
-            [&](Leader& c) { event(c, key.substr(prefix.size())); });
+            [&](Leader& leader) { event(leader, key.substr(prefix.size())); });
   };
-  about(keys::kJob, [this](Leader& c, const std::string& id) {
-    c.OnJobRecord(id, loop_.Now());
+  about(keys::kJob, [this](Leader& leader, const std::string& id) {
+    leader.OnJobRecord(id, loop_.Now());
   });
-  about(keys::kWaiting, [this](Leader& c, const std::string& id) {
-    c.OnWaitingRecord(id, loop_.Now());
+  about(keys::kWaiting, [this](Leader& leader, const std::string& id) {
+    leader.OnWaitingRecord(id, loop_.Now());
   });
-  about(keys::kRollout, [this](Leader& c, const std::string& id) {
-    c.OnRolloutRecord(id, loop_.Now());
+  about(keys::kRollout, [this](Leader& leader, const std::string& id) {
+    leader.OnRolloutRecord(id, loop_.Now());
   });
-  about(keys::kOperator, [this](Leader& c, const std::string& name) {
+  about(keys::kOperator, [this](Leader& leader, const std::string& name) {
     if (tuning_.calendar_on > 0)
-      PublishMaintenanceWindow(catalog_, name, c, loop_.Now());
-    c.OnOperatorRecord(name, loop_.Now());
+      PublishMaintenanceWindow(catalog_, name, leader, loop_.Now());
+    leader.OnOperatorRecord(name, loop_.Now());
   });
 }
 
@@ -179,8 +179,9 @@
   for (;;) {
     co_await loop_.Sleep(kTick * settings_.workers.heartbeat_interval_seconds);
     if (ActiveLeader() == nullptr) continue;
-    Deliver(leader_->revision(),
-            [this](Leader& c) { c.Tick(loop_.Now(), election_.ByLease()); });
+    Deliver(leader_->revision(), [this](Leader& leader) {
+      leader.Tick(loop_.Now(), election_.ByLease());
+    });
   }
 }
 
@@ -192,8 +193,8 @@
     const net::Time asked = loop_.Now();
     const clients::CloudClient::Listing listing = co_await cloud_.List();
     if (!listing.ok || ActiveLeader() == nullptr) continue;
-    Deliver(revision, [&](Leader& c) {
-      c.OnMachineList(listing.machines, asked, loop_.Now());
+    Deliver(revision, [&](Leader& leader) {
+      leader.OnMachineList(listing.machines, asked, loop_.Now());
     });
   }
 }
@@ -273,10 +274,10 @@
   // The last look at the clock before anything leaves.
   if (ActiveLeader() != nullptr)
     answer = co_await workers_.Send(std::move(commands));
-  Deliver(revision, [&](Leader& c) {
-    c.OnCommandResponse(host, batch, answer.outcome,
-                        answer.has_heartbeat ? &answer.heartbeat : nullptr,
-                        loop_.Now());
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnCommandResponse(host, batch, answer.outcome,
+                             answer.has_heartbeat ? &answer.heartbeat : nullptr,
+                             loop_.Now());
   });
 }
 
@@ -284,8 +285,9 @@
   const clients::WorkerClients::Answer answer =
       co_await workers_.Probe(probe.endpoint);
   if (!answer.has_heartbeat) co_return;
-  Deliver(revision,
-          [&](Leader& c) { c.OnProbeAnswer(answer.heartbeat, loop_.Now()); });
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnProbeAnswer(answer.heartbeat, loop_.Now());
+  });
 }
 
 net::Task<void> LeaderRuntime::CheckInstanceHealth(CheckInstance check,
@@ -293,8 +295,9 @@
   const std::string rollout = check.rollout;
   const TaskAttemptKey key = check.key;
   const CheckOutcome outcome = co_await health_.Check(std::move(check));
-  Deliver(revision,
-          [&](Leader& c) { c.OnHealth(rollout, key, outcome, loop_.Now()); });
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnHealth(rollout, key, outcome, loop_.Now());
+  });
 }
 
 net::Task<void> LeaderRuntime::ExecuteCompareAndSwap(CompareAndSwap txn,
@@ -320,8 +323,9 @@
     default:
       break;
   }
-  Deliver(revision, [&](Leader& c) {
-    c.OnWriteAnswer(id, outcome, result.revision, result.failed, loop_.Now());
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnWriteAnswer(id, outcome, result.revision, result.failed,
+                         loop_.Now());
   });
 }
 
@@ -355,8 +359,9 @@
   }
   if (!ok)
     co_await loop_.Sleep(0.2 * settings_.workers.heartbeat_interval_seconds);
-  Deliver(revision,
-          [&](Leader& c) { c.OnReadAnswer(read.id, ok, loop_.Now()); });
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnReadAnswer(read.id, ok, loop_.Now());
+  });
 }
 
 // In the order in which a job moves, so that one that moves meanwhile is found.
@@ -377,7 +382,8 @@
     }
     if (found.status != StoreStatus::kNotFound) break;
   }
-  Deliver(revision, [&](Leader& c) { c.OnTerminalStateRead(id, loop_.Now()); });
+  Deliver(revision,
+          [&](Leader& leader) { leader.OnTerminalStateRead(id, loop_.Now()); });
 }
 
 net::Task<void> LeaderRuntime::RequestMachines(RequestScaleOut rent,
@@ -386,8 +392,9 @@
   if (ActiveLeader() != nullptr) {
     answer = co_await cloud_.Rent(rent.name, rent.scale_out);
   }
-  Deliver(revision, [&](Leader& c) {
-    c.OnScaleOutResponse(rent.name, answer.outcome, answer.hosts, loop_.Now());
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnScaleOutResponse(rent.name, answer.outcome, answer.hosts,
+                              loop_.Now());
   });
 }
 
@@ -395,16 +402,18 @@
   const net::Time sent = loop_.Refresh();
   const auto delegates = co_await election_.ReadDelegates();
   if (!delegates) co_return;
-  Deliver(revision,
-          [&](Leader& c) { c.OnDelegatesRead(*delegates, sent, loop_.Now()); });
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnDelegatesRead(*delegates, sent, loop_.Now());
+  });
 }
 
 net::Task<void> LeaderRuntime::DeleteCloudMachines(
     std::vector<std::string> hosts, uint64_t revision) {
   bool ok = false;
   if (ActiveLeader() != nullptr) ok = co_await cloud_.Delete(hosts);
-  Deliver(revision,
-          [&](Leader& c) { c.OnDeleteAnswer(hosts, ok, loop_.Now()); });
+  Deliver(revision, [&](Leader& leader) {
+    leader.OnDeleteAnswer(hosts, ok, loop_.Now());
+  });
 }
 
 net::Task<TerminalState> LeaderRuntime::Cancel(std::string id) {
@@ -412,7 +421,7 @@
   terminal_waiters_[id].push_back(waiter);
   bool known = false;
   Deliver(leader_->revision(),
-          [&](Leader& c) { known = c.Cancel(id, loop_.Now()); });
+          [&](Leader& leader) { known = leader.Cancel(id, loop_.Now()); });
   if (known) {
     co_await waiter->event.Wait(kCancelWaitRatio *
                                 settings_.workers.lease_seconds);
--- a/app/recovery_collection.cc
+++ b/app/recovery_collection.cc
@@ -171,9 +171,9 @@
   // The leader may not have taken office yet.
   bool told = false;
   while (!told && collected_term_ == term) {
-    callbacks_.tell(term, [&](Leader& c) {
+    callbacks_.tell(term, [&](Leader& leader) {
       told = true;
-      c.OnUnrecordedTerminalStates(std::move(pending_writes), whole);
+      leader.OnUnrecordedTerminalStates(std::move(pending_writes), whole);
     });
     co_await loop_.Sleep(kRoundPause *
                          settings_.workers.heartbeat_interval_seconds);
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -227,9 +227,9 @@
   const clients::PeerClient* leader = callbacks_.leader();
   if (leader == nullptr) return false;
   return std::any_of(settings_.peers.begin(), settings_.peers.end(),
-                     [&](const PeerSettings& p) {
-                       return p.name == leader->name() &&
-                              p.zone != settings_.zone;
+                     [&](const PeerSettings& peer) {
+                       return peer.name == leader->name() &&
+                              peer.zone != settings_.zone;
                      });
 }
 
@@ -286,11 +286,11 @@
     return {};
   }
   std::vector<const std::string*> there;
-  for (const PeerSettings& p : settings_.peers) {
-    const auto met = peer_met_.find(p.name);
-    if (p.zone == heartbeat.zone && met != peer_met_.end() &&
+  for (const PeerSettings& peer : settings_.peers) {
+    const auto met = peer_met_.find(peer.name);
+    if (peer.zone == heartbeat.zone && met != peer_met_.end() &&
         now - met->second < kUnheard * lease) {
-      there.push_back(&p.name);
+      there.push_back(&peer.name);
     }
   }
   if (there.empty()) return {};
@@ -342,9 +342,9 @@
   if (!answer.ok || said.answer != PeerAnswer::kYes) co_return;
   // One more than the time, 0 for never.
   const double renewed_ago = said.done == 0 ? -1 : Seconds(said.done - 1);
-  callbacks_.tell(revision, [&](Leader& c) {
-    c.OnLeaseYielded(peer->name(), said.text, Seconds(said.running),
-                     renewed_ago, sent, loop_.Now());
+  callbacks_.tell(revision, [&](Leader& leader) {
+    leader.OnLeaseYielded(peer->name(), said.text, Seconds(said.running),
+                          renewed_ago, sent, loop_.Now());
   });
 }
 
--- a/clients/key_value_store.cc
+++ b/clients/key_value_store.cc
@@ -48,11 +48,11 @@
   w.StartObject();
   w.Key("if");
   w.StartArray();
-  for (const Precondition& c : preconditions) {
+  for (const Precondition& precondition : preconditions) {
     w.StartObject();
-    json::Field(w, "key", c.key);
+    json::Field(w, "key", precondition.key);
     w.Key("stamp");
-    w.Uint64(c.mod_revision);
+    w.Uint64(precondition.mod_revision);
     w.EndObject();
   }
   w.EndArray();
--- a/core/leader/autoscaling.cc
+++ b/core/leader/autoscaling.cc
@@ -24,16 +24,18 @@
   constexpr int kMostAtOnce = 40;
   input.most_machines = kMostAtOnce;
   for (const auto& [kind, until] : refused_until_) input.refused[kind] = true;
-  for (const auto& m : machines_) {
-    if (m->type == nullptr) continue;
-    const bool coming = m->state() == MachineState::kBooting &&
-                        now - m->requested_at <
-                            tuning_.boot_timeout_ratio * m->type->boot_seconds;
-    const bool up = m->state() == MachineState::kUp && !Suspect(*m, now);
+  for (const auto& machine : machines_) {
+    if (machine->type == nullptr) continue;
+    const bool coming =
+        machine->state() == MachineState::kBooting &&
+        now - machine->requested_at <
+            tuning_.boot_timeout_ratio * machine->type->boot_seconds;
+    const bool up =
+        machine->state() == MachineState::kUp && !Suspect(*machine, now);
     if (!coming && !up) continue;
     // Room that is being drained for a job is as good as there for it.
-    input.rooms.push_back(
-        {{m->type_name, m->zone, m->spot}, m->free() + m->leaving});
+    input.rooms.push_back({{machine->type_name, machine->zone, machine->spot},
+                           machine->free() + machine->leaving});
   }
   for (const auto& [name, scale_out] : scale_outs_) {
     if (scale_out.state == ScaleOutState::kSettled) continue;
@@ -127,17 +129,18 @@
   const double hold =
       tuning_.idle_return_leases * settings_.workers.lease_seconds;
   Resources soon = NextSteps(now);
-  for (auto& m : machines_) {
+  for (auto& machine : machines_) {
     if (quiet_since_ == now || now - started_ < hold) break;
-    if (m->state() == MachineState::kUp && m->task_attempts.empty() &&
-        !m->batch && now - m->idle_since > hold) {
+    if (machine->state() == MachineState::kUp &&
+        machine->task_attempts.empty() && !machine->batch &&
+        now - machine->idle_since > hold) {
       // The next step of a chain starts here sooner than on one that has to
       // boot.
       if (soon.cpus > 0) {
-        soon -= m->total();
+        soon -= machine->total();
         continue;
       }
-      if (!RemoveMachine(*m, LossCause::kIdle, now)) break;
+      if (!RemoveMachine(*machine, LossCause::kIdle, now)) break;
     }
   }
   if (IsQuiescent(now) && now >= next_consolidation_) Consolidate(now);
@@ -148,8 +151,9 @@
          tuning_.idle_return_leases * settings_.workers.lease_seconds;
 }
 
-bool Leader::IsConsolidationTarget(const Machine& m) const {
-  return m.total().gpus <= 0 || AcceleratorWorkBlocked(m, accelerator_shape_);
+bool Leader::IsConsolidationTarget(const Machine& machine) const {
+  return machine.total().gpus <= 0 ||
+         AcceleratorWorkBlocked(machine, accelerator_shape_);
 }
 
 // Drains dear machines that only replicas still use, when all of them find
@@ -160,26 +164,29 @@
   std::vector<Machine*> usable;
   double most_staying = 0;
   size_t replicas = 0;
-  for (auto& m : machines_) {
-    if (m->state() == MachineState::kDraining) return;
-    if (!Usable(*m, now)) continue;
-    usable.push_back(m.get());
-    most_staying = std::max(most_staying, m->staying.cpus);
-    replicas += m->task_attempts.size();
+  for (auto& machine : machines_) {
+    if (machine->state() == MachineState::kDraining) return;
+    if (!Usable(*machine, now)) continue;
+    usable.push_back(machine.get());
+    most_staying = std::max(most_staying, machine->staying.cpus);
+    replicas += machine->task_attempts.size();
   }
   const double settled = 3 * settings_.workers.lease_seconds;
   std::vector<Machine*> drained;
-  for (Machine* m : usable) {
-    if (m->staying.cpus <= 0 || m->batch || !m->queue.empty()) continue;
-    const bool only_settled_replicas = std::all_of(
-        m->task_attempts.begin(), m->task_attempts.end(), [&](const auto& e) {
-          const TaskAttempt& r = e.second;
-          return r.phase == TaskPhase::kExited ||
-                 (r.phase == TaskPhase::kRunning && r.job != nullptr &&
-                  r.job->spec().kind == JobKind::kService &&
-                  now - r.running_since > settled);
-        });
-    if (only_settled_replicas) drained.push_back(m);
+  for (Machine* machine : usable) {
+    if (machine->staying.cpus <= 0 || machine->batch || !machine->queue.empty())
+      continue;
+    const bool only_settled_replicas =
+        std::all_of(machine->task_attempts.begin(),
+                    machine->task_attempts.end(), [&](const auto& e) {
+                      const TaskAttempt& attempt = e.second;
+                      return attempt.phase == TaskPhase::kExited ||
+                             (attempt.phase == TaskPhase::kRunning &&
+                              attempt.job != nullptr &&
+                              attempt.job->spec().kind == JobKind::kService &&
+                              now - attempt.running_since > settled);
+                    });
+    if (only_settled_replicas) drained.push_back(machine);
   }
   std::sort(drained.begin(), drained.end(),
             [](const Machine* a, const Machine* b) {
@@ -193,13 +200,13 @@
   constexpr double kMovedAtOnce = 0.01;
   const double at_once = kMovedAtOnce * static_cast<double>(replicas);
   size_t moved = 0;
-  for (Machine* m : drained) {
-    const auto more = moved + m->task_attempts.size();
+  for (Machine* machine : drained) {
+    const auto more = moved + machine->task_attempts.size();
     if (moved > 0 && static_cast<double>(more) > at_once) break;
-    if (!CanMoveAll(*m, usable, most_staying)) continue;
-    if (!RemoveMachine(*m, LossCause::kMoved, now)) break;
+    if (!CanMoveAll(*machine, usable, most_staying)) continue;
+    if (!RemoveMachine(*machine, LossCause::kMoved, now)) break;
     moved = more;
-    std::erase(usable, m);
+    std::erase(usable, machine);
   }
   if (moved == 0) return;
   // Where one machine alone holds more than that share, the next one waits.
@@ -214,31 +221,34 @@
                         const std::vector<Machine*>& usable,
                         double spare_cpus) const {
   std::map<const Machine*, Resources> taken;
-  for (const auto& [key, r] : from.task_attempts) {
-    if (r.phase == TaskPhase::kExited) continue;
-    const JobSpec& spec = r.job->spec();
-    ZoneSpread where = ZoneSpreadOf(*r.job);
+  for (const auto& [key, attempt] : from.task_attempts) {
+    if (attempt.phase == TaskPhase::kExited) continue;
+    const JobSpec& spec = attempt.job->spec();
+    ZoneSpread where = ZoneSpreadOf(*attempt.job);
     where.Add(from.zone, -1);
     const Machine* to = nullptr;
-    for (const Machine* m : usable) {
-      if (m == &from || !m->HasImage(spec.image) || !Allowed(spec, *m, where) ||
-          !spec.need.FitsIn(m->CapacityFor(r.job, spec.priority) - taken[m]) ||
-          m->type->price > from.type->price ||
+    for (const Machine* machine : usable) {
+      if (machine == &from || !machine->HasImage(spec.image) ||
+          !Allowed(spec, *machine, where) ||
+          !spec.need.FitsIn(machine->CapacityFor(attempt.job, spec.priority) -
+                            taken[machine]) ||
+          machine->type->price > from.type->price ||
           // From the emptier to the fuller, or two would change for ever.
-          (m->type->price == from.type->price &&
-           m->staying.cpus < from.staying.cpus)) {
+          (machine->type->price == from.type->price &&
+           machine->staying.cpus < from.staying.cpus)) {
         continue;
       }
       if (to == nullptr ||
-          (IsConsolidationTarget(*m) && !IsConsolidationTarget(*to)))
-        to = m;
+          (IsConsolidationTarget(*machine) && !IsConsolidationTarget(*to)))
+        to = machine;
     }
     if (to == nullptr) return false;
     taken[to] += spec.need;
   }
   double free = 0;
-  for (const Machine* m : usable) {
-    if (m != &from && !m->spot) free += m->free().cpus - taken[m].cpus;
+  for (const Machine* machine : usable) {
+    if (machine != &from && !machine->spot)
+      free += machine->free().cpus - taken[machine].cpus;
   }
   return free >= spare_cpus;
 }
@@ -284,10 +294,10 @@
         if (FindMachine(host) != nullptr || gone_hosts_.contains(host)) {
           continue;
         }
-        Machine& m =
+        Machine& machine =
             AddMachine(host, {kind.type, kind.zone, kind.spot, "",
                               scale_out.asked + wall_minus_steady_, 0});
-        m.requested_at = scale_out.asked;
+        machine.requested_at = scale_out.asked;
       }
       Log("rented " + std::to_string(hosts.size()) + " " + kind.type + " in " +
           kind.zone + (kind.spot ? " (spot)" : "") + " as " + name);
@@ -328,15 +338,15 @@
 void Leader::OnDeleteAnswer(const std::vector<std::string>& hosts, bool ok,
                             Time now) {
   for (const std::string& host : hosts) {
-    Machine* m = FindMachine(host);
-    if (m == nullptr) continue;
+    Machine* machine = FindMachine(host);
+    if (machine == nullptr) continue;
     if (!ok) {
-      m->delete_sent = now - settings_.workers.lease_seconds / 2;
+      machine->delete_sent = now - settings_.workers.lease_seconds / 2;
       continue;
     }
     Log("machine " + host + " deleted, confirmed by the cloud");
-    MarkAllLost(*m, "deleted");
-    m->Change(MachineState::kGone);
+    MarkAllLost(*machine, "deleted");
+    machine->Change(MachineState::kGone);
     gone_hosts_.insert(host);
     machine_index_.erase(host);
     writes_.Queue({WriteKind::kMachineForget, host, TerminalState::kNone, {}},
@@ -354,36 +364,39 @@
   for (const ListedMachine& entry : list) {
     listed.insert(entry.host);
     if (gone_hosts_.contains(entry.host)) continue;  // the list lags
-    Machine* m = FindMachine(entry.host);
-    if (m == nullptr) {
+    Machine* machine = FindMachine(entry.host);
+    if (machine == nullptr) {
       Log("machine " + entry.host + " was not expected, taken into use");
       Machine& added = AddMachine(
           entry.host, {entry.type, entry.zone, entry.spot, "",
                        now - entry.age_seconds + wall_minus_steady_, 0});
       added.requested_at = now - entry.age_seconds;
-      m = &added;
+      machine = &added;
     }
-    m->missing_in_list = false;
-    if (entry.state == "failed" && m->state() != MachineState::kDeleting) {
-      AskDelete(*m, now, "the cloud lists it as failed");
+    machine->missing_in_list = false;
+    if (entry.state == "failed" &&
+        machine->state() != MachineState::kDeleting) {
+      AskDelete(*machine, now, "the cloud lists it as failed");
     }
   }
   // Once listed, a machine stays listed until it is gone. One that is neither
   // heard nor listed long after its rental is asked to be deleted, which turns
   // the guess into a certainty.
   const double lag = 2 * settings_.cloud.list_lag_seconds;
-  for (auto& m : machines_) {
-    if (m->state() == MachineState::kGone || listed.contains(m->host())) {
+  for (auto& machine : machines_) {
+    if (machine->state() == MachineState::kGone ||
+        listed.contains(machine->host())) {
       continue;
     }
-    const bool silent = now - m->last_heard > lag &&
-                        now - m->requested_at > 2 * lag &&
+    const bool silent = now - machine->last_heard > lag &&
+                        now - machine->requested_at > 2 * lag &&
                         asked - started_ > lag;
-    if (silent && m->missing_in_list && m->state() != MachineState::kDeleting &&
-        now - m->reached_by_other > lag) {
-      RemoveMachine(*m, LossCause::kUnlisted, now);
+    if (silent && machine->missing_in_list &&
+        machine->state() != MachineState::kDeleting &&
+        now - machine->reached_by_other > lag) {
+      RemoveMachine(*machine, LossCause::kUnlisted, now);
     }
-    m->missing_in_list = true;
+    machine->missing_in_list = true;
   }
 }
 
--- a/core/leader/catalog.cc
+++ b/core/leader/catalog.cc
@@ -152,8 +152,8 @@
   const Version there{
       mod_revision > opened() ? epoch_.number : epoch_.number - 1,
       mod_revision};
-  const auto ended = [](const Record& r) {
-    const auto* job = std::get_if<JobRecord>(&r);
+  const auto ended = [](const Record& record) {
+    const auto* job = std::get_if<JobRecord>(&record);
     return job != nullptr && job->terminal_state != TerminalState::kNone;
   };
   const Version mine = pending_writes_.at(key);
--- a/core/leader/command_dispatch.cc
+++ b/core/leader/command_dispatch.cc
@@ -10,51 +10,53 @@
 
 namespace oxbow {
 
-void Leader::QueueStop(Machine& m, TaskAttempt& r, double grace_seconds,
-                       Time now) {
-  if (r.phase == TaskPhase::kExited) return;
-  if (r.start_progress == StartProgress::kQueued) {
+void Leader::QueueStop(Machine& machine, TaskAttempt& attempt,
+                       double grace_seconds, Time now) {
+  if (attempt.phase == TaskPhase::kExited) return;
+  if (attempt.start_progress == StartProgress::kQueued) {
     // Its start was never sent, so it is not there.
-    RemoveAttempt(m, KeyOf(r));
+    RemoveAttempt(machine, KeyOf(attempt));
     return;
   }
-  SetStopping(m, r, true);
-  r.stop_grace = grace_seconds;
-  r.stop_sent = now;
-  m.queue.push_back(
-      {CommandKind::kStop, r.job_id, r.task, r.attempt, grace_seconds});
-  DispatchCommands(m, now);
+  SetStopping(machine, attempt, true);
+  attempt.stop_grace = grace_seconds;
+  attempt.stop_sent = now;
+  machine.queue.push_back({CommandKind::kStop, attempt.job_id, attempt.task,
+                           attempt.attempt, grace_seconds});
+  DispatchCommands(machine, now);
 }
 
-void Leader::QueueForget(Machine& m, TaskAttempt& r) {
+void Leader::QueueForget(Machine& machine, TaskAttempt& attempt) {
   // A start of this attempt that is still under way would be executed anew
   // once the worker has forgotten it; the batch has to be settled first.
-  if (r.forgetting || r.phase != TaskPhase::kExited) return;
-  if (!m.confirmed() || m.batch_lost) return;  // asked again by TickMachine
-  r.forgetting = true;
-  m.queue.push_back({CommandKind::kForget, r.job_id, r.task, r.attempt, 0});
+  if (attempt.forgetting || attempt.phase != TaskPhase::kExited) return;
+  if (!machine.confirmed() || machine.batch_lost)
+    return;  // asked again by TickMachine
+  attempt.forgetting = true;
+  machine.queue.push_back(
+      {CommandKind::kForget, attempt.job_id, attempt.task, attempt.attempt, 0});
 }
 
 // Stops every task of the job that is not being stopped already.
 void Leader::StopTasks(Job& job, double grace_seconds, Time now) {
-  for (const auto& [m, key] : AttemptsOf(job)) {
-    const auto it = m->task_attempts.find(key);
-    if (it != m->task_attempts.end() && !it->second.stopping) {
-      QueueStop(*m, it->second, grace_seconds, now);
+  for (const auto& [machine, key] : AttemptsOf(job)) {
+    const auto it = machine->task_attempts.find(key);
+    if (it != machine->task_attempts.end() && !it->second.stopping) {
+      QueueStop(*machine, it->second, grace_seconds, now);
     }
   }
 }
 
 // The job's end is recorded: its tasks go, its exits are forgotten.
 void Leader::StopJob(Job& job, Time now) {
-  for (const auto& [m, key] : AttemptsOf(job)) {
-    const auto it = m->task_attempts.find(key);
-    if (it == m->task_attempts.end()) continue;
-    TaskAttempt& r = it->second;
-    if (r.phase == TaskPhase::kExited) {
-      QueueForget(*m, r);
-    } else if (!r.stopping || r.stop_grace > 0) {
-      QueueStop(*m, r, 0, now);
+  for (const auto& [machine, key] : AttemptsOf(job)) {
+    const auto it = machine->task_attempts.find(key);
+    if (it == machine->task_attempts.end()) continue;
+    TaskAttempt& attempt = it->second;
+    if (attempt.phase == TaskPhase::kExited) {
+      QueueForget(*machine, attempt);
+    } else if (!attempt.stopping || attempt.stop_grace > 0) {
+      QueueStop(*machine, attempt, 0, now);
     }
   }
   for (const auto& [index, presence] : job.presence()) {
@@ -62,65 +64,74 @@
   }
 }
 
-void Leader::AcknowledgeBatch(Machine& m) {
-  for (const WorkerCommand& o : m.batch->commands) {
-    if (o.kind != CommandKind::kStart) continue;
-    const auto it = m.task_attempts.find({o.job_id, o.task, o.attempt});
-    if (it != m.task_attempts.end())
+void Leader::AcknowledgeBatch(Machine& machine) {
+  for (const WorkerCommand& command : machine.batch->commands) {
+    if (command.kind != CommandKind::kStart) continue;
+    const auto it = machine.task_attempts.find(
+        {command.job_id, command.task, command.attempt});
+    if (it != machine.task_attempts.end())
       it->second.start_progress = StartProgress::kSettled;
   }
-  m.batch.reset();
-  m.batch_lost = false;
+  machine.batch.reset();
+  machine.batch_lost = false;
 }
 
-void Leader::RaiseFencingToken(Machine& m) {
+void Leader::RaiseFencingToken(Machine& machine) {
   const uint64_t next = NextNumber();
-  if (next > m.token) m.token = next;
+  if (next > machine.token) machine.token = next;
 }
 
 // Sends what is queued, one batch at a time. An empty batch under a token the
 // worker has not shown yet settles what an earlier leader may have sent.
-void Leader::DispatchCommands(Machine& m, Time now) {
-  if (m.batch || m.endpoint.empty() || !m.incarnation.alive() || resigned_ ||
-      now < m.direct_broken_until || m.state() == MachineState::kGone ||
-      m.state() == MachineState::kBooting) {
+void Leader::DispatchCommands(Machine& machine, Time now) {
+  if (machine.batch || machine.endpoint.empty() ||
+      !machine.incarnation.alive() || resigned_ ||
+      now < machine.direct_broken_until ||
+      machine.state() == MachineState::kGone ||
+      machine.state() == MachineState::kBooting) {
     return;
   }
   // While a question is open its token must not go this way.
-  if (m.queue.empty() && (m.confirmed() || m.reachability.asks())) return;
+  if (machine.queue.empty() &&
+      (machine.confirmed() || machine.reachability.asks()))
+    return;
   // Its report's answer takes everything: what went by itself now would be
   // under way, and no start could go with the answer.
-  const bool in_answer = HasCalendarStart(m);
-  if (in_answer && answering_ == &m) return;
-  if (in_answer && m.confirmed() &&
-      std::all_of(m.queue.begin(), m.queue.end(), [&](const WorkerCommand& o) {
-        return SentInHeartbeatResponse(o);
-      })) {
+  const bool in_answer = HasCalendarStart(machine);
+  if (in_answer && answering_ == &machine) return;
+  if (in_answer && machine.confirmed() &&
+      std::all_of(machine.queue.begin(), machine.queue.end(),
+                  [&](const WorkerCommand& command) {
+                    return SentInHeartbeatResponse(command);
+                  })) {
     return;
   }
   std::deque<WorkerCommand> stay;
   Batch batch{next_batch_++, {}, false};
-  while (!m.queue.empty() && batch.commands.size() < kMaxCommandsPerBatch) {
-    WorkerCommand command = std::move(m.queue.front());
-    m.queue.pop_front();
+  while (!machine.queue.empty() &&
+         batch.commands.size() < kMaxCommandsPerBatch) {
+    WorkerCommand command = std::move(machine.queue.front());
+    machine.queue.pop_front();
     if (in_answer && SentInHeartbeatResponse(command)) {
       stay.push_back(std::move(command));
       continue;
     }
     if (command.kind == CommandKind::kStart) {
-      const auto it =
-          m.task_attempts.find({command.job_id, command.task, command.attempt});
-      if (it == m.task_attempts.end()) continue;
+      const auto it = machine.task_attempts.find(
+          {command.job_id, command.task, command.attempt});
+      if (it == machine.task_attempts.end()) continue;
       it->second.start_progress = StartProgress::kSent;
     }
     batch.commands.push_back(std::move(command));
   }
-  m.reachability.CommandsSent(m.token);
-  m.queue.insert(m.queue.begin(), std::make_move_iterator(stay.begin()),
-                 std::make_move_iterator(stay.end()));
-  actions_.push_back(SendCommands{m.host(), m.endpoint, batch.id, m.token,
-                                  m.incarnation.number(), batch.commands});
-  m.batch = std::move(batch);
+  machine.reachability.CommandsSent(machine.token);
+  machine.queue.insert(machine.queue.begin(),
+                       std::make_move_iterator(stay.begin()),
+                       std::make_move_iterator(stay.end()));
+  actions_.push_back(SendCommands{machine.host(), machine.endpoint, batch.id,
+                                  machine.token, machine.incarnation.number(),
+                                  batch.commands});
+  machine.batch = std::move(batch);
 }
 
 // A worker whose heartbeats get through while nothing reaches its address must
@@ -128,11 +139,12 @@
 // reports until its token is confirmed; a pause of one, each time, had put
 // every second try on the broken way again, and a cancelled task outlived the
 // time it is given.
-void Leader::OnDirectCommandFailed(Machine& m, Time now) {
+void Leader::OnDirectCommandFailed(Machine& machine, Time now) {
   constexpr uint32_t kMostDoublings = 4;
-  const uint32_t doublings = std::min(m.direct_failures++, kMostDoublings);
+  const uint32_t doublings =
+      std::min(machine.direct_failures++, kMostDoublings);
   const double heartbeats = doublings == 0 ? 1 : 1.5 * (1 << doublings);
-  m.direct_broken_until =
+  machine.direct_broken_until =
       now + std::min(heartbeats * settings_.workers.heartbeat_interval_seconds,
                      settings_.workers.lease_seconds);
 }
@@ -140,24 +152,24 @@
 void Leader::OnCommandResponse(const std::string& host, uint64_t batch,
                                CommandOutcome outcome,
                                const Heartbeat* heartbeat, Time now) {
-  Machine* m = FindMachine(host);
-  if (m == nullptr) return;
-  if (m->batch && m->batch->id == batch && !m->batch_lost) {
+  Machine* machine = FindMachine(host);
+  if (machine == nullptr) return;
+  if (machine->batch && machine->batch->id == batch && !machine->batch_lost) {
     switch (outcome) {
       case CommandOutcome::kExecuted:
       case CommandOutcome::kRefused: {
         // Forgotten exits go before the heartbeat is read: it no longer has
         // them.
-        const std::vector<WorkerCommand> commands = m->batch->commands;
-        m->direct_failures = 0;
-        AcknowledgeBatch(*m);
+        const std::vector<WorkerCommand> commands = machine->batch->commands;
+        machine->direct_failures = 0;
+        AcknowledgeBatch(*machine);
         if (outcome == CommandOutcome::kRefused) {
-          for (const WorkerCommand& o : commands) {
-            if (o.kind == CommandKind::kStart) continue;
-            const auto it =
-                m->task_attempts.find({o.job_id, o.task, o.attempt});
-            if (it == m->task_attempts.end()) continue;
-            SetStopping(*m, it->second, false);
+          for (const WorkerCommand& command : commands) {
+            if (command.kind == CommandKind::kStart) continue;
+            const auto it = machine->task_attempts.find(
+                {command.job_id, command.task, command.attempt});
+            if (it == machine->task_attempts.end()) continue;
+            SetStopping(*machine, it->second, false);
             it->second.forgetting = false;
           }
         }
@@ -165,14 +177,15 @@
       }
       case CommandOutcome::kNotSent: {
         // Certainly not executed. Starts go elsewhere; the rest is kept.
-        std::vector<WorkerCommand> commands = std::move(m->batch->commands);
-        m->batch.reset();
-        OnDirectCommandFailed(*m, now);
+        std::vector<WorkerCommand> commands =
+            std::move(machine->batch->commands);
+        machine->batch.reset();
+        OnDirectCommandFailed(*machine, now);
         for (auto it = commands.rbegin(); it != commands.rend(); ++it) {
           if (it->kind == CommandKind::kStart) {
-            RemoveAttempt(*m, {it->job_id, it->task, it->attempt});
+            RemoveAttempt(*machine, {it->job_id, it->task, it->attempt});
           } else {
-            m->queue.push_front(std::move(*it));
+            machine->queue.push_front(std::move(*it));
           }
         }
         break;
@@ -180,23 +193,25 @@
       case CommandOutcome::kUnknown:
         // It may be executed minutes from now, unless the worker has by then
         // seen a higher token.
-        m->batch_lost = true;
-        OnDirectCommandFailed(*m, now);
-        for (const WorkerCommand& o : m->batch->commands) {
-          const auto it = m->task_attempts.find({o.job_id, o.task, o.attempt});
-          if (it == m->task_attempts.end() || o.kind == CommandKind::kStart)
+        machine->batch_lost = true;
+        OnDirectCommandFailed(*machine, now);
+        for (const WorkerCommand& command : machine->batch->commands) {
+          const auto it = machine->task_attempts.find(
+              {command.job_id, command.task, command.attempt});
+          if (it == machine->task_attempts.end() ||
+              command.kind == CommandKind::kStart)
             continue;
-          SetStopping(*m, it->second, false);
+          SetStopping(*machine, it->second, false);
           it->second.forgetting = false;
         }
-        RaiseFencingToken(*m);
+        RaiseFencingToken(*machine);
         Log("orders to " + host + " unanswered, token raised");
         break;
     }
   }
   if (heartbeat != nullptr)
-    ApplyHeartbeat(*m, *heartbeat, /*by_heartbeat=*/false, now);
-  DispatchCommands(*m, now);
+    ApplyHeartbeat(*machine, *heartbeat, /*by_heartbeat=*/false, now);
+  DispatchCommands(*machine, now);
   Settle(now);
 }
 
--- a/core/leader/heartbeats.cc
+++ b/core/leader/heartbeats.cc
@@ -10,46 +10,49 @@
 namespace oxbow {
 
 Machine& Leader::MachineForHeartbeat(const Heartbeat& heartbeat, Time now) {
-  Machine* m = FindMachine(heartbeat.host);
-  if (m == nullptr) {
-    m = &AddMachine(heartbeat.host,
-                    {heartbeat.type, heartbeat.zone, heartbeat.spot, "",
-                     now + wall_minus_steady_, 0});
-    m->requested_at = now;
+  Machine* machine = FindMachine(heartbeat.host);
+  if (machine == nullptr) {
+    machine = &AddMachine(heartbeat.host,
+                          {heartbeat.type, heartbeat.zone, heartbeat.spot, "",
+                           now + wall_minus_steady_, 0});
+    machine->requested_at = now;
     // While the key-value store's memory is being written back, a machine that
     // lives may be in no record.
-    m->stranger = catalog_.epoch().rebuilt;
+    machine->stranger = catalog_.epoch().rebuilt;
   }
-  if (m->state() == MachineState::kBooting) {
-    m->Change(MachineState::kUp);
-    m->idle_since = now;
+  if (machine->state() == MachineState::kBooting) {
+    machine->Change(MachineState::kUp);
+    machine->idle_since = now;
     Log("machine " + heartbeat.host + " is up: " + heartbeat.type + " in " +
         heartbeat.zone + (heartbeat.spot ? " (spot)" : ""));
   }
-  if (m->endpoint != heartbeat.endpoint) m->endpoint = heartbeat.endpoint;
+  if (machine->endpoint != heartbeat.endpoint)
+    machine->endpoint = heartbeat.endpoint;
   // No task goes there before the record stands: a new leader must know every
   // machine that can hold one.
   // A copy of what a deleted machine said must write none: old jobs would wait
   // for it. A stranger shows our token first.
-  if (m->stranger && heartbeat.token >= m->token) m->stranger = false;
-  if (!m->recorded_up && m->state() == MachineState::kUp && !m->stranger) {
+  if (machine->stranger && heartbeat.token >= machine->token)
+    machine->stranger = false;
+  if (!machine->recorded_up && machine->state() == MachineState::kUp &&
+      !machine->stranger) {
     writes_.Queue(
         {WriteKind::kMachineUp, heartbeat.host, TerminalState::kNone, {}});
     writes_.Flush(now);
   }
-  return *m;
+  return *machine;
 }
 
 // Whether a message tells something that is not known. If not, it is a copy,
 // was held back, was overtaken, or is of the past of an incarnation.
-bool Leader::IsNews(const Machine& m, const Heartbeat& heartbeat,
+bool Leader::IsNews(const Machine& machine, const Heartbeat& heartbeat,
                     Time now) const {
-  if (!m.incarnation.MayBeNews(heartbeat.incarnation)) return false;
-  if (heartbeat.incarnation != m.incarnation.number()) return true;
-  return heartbeat.seq > m.seq &&
-         !m.reachability.MustBeOld(heartbeat.token,
-                                   settings_.workers.lease_seconds,
-                                   zones_.MayBeRenewed(m.zone, now), now);
+  if (!machine.incarnation.MayBeNews(heartbeat.incarnation)) return false;
+  if (heartbeat.incarnation != machine.incarnation.number()) return true;
+  return heartbeat.seq > machine.seq &&
+         !machine.reachability.MustBeOld(
+             heartbeat.token, settings_.workers.lease_seconds,
+             zones_.MayBeRenewed(machine.zone, now), now);
 }
 
 // Whether the worker may be waiting for the answer to this report. One that
@@ -58,13 +61,13 @@
 // on the time until which the machine's tasks may live: for a dead machine,
 // copies of its heartbeats do so for 4 s after the last news of it and not for
 // ever.
-bool Leader::WorkerMayAwaitResponse(const Machine& m,
+bool Leader::WorkerMayAwaitResponse(const Machine& machine,
                                     const Heartbeat& heartbeat,
                                     Time now) const {
-  if (IsNews(m, heartbeat, now)) return true;
-  return heartbeat.incarnation == m.incarnation.number() &&
-         m.incarnation.alive() && heartbeat.seq <= m.seq &&
-         now - m.last_heard <= kHeartbeatTimeoutSeconds * (1 + kDrift);
+  if (IsNews(machine, heartbeat, now)) return true;
+  return heartbeat.incarnation == machine.incarnation.number() &&
+         machine.incarnation.alive() && heartbeat.seq <= machine.seq &&
+         now - machine.last_heard <= kHeartbeatTimeoutSeconds * (1 + kDrift);
 }
 
 HeartbeatResponse Leader::OnHeartbeat(const Heartbeat& heartbeat, Time now) {
@@ -79,48 +82,48 @@
     reply.refused = true;
     return reply;
   }
-  Machine& m = MachineForHeartbeat(heartbeat, now);
-  if (AllowsLeaseToExpire(m, heartbeat.token, now)) {
-    ApplyHeartbeat(m, heartbeat, /*by_heartbeat=*/false, now);
+  Machine& machine = MachineForHeartbeat(heartbeat, now);
+  if (AllowsLeaseToExpire(machine, heartbeat.token, now)) {
+    ApplyHeartbeat(machine, heartbeat, /*by_heartbeat=*/false, now);
     Settle(now);
     reply.withheld = true;
     return reply;
   }
   // Even one that is no news: its worker takes the answer as a renewal.
-  m.incarnation.Change(IncarnationEvent::kAnswered, 0, now);
-  if (m.first_answer < started_) m.first_answer = now;
-  m.last_answer = now;
-  const bool news = IsNews(m, heartbeat, now);
-  answering_ = &m;
-  ApplyHeartbeat(m, heartbeat, /*by_heartbeat=*/true, now);
+  machine.incarnation.Change(IncarnationEvent::kAnswered, 0, now);
+  if (machine.first_answer < started_) machine.first_answer = now;
+  machine.last_answer = now;
+  const bool news = IsNews(machine, heartbeat, now);
+  answering_ = &machine;
+  ApplyHeartbeat(machine, heartbeat, /*by_heartbeat=*/true, now);
   answering_ = nullptr;
-  DropLateStarts(m, now);
+  DropLateStarts(machine, now);
   if (news) {
-    m.last_heartbeat = now;
-    m.forwarded = heartbeat.forwarded;
+    machine.last_heartbeat = now;
+    machine.forwarded = heartbeat.forwarded;
   }
-  if (m.reachability.WantsQuestion(now)) {
-    RaiseFencingToken(m);
-    m.reachability.Asked(m.token);
+  if (machine.reachability.WantsQuestion(now)) {
+    RaiseFencingToken(machine);
+    machine.reachability.Asked(machine.token);
   }
-  if ((now < m.direct_broken_until || HasCalendarStart(m)) && !m.batch &&
-      m.confirmed() && !m.queue.empty()) {
+  if ((now < machine.direct_broken_until || HasCalendarStart(machine)) &&
+      !machine.batch && machine.confirmed() && !machine.queue.empty()) {
     Batch batch{next_batch_++, {}, /*in_response=*/true};
-    batch.commands.assign(m.queue.begin(), m.queue.end());
-    m.queue.clear();
-    for (auto& [key, r] : m.task_attempts) {
-      if (r.start_progress == StartProgress::kQueued)
-        r.start_progress = StartProgress::kSent;
+    batch.commands.assign(machine.queue.begin(), machine.queue.end());
+    machine.queue.clear();
+    for (auto& [key, attempt] : machine.task_attempts) {
+      if (attempt.start_progress == StartProgress::kQueued)
+        attempt.start_progress = StartProgress::kSent;
     }
     reply.commands = batch.commands;
-    m.batch = std::move(batch);
+    machine.batch = std::move(batch);
   }
-  AddStopCommands(m, &reply);
-  reply.token = m.token;
+  AddStopCommands(machine, &reply);
+  reply.token = machine.token;
   if (news) {
-    m.reachability.Answered(heartbeat.seq, m.token, heartbeat.token,
-                            settings_.workers.lease_seconds,
-                            zones_.MayBeRenewed(m.zone, now), now);
+    machine.reachability.Answered(heartbeat.seq, machine.token, heartbeat.token,
+                                  settings_.workers.lease_seconds,
+                                  zones_.MayBeRenewed(machine.zone, now), now);
   }
   Settle(now);
   return reply;
@@ -132,142 +135,151 @@
 // what former leaders have started there and sent there is over, whatever it
 // shows. As long as it was answered, a machine that reports and hears nothing
 // kept every old job, and every job of a capped team, waiting without an end.
-bool Leader::AllowsLeaseToExpire(const Machine& m, uint64_t shown,
+bool Leader::AllowsLeaseToExpire(const Machine& machine, uint64_t shown,
                                  Time now) const {
-  return m.recorded_up && !m.reported && m.first_answer >= started_ &&
-         (std::max(m.seen_fencing_token, shown) >> kTokenBits) < term_ &&
-         now > TasksMayLiveUntil(m.first_answer,
+  return machine.recorded_up && !machine.reported &&
+         machine.first_answer >= started_ &&
+         (std::max(machine.seen_fencing_token, shown) >> kTokenBits) < term_ &&
+         now > TasksMayLiveUntil(machine.first_answer,
                                  settings_.workers.lease_seconds) +
                    kHeartbeatTimeoutSeconds;
 }
 
-bool Leader::LeaseExpired(const Machine& m, Time now) const {
-  return AllowsLeaseToExpire(m, m.seen_fencing_token, now) &&
-         !zones_.MayBeRenewed(m.zone, now) &&
-         now >
-             TasksMayLiveUntil(m.last_answer, settings_.workers.lease_seconds);
+bool Leader::LeaseExpired(const Machine& machine, Time now) const {
+  return AllowsLeaseToExpire(machine, machine.seen_fencing_token, now) &&
+         !zones_.MayBeRenewed(machine.zone, now) &&
+         now > TasksMayLiveUntil(machine.last_answer,
+                                 settings_.workers.lease_seconds);
 }
 
 // An answer renews the lease, and may be the only one for long that gets
 // through. So each has the commands to end what must not be there any more;
 // repeating one does no harm, and they count for nothing else.
-void Leader::AddStopCommands(const Machine& m, HeartbeatResponse* reply) const {
-  for (const auto& [key, r] : m.task_attempts) {
+void Leader::AddStopCommands(const Machine& machine,
+                             HeartbeatResponse* reply) const {
+  for (const auto& [key, attempt] : machine.task_attempts) {
     if (reply->commands.size() >= kMaxCommandsPerBatch) return;
-    if (r.job == nullptr || r.phase == TaskPhase::kExited ||
-        r.start_progress == StartProgress::kQueued ||
-        !r.job->ended_by_record()) {
+    if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
+        attempt.start_progress == StartProgress::kQueued ||
+        !attempt.job->ended_by_record()) {
       continue;
     }
     reply->commands.push_back(
-        {CommandKind::kStop, r.job_id, r.task, r.attempt, 0});
+        {CommandKind::kStop, attempt.job_id, attempt.task, attempt.attempt, 0});
   }
 }
 
 void Leader::OnProbeAnswer(const Heartbeat& heartbeat, Time now) {
   if (gone_hosts_.contains(heartbeat.host)) return;
-  Machine& m = MachineForHeartbeat(heartbeat, now);
-  ApplyHeartbeat(m, heartbeat, /*by_heartbeat=*/false, now);
-  DispatchCommands(m, now);
+  Machine& machine = MachineForHeartbeat(heartbeat, now);
+  ApplyHeartbeat(machine, heartbeat, /*by_heartbeat=*/false, now);
+  DispatchCommands(machine, now);
   Settle(now);
 }
 
-void Leader::ApplyHeartbeat(Machine& m, const Heartbeat& heartbeat,
+void Leader::ApplyHeartbeat(Machine& machine, const Heartbeat& heartbeat,
                             bool by_heartbeat, Time now) {
-  if (!IsNews(m, heartbeat, now)) return;
-  if (heartbeat.token > m.token && (heartbeat.token >> kTokenBits) > term_) {
+  if (!IsNews(machine, heartbeat, now)) return;
+  if (heartbeat.token > machine.token &&
+      (heartbeat.token >> kTokenBits) > term_) {
     if (!resigned_) {
-      actions_.push_back(Resign{m.host() + " has seen a newer leader's token"});
+      actions_.push_back(
+          Resign{machine.host() + " has seen a newer leader's token"});
     }
     resigned_ = true;
     return;
   }
-  const ReachabilityState before = m.reachability.state();
-  const bool met = m.incarnation.number() > 0;
-  if (m.incarnation.Change(IncarnationEvent::kShown, heartbeat.incarnation,
-                           now)) {
-    if (met) m.reachability.IncarnationEnded(settings_.workers, now);
-    MarkAllLost(m, "its lease expired, new session");
+  const ReachabilityState before = machine.reachability.state();
+  const bool met = machine.incarnation.number() > 0;
+  if (machine.incarnation.Change(IncarnationEvent::kShown,
+                                 heartbeat.incarnation, now)) {
+    if (met) machine.reachability.IncarnationEnded(settings_.workers, now);
+    MarkAllLost(machine, "its lease expired, new session");
   }
   if (by_heartbeat) {
-    m.reachability.Reported(
-        heartbeat.seq, heartbeat.token, now - m.last_heartbeat,
-        MissesCommandEffects(m, heartbeat), settings_.workers, now);
+    machine.reachability.Reported(
+        heartbeat.seq, heartbeat.token, now - machine.last_heartbeat,
+        MissesCommandEffects(machine, heartbeat), settings_.workers, now);
   }
-  m.reachability.Shown(heartbeat.token, m.token, settings_.workers, now);
-  LogReachabilityChange(m, before);
-  m.seq = heartbeat.seq;
-  m.seen_fencing_token = std::max(m.seen_fencing_token, heartbeat.token);
-  m.last_heard = now;
-  if (m.batch && ((m.batch_lost && heartbeat.token >= m.token) ||
-                  (m.batch->in_response && by_heartbeat))) {
-    AcknowledgeBatch(m);
+  machine.reachability.Shown(heartbeat.token, machine.token, settings_.workers,
+                             now);
+  LogReachabilityChange(machine, before);
+  machine.seq = heartbeat.seq;
+  machine.seen_fencing_token =
+      std::max(machine.seen_fencing_token, heartbeat.token);
+  machine.last_heard = now;
+  if (machine.batch &&
+      ((machine.batch_lost && heartbeat.token >= machine.token) ||
+       (machine.batch->in_response && by_heartbeat))) {
+    AcknowledgeBatch(machine);
   }
-  if (m.confirmed() && !m.reported) {
-    m.reported = true;
+  if (machine.confirmed() && !machine.reported) {
+    machine.reported = true;
     dirty_ = true;
   }
   for (const TaskStatus& task : heartbeat.tasks) {
     const auto it =
-        m.task_attempts.find({task.job_id, task.task, task.attempt});
-    if (it == m.task_attempts.end()) {
-      AdoptRunningTask(m, task, now);
+        machine.task_attempts.find({task.job_id, task.task, task.attempt});
+    if (it == machine.task_attempts.end()) {
+      AdoptRunningTask(machine, task, now);
     } else {
       it->second.last_seq = heartbeat.seq;
-      UpdateAttempt(m, it->second, task, now);
+      UpdateAttempt(machine, it->second, task, now);
     }
   }
   std::vector<TaskAttemptKey> gone;
-  for (const auto& [key, r] : m.task_attempts) {
+  for (const auto& [key, attempt] : machine.task_attempts) {
     // Not listed, and nothing sent can still bring it: it is not there.
-    if (r.last_seq != heartbeat.seq &&
-        r.start_progress == StartProgress::kSettled) {
+    if (attempt.last_seq != heartbeat.seq &&
+        attempt.start_progress == StartProgress::kSettled) {
       gone.push_back(key);
     }
   }
-  for (const TaskAttemptKey& key : gone) RemoveAttempt(m, key);
+  for (const TaskAttemptKey& key : gone) RemoveAttempt(machine, key);
   if (heartbeat.notice_seconds) {
     const Time until = now + *heartbeat.notice_seconds;
-    if (!m.notice_until) {
-      m.notice_until = until;
-      Drain(m, now, "spot notice");
+    if (!machine.notice_until) {
+      machine.notice_until = until;
+      Drain(machine, now, "spot notice");
     }
-    m.notice_until = std::min(*m.notice_until, until);
+    machine.notice_until = std::min(*machine.notice_until, until);
   }
-  if (m.task_attempts.empty()) {
-    if (m.idle_since <= 0) m.idle_since = now;
+  if (machine.task_attempts.empty()) {
+    if (machine.idle_since <= 0) machine.idle_since = now;
   } else {
-    m.idle_since = 0;
+    machine.idle_since = 0;
   }
-  DispatchCommands(m, now);
+  DispatchCommands(machine, now);
 }
 
 // Whether a heartbeat lacks what commands in the answer before it must have
 // brought.
-bool Leader::MissesCommandEffects(const Machine& m,
+bool Leader::MissesCommandEffects(const Machine& machine,
                                   const Heartbeat& heartbeat) const {
-  if (!m.batch || !m.batch->in_response) return false;
-  return std::any_of(m.batch->commands.begin(), m.batch->commands.end(),
-                     [&](const WorkerCommand& o) {
-                       return o.kind == CommandKind::kStart &&
-                              std::none_of(heartbeat.tasks.begin(),
-                                           heartbeat.tasks.end(),
-                                           [&](const TaskStatus& t) {
-                                             return t.task == o.task &&
-                                                    t.attempt == o.attempt &&
-                                                    t.job_id == o.job_id;
-                                           });
-                     });
+  if (!machine.batch || !machine.batch->in_response) return false;
+  return std::any_of(
+      machine.batch->commands.begin(), machine.batch->commands.end(),
+      [&](const WorkerCommand& command) {
+        return command.kind == CommandKind::kStart &&
+               std::none_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                            [&](const TaskStatus& status) {
+                              return status.task == command.task &&
+                                     status.attempt == command.attempt &&
+                                     status.job_id == command.job_id;
+                            });
+      });
 }
 
-void Leader::LogReachabilityChange(const Machine& m, ReachabilityState before) {
-  const ReachabilityState after = m.reachability.state();
+void Leader::LogReachabilityChange(const Machine& machine,
+                                   ReachabilityState before) {
+  const ReachabilityState after = machine.reachability.state();
   if (after == before) return;
   dirty_ = true;
   if (after == ReachabilityState::kDeaf) {
-    Log("machine " + m.host() + " reports, but answers have no effect there");
+    Log("machine " + machine.host() +
+        " reports, but answers have no effect there");
   } else if (before == ReachabilityState::kDeaf) {
-    Log("machine " + m.host() + " hears again");
+    Log("machine " + machine.host() + " hears again");
   }
 }
 
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -54,11 +54,12 @@
   for (const TeamQuota& team : settings.teams)
     quotas_.push_back({team, {}, {}, {}});
   for (const auto& [host, record] : catalog.machines()) {
-    Machine& m = AddMachine(host, record);
-    m.incarnation.Change(IncarnationEvent::kFailover, 0, now);
-    m.recorded_up = !record.endpoint.empty();
-    m.requested_at = std::min(now, record.requested_wall - wall_minus_steady);
-    if (m.recorded_up) actions_.push_back(Probe{host, m.endpoint});
+    Machine& machine = AddMachine(host, record);
+    machine.incarnation.Change(IncarnationEvent::kFailover, 0, now);
+    machine.recorded_up = !record.endpoint.empty();
+    machine.requested_at =
+        std::min(now, record.requested_wall - wall_minus_steady);
+    if (machine.recorded_up) actions_.push_back(Probe{host, machine.endpoint});
   }
   for (const auto& [id, record] : catalog.jobs()) AddJob(record, now);
   std::vector<std::string> waiting;
@@ -85,17 +86,17 @@
 
 void Leader::OnTypes(const std::vector<MachineType>& types) {
   for (const MachineType& type : types) types_[type.name] = type;
-  for (auto& m : machines_) {
-    const auto it = types_.find(m->type_name);
-    m->type = it == types_.end() ? nullptr : &it->second;
+  for (auto& machine : machines_) {
+    const auto it = types_.find(machine->type_name);
+    machine->type = it == types_.end() ? nullptr : &it->second;
   }
   dirty_ = true;
 }
 
 void Leader::AddJob(const JobRecord& record, Time now) {
-  const auto team =
-      std::find_if(quotas_.begin(), quotas_.end(), [&](const QuotaUsage& t) {
-        return t.settings.name == record.spec->team;
+  const auto team = std::find_if(
+      quotas_.begin(), quotas_.end(), [&](const QuotaUsage& quota) {
+        return quota.settings.name == record.spec->team;
       });
   const int index =
       team == quotas_.end() ? -1 : static_cast<int>(team - quotas_.begin());
@@ -119,20 +120,21 @@
   added.inherit(dependency_graph_.InheritedBy(added.id()));
   jobs_[record.spec->id] = std::move(job);
   // A worker may have told of the job before its record was read here.
-  for (auto& m : machines_) {
-    for (auto it = m->task_attempts.lower_bound({added.id(), 0, 0});
-         it != m->task_attempts.end() && it->first.job_id == added.id(); ++it) {
-      TaskAttempt& r = it->second;
-      if (r.job != nullptr || r.task >= added.size()) continue;
-      const bool there = r.phase != TaskPhase::kExited;
-      if (IsOrphaned(r)) --m->orphaned_tasks;
-      r.job = &added;
-      added.ChangePresence(m->index(), 0, 1);
-      if (there) ChargeQuota(*m, r);
+  for (auto& machine : machines_) {
+    for (auto it = machine->task_attempts.lower_bound({added.id(), 0, 0});
+         it != machine->task_attempts.end() && it->first.job_id == added.id();
+         ++it) {
+      TaskAttempt& attempt = it->second;
+      if (attempt.job != nullptr || attempt.task >= added.size()) continue;
+      const bool there = attempt.phase != TaskPhase::kExited;
+      if (IsOrphaned(attempt)) --machine->orphaned_tasks;
+      attempt.job = &added;
+      added.ChangePresence(machine->index(), 0, 1);
+      if (there) ChargeQuota(*machine, attempt);
       // It has run on since its record was lost: it is the job's task, not a
       // second copy of it.
-      if (RecoveryEnabled() && there && !r.stopping)
-        AssignTask(added, *m, r, there);
+      if (RecoveryEnabled() && there && !attempt.stopping)
+        AssignTask(added, *machine, attempt, there);
     }
   }
   if (!added.live()) {
@@ -335,7 +337,7 @@
 void Leader::Tick(Time now, bool by_lease) {
   liveness_.Count(now);
   incarnations_unsettled_ = false;
-  for (auto& m : machines_) TickMachine(*m, now, by_lease);
+  for (auto& machine : machines_) TickMachine(*machine, now, by_lease);
   if (incarnations_unsettled_ && now >= next_delegates_read_) {
     next_delegates_read_ = now + LeaseYieldSeconds(settings_.workers);
     actions_.push_back(ReadDelegates{});
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -210,55 +210,60 @@
   Machine* FindMachine(const std::string& host);
   Machine& AddMachine(const std::string& host, const MachineRecord& record);
   Machine& MachineForHeartbeat(const Heartbeat& heartbeat, Time now);
-  bool IsNews(const Machine& m, const Heartbeat& heartbeat, Time now) const;
-  bool WorkerMayAwaitResponse(const Machine& m, const Heartbeat& heartbeat,
-                              Time now) const;
-  bool AllowsLeaseToExpire(const Machine& m, uint64_t shown, Time now) const;
-  bool LeaseExpired(const Machine& m, Time now) const;
-  void AddStopCommands(const Machine& m, HeartbeatResponse* reply) const;
-  bool MissesCommandEffects(const Machine& m, const Heartbeat& heartbeat) const;
-  void LogReachabilityChange(const Machine& m, ReachabilityState before);
-  void ApplyHeartbeat(Machine& m, const Heartbeat& heartbeat, bool by_heartbeat,
-                      Time now);
-  void AdoptRunningTask(Machine& m, const TaskStatus& task, Time now);
-  void UpdateAttempt(Machine& m, TaskAttempt& r, const TaskStatus& task,
-                     Time now);
-  void OnExit(Machine& m, TaskAttempt& r, const TaskStatus& task, Time now);
-  bool IsCurrent(const Machine& m, const TaskAttempt& r) const;
-  void ChargeQuota(Machine& m, TaskAttempt& r);
-  void ReleaseQuota(Machine& m, TaskAttempt& r);
+  bool IsNews(const Machine& machine, const Heartbeat& heartbeat,
+              Time now) const;
+  bool WorkerMayAwaitResponse(const Machine& machine,
+                              const Heartbeat& heartbeat, Time now) const;
+  bool AllowsLeaseToExpire(const Machine& machine, uint64_t shown,
+                           Time now) const;
+  bool LeaseExpired(const Machine& machine, Time now) const;
+  void AddStopCommands(const Machine& machine, HeartbeatResponse* reply) const;
+  bool MissesCommandEffects(const Machine& machine,
+                            const Heartbeat& heartbeat) const;
+  void LogReachabilityChange(const Machine& machine, ReachabilityState before);
+  void ApplyHeartbeat(Machine& machine, const Heartbeat& heartbeat,
+                      bool by_heartbeat, Time now);
+  void AdoptRunningTask(Machine& machine, const TaskStatus& task, Time now);
+  void UpdateAttempt(Machine& machine, TaskAttempt& attempt,
+                     const TaskStatus& task, Time now);
+  void OnExit(Machine& machine, TaskAttempt& attempt, const TaskStatus& task,
+              Time now);
+  bool IsCurrent(const Machine& machine, const TaskAttempt& attempt) const;
+  void ChargeQuota(Machine& machine, TaskAttempt& attempt);
+  void ReleaseQuota(Machine& machine, TaskAttempt& attempt);
   // Enters an attempt among the machine's residents; Gone takes it out.
-  TaskAttempt& AddAttempt(Machine& m, TaskAttempt r, bool there);
-  void SetStopping(Machine& m, TaskAttempt& r, bool stopping);
+  TaskAttempt& AddAttempt(Machine& machine, TaskAttempt attempt, bool there);
+  void SetStopping(Machine& machine, TaskAttempt& attempt, bool stopping);
   std::vector<std::pair<Machine*, TaskAttemptKey>> AttemptsOf(
       const Job& job) const;
   bool HasLaterAttempt(const Job& job, uint64_t attempt) const;
-  void RemoveAttempt(Machine& m, const TaskAttemptKey& key);
-  void MarkAllLost(Machine& m, const char* why);
-  void Expire(Machine& m, Time now);
-  void QueueStop(Machine& m, TaskAttempt& r, double grace_seconds, Time now);
-  void QueueForget(Machine& m, TaskAttempt& r);
+  void RemoveAttempt(Machine& machine, const TaskAttemptKey& key);
+  void MarkAllLost(Machine& machine, const char* why);
+  void Expire(Machine& machine, Time now);
+  void QueueStop(Machine& machine, TaskAttempt& attempt, double grace_seconds,
+                 Time now);
+  void QueueForget(Machine& machine, TaskAttempt& attempt);
   void StopTasks(Job& job, double grace_seconds, Time now);
   void StopJob(Job& job, Time now);
-  void DispatchCommands(Machine& m, Time now);
-  void AcknowledgeBatch(Machine& m);
-  void OnDirectCommandFailed(Machine& m, Time now);
-  void RaiseFencingToken(Machine& m);
-  void TickMachine(Machine& m, Time now, bool by_lease);
+  void DispatchCommands(Machine& machine, Time now);
+  void AcknowledgeBatch(Machine& machine);
+  void OnDirectCommandFailed(Machine& machine, Time now);
+  void RaiseFencingToken(Machine& machine);
+  void TickMachine(Machine& machine, Time now, bool by_lease);
   // Whether the machine's incarnation is over: not while somebody in its zone
   // may have kept it alive.
-  bool IncarnationExpired(const Machine& m, Time now);
-  void Drain(Machine& m, Time now, const char* why);
+  bool IncarnationExpired(const Machine& machine, Time now);
+  void Drain(Machine& machine, Time now, const char* why);
   // Stops what has to leave a machine that is being drained and may now.
-  void StopLeaving(Machine& m, Time now);
+  void StopLeaving(Machine& machine, Time now);
   // Of its own accord: within the limits. False when they forbid it.
-  bool RemoveMachine(Machine& m, LossCause cause, Time now);
+  bool RemoveMachine(Machine& machine, LossCause cause, Time now);
   // What is certain, or was allowed before, has no limit.
-  void AskDelete(Machine& m, Time now, const char* why);
-  bool Usable(const Machine& m, Time now) const;
+  void AskDelete(Machine& machine, Time now, const char* why);
+  bool Usable(const Machine& machine, Time now) const;
   // Makes the attempt the task's current one, if it has none.
-  void AssignTask(Job& job, Machine& m, TaskAttempt& r, bool there);
-  bool Suspect(const Machine& m, Time now) const;
+  void AssignTask(Job& job, Machine& machine, TaskAttempt& attempt, bool there);
+  bool Suspect(const Machine& machine, Time now) const;
 
   // restore.cc
   static std::vector<Precondition> LeadershipPreconditions(
@@ -267,9 +272,9 @@
   bool RecoveryEnabled() const { return tuning_.recovery_checks > 0; }
   // Whether a task of no known job may be stopped, its exit forgotten: the job
   // is known to have ended. Else asks, now and then, how it stands.
-  bool MayStopUnknownTask(const TaskAttempt& r, Time now);
-  bool IsOrphaned(const TaskAttempt& r) const {
-    return r.job == nullptr && r.phase != TaskPhase::kExited &&
+  bool MayStopUnknownTask(const TaskAttempt& attempt, Time now);
+  bool IsOrphaned(const TaskAttempt& attempt) const {
+    return attempt.job == nullptr && attempt.phase != TaskPhase::kExited &&
            RecoveryEnabled();
   }
   // Queues what is owed to the key-value store, a transaction's worth at a
@@ -350,9 +355,9 @@
                   const std::vector<Machine*>& usable, bool accounted,
                   Time now);
   // Whether the job may take that room on the machine.
-  bool TierAllows(const Job& job, const Machine& m) const;
+  bool TierAllows(const Job& job, const Machine& machine) const;
   // Whether what makes room for the job would only take kept room.
-  bool UsesReservedHeadroom(const Job& job, const Machine& m,
+  bool UsesReservedHeadroom(const Job& job, const Machine& machine,
                             const PreemptionPlan& plan) const;
   void SurveyTiers();
   // Room that is kept is not there for those who wait.
@@ -366,9 +371,9 @@
   bool WindowAllows(const Job& job, double tasks) const;
   // A start that goes in the answer to a heartbeat only: those are never late.
   bool SentInHeartbeatResponse(const WorkerCommand& order) const;
-  bool HasCalendarStart(const Machine& m) const;
+  bool HasCalendarStart(const Machine& machine) const;
   // Starts decided before, which may not be any more; they were never sent.
-  void DropLateStarts(Machine& m, Time now);
+  void DropLateStarts(Machine& machine, Time now);
   void TickCalendar(Time now);
   void WithdrawQueuedStarts(Job& job, Time now);
   void LogAdmissionChange(const Job& job, const AdmissionDecision& verdict,
@@ -384,8 +389,8 @@
   void ReserveMoveTargets(Time now);
   // The machine that a move holds for the service's next replica; null: none.
   Machine* ReservedByMove(const Job& job, const ZoneSpread& where, Time now);
-  bool DrainedByMove(const Machine& m) const {
-    return rebalancer_ && rebalancer_->Drains(m.host());
+  bool DrainedByMove(const Machine& machine) const {
+    return rebalancer_ && rebalancer_->Drains(machine.host());
   }
   // Replicas that run, on machines that are heard and obey this leader alone.
   uint32_t CountConfirmedRunning(const Job& job, Time now) const;
@@ -408,21 +413,22 @@
                  Time now);
   Machine* FindPlace(const Job& job, const std::vector<Machine*>& usable,
                      const ZoneSpread& where, double bandwidth);
-  void Start(Job& job, uint32_t task, Machine& m, uint64_t attempt, Time now);
+  void Start(Job& job, uint32_t task, Machine& machine, uint64_t attempt,
+             Time now);
   ZoneSpread ZoneSpreadOf(const Job& job) const;
-  int CountOn(const Job& job, const Machine& m) const;
+  int CountOn(const Job& job, const Machine& machine) const;
   // The team's limit keeps the job out. What comes after it must not take what
   // the team frees, and less important work of the team makes way.
   void PreemptWithinQuota(Job& job, uint32_t tasks, Time now);
   // Stops a task so that another may run.
-  void Preempt(Machine& m, TaskAttempt& victim, const JobSpec& for_job,
+  void Preempt(Machine& machine, TaskAttempt& victim, const JobSpec& for_job,
                Time now);
-  std::optional<PreemptionPlan> PlanPreemption(const Job& job, Machine& m,
+  std::optional<PreemptionPlan> PlanPreemption(const Job& job, Machine& machine,
                                                Resources taken, Time now) const;
   void ExecutePreemption(const PreemptionPlan& plan, const JobSpec& for_job,
                          Time now);
   // Room held on the machine for the job.
-  static Resources ReservedFor(const Job& job, const Machine& m);
+  static Resources ReservedFor(const Job& job, const Machine& machine);
   // False when there is nothing that could be drained.
   bool ReserveByPreemption(Job& job, const std::vector<Machine*>& usable,
                            Time now);
@@ -435,7 +441,7 @@
   bool MayPreempt(const Job& job, const TaskAttempt& victim, Time now) const;
   double PreemptionCost(const TaskAttempt& victim, Time now) const;
   // One reservation on the machine; null: all of them, everywhere.
-  void DropReservation(const Job* job, Machine* m);
+  void DropReservation(const Job* job, Machine* machine);
 
   // supply.cc
   void RunAutoscaler(Time now);
@@ -444,7 +450,7 @@
   bool IsQuiescent(Time now) const;
   void Consolidate(Time now);
   // Whether replicas may gather on the machine in a calm.
-  bool IsConsolidationTarget(const Machine& m) const;
+  bool IsConsolidationTarget(const Machine& machine) const;
   bool CanMoveAll(const Machine& from, const std::vector<Machine*>& usable,
                   double spare_cpus) const;
   void Request(const std::string& name, Time now);
--- a/core/leader/liveness_monitor.cc
+++ b/core/leader/liveness_monitor.cc
@@ -44,10 +44,11 @@
 // Since when nothing has been heard of the machine, as far as this leadership
 // can tell, or since when it has heard nothing: the heartbeats of a deaf
 // machine say no more than that it is there.
-Time QuietSince(const Machine& m, Time started) {
-  const Time heard = m.reachability.deaf()
-                         ? std::min(m.last_heard, m.reachability.deaf_since())
-                         : m.last_heard;
+Time QuietSince(const Machine& machine, Time started) {
+  const Time heard =
+      machine.reachability.deaf()
+          ? std::min(machine.last_heard, machine.reachability.deaf_since())
+          : machine.last_heard;
   return std::max(heard, started);
 }
 
@@ -55,9 +56,9 @@
 // has been given up for its silence goes on counting until the cloud has
 // confirmed: else each deletion would make the rest look healthier. One deleted
 // for another reason falls silent by that.
-bool Counts(const Machine& m) {
-  return m.recorded_up && m.state() != MachineState::kGone &&
-         (m.state() != MachineState::kDeleting || m.given_up);
+bool Counts(const Machine& machine) {
+  return machine.recorded_up && machine.state() != MachineState::kGone &&
+         (machine.state() != MachineState::kDeleting || machine.given_up);
 }
 
 }  // namespace
@@ -79,28 +80,30 @@
   actions_.push_back(LogEvent{std::move(text), false});
 }
 
-bool LivenessMonitor::HeartbeatOverdue(const Machine& m, Time now) const {
+bool LivenessMonitor::HeartbeatOverdue(const Machine& machine, Time now) const {
   // Until a worker has waited in vain and tried another controller, its silence
   // says nothing about a leader that has just taken office, nor does that of
   // one that reports by way of another controller, which may have ended: each
   // restart of one would else move the lead, for nothing.
   constexpr double kFindsAnotherSeconds =
       kHeartbeatTimeoutSeconds + kRetryPauseSeconds;
-  const Time from =
-      std::max(m.last_heartbeat + (m.forwarded ? kFindsAnotherSeconds : 0),
-               started_ + kFindsAnotherSeconds);
+  const Time from = std::max(
+      machine.last_heartbeat + (machine.forwarded ? kFindsAnotherSeconds : 0),
+      started_ + kFindsAnotherSeconds);
   return now - from > timeouts_.overdue;
 }
 
 void LivenessMonitor::Count(Time now) {
   HeartbeatsReceived heard;
-  for (const auto& m : machines_) {
-    if (!Counts(*m)) continue;
+  for (const auto& machine : machines_) {
+    if (!Counts(*machine)) continue;
     ++heard.recorded;
-    const bool silent = now - QuietSince(*m, started_) > timeouts_.overdue;
+    const bool silent =
+        now - QuietSince(*machine, started_) > timeouts_.overdue;
     heard.silent += silent;
-    heard.troubled += silent || now < m->direct_broken_until ||
-                      m->reachability.deaf() || HeartbeatOverdue(*m, now);
+    heard.troubled += silent || now < machine->direct_broken_until ||
+                      machine->reachability.deaf() ||
+                      HeartbeatOverdue(*machine, now);
   }
   heartbeats_received_ = heard;
   // An alarm ends when nothing has been refused for a window: there may never
@@ -131,30 +134,32 @@
 
 // Machines that go deaf together are seen to be so over the time between two
 // reports and that of a worker's waits; all must count before one is given up.
-bool LivenessMonitor::SilentTooLong(const Machine& m, Time now) const {
+bool LivenessMonitor::SilentTooLong(const Machine& machine, Time now) const {
   const double spread =
-      m.reachability.deaf() ? kHeartbeatTimeoutSeconds / 2 : 0;
-  return now - QuietSince(m, started_) > timeouts_.give_up + spread;
+      machine.reachability.deaf() ? kHeartbeatTimeoutSeconds / 2 : 0;
+  return now - QuietSince(machine, started_) > timeouts_.give_up + spread;
 }
 
 // A single silent machine is given up, if nobody else reaches it either.
-bool LivenessMonitor::MayGiveUp(const Machine& m, Time now) const {
+bool LivenessMonitor::MayGiveUp(const Machine& machine, Time now) const {
   if (!FewSilent()) return false;
   if (settings_.peers.empty()) {
     // A deaf one whose address may be reached is left to its leases.
-    return !m.reachability.deaf() || now < m.direct_broken_until;
+    return !machine.reachability.deaf() || now < machine.direct_broken_until;
   }
-  const Time quiet_since = QuietSince(m, started_);
-  if (m.reached_by_other > quiet_since &&
-      now - m.reached_by_other < timeouts_.give_up) {
+  const Time quiet_since = QuietSince(machine, started_);
+  if (machine.reached_by_other > quiet_since &&
+      now - machine.reached_by_other < timeouts_.give_up) {
     return false;
   }
   // An answer from before many were silent says nothing about now: nobody has
   // been asked since.
-  return m.reached_by_none > std::max(quiet_since, now - timeouts_.give_up);
+  return machine.reached_by_none >
+         std::max(quiet_since, now - timeouts_.give_up);
 }
 
-bool LivenessMonitor::LossAllowed(const Machine& m, LossCause cause, Time now) {
+bool LivenessMonitor::LossAllowed(const Machine& machine, LossCause cause,
+                                  Time now) {
   const auto index = static_cast<size_t>(cause);
   // A leader that suspects its own network takes nothing away for other reasons
   // either: idle, listed and booted are read off what it hears.
@@ -164,18 +169,19 @@
   for (const auto& other : machines_) {
     if (other->state() == MachineState::kGone) continue;
     ++fleet;
-    zone += other->zone == m.zone;
+    zone += other->zone == machine.zone;
   }
   Loss loss;
   loss.cause = cause;
-  loss.zone = m.zone;
-  for (const auto& [key, r] : m.task_attempts) {
-    if (r.job == nullptr || r.phase == TaskPhase::kExited ||
-        r.job->spec().kind != JobKind::kService) {
+  loss.zone = machine.zone;
+  for (const auto& [key, attempt] : machine.task_attempts) {
+    if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
+        attempt.job->spec().kind != JobKind::kService) {
       continue;
     }
     if (loss.services.empty() || loss.services.back().job != key.job_id) {
-      loss.services.push_back({key.job_id, 0, static_cast<int>(r.job->size())});
+      loss.services.push_back(
+          {key.job_id, 0, static_cast<int>(attempt.job->size())});
     }
     ++loss.services.back().replicas;
   }
@@ -216,9 +222,9 @@
   AskReach ask;
   ask.sample = sample;
   ask.round = next_round_++;
-  for (const Machine* m : about) {
-    ask.hosts.push_back(m->host());
-    ask.endpoints.push_back(m->endpoint);
+  for (const Machine* machine : about) {
+    ask.hosts.push_back(machine->host());
+    ask.endpoints.push_back(machine->endpoint);
   }
   asked_[ask.round] = {about, now};
   const uint64_t round = ask.round;
@@ -233,15 +239,17 @@
   constexpr size_t kMostAsked = 64;
   if (settings_.peers.empty() || silent_round_ != 0 || !FewSilent()) return;
   std::vector<Machine*> about;
-  for (auto& m : machines_) {
-    if (!m->recorded_up || m->state() == MachineState::kGone ||
-        m->state() == MachineState::kDeleting || m->endpoint.empty() ||
-        now - QuietSince(*m, started_) <= timeouts_.asked ||
-        now - m->asked_about < settings_.workers.heartbeat_interval_seconds) {
+  for (auto& machine : machines_) {
+    if (!machine->recorded_up || machine->state() == MachineState::kGone ||
+        machine->state() == MachineState::kDeleting ||
+        machine->endpoint.empty() ||
+        now - QuietSince(*machine, started_) <= timeouts_.asked ||
+        now - machine->asked_about <
+            settings_.workers.heartbeat_interval_seconds) {
       continue;
     }
-    m->asked_about = now;
-    about.push_back(m.get());
+    machine->asked_about = now;
+    about.push_back(machine.get());
     if (about.size() == kMostAsked) break;
   }
   if (!about.empty()) silent_round_ = Ask(about, /*sample=*/false, now);
@@ -257,8 +265,9 @@
 void LivenessMonitor::AskWhoReaches(Time now) {
   if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
   std::vector<Machine*> all;
-  for (const auto& m : machines_) {
-    if (Counts(*m) && !m->endpoint.empty()) all.push_back(m.get());
+  for (const auto& machine : machines_) {
+    if (Counts(*machine) && !machine->endpoint.empty())
+      all.push_back(machine.get());
   }
   std::vector<Machine*> sample;
   std::sample(all.begin(), all.end(), std::back_inserter(sample), kReachSample,
@@ -275,21 +284,21 @@
   const auto [about, asked] = std::move(it->second);
   asked_.erase(it);
   for (size_t i = 0; i < about.size(); ++i) {
-    Machine* m = about[i];
-    if (m->state() == MachineState::kGone) continue;
+    Machine* machine = about[i];
+    if (machine->state() == MachineState::kGone) continue;
     const bool others =
         std::any_of(answers.begin() + 1, answers.end(),
                     [i](const Reach& r) { return r.Reaches(i); });
     if (others) {
-      m->reached_by_other = now;
+      machine->reached_by_other = now;
     } else if (answers[0].Denies(i)) {
       // As of the question: a leader that stood still finds the answer late,
       // and the machine may have come back since.
-      m->reached_by_none = std::max(m->reached_by_none, asked);
+      machine->reached_by_none = std::max(machine->reached_by_none, asked);
     }
     // A machine whose heartbeats don't come is not heard, whether or not it
     // answers: only reports renew its lease.
-    if (answers[0].Reaches(i) && HeartbeatOverdue(*m, now)) {
+    if (answers[0].Reaches(i) && HeartbeatOverdue(*machine, now)) {
       answers[0].machines[i] = Reach::kNotReached;
     }
   }
--- a/core/leader/liveness_monitor.h
+++ b/core/leader/liveness_monitor.h
@@ -39,11 +39,11 @@
   void OnTransferRejected(const std::string& why, Time now);
 
   // Whether a machine has been silent, or deaf, for long enough.
-  bool SilentTooLong(const Machine& m, Time now) const;
+  bool SilentTooLong(const Machine& machine, Time now) const;
   // Whether such a machine may be given up.
-  bool MayGiveUp(const Machine& m, Time now) const;
+  bool MayGiveUp(const Machine& machine, Time now) const;
   // Whether it may be taken away for this cause; counts it if so.
-  bool LossAllowed(const Machine& m, LossCause cause, Time now);
+  bool LossAllowed(const Machine& machine, LossCause cause, Time now);
 
   LeaderHealthState leader_health() const { return leader_health_.state(); }
   const HeartbeatsReceived& heartbeats_received() const {
@@ -53,7 +53,7 @@
   std::vector<std::string> Alarms() const;
 
  private:
-  bool HeartbeatOverdue(const Machine& m, Time now) const;
+  bool HeartbeatOverdue(const Machine& machine, Time now) const;
   // Whether so few are silent that it is the machines and not the network.
   bool FewSilent() const;
   void AskAboutSilent(Time now);
--- a/core/leader/maintenance.cc
+++ b/core/leader/maintenance.cc
@@ -85,8 +85,8 @@
   in_window_.clear();
   fleet_ = {};
   if (calendar_.empty()) return;
-  for (const auto& m : machines_) {
-    if (m->state() == MachineState::kUp) fleet_ += m->total();
+  for (const auto& machine : machines_) {
+    if (machine->state() == MachineState::kUp) fleet_ += machine->total();
   }
   for (const std::string& id : calendar_.AllWindows()) in_window_[id];
   if (in_window_.empty()) return;
@@ -128,23 +128,24 @@
          calendar_.Names(it->second->spec(), TierOf(*it->second));
 }
 
-bool Leader::HasCalendarStart(const Machine& m) const {
-  return !calendar_.empty() && std::any_of(m.queue.begin(), m.queue.end(),
-                                           [&](const WorkerCommand& o) {
-                                             return SentInHeartbeatResponse(o);
-                                           });
+bool Leader::HasCalendarStart(const Machine& machine) const {
+  return !calendar_.empty() &&
+         std::any_of(machine.queue.begin(), machine.queue.end(),
+                     [&](const WorkerCommand& command) {
+                       return SentInHeartbeatResponse(command);
+                     });
 }
 
-void Leader::DropLateStarts(Machine& m, Time now) {
+void Leader::DropLateStarts(Machine& machine, Time now) {
   if (calendar_.empty()) return;
   std::vector<TaskAttemptKey> late;
-  for (const WorkerCommand& o : m.queue) {
-    if (!SentInHeartbeatResponse(o)) continue;
-    if (!AdmissionOf(*jobs_.at(o.job_id), now).may()) {
-      late.push_back({o.job_id, o.task, o.attempt});
+  for (const WorkerCommand& command : machine.queue) {
+    if (!SentInHeartbeatResponse(command)) continue;
+    if (!AdmissionOf(*jobs_.at(command.job_id), now).may()) {
+      late.push_back({command.job_id, command.task, command.attempt});
     }
   }
-  for (const TaskAttemptKey& key : late) RemoveAttempt(m, key);
+  for (const TaskAttemptKey& key : late) RemoveAttempt(machine, key);
 }
 
 // What does not run yet loses nothing when it goes; what runs is stopped only
@@ -161,26 +162,27 @@
       calendar_.Caught(spec, tier, 2 * heartbeat, now) != OverrunStep::kNone;
   if (!save && !back) return;
   const auto task_attempts = AttemptsOf(job);
-  const auto runs = [](const TaskAttempt& r) {
-    return r.phase == TaskPhase::kRunning || r.phase == TaskPhase::kSaving;
+  const auto runs = [](const TaskAttempt& attempt) {
+    return attempt.phase == TaskPhase::kRunning ||
+           attempt.phase == TaskPhase::kSaving;
   };
   bool any_runs = false;
-  for (const auto& [m, key] : task_attempts) {
-    any_runs |= runs(m->task_attempts.at(key));
+  for (const auto& [machine, key] : task_attempts) {
+    any_runs |= runs(machine->task_attempts.at(key));
   }
   if (spec.kind == JobKind::kGang) {
     if (any_runs ? save : back) StopTasks(job, any_runs ? grace : 0, now);
     return;
   }
-  for (const auto& [m, key] : task_attempts) {
-    const auto it = m->task_attempts.find(key);
-    if (it == m->task_attempts.end() || it->second.stopping ||
+  for (const auto& [machine, key] : task_attempts) {
+    const auto it = machine->task_attempts.find(key);
+    if (it == machine->task_attempts.end() || it->second.stopping ||
         !DisruptionAllowed(key, job, now)) {
       continue;
     }
     const bool running = runs(it->second);
     if (running ? save : back) {
-      QueueStop(*m, it->second, running ? grace : 0, now);
+      QueueStop(*machine, it->second, running ? grace : 0, now);
     }
   }
 }
--- a/core/leader/priority_tiers.cc
+++ b/core/leader/priority_tiers.cc
@@ -12,9 +12,9 @@
   for (auto& [id, job] : jobs_) {
     job->tier = tiers_.Classify(job->spec());
   }
-  for (const auto& m : machines_) {
-    for (const auto& [key, r] : m->task_attempts) {
-      if (r.holds) tiers_.Hold(r.job->tier, r.need);
+  for (const auto& machine : machines_) {
+    for (const auto& [key, attempt] : machine->task_attempts) {
+      if (attempt.holds) tiers_.Hold(attempt.job->tier, attempt.need);
     }
   }
   Log("tiers: " + std::to_string(tiers_.set().listed().size()) +
@@ -29,9 +29,9 @@
   if (!tiers_.active()) return;
   TierView view;
   view.machines = usable.size();
-  for (const Machine* m : usable) {
-    view.total[m->zone] += m->total();
-    view.free[m->zone] += m->free();
+  for (const Machine* machine : usable) {
+    view.total[machine->zone] += machine->total();
+    view.free[machine->zone] += machine->free();
   }
   for (const Job* job : order) {
     view.waiting.push_back({job, job->tier, now - job->queued_since(),
@@ -62,22 +62,22 @@
   }
 }
 
-bool Leader::TierAllows(const Job& job, const Machine& m) const {
+bool Leader::TierAllows(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
-  if (tiers_.MayUse(job, job.tier, m.zone, spec.need,
-                    m.BytesToFetch(spec.image, spec.image_gb) > 0)) {
+  if (tiers_.MayUse(job, job.tier, machine.zone, spec.need,
+                    machine.BytesToFetch(spec.image, spec.image_gb) > 0)) {
     return true;
   }
   // Room that was made for the job by stopping others is its own: refused here,
   // they would have been stopped for nothing.
-  return spec.need.FitsIn(ReservedFor(job, m));
+  return spec.need.FitsIn(ReservedFor(job, machine));
 }
 
-bool Leader::UsesReservedHeadroom(const Job& job, const Machine& m,
+bool Leader::UsesReservedHeadroom(const Job& job, const Machine& machine,
                                   const PreemptionPlan& plan) const {
   const JobSpec& spec = job.spec();
-  return plan.victims.empty() && spec.need.FitsIn(m.free()) &&
-         !TierAllows(job, m);
+  return plan.victims.empty() && spec.need.FitsIn(machine.free()) &&
+         !TierAllows(job, machine);
 }
 
 void Leader::SurveyTiers() {
--- a/core/leader/queue_ranking.h
+++ b/core/leader/queue_ranking.h
@@ -33,11 +33,11 @@
   // much as shows that it has begun.
   bool by_minimum_share = false;
 
-  bool Before(const QueuePosition& o) const {
-    if (rank != o.rank) return rank < o.rank;
-    if (tier != o.tier) return tier < o.tier;
-    if (group != o.group) return group < o.group;
-    return key < o.key;
+  bool Before(const QueuePosition& position) const {
+    if (rank != position.rank) return rank < position.rank;
+    if (tier != position.tier) return tier < position.tier;
+    if (group != position.group) return group < position.group;
+    return key < position.key;
   }
 };
 
--- a/core/leader/rebalancing.cc
+++ b/core/leader/rebalancing.cc
@@ -66,10 +66,10 @@
 
 uint32_t Leader::CountConfirmedRunning(const Job& job, Time now) const {
   uint32_t n = 0;
-  for (const auto& [m, key] : AttemptsOf(job)) {
-    const TaskAttempt& r = m->task_attempts.at(key);
-    n += r.phase == TaskPhase::kRunning && !r.stopping && IsCurrent(*m, r) &&
-         Usable(*m, now);
+  for (const auto& [machine, key] : AttemptsOf(job)) {
+    const TaskAttempt& attempt = machine->task_attempts.at(key);
+    n += attempt.phase == TaskPhase::kRunning && !attempt.stopping &&
+         IsCurrent(*machine, attempt) && Usable(*machine, now);
   }
   return n;
 }
@@ -187,10 +187,10 @@
 
 void Leader::PlanMovesFor(const Job& waiting, Time now) {
   std::vector<Machine*> usable;
-  for (auto& m : machines_) {
-    if (m->state() != MachineState::kGone && Usable(*m, now) &&
-        !DrainedByMove(*m)) {
-      usable.push_back(m.get());
+  for (auto& machine : machines_) {
+    if (machine->state() != MachineState::kGone && Usable(*machine, now) &&
+        !DrainedByMove(*machine)) {
+      usable.push_back(machine.get());
     }
   }
   const double lease = settings_.workers.lease_seconds;
@@ -206,16 +206,19 @@
   input.horizon_seconds = kHorizonLeases * lease;
   input.now = now;
   input.where = [this](const Job& job) { return ZoneSpreadOf(job); };
-  input.may_leave = [&](const TaskAttempt& r) {
-    return r.job->live() && RolloutOf(*r.job) == nullptr &&
-           DisruptionAllowed(KeyOf(r), *r.job, now) &&
-           CountConfirmedRunning(*r.job, now) == r.job->size();
+  input.may_leave = [&](const TaskAttempt& attempt) {
+    return attempt.job->live() && RolloutOf(*attempt.job) == nullptr &&
+           DisruptionAllowed(KeyOf(attempt), *attempt.job, now) &&
+           CountConfirmedRunning(*attempt.job, now) == attempt.job->size();
   };
-  input.may_go = [&](const TaskAttempt& r, const Machine& to, bool fetches) {
+  input.may_go = [&](const TaskAttempt& attempt, const Machine& to,
+                     bool fetches) {
     // The loss of the target must not take the service.
-    return CountOn(*r.job, to) < ReplicasPerMachineLimit(r.job->size()) &&
-           rebalancer_->MayBegin(r.job_id, r.job->size(), r.job->spec().team,
-                                 to.host(), to.zone, fetches, now);
+    return CountOn(*attempt.job, to) <
+               ReplicasPerMachineLimit(attempt.job->size()) &&
+           rebalancer_->MayBegin(attempt.job_id, attempt.job->size(),
+                                 attempt.job->spec().team, to.host(), to.zone,
+                                 fetches, now);
   };
   const std::vector<PlannedMove> plan = PlanMoves(input);
   // One machine's moves together, or none of them.
@@ -273,9 +276,9 @@
     const auto it = jobs_.find(move.claim.job);
     if (to == nullptr || it == jobs_.end() || !it->second->live()) continue;
     Job* job = it->second.get();
-    const bool held =
-        std::any_of(to->reservations.begin(), to->reservations.end(),
-                    [&](const Reservation& r) { return r.job == job; });
+    const bool held = std::any_of(
+        to->reservations.begin(), to->reservations.end(),
+        [&](const Reservation& reservation) { return reservation.job == job; });
     if (held) continue;
     to->reservations.push_back({job, job->spec().need, job->spec().priority,
                                 std::max(now, move.until)});
@@ -286,12 +289,14 @@
                                 Time now) {
   const std::string* host =
       rebalancer_ ? rebalancer_->TargetFor(job.id()) : nullptr;
-  Machine* m = host == nullptr ? nullptr : FindMachine(*host);
-  if (m == nullptr || !Usable(*m, now) || !Allowed(job.spec(), *m, where) ||
-      !job.spec().need.FitsIn(m->CapacityFor(&job, job.spec().priority))) {
+  Machine* machine = host == nullptr ? nullptr : FindMachine(*host);
+  if (machine == nullptr || !Usable(*machine, now) ||
+      !Allowed(job.spec(), *machine, where) ||
+      !job.spec().need.FitsIn(
+          machine->CapacityFor(&job, job.spec().priority))) {
     return nullptr;
   }
-  return m;
+  return machine;
 }
 
 }  // namespace oxbow
--- a/core/leader/reconciliation.cc
+++ b/core/leader/reconciliation.cc
@@ -42,23 +42,23 @@
 // A task that runs without a record: either its job has ended, which is known
 // or can be read, or its record is lost, and killing it would be the loss of
 // the work as well.
-bool Leader::MayStopUnknownTask(const TaskAttempt& r, Time now) {
+bool Leader::MayStopUnknownTask(const TaskAttempt& attempt, Time now) {
   if (!RecoveryEnabled() ||
-      catalog_.FindTerminalState(r.job_id) != TerminalState::kNone) {
+      catalog_.FindTerminalState(attempt.job_id) != TerminalState::kNone) {
     return true;
   }
-  const auto [asked, first] = asked_jobs_.try_emplace(r.job_id, now);
+  const auto [asked, first] = asked_jobs_.try_emplace(attempt.job_id, now);
   if (first || now >= asked->second) {
     asked->second = now + settings_.workers.lease_seconds;
-    actions_.push_back(RequestJobRecord{r.job_id});
+    actions_.push_back(RequestJobRecord{attempt.job_id});
   }
   return false;
 }
 
 Resources Leader::OrphanedTasksUpperBound() const {
   Resources bound;
-  for (const auto& m : machines_) {
-    if (m->orphaned_tasks > 0) bound += m->total();
+  for (const auto& machine : machines_) {
+    if (machine->orphaned_tasks > 0) bound += machine->total();
   }
   return bound;
 }
@@ -67,10 +67,10 @@
   bool there = false;
   out->done = 0;
   out->running = 0;
-  for (const auto& m : machines_) {
-    if (m->orphaned_tasks == 0) continue;
-    for (auto r = m->task_attempts.lower_bound({id, 0, 0});
-         r != m->task_attempts.end() && r->first.job_id == id; ++r) {
+  for (const auto& machine : machines_) {
+    if (machine->orphaned_tasks == 0) continue;
+    for (auto r = machine->task_attempts.lower_bound({id, 0, 0});
+         r != machine->task_attempts.end() && r->first.job_id == id; ++r) {
       there = there || IsOrphaned(r->second);
       out->running += r->second.phase == TaskPhase::kRunning;
     }
@@ -82,7 +82,8 @@
 std::vector<std::string> Leader::Alarms() const {
   std::vector<std::string> alarms = liveness_.Alarms();
   int orphaned_tasks = 0;
-  for (const auto& m : machines_) orphaned_tasks += m->orphaned_tasks;
+  for (const auto& machine : machines_)
+    orphaned_tasks += machine->orphaned_tasks;
   if (orphaned_tasks > 0) {
     alarms.push_back(std::to_string(orphaned_tasks) +
                      " tasks run whose jobs have no record");
@@ -209,7 +210,9 @@
       if (!catalog_.pending_writes().contains(op.name)) return false;
       // Something newer goes into this very transaction, and would be undone.
       if (std::any_of(txn->mutations.begin(), txn->mutations.end(),
-                      [&](const Mutation& c) { return c.key == op.name; })) {
+                      [&](const Mutation& mutation) {
+                        return mutation.key == op.name;
+                      })) {
         return false;
       }
       const Record record = PendingRecord(catalog_, op);
--- a/core/leader/rollouts.cc
+++ b/core/leader/rollouts.cc
@@ -103,18 +103,19 @@
     (is_new ? view.to_live : view.from_live) = job.live();
     (is_new ? view.to_tasks : view.from_tasks) = job.size();
     if (is_new) view.to_known = true;
-    for (const auto& [m, key] : AttemptsOf(job)) {
-      const TaskAttempt& r = m->task_attempts.at(key);
-      if (r.phase == TaskPhase::kExited || !IsCurrent(*m, r)) continue;
+    for (const auto& [machine, key] : AttemptsOf(job)) {
+      const TaskAttempt& attempt = machine->task_attempts.at(key);
+      if (attempt.phase == TaskPhase::kExited || !IsCurrent(*machine, attempt))
+        continue;
       InstanceView seen;
       seen.key = key;
       seen.is_new = is_new;
-      seen.running = r.phase == TaskPhase::kRunning;
-      seen.stopping = r.stopping;
-      seen.heard = !Suspect(*m, now);
-      seen.last_heard = m->last_heard;
-      seen.leaving = m->state() != MachineState::kUp;
-      seen.zone = m->zone;
+      seen.running = attempt.phase == TaskPhase::kRunning;
+      seen.stopping = attempt.stopping;
+      seen.heard = !Suspect(*machine, now);
+      seen.last_heard = machine->last_heard;
+      seen.leaving = machine->state() != MachineState::kUp;
+      seen.zone = machine->zone;
       view.instances.push_back(std::move(seen));
     }
   }
@@ -144,14 +145,14 @@
       if (job == jobs_.end()) continue;
       const int32_t index = job->second->task(key.task).machine;
       if (index < 0) continue;
-      Machine& m = *machines_[static_cast<size_t>(index)];
-      const auto it = m.task_attempts.find(key);
-      if (it == m.task_attempts.end() || it->second.stopping) continue;
+      Machine& machine = *machines_[static_cast<size_t>(index)];
+      const auto it = machine.task_attempts.find(key);
+      if (it == machine.task_attempts.end() || it->second.stopping) continue;
       LogDetail([&, &name = id] {
         return "roll-out " + name + " stops " + key.job_id + "/" +
-               std::to_string(key.task) + " on " + m.host();
+               std::to_string(key.task) + " on " + machine.host();
       });
-      QueueStop(m, it->second, 0, now);
+      QueueStop(machine, it->second, 0, now);
     }
     if (rollout.MostOfOld() != old_before ||
         rollout.MostOfNew() != new_before) {
--- a/core/leader/scheduling.cc
+++ b/core/leader/scheduling.cc
@@ -69,8 +69,8 @@
   return where;
 }
 
-int Leader::CountOn(const Job& job, const Machine& m) const {
-  const auto it = job.presence().find(m.index());
+int Leader::CountOn(const Job& job, const Machine& machine) const {
+  const auto it = job.presence().find(machine.index());
   return it == job.presence().end() ? 0 : it->second.holding;
 }
 
@@ -98,13 +98,14 @@
   if (order.empty()) return;
   std::vector<Machine*> usable;
   std::vector<Machine*> alive;
-  for (auto& m : machines_) {
-    std::erase_if(m->reservations, [&](const Reservation& r) {
-      return now > r.until || !r.job->live() || StartableTasks(*r.job) == 0;
+  for (auto& machine : machines_) {
+    std::erase_if(machine->reservations, [&](const Reservation& reservation) {
+      return now > reservation.until || !reservation.job->live() ||
+             StartableTasks(*reservation.job) == 0;
     });
-    if (m->state() == MachineState::kGone) continue;
-    alive.push_back(m.get());
-    if (Usable(*m, now)) usable.push_back(m.get());
+    if (machine->state() == MachineState::kGone) continue;
+    alive.push_back(machine.get());
+    if (Usable(*machine, now)) usable.push_back(machine.get());
   }
   BeginTiers(order, usable, accounted, now);
   struct Entry {
@@ -158,66 +159,69 @@
       large_waiting_.push_back(job.id());
     }
   }
-  for (Machine* m : usable) DispatchCommands(*m, now);
+  for (Machine* machine : usable) DispatchCommands(*machine, now);
 }
 
 Machine* Leader::FindPlace(const Job& job, const std::vector<Machine*>& usable,
                            const ZoneSpread& where, double bandwidth) {
   const JobSpec& spec = job.spec();
   std::vector<Machine*> fitting;
-  for (Machine* m : usable) {
-    if (spec.need.FitsIn(m->CapacityFor(&job, job.priority())) &&
-        Allowed(spec, *m, where) && TierAllows(job, *m)) {
-      fitting.push_back(m);
+  for (Machine* machine : usable) {
+    if (spec.need.FitsIn(machine->CapacityFor(&job, job.priority())) &&
+        Allowed(spec, *machine, where) && TierAllows(job, *machine)) {
+      fitting.push_back(machine);
     }
   }
   return placer_.Choose(
-      job, fitting, where, [&](const Machine& m) { return CountOn(job, m); },
-      bandwidth, queue_ranking_.WaitSloSeconds(spec));
+      job, fitting, where,
+      [&](const Machine& machine) { return CountOn(job, machine); }, bandwidth,
+      queue_ranking_.WaitSloSeconds(spec));
 }
 
-void Leader::Start(Job& job, uint32_t task, Machine& m, uint64_t attempt,
+void Leader::Start(Job& job, uint32_t task, Machine& machine, uint64_t attempt,
                    Time now) {
   const JobSpec& spec = job.spec();
   LogDetail([&] {
-    return "start " + spec.id + "/" + std::to_string(task) + " on " + m.host() +
-           ", image " +
-           (m.HasImage(spec.image)                          ? "there"
-            : m.BytesToFetch(spec.image, spec.image_gb) > 0 ? "to fetch"
-                                                            : "queued") +
+    return "start " + spec.id + "/" + std::to_string(task) + " on " +
+           machine.host() + ", image " +
+           (machine.HasImage(spec.image)                          ? "there"
+            : machine.BytesToFetch(spec.image, spec.image_gb) > 0 ? "to fetch"
+                                                                  : "queued") +
            ", waited " + std::to_string(now - job.queued_since()) + " s";
   });
-  TaskAttempt r;
-  r.job = &job;
-  r.job_id = spec.id;
-  r.task = task;
-  r.attempt = attempt;
-  r.start_progress = StartProgress::kQueued;
-  r.started = now;
-  m.idle_since = 0;
-  tiers_.Take(m.zone, spec.need);
-  tiers_.Started(job, job.tier, m.zone, spec.need,
-                 m.BytesToFetch(spec.image, spec.image_gb) > 0, now);
-  m.QueueImage(spec.image, spec.image_gb, now);
-  m.queue.push_back({CommandKind::kStart, spec.id, task, attempt, 0});
-  AddAttempt(m, std::move(r), /*there=*/true);
-  job.Place(task, m.index(), attempt);
+  TaskAttempt task_attempt;
+  task_attempt.job = &job;
+  task_attempt.job_id = spec.id;
+  task_attempt.task = task;
+  task_attempt.attempt = attempt;
+  task_attempt.start_progress = StartProgress::kQueued;
+  task_attempt.started = now;
+  machine.idle_since = 0;
+  tiers_.Take(machine.zone, spec.need);
+  tiers_.Started(job, job.tier, machine.zone, spec.need,
+                 machine.BytesToFetch(spec.image, spec.image_gb) > 0, now);
+  machine.QueueImage(spec.image, spec.image_gb, now);
+  machine.queue.push_back({CommandKind::kStart, spec.id, task, attempt, 0});
+  AddAttempt(machine, std::move(task_attempt), /*there=*/true);
+  job.Place(task, machine.index(), attempt);
   for (auto& [id, used] : in_window_) {
     if (calendar_.InWindow(id, spec, TierOf(job))) used += spec.need;
   }
   job.ChangeTask(task, TaskState::kStarting);
-  DropReservation(&job, &m);
+  DropReservation(&job, &machine);
 }
 
-void Leader::DropReservation(const Job* job, Machine* m) {
-  const auto mine = [&](const Reservation& r) { return r.job == job; };
-  if (m == nullptr) {
+void Leader::DropReservation(const Job* job, Machine* machine) {
+  const auto mine = [&](const Reservation& reservation) {
+    return reservation.job == job;
+  };
+  if (machine == nullptr) {
     for (auto& other : machines_) std::erase_if(other->reservations, mine);
     return;
   }
-  const auto it =
-      std::find_if(m->reservations.begin(), m->reservations.end(), mine);
-  if (it != m->reservations.end()) m->reservations.erase(it);
+  const auto it = std::find_if(machine->reservations.begin(),
+                               machine->reservations.end(), mine);
+  if (it != machine->reservations.end()) machine->reservations.erase(it);
 }
 
 std::optional<Machine*> Leader::FindReplicaPlace(
@@ -230,16 +234,16 @@
   // that time. Rather than spoil one, it takes the room of short work.
   std::vector<Machine*> sparing;
   const bool calm = IsQuiescent(now);
-  for (Machine* m : usable) {
+  for (Machine* machine : usable) {
     // In a calm replicas gather where they spoil nothing any more. Two beside
     // every gang's room had kept sixty machines rented after the last gang.
     // Nor does it break a whole machine while there is fragmented room.
-    if ((calm ? IsConsolidationTarget(*m)
-              : !BlocksAcceleratorWork(spec, *m, accelerator_shape_)) &&
-        !placer_.FragmentsWholeMachine(spec, *m,
+    if ((calm ? IsConsolidationTarget(*machine)
+              : !BlocksAcceleratorWork(spec, *machine, accelerator_shape_)) &&
+        !placer_.FragmentsWholeMachine(spec, *machine,
                                        queue_ranking_.WaitSloSeconds(spec)) &&
-        !DrainedByMove(*m)) {
-      sparing.push_back(m);
+        !DrainedByMove(*machine)) {
+      sparing.push_back(machine);
     }
   }
   Machine* best = FindPlace(job, sparing, where, bandwidth);
@@ -254,8 +258,8 @@
       FetchSeconds(*best, spec, bandwidth) >
           queue_ranking_.WaitSloSeconds(spec)) {
     std::vector<Machine*> warm;
-    for (Machine* m : sparing) {
-      if (m->HasImage(spec.image)) warm.push_back(m);
+    for (Machine* machine : sparing) {
+      if (machine->HasImage(spec.image)) warm.push_back(machine);
     }
     if (Machine* there = FindPlace(job, warm, where, bandwidth)) return there;
     if (ReserveByPreemption(job, warm, now)) return std::nullopt;
@@ -285,15 +289,15 @@
       over_share_.insert(&job);
       return;
     }
-    Machine* m = nullptr;
+    Machine* machine = nullptr;
     if (job.spec().kind == JobKind::kService) {
       const auto place = FindReplicaPlace(job, usable, where, bandwidth, now);
       if (!place) return;  // room is being made
-      m = *place;
+      machine = *place;
     } else {
-      m = FindPlace(job, usable, where, bandwidth);
+      machine = FindPlace(job, usable, where, bandwidth);
     }
-    if (m == nullptr) {
+    if (machine == nullptr) {
       ReserveByPreemption(job, usable, now);
       return;
     }
@@ -302,14 +306,14 @@
     // 25,000 tasks, the choice took the leader longer than its lease.
     uint32_t here = 1;
     if (job.spec().kind == JobKind::kArray) {
-      here = std::max(
-          1u, job.spec().need.TimesIn(m->CapacityFor(&job, job.priority()),
-                                      std::min(left, StartableTasks(job))));
+      here = std::max(1u, job.spec().need.TimesIn(
+                              machine->CapacityFor(&job, job.priority()),
+                              std::min(left, StartableTasks(job))));
     }
     for (uint32_t n = 0; n < here; ++n) {
       task = job.PeekPending();
       if (task < 0 || !QuotaAllows(job, 1) || !WindowAllows(job, 1) ||
-          !Allowed(job.spec(), *m, where) || !TierAllows(job, *m) ||
+          !Allowed(job.spec(), *machine, where) || !TierAllows(job, *machine) ||
           (n > 0 && (!tiers_.MayStart(job, job.tier) ||
                      !tiers_.WithinShare(job, job.tier, job.spec().need)))) {
         break;
@@ -317,8 +321,8 @@
       const uint64_t attempt = NextNumber();
       if (attempt == 0) return;
       job.PopPending();
-      Start(job, static_cast<uint32_t>(task), *m, attempt, now);
-      where.Add(m->zone, 1);
+      Start(job, static_cast<uint32_t>(task), *machine, attempt, now);
+      where.Add(machine->zone, 1);
       --left;
     }
   }
@@ -350,9 +354,9 @@
   }
   std::vector<std::string> zones;
   if (spec.one_zone) {
-    for (const Machine* m : usable) {
-      if (std::find(zones.begin(), zones.end(), m->zone) == zones.end()) {
-        zones.push_back(m->zone);
+    for (const Machine* machine : usable) {
+      if (std::find(zones.begin(), zones.end(), machine->zone) == zones.end()) {
+        zones.push_back(machine->zone);
       }
     }
   } else {
@@ -362,31 +366,32 @@
   double best_fetch = 0;
   for (const std::string& zone : zones) {
     std::vector<Machine*> there;
-    for (Machine* m : usable) {
-      if (zone.empty() || m->zone == zone) there.push_back(m);
+    for (Machine* machine : usable) {
+      if (zone.empty() || machine->zone == zone) there.push_back(machine);
     }
     ZoneSpread where;
     std::vector<Machine*> chosen;
     double fetch = 0;
     // Counted first: choosing is dear, and most zones fall short.
     uint32_t fits = 0;
-    for (const Machine* m : there) {
-      if (!Allowed(spec, *m, where)) continue;
-      fits += spec.need.TimesIn(m->CapacityFor(&job, job.priority()), tasks);
+    for (const Machine* machine : there) {
+      if (!Allowed(spec, *machine, where)) continue;
+      fits +=
+          spec.need.TimesIn(machine->CapacityFor(&job, job.priority()), tasks);
     }
     while (fits >= tasks && chosen.size() < tasks) {
-      Machine* m = FindPlace(job, there, where, bandwidth);
-      if (m == nullptr) break;
+      Machine* machine = FindPlace(job, there, where, bandwidth);
+      if (machine == nullptr) break;
       // The gang starts with its slowest fetch.
-      fetch = std::max(fetch, FetchSeconds(*m, spec, bandwidth));
-      m->used += spec.need;
-      tiers_.Take(m->zone, spec.need);
-      where.Add(m->zone, 1);
-      chosen.push_back(m);
+      fetch = std::max(fetch, FetchSeconds(*machine, spec, bandwidth));
+      machine->used += spec.need;
+      tiers_.Take(machine->zone, spec.need);
+      where.Add(machine->zone, 1);
+      chosen.push_back(machine);
     }
-    for (Machine* m : chosen) {
-      m->used -= spec.need;
-      tiers_.Give(m->zone, spec.need);
+    for (Machine* machine : chosen) {
+      machine->used -= spec.need;
+      tiers_.Give(machine->zone, spec.need);
     }
     if (chosen.size() == tasks && (best.empty() || fetch < best_fetch)) {
       best = std::move(chosen);
@@ -400,10 +405,10 @@
   const uint64_t attempt = NextNumber();
   if (attempt == 0) return;
   queue_ranking_.Placed(job, from, now);
-  for (Machine* m : best) {
+  for (Machine* machine : best) {
     const int64_t task = job.PeekPending();
     job.PopPending();
-    Start(job, static_cast<uint32_t>(task), *m, attempt, now);
+    Start(job, static_cast<uint32_t>(task), *machine, attempt, now);
   }
   tiers_.TurnUsed(job, job.tier, now);
 }
@@ -443,8 +448,8 @@
          (whole ? spec.tasks : 1);
 }
 
-void Leader::Preempt(Machine& m, TaskAttempt& victim, const JobSpec& for_job,
-                     Time now) {
+void Leader::Preempt(Machine& machine, TaskAttempt& victim,
+                     const JobSpec& for_job, Time now) {
   const JobSpec& theirs = victim.job->spec();
   const double grace =
       theirs.checkpoint_seconds > 0
@@ -452,12 +457,12 @@
           : 0;
   LogDetail([&] {
     return "stop " + victim.job_id + "/" + std::to_string(victim.task) +
-           " on " + m.host() + " for " + for_job.id;
+           " on " + machine.host() + " for " + for_job.id;
   });
   if (theirs.kind == JobKind::kGang && theirs.tasks > 1) {
     StopTasks(*victim.job, grace, now);
   } else {
-    QueueStop(m, victim, grace, now);
+    QueueStop(machine, victim, grace, now);
   }
 }
 
@@ -470,17 +475,17 @@
   Resources room;
   Resources staying;  // what neither ends by itself nor makes way
   std::vector<std::pair<double, std::pair<Machine*, TaskAttemptKey>>> victims;
-  for (const auto& m : machines_) {
-    for (const auto& [key, r] : m->task_attempts) {
-      if (r.job == nullptr || r.job->team() != job.team()) continue;
-      if (r.stopping) {
-        room += r.need;
-      } else if (r.phase != TaskPhase::kExited &&
-                 r.job->priority() > job.priority() &&
-                 DisruptionAllowed(key, *r.job, now)) {
-        victims.push_back({PreemptionCost(r, now), {m.get(), key}});
-      } else if (r.job->spec().kind == JobKind::kService) {
-        staying += r.need;
+  for (const auto& machine : machines_) {
+    for (const auto& [key, attempt] : machine->task_attempts) {
+      if (attempt.job == nullptr || attempt.job->team() != job.team()) continue;
+      if (attempt.stopping) {
+        room += attempt.need;
+      } else if (attempt.phase != TaskPhase::kExited &&
+                 attempt.job->priority() > job.priority() &&
+                 DisruptionAllowed(key, *attempt.job, now)) {
+        victims.push_back({PreemptionCost(attempt, now), {machine.get(), key}});
+      } else if (attempt.job->spec().kind == JobKind::kService) {
+        staying += attempt.need;
       }
     }
   }
@@ -504,19 +509,19 @@
   const bool enough = fits();
   team.held += job.spec().need * tasks;
   if (!enough) return;
-  for (const auto& [m, key] : chosen) {
-    const auto it = m->task_attempts.find(key);
-    if (it != m->task_attempts.end() &&
+  for (const auto& [machine, key] : chosen) {
+    const auto it = machine->task_attempts.find(key);
+    if (it != machine->task_attempts.end() &&
         DisruptionAllowed(key, *it->second.job, now)) {
-      Preempt(*m, it->second, job.spec(), now);
+      Preempt(*machine, it->second, job.spec(), now);
     }
   }
 }
 
-Resources Leader::ReservedFor(const Job& job, const Machine& m) {
+Resources Leader::ReservedFor(const Job& job, const Machine& machine) {
   Resources held;
-  for (const Reservation& r : m.reservations) {
-    if (r.job == &job) held += r.need;
+  for (const Reservation& reservation : machine.reservations) {
+    if (reservation.job == &job) held += reservation.need;
   }
   return held;
 }
@@ -525,29 +530,30 @@
 // when `taken` of its room is spoken for, besides what is on its way out
 // already; nothing if even all would not do.
 std::optional<Leader::PreemptionPlan> Leader::PlanPreemption(const Job& job,
-                                                             Machine& m,
+                                                             Machine& machine,
                                                              Resources taken,
                                                              Time now) const {
   const JobSpec& spec = job.spec();
-  Resources room = m.CapacityFor(&job, job.priority()) + m.leaving - taken;
+  Resources room =
+      machine.CapacityFor(&job, job.priority()) + machine.leaving - taken;
   // Most machines can be ruled out without a look at each task there.
   const auto rank = static_cast<size_t>(job.priority());
   Resources most = room;
   for (size_t p = 1; p < kPriorities; ++p) {
-    if (p > rank || job.within_guarantee) most += m.used_by[p];
+    if (p > rank || job.within_guarantee) most += machine.used_by[p];
   }
   if (!spec.need.FitsIn(most)) return std::nullopt;
-  PreemptionPlan plan{&m, 0, {}};
+  PreemptionPlan plan{&machine, 0, {}};
   if (spec.need.FitsIn(room)) return plan;
   std::vector<std::pair<double, TaskAttemptKey>> victims;
-  for (const auto& [key, r] : m.task_attempts) {
-    if (!r.stopping && MayPreempt(job, r, now)) {
-      victims.emplace_back(PreemptionCost(r, now), key);
+  for (const auto& [key, attempt] : machine.task_attempts) {
+    if (!attempt.stopping && MayPreempt(job, attempt, now)) {
+      victims.emplace_back(PreemptionCost(attempt, now), key);
     }
   }
   std::sort(victims.begin(), victims.end());
   for (const auto& [cost, key] : victims) {
-    room += m.task_attempts.at(key).need;
+    room += machine.task_attempts.at(key).need;
     plan.cost += cost;
     plan.victims.push_back(key);
     if (spec.need.FitsIn(room)) return plan;
@@ -557,16 +563,16 @@
 
 void Leader::ExecutePreemption(const PreemptionPlan& plan,
                                const JobSpec& for_job, Time now) {
-  Machine& m = *plan.machine;
+  Machine& machine = *plan.machine;
   for (const TaskAttemptKey& key : plan.victims) {
-    const auto it = m.task_attempts.find(key);
+    const auto it = machine.task_attempts.find(key);
     // A gang's tasks may have been stopped for their place elsewhere, and the
     // victims before this one may have used up what a floor allows.
-    if (it == m.task_attempts.end() || it->second.stopping ||
+    if (it == machine.task_attempts.end() || it->second.stopping ||
         !DisruptionAllowed(key, *it->second.job, now)) {
       continue;
     }
-    Preempt(m, it->second, for_job, now);
+    Preempt(machine, it->second, for_job, now);
   }
 }
 
@@ -578,33 +584,36 @@
   const double hold = 3 * settings_.workers.lease_seconds;
   ZoneSpread where = ZoneSpreadOf(job);
   uint32_t held = 0;
-  for (const auto& m : machines_) {
+  for (const auto& machine : machines_) {
     // Room held where the job can't go any more would only make it wait: the
     // machine has fallen silent, or what came since leaves it no place there.
-    if (m->reservations.empty()) continue;
-    const bool good =
-        std::find(usable.begin(), usable.end(), m.get()) != usable.end() &&
-        Allowed(spec, *m, where);
+    if (machine->reservations.empty()) continue;
+    const bool good = std::find(usable.begin(), usable.end(), machine.get()) !=
+                          usable.end() &&
+                      Allowed(spec, *machine, where);
     if (!good) {
-      std::erase_if(m->reservations,
-                    [&](const Reservation& r) { return r.job == &job; });
+      std::erase_if(machine->reservations, [&](const Reservation& reservation) {
+        return reservation.job == &job;
+      });
     }
-    for (const Reservation& r : m->reservations) held += r.job == &job;
+    for (const Reservation& reservation : machine->reservations)
+      held += reservation.job == &job;
   }
   const uint32_t wanted = std::min(StartableTasks(job), 40u);
   std::vector<PreemptionPlan> options;
   if (held < wanted) {
-    for (Machine* m : usable) {
-      if (!Allowed(spec, *m, where)) continue;
-      if (auto option = PlanPreemption(job, *m, ReservedFor(job, *m), now)) {
-        if (!UsesReservedHeadroom(job, *m, *option))
+    for (Machine* machine : usable) {
+      if (!Allowed(spec, *machine, where)) continue;
+      if (auto option =
+              PlanPreemption(job, *machine, ReservedFor(job, *machine), now)) {
+        if (!UsesReservedHeadroom(job, *machine, *option))
           options.push_back(std::move(*option));
       }
     }
   }
   while (held < wanted && QuotaAllows(job, held + 1)) {
-    std::erase_if(options, [&](const PreemptionPlan& o) {
-      return !Allowed(spec, *o.machine, where);
+    std::erase_if(options, [&](const PreemptionPlan& plan) {
+      return !Allowed(spec, *plan.machine, where);
     });
     const auto best =
         std::min_element(options.begin(), options.end(),
@@ -612,12 +621,14 @@
                            return a.cost < b.cost;
                          });
     if (best == options.end()) break;
-    Machine& m = *best->machine;
-    m.reservations.push_back({&job, spec.need, job.priority(), now + hold});
-    where.Add(m.zone, 1);
+    Machine& machine = *best->machine;
+    machine.reservations.push_back(
+        {&job, spec.need, job.priority(), now + hold});
+    where.Add(machine.zone, 1);
     ++held;
     ExecutePreemption(*best, spec, now);
-    if (auto next = PlanPreemption(job, m, ReservedFor(job, m), now)) {
+    if (auto next =
+            PlanPreemption(job, machine, ReservedFor(job, machine), now)) {
       *best = std::move(*next);
     } else {
       options.erase(best);
@@ -637,21 +648,24 @@
   DropReservation(&job, nullptr);
   std::map<std::string, std::vector<GangSlot>> zones;
   std::map<std::string, uint32_t> most;  // that could ever be there
-  for (Machine* m : usable) {
-    if (!Allowed(spec, *m, {}) || !spec.need.FitsIn(m->total())) continue;
-    const std::string zone = spec.one_zone ? m->zone : "";
+  for (Machine* machine : usable) {
+    if (!Allowed(spec, *machine, {}) || !spec.need.FitsIn(machine->total()))
+      continue;
+    const std::string zone = spec.one_zone ? machine->zone : "";
     std::vector<GangSlot>& slots = zones[zone];
-    most[zone] += spec.need.TimesIn(m->total() - m->staying, wanted);
+    most[zone] +=
+        spec.need.TimesIn(machine->total() - machine->staying, wanted);
     Resources taken;
-    const Resources held = m->free() - m->CapacityFor(&job, job.priority());
+    const Resources held =
+        machine->free() - machine->CapacityFor(&job, job.priority());
     // Of equal rank, short work is waited for.
-    const Resources runs_off = m->total() - held - m->lasting;
+    const Resources runs_off = machine->total() - held - machine->lasting;
     for (uint32_t n = 0; n < wanted; ++n, taken += spec.need) {
-      if (auto plan = PlanPreemption(job, *m, taken, now)) {
-        if (UsesReservedHeadroom(job, *m, *plan)) break;
+      if (auto plan = PlanPreemption(job, *machine, taken, now)) {
+        if (UsesReservedHeadroom(job, *machine, *plan)) break;
         slots.push_back({std::move(*plan), false});
       } else if (spec.need.FitsIn(runs_off - taken)) {
-        slots.push_back({{m, m->used.cpus, {}}, true});
+        slots.push_back({{machine, machine->used.cpus, {}}, true});
       } else {
         break;
       }
@@ -685,8 +699,8 @@
   const bool at_once = whole && !best->back().waits;
   const double hold = settings_.workers.lease_seconds;
   for (const GangSlot& slot : *best) {
-    Machine& m = *slot.plan.machine;
-    m.reservations.push_back(
+    Machine& machine = *slot.plan.machine;
+    machine.reservations.push_back(
         {&job, spec.need, job.priority(), now + hold, !whole});
     if (at_once) ExecutePreemption(slot.plan, spec, now);
   }
--- a/core/leader/store_operations.cc
+++ b/core/leader/store_operations.cc
@@ -18,8 +18,9 @@
     const auto* job = std::get_if<JobRecord>(&change.record);
     if (job != nullptr && job->terminal_state == TerminalState::kNone) continue;
     uint64_t mod_revision = 0;
-    for (const Precondition& c : txn.preconditions) {
-      if (c.key == change.key) mod_revision = c.mod_revision;
+    for (const Precondition& precondition : txn.preconditions) {
+      if (precondition.key == change.key)
+        mod_revision = precondition.mod_revision;
     }
     ends.push_back({change.key.substr(keys::kJob.size()), mod_revision});
   }
@@ -67,16 +68,17 @@
     case WriteKind::kMachineUp: {
       const auto index = machine_index_.find(op.name);
       if (index == machine_index_.end()) return false;
-      const Machine& m = *machines_[index->second];
-      if (m.state() == MachineState::kGone) return false;
+      const Machine& machine = *machines_[index->second];
+      if (machine.state() == MachineState::kGone) return false;
       const auto it = catalog_.machines().find(op.name);
       const bool known = it != catalog_.machines().end();
-      if (known && it->second.endpoint == m.endpoint) return false;
+      if (known && it->second.endpoint == machine.endpoint) return false;
       const std::string key = keys::Of(keys::kMachine, op.name);
       txn->preconditions.push_back({key, known ? it->second.mod_revision : 0});
       txn->mutations.push_back(
-          {key, MachineRecord{m.type_name, m.zone, m.spot, m.endpoint,
-                              m.requested_at + wall_minus_steady_, 0}});
+          {key, MachineRecord{machine.type_name, machine.zone, machine.spot,
+                              machine.endpoint,
+                              machine.requested_at + wall_minus_steady_, 0}});
       return true;
     }
     case WriteKind::kMachineForget: {
@@ -225,27 +227,30 @@
       // A start under way for minutes has turned up since the write was made:
       // the job goes once that is gone as well.
       if (it->second->holding() > 0) break;
-      for (const auto& [m, key] : AttemptsOf(*it->second)) {
-        m->task_attempts.at(key).job = nullptr;
+      for (const auto& [machine, key] : AttemptsOf(*it->second)) {
+        machine->task_attempts.at(key).job = nullptr;
       }
-      for (auto& m : machines_) {
-        std::erase_if(m->reservations, [&](const Reservation& r) {
-          return r.job == it->second.get();
-        });
+      for (auto& machine : machines_) {
+        std::erase_if(machine->reservations,
+                      [&](const Reservation& reservation) {
+                        return reservation.job == it->second.get();
+                      });
       }
       jobs_.erase(it);
       break;
     }
     case WriteKind::kMachineUp: {
-      Machine* m = FindMachine(op.name);
-      if (m == nullptr) break;
+      Machine* machine = FindMachine(op.name);
+      if (machine == nullptr) break;
       if (revision > 0) {
-        catalog_.Put(keys::Of(keys::kMachine, op.name),
-                     MachineRecord{m->type_name, m->zone, m->spot, m->endpoint,
-                                   m->requested_at + wall_minus_steady_, 0},
-                     revision);
+        catalog_.Put(
+            keys::Of(keys::kMachine, op.name),
+            MachineRecord{machine->type_name, machine->zone, machine->spot,
+                          machine->endpoint,
+                          machine->requested_at + wall_minus_steady_, 0},
+            revision);
       }
-      m->recorded_up = true;
+      machine->recorded_up = true;
       dirty_ = true;
       break;
     }
@@ -267,15 +272,15 @@
       break;
     }
     case WriteKind::kScaledOutMachine: {
-      const Machine* m = FindMachine(op.name);
+      const Machine* machine = FindMachine(op.name);
       const auto scale_out = catalog_.scale_outs().find(op.reason);
       if (revision > 0 && scale_out != catalog_.scale_outs().end()) {
-        catalog_.Put(
-            keys::Of(keys::kMachine, op.name),
-            RecordOfNewMachine(scale_out->second, m ? m->requested_at : now),
-            revision);
+        catalog_.Put(keys::Of(keys::kMachine, op.name),
+                     RecordOfNewMachine(scale_out->second,
+                                        machine ? machine->requested_at : now),
+                     revision);
         // Deleted while its record was under way.
-        if (m == nullptr) {
+        if (machine == nullptr) {
           writes_.Queue({WriteKind::kMachineForget, op.name}, /*lazy=*/true);
         }
       }
--- a/core/leader/write_queue.cc
+++ b/core/leader/write_queue.cc
@@ -140,7 +140,9 @@
   }
   in_flight_creates_ =
       std::any_of(txn.preconditions.begin(), txn.preconditions.end(),
-                  [](const Precondition& c) { return c.mod_revision == 0; });
+                  [](const Precondition& precondition) {
+                    return precondition.mod_revision == 0;
+                  });
   Change(WriteEvent::kSent);
   Send(std::move(txn));
 }
@@ -183,11 +185,12 @@
 }
 
 bool WriteQueue::LeadershipLost(const std::vector<std::string>& failed) const {
-  return std::any_of(
-      leadership_preconditions_.begin(), leadership_preconditions_.end(),
-      [&](const Precondition& c) {
-        return std::find(failed.begin(), failed.end(), c.key) != failed.end();
-      });
+  return std::any_of(leadership_preconditions_.begin(),
+                     leadership_preconditions_.end(),
+                     [&](const Precondition& precondition) {
+                       return std::find(failed.begin(), failed.end(),
+                                        precondition.key) != failed.end();
+                     });
 }
 
 bool WriteQueue::FenceStands(const std::vector<std::string>& failed) const {
--- a/core/lease/delegated_lease.cc
+++ b/core/lease/delegated_lease.cc
@@ -65,24 +65,24 @@
   for (const PeerSettings& peer : settings.peers) {
     // What an earlier leader has granted ends by then. One whose record was
     // gone when this leadership had begun has no right any more.
-    Peer& p = peers_[peer.name];
-    p.zone = peer.zone;
-    p.right_until = started;
+    Peer& the_peer = peers_[peer.name];
+    the_peer.zone = peer.zone;
+    the_peer.right_until = started;
     if (!recorded || recorded->contains(peer.name)) {
-      p.right_until += right_seconds_ * (1 + kDrift);
+      the_peer.right_until += right_seconds_ * (1 + kDrift);
     }
   }
 }
 
 // A life not met before has forgotten what the one before it promised, and
 // does not know until when that one kept.
-void DelegatedLeases::Meet(Peer& p, const std::string& process_incarnation,
+void DelegatedLeases::Meet(Peer& peer, const std::string& process_incarnation,
                            double age, Time now) {
-  if (p.process_incarnation == process_incarnation) return;
-  p.process_incarnation = process_incarnation;
-  p.met = now;
-  p.yielded_until = -1e9;
-  p.kept = std::max(p.kept, now - age * (1 - kDrift));
+  if (peer.process_incarnation == process_incarnation) return;
+  peer.process_incarnation = process_incarnation;
+  peer.met = now;
+  peer.yielded_until = -1e9;
+  peer.kept = std::max(peer.kept, now - age * (1 - kDrift));
 }
 
 void DelegatedLeases::Grant(const std::string& peer,
@@ -90,10 +90,11 @@
                             Time now) {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
-  Peer& p = it->second;
-  p.right_until = std::max(p.right_until, now + right_seconds_ * (1 + kDrift));
-  p.granted = now;
-  Meet(p, process_incarnation, age, now);
+  Peer& peer = it->second;
+  peer.right_until =
+      std::max(peer.right_until, now + right_seconds_ * (1 + kDrift));
+  peer.granted = now;
+  Meet(peer, process_incarnation, age, now);
 }
 
 void DelegatedLeases::RecordsRead(const std::set<std::string>& recorded,
@@ -111,24 +112,26 @@
                                    Time now) {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
-  Peer& p = it->second;
+  Peer& peer = it->second;
   // Of a life that has ended, held back on the way.
-  if (p.process_incarnation != process_incarnation && sent <= p.met) return;
-  Meet(p, process_incarnation, age, now);
+  if (peer.process_incarnation != process_incarnation && sent <= peer.met)
+    return;
+  Meet(peer, process_incarnation, age, now);
   if (renewed_ago >= 0) {
-    p.kept = std::max(p.kept, now - renewed_ago * (1 - kDrift));
+    peer.kept = std::max(peer.kept, now - renewed_ago * (1 - kDrift));
   }
-  p.yielded_until =
-      std::max(p.yielded_until, sent + yield_seconds_ * (1 - kDrift));
+  peer.yielded_until =
+      std::max(peer.yielded_until, sent + yield_seconds_ * (1 - kDrift));
 }
 
 bool DelegatedLeases::MayBeRenewed(const std::string& zone, Time now) const {
   if (right_seconds_ <= 0) return false;
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    const Peer& p = entry.second;
-    if (p.zone != zone) return false;
-    const Time last = now < p.yielded_until ? std::min(p.kept, p.right_until)
-                                            : std::min(now, p.right_until);
+    const Peer& peer = entry.second;
+    if (peer.zone != zone) return false;
+    const Time last = now < peer.yielded_until
+                          ? std::min(peer.kept, peer.right_until)
+                          : std::min(now, peer.right_until);
     return now <= TasksMayLiveUntil(last, lease_seconds_);
   });
 }
--- a/core/lease/delegated_lease.h
+++ b/core/lease/delegated_lease.h
@@ -98,8 +98,8 @@
 
  private:
   struct Peer;
-  static void Meet(Peer& p, const std::string& process_incarnation, double age,
-                   Time now);
+  static void Meet(Peer& peer, const std::string& process_incarnation,
+                   double age, Time now);
 
   struct Peer {
     std::string zone;
--- a/core/maintenance/maintenance_calendar.cc
+++ b/core/maintenance/maintenance_calendar.cc
@@ -120,9 +120,10 @@
   }
   Plan plan;
   std::vector<Chance> open;
-  for (const MaintenanceWindow* w : windows) {
-    for (const UtcInterval& t : w->times) open.push_back({t.from, t.to, w, w});
-    if (w->known_until > 0) plan.horizon = w;
+  for (const MaintenanceWindow* window : windows) {
+    for (const UtcInterval& t : window->times)
+      open.push_back({t.from, t.to, window, window});
+    if (window->known_until > 0) plan.horizon = window;
   }
   if (windows.empty()) open.push_back({-kNever, kNever, nullptr, nullptr});
   std::sort(open.begin(), open.end(),
@@ -136,11 +137,11 @@
       plan.chances.push_back(c);
     }
   }
-  for (const MaintenanceWindow* p : peaks) {
-    std::vector<UtcInterval> shut = p->times;
-    if (p->known_until > 0) {
-      shut.push_back({p->known_until, kNever});
-      plan.horizon = p;
+  for (const MaintenanceWindow* window : peaks) {
+    std::vector<UtcInterval> shut = window->times;
+    if (window->known_until > 0) {
+      shut.push_back({window->known_until, kNever});
+      plan.horizon = window;
     }
     for (const UtcInterval& s : shut) {
       std::vector<Chance> rest;
@@ -149,7 +150,7 @@
           rest.push_back(c);
           continue;
         }
-        if (c.from < s.from) rest.push_back({c.from, s.from, c.opens, p});
+        if (c.from < s.from) rest.push_back({c.from, s.from, c.opens, window});
         if (s.to < c.to) rest.push_back({s.to, c.to, c.opens, c.closes});
       }
       plan.chances = std::move(rest);
--- a/core/maintenance/window_validation.cc
+++ b/core/maintenance/window_validation.cc
@@ -49,7 +49,7 @@
   for (const std::string& name : work.teams) {
     const auto team =
         std::find_if(settings.teams.begin(), settings.teams.end(),
-                     [&](const TeamQuota& t) { return t.name == name; });
+                     [&](const TeamQuota& team) { return team.name == name; });
     if (team == settings.teams.end()) {
       return Line("work.teams: team ", name, " is not known");
     }
--- a/core/model/job.h
+++ b/core/model/job.h
@@ -27,16 +27,16 @@
   double gpus = 0;
   double memory_gb = 0;
 
-  Resources& operator+=(const Resources& o) {
-    cpus += o.cpus;
-    gpus += o.gpus;
-    memory_gb += o.memory_gb;
+  Resources& operator+=(const Resources& resources) {
+    cpus += resources.cpus;
+    gpus += resources.gpus;
+    memory_gb += resources.memory_gb;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cpus -= o.cpus;
-    gpus -= o.gpus;
-    memory_gb -= o.memory_gb;
+  Resources& operator-=(const Resources& resources) {
+    cpus -= resources.cpus;
+    gpus -= resources.gpus;
+    memory_gb -= resources.memory_gb;
     return *this;
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
--- a/core/model/machine.cc
+++ b/core/model/machine.cc
@@ -34,9 +34,10 @@
 
 Resources Machine::CapacityFor(const Job* job, Priority priority) const {
   Resources room = free();
-  for (const Reservation& r : reservations) {
-    const bool binds = r.part ? r.priority == priority : r.priority <= priority;
-    if (r.job != job && binds) room -= r.need;
+  for (const Reservation& reservation : reservations) {
+    const bool binds = reservation.part ? reservation.priority == priority
+                                        : reservation.priority <= priority;
+    if (reservation.job != job && binds) room -= reservation.need;
   }
   return room;
 }
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -99,8 +99,8 @@
   auto operator<=>(const TaskAttemptKey&) const = default;
 };
 
-inline TaskAttemptKey KeyOf(const TaskAttempt& r) {
-  return {r.job_id, r.task, r.attempt};
+inline TaskAttemptKey KeyOf(const TaskAttempt& attempt) {
+  return {attempt.job_id, attempt.task, attempt.attempt};
 }
 
 // Orders under way to a worker. One batch at a time: then every message of the
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -76,11 +76,11 @@
   return true;
 }
 
-bool MayBeOn(const TaskShape& shape, const Machine& m) {
-  if (m.spot && !shape.spot) return false;
-  if (shape.zone && *shape.zone != m.zone) return false;
+bool MayBeOn(const TaskShape& shape, const Machine& machine) {
+  if (machine.spot && !shape.spot) return false;
+  if (shape.zone && *shape.zone != machine.zone) return false;
   return !shape.types || std::find(shape.types->begin(), shape.types->end(),
-                                   m.type_name) != shape.types->end();
+                                   machine.type_name) != shape.types->end();
 }
 
 void FragmentationIndex::Settle(Time now) {
@@ -89,39 +89,40 @@
   if (mix_.Settle(now)) ++version_;
 }
 
-double FragmentationIndex::Measure(const Machine& m,
+double FragmentationIndex::Measure(const Machine& machine,
                                    const Resources& free) const {
   if (free.gpus <= kEpsilon) return 0;
   double useless = 0;
   for (const TaskShape& shape : mix_.shapes()) {
     const uint32_t times =
-        MayBeOn(shape, m) ? shape.need.TimesIn(free, kMaxTasks) : 0;
+        MayBeOn(shape, machine) ? shape.need.TimesIn(free, kMaxTasks) : 0;
     useless += shape.share * std::max(0.0, free.gpus - shape.need.gpus * times);
   }
   return useless;
 }
 
-FragmentationIndex::Known& FragmentationIndex::Fresh(const Machine& m) const {
-  const auto index = static_cast<size_t>(m.index());
+FragmentationIndex::Known& FragmentationIndex::Fresh(
+    const Machine& machine) const {
+  const auto index = static_cast<size_t>(machine.index());
   if (index >= known_.size()) known_.resize(index + 1);
   Known& known = known_[index];
-  const Resources free = LastingRoom(m);
+  const Resources free = LastingRoom(machine);
   if (known.version != version_ || !Same(known.free, free)) {
-    known = {version_, free, Measure(m, free), {}, 0, false};
+    known = {version_, free, Measure(machine, free), {}, 0, false};
   }
   return known;
 }
 
-double FragmentationIndex::Useless(const Machine& m) const {
-  return Fresh(m).useless;
+double FragmentationIndex::Useless(const Machine& machine) const {
+  return Fresh(machine).useless;
 }
 
-double FragmentationIndex::Added(const Machine& m,
+double FragmentationIndex::Added(const Machine& machine,
                                  const Resources& need) const {
-  if (m.total().gpus <= 0) return 0;
-  Known& known = Fresh(m);
+  if (machine.total().gpus <= 0) return 0;
+  Known& known = Fresh(machine);
   if (!known.has_added || !Same(known.need, need)) {
-    known.added = Measure(m, known.free - need) - known.useless;
+    known.added = Measure(machine, known.free - need) - known.useless;
     known.need = need;
     known.has_added = true;
   }
@@ -144,14 +145,15 @@
     std::span<const std::unique_ptr<Machine>> machines) const {
   FragmentationCount count;
   const TaskShape* largest = Largest();
-  for (const auto& m : machines) {
-    if (m->state() != MachineState::kUp || m->total().gpus <= 0) continue;
-    const Resources free = LastingRoom(*m);
-    count.accelerators += m->total().gpus;
+  for (const auto& machine : machines) {
+    if (machine->state() != MachineState::kUp || machine->total().gpus <= 0)
+      continue;
+    const Resources free = LastingRoom(*machine);
+    count.accelerators += machine->total().gpus;
     if (free.gpus <= kEpsilon) continue;
     count.free += free.gpus;
-    count.useless += Useless(*m);
-    const bool whole = largest != nullptr && MayBeOn(*largest, *m) &&
+    count.useless += Useless(*machine);
+    const bool whole = largest != nullptr && MayBeOn(*largest, *machine) &&
                        largest->need.FitsIn(free);
     ++(whole ? count.whole : count.fragmented);
   }
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -82,10 +82,10 @@
   void Settle(Time now);
 
   // Accelerators.
-  double Useless(const Machine& m) const;
+  double Useless(const Machine& machine) const;
   // By how much `need`, staying there, changes that; negative where it takes
   // what nobody else could use.
-  double Added(const Machine& m, const Resources& need) const;
+  double Added(const Machine& machine, const Resources& need) const;
   FragmentationCount Count(
       std::span<const std::unique_ptr<Machine>> machines) const;
   std::span<const TaskShape> shapes() const { return mix_.shapes(); }
@@ -102,8 +102,8 @@
     double added = 0;
     bool has_added = false;
   };
-  Known& Fresh(const Machine& m) const;
-  double Measure(const Machine& m, const Resources& free) const;
+  Known& Fresh(const Machine& machine) const;
+  double Measure(const Machine& machine, const Resources& free) const;
 
   ShapeMix mix_;
   double settle_seconds_;
@@ -113,9 +113,11 @@
 };
 
 // Free of lasting work.
-inline Resources LastingRoom(const Machine& m) { return m.total() - m.lasting; }
+inline Resources LastingRoom(const Machine& machine) {
+  return machine.total() - machine.lasting;
+}
 
 // Whether tasks of this shape may be on such a machine.
-bool MayBeOn(const TaskShape& shape, const Machine& m);
+bool MayBeOn(const TaskShape& shape, const Machine& machine);
 
 }  // namespace oxbow
--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -28,9 +28,9 @@
 double MeanBandwidth(std::span<Machine* const> machines) {
   double sum = 0;
   int n = 0;
-  for (const Machine* m : machines) {
-    if (m->bandwidth > 0) {
-      sum += m->bandwidth;
+  for (const Machine* machine : machines) {
+    if (machine->bandwidth > 0) {
+      sum += machine->bandwidth;
       ++n;
     }
   }
@@ -109,28 +109,28 @@
 
 }  // namespace
 
-bool Placer::FragmentsWholeMachine(const JobSpec& spec, const Machine& m,
+bool Placer::FragmentsWholeMachine(const JobSpec& spec, const Machine& machine,
                                    double wait_slo_seconds) const {
-  if (!Counts(spec, m)) return false;
-  if (fragmentation_->Added(m, spec.need) > kNothing) return true;
+  if (!Counts(spec, machine)) return false;
+  if (fragmentation_->Added(machine, spec.need) > kNothing) return true;
   // Work that stays long is there: it takes no room that short work could make.
   return spec.need.gpus > 0 &&
-         (!spec.need.FitsIn(LastingRoom(m)) ||
-          SecondsToImage(m, spec) > kInTime * wait_slo_seconds);
+         (!spec.need.FitsIn(LastingRoom(machine)) ||
+          SecondsToImage(machine, spec) > kInTime * wait_slo_seconds);
 }
 
-double Placer::FragmentationCost(const JobSpec& spec, const Machine& m,
+double Placer::FragmentationCost(const JobSpec& spec, const Machine& machine,
                                  int here, double wait_slo_seconds) const {
-  const Resources& total = m.type->total;
-  double cost = fragmentation_->Added(m, spec.need) / total.gpus;
+  const Resources& total = machine.type->total;
+  double cost = fragmentation_->Added(machine, spec.need) / total.gpus;
   if (spec.need.gpus <= 0) return cost;
   // Of fragmented machines the fullest, so that the others empty.
   constexpr double kFill = 0.1;
-  cost -= kFill * m.lasting.gpus / total.gpus;
+  cost -= kFill * machine.lasting.gpus / total.gpus;
   // Images share the rate: four small replicas begun together on one machine
   // would each wait for all four.
   constexpr double kLate = 2;  // dearer than a whole machine
-  if (SecondsToImage(m, spec) > kInTime * wait_slo_seconds) cost += kLate;
+  if (SecondsToImage(machine, spec) > kInTime * wait_slo_seconds) cost += kLate;
   if (spec.kind == JobKind::kService &&
       here >= ReplicasPerMachineLimit(spec.tasks)) {
     constexpr double kCrowded = 0.5;
@@ -138,11 +138,11 @@
   }
   // What the start would push out of the cache has to be fetched again by
   // whoever needs it next.
-  const double out = m.image_gb_cached() - m.type->cache_gb +
-                     m.BytesToFetch(spec.image, spec.image_gb);
-  if (out > 0 && m.type->cache_gb > 0) {
+  const double out = machine.image_gb_cached() - machine.type->cache_gb +
+                     machine.BytesToFetch(spec.image, spec.image_gb);
+  if (out > 0 && machine.type->cache_gb > 0) {
     constexpr double kPushedOut = 0.1;
-    cost += kPushedOut * std::min(1.0, out / m.type->cache_gb);
+    cost += kPushedOut * std::min(1.0, out / machine.type->cache_gb);
   }
   return cost;
 }
@@ -154,39 +154,42 @@
   const JobSpec& spec = job.spec();
   std::vector<double> fetch_seconds;
   fetch_seconds.reserve(fitting.size());
-  for (const Machine* m : fitting) {
-    fetch_seconds.push_back(FetchSeconds(*m, spec, mean_bandwidth));
+  for (const Machine* machine : fitting) {
+    fetch_seconds.push_back(FetchSeconds(*machine, spec, mean_bandwidth));
   }
   std::vector<double> score =
       LeastCongestedScores(fetch_seconds, tuning_.fetch_weight);
   double dearest = 0;
-  for (const Machine* m : fitting) {
-    dearest = std::max(dearest, m->type->price / m->type->total.cpus);
+  for (const Machine* machine : fitting) {
+    dearest =
+        std::max(dearest, machine->type->price / machine->type->total.cpus);
   }
   for (size_t i = 0; i < fitting.size(); ++i) {
-    const Machine& m = *fitting[i];
-    const Resources& total = m.type->total;
+    const Machine& machine = *fitting[i];
+    const Resources& total = machine.type->total;
     if (spec.kind == JobKind::kService) {
       // The paper warns that fetch time gathers replicas; these two terms
       // spread them over zones and, within a zone, over machines.
       const double tasks = spec.tasks;
-      score[i] -= tuning_.spread_weight * where.InZone(m.zone) / tasks;
-      score[i] -= tuning_.spread_weight * on_machine(m) / tasks;
+      score[i] -= tuning_.spread_weight * where.InZone(machine.zone) / tasks;
+      score[i] -= tuning_.spread_weight * on_machine(machine) / tasks;
     } else if (total.cpus > 0) {
       // Short work fills machines that are in use already, so that others
       // can be drained for gangs or returned.
-      score[i] += tuning_.pack_weight * m.used.cpus / total.cpus;
+      score[i] += tuning_.pack_weight * machine.used.cpus / total.cpus;
     }
     if (total.gpus > 0 && spec.need.gpus <= 0) {
       score[i] -= tuning_.accelerator_weight;
     }
-    if (Counts(spec, m)) {
+    if (Counts(spec, machine)) {
       // Exception to the design, "fragmentation": see docs/packing.md.
       score[i] -= tuning_.fragmentation_weight *
-                  FragmentationCost(spec, m, on_machine(m), wait_slo_seconds);
+                  FragmentationCost(spec, machine, on_machine(machine),
+                                    wait_slo_seconds);
     }
     if (dearest > 0 && total.cpus > 0) {
-      const double price = m.spot ? m.type->spot_price : m.type->price;
+      const double price =
+          machine.spot ? machine.type->spot_price : machine.type->price;
       score[i] -= tuning_.price_weight * price / total.cpus / dearest;
     }
   }
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -75,7 +75,7 @@
   // Whether a task of this job would leave accelerators fragmented, or could
   // not be ready there in time. `wait_slo_seconds`: how soon its class is to
   // start.
-  bool FragmentsWholeMachine(const JobSpec& spec, const Machine& m,
+  bool FragmentsWholeMachine(const JobSpec& spec, const Machine& machine,
                              double wait_slo_seconds) const;
 
   // Tasks of the job on a machine, for the spread term.
@@ -88,14 +88,14 @@
 
  private:
   // Whether fragmentation is looked at for this job on such a machine.
-  bool Counts(const JobSpec& spec, const Machine& m) const {
+  bool Counts(const JobSpec& spec, const Machine& machine) const {
     return fragmentation_ != nullptr && tuning_.fragmentation_weight > 0 &&
-           m.total().gpus > 0 &&
+           machine.total().gpus > 0 &&
            (spec.need.gpus > 0 || spec.kind == JobKind::kService);
   }
   // What the placement costs in fragmentation, as a share of the machine.
-  double FragmentationCost(const JobSpec& spec, const Machine& m, int here,
-                           double wait_slo_seconds) const;
+  double FragmentationCost(const JobSpec& spec, const Machine& machine,
+                           int here, double wait_slo_seconds) const;
 
   const Tuning& tuning_;
   const FragmentationIndex* fragmentation_ = nullptr;
--- a/core/rebalancing/rebalancer.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -53,9 +53,9 @@
 int Rebalancer::Down(const std::string& job) const {
   return static_cast<int>(
       std::count_if(moves_.begin(), moves_.end(), [&](const auto& e) {
-        const Move& m = e.second;
-        return m.claim.job == job &&
-               (m.state == kStopping || m.state == kStarted);
+        const Move& move = e.second;
+        return move.claim.job == job &&
+               (move.state == kStopping || move.state == kStarted);
       }));
 }
 
--- a/core/rebalancing/rebalancing_plan.cc
+++ b/core/rebalancing/rebalancing_plan.cc
@@ -21,8 +21,8 @@
   std::set<const Machine*> fetching;
   std::set<const Machine*> drained;
 
-  Resources On(const Machine* m) const {
-    const auto it = room.find(m);
+  Resources On(const Machine* machine) const {
+    const auto it = room.find(machine);
     return it == room.end() ? Resources{} : it->second;
   }
   void Take(const PlannedMove& move, const Resources& need) {
@@ -32,54 +32,55 @@
 };
 
 // The best target for one leg beyond what is spoken for; false for none.
-bool FindTarget(const MovePlanInput& in, const TaskAttempt& r,
+bool FindTarget(const MovePlanInput& in, const TaskAttempt& attempt,
                 const Machine& from, const Taken& taken, PlannedMove* out) {
-  const JobSpec& spec = r.job->spec();
-  ZoneSpread where = in.where(*r.job);
+  const JobSpec& spec = attempt.job->spec();
+  ZoneSpread where = in.where(*attempt.job);
   where.Add(from.zone, -1);
   Machine* best = nullptr;
   double best_fetch = 0;
-  for (Machine* m : in.targets) {
-    if (m == &from || taken.drained.contains(m)) continue;
-    const Resources more = taken.On(m) + spec.need;
-    if (!Allowed(spec, *m, where) ||
-        !more.FitsIn(m->CapacityFor(r.job, spec.priority)) ||
-        !more.FitsIn(LastingRoom(*m)) ||
-        in.fragmentation->Added(*m, spec.need) > kNothing) {
+  for (Machine* machine : in.targets) {
+    if (machine == &from || taken.drained.contains(machine)) continue;
+    const Resources more = taken.On(machine) + spec.need;
+    if (!Allowed(spec, *machine, where) ||
+        !more.FitsIn(machine->CapacityFor(attempt.job, spec.priority)) ||
+        !more.FitsIn(LastingRoom(*machine)) ||
+        in.fragmentation->Added(*machine, spec.need) > kNothing) {
       continue;
     }
-    const double fetch = SecondsToImage(*m, spec);
-    if (fetch > 0 && taken.fetching.contains(m)) continue;
-    if (!in.may_go(r, *m, fetch > 0)) continue;
+    const double fetch = SecondsToImage(*machine, spec);
+    if (fetch > 0 && taken.fetching.contains(machine)) continue;
+    if (!in.may_go(attempt, *machine, fetch > 0)) continue;
     // The weights first, then the fullest.
     if (best == nullptr || fetch < best_fetch - kNothing ||
         (fetch < best_fetch + kNothing &&
-         m->lasting.gpus > best->lasting.gpus)) {
-      best = m;
+         machine->lasting.gpus > best->lasting.gpus)) {
+      best = machine;
       best_fetch = fetch;
     }
   }
   if (best == nullptr) return false;
-  *out = {KeyOf(r), const_cast<Machine*>(&from), best, best_fetch};
+  *out = {KeyOf(attempt), const_cast<Machine*>(&from), best, best_fetch};
   return true;
 }
 
-bool PlanVacating(const MovePlanInput& in, Machine& m, Taken taken, size_t most,
-                  Vacating* out) {
+bool PlanVacating(const MovePlanInput& in, Machine& machine, Taken taken,
+                  size_t most, Vacating* out) {
   const Resources& need = in.waiting->need;
-  Resources room = LastingRoom(m);
+  Resources room = LastingRoom(machine);
   std::vector<const TaskAttempt*> legs;
   Resources could = room;
-  for (const auto& [key, r] : m.task_attempts) {
-    if (r.phase != TaskPhase::kRunning || r.stopping || r.job == nullptr ||
-        !r.holds || r.job->spec().kind != JobKind::kService ||
-        r.job->spec().priority == Priority::kProduction ||
-        r.job->spec().need.gpus <= 0 ||
-        in.now - r.running_since < in.settled_seconds) {
+  for (const auto& [key, attempt] : machine.task_attempts) {
+    if (attempt.phase != TaskPhase::kRunning || attempt.stopping ||
+        attempt.job == nullptr || !attempt.holds ||
+        attempt.job->spec().kind != JobKind::kService ||
+        attempt.job->spec().priority == Priority::kProduction ||
+        attempt.job->spec().need.gpus <= 0 ||
+        in.now - attempt.running_since < in.settled_seconds) {
       continue;
     }
-    legs.push_back(&r);
-    could += r.need;
+    legs.push_back(&attempt);
+    could += attempt.need;
   }
   if (!need.FitsIn(could)) return false;
   std::sort(legs.begin(), legs.end(),
@@ -88,18 +89,19 @@
                 return a->need.gpus < b->need.gpus;
               return KeyOf(*a) < KeyOf(*b);
             });
-  taken.drained.insert(&m);
-  out->from = &m;
-  for (const TaskAttempt* r : legs) {
+  taken.drained.insert(&machine);
+  out->from = &machine;
+  for (const TaskAttempt* attempt : legs) {
     if (need.FitsIn(room)) break;
     PlannedMove move;
-    if (out->moves.size() >= most || !in.may_leave(*r) ||
-        !FindTarget(in, *r, m, taken, &move)) {
+    if (out->moves.size() >= most || !in.may_leave(*attempt) ||
+        !FindTarget(in, *attempt, machine, taken, &move)) {
       return false;
     }
-    taken.Take(move, r->need);
-    room += r->need;
-    out->cost += r->need.gpus * (in.disturbance_seconds + move.fetch_seconds);
+    taken.Take(move, attempt->need);
+    room += attempt->need;
+    out->cost +=
+        attempt->need.gpus * (in.disturbance_seconds + move.fetch_seconds);
     out->moves.push_back(move);
   }
   const double gain = need.gpus * in.horizon_seconds;
@@ -113,23 +115,26 @@
   const JobSpec& waiting = *in.waiting;
   // Most machines are full or whole, and no target.
   std::vector<Machine*> fragmented;
-  for (Machine* m : in.usable) {
-    if (m->total().gpus > 0 && LastingRoom(*m).gpus > kNothing &&
-        in.fragmentation->Useless(*m) > kNothing) {
-      fragmented.push_back(m);
+  for (Machine* machine : in.usable) {
+    if (machine->total().gpus > 0 && LastingRoom(*machine).gpus > kNothing &&
+        in.fragmentation->Useless(*machine) > kNothing) {
+      fragmented.push_back(machine);
     }
   }
   in.targets = fragmented;
   std::map<std::string, std::vector<Vacating>> zones;
   std::map<std::string, uint32_t> fitting;  // there already
-  for (Machine* m : in.usable) {
-    if (!Allowed(waiting, *m, {}) || !waiting.need.FitsIn(m->total())) continue;
-    const std::string zone = waiting.one_zone ? m->zone : "";
-    const uint32_t here = waiting.need.TimesIn(LastingRoom(*m), in.missing);
+  for (Machine* machine : in.usable) {
+    if (!Allowed(waiting, *machine, {}) ||
+        !waiting.need.FitsIn(machine->total()))
+      continue;
+    const std::string zone = waiting.one_zone ? machine->zone : "";
+    const uint32_t here =
+        waiting.need.TimesIn(LastingRoom(*machine), in.missing);
     fitting[zone] += here;
     if (here > 0) continue;
     Vacating vacating;
-    if (PlanVacating(in, *m, {}, in.most, &vacating)) {
+    if (PlanVacating(in, *machine, {}, in.most, &vacating)) {
       zones[zone].push_back(std::move(vacating));
     }
   }
--- a/core/recovery/peer_choice.cc
+++ b/core/recovery/peer_choice.cc
@@ -54,25 +54,26 @@
 }
 
 bool PeerChoice::MayTry(size_t peer, Time now) {
-  Peer& p = peers_[peer];
-  if (p.state != kResting || now < p.until) return false;
-  Change(p, PeerEvent::kTrial);
+  Peer& the_peer = peers_[peer];
+  if (the_peer.state != kResting || now < the_peer.until) return false;
+  Change(the_peer, PeerEvent::kTrial);
   return true;
 }
 
 void PeerChoice::Answered(size_t peer) {
-  Peer& p = peers_[peer];
-  p.rest_seconds = rest_seconds_;
-  if (p.state != kAnswers) Change(p, PeerEvent::kAnswer);
+  Peer& the_peer = peers_[peer];
+  the_peer.rest_seconds = rest_seconds_;
+  if (the_peer.state != kAnswers) Change(the_peer, PeerEvent::kAnswer);
 }
 
 void PeerChoice::Silent(size_t peer, Time now) {
-  Peer& p = peers_[peer];
+  Peer& the_peer = peers_[peer];
   // Of several that waited for it at once, one counts.
-  if (p.state == kResting) return;
-  Change(p, PeerEvent::kSilence);
-  p.until = now + p.rest_seconds;
-  p.rest_seconds = std::min(2 * p.rest_seconds, most_rest_seconds_);
+  if (the_peer.state == kResting) return;
+  Change(the_peer, PeerEvent::kSilence);
+  the_peer.until = now + the_peer.rest_seconds;
+  the_peer.rest_seconds =
+      std::min(2 * the_peer.rest_seconds, most_rest_seconds_);
 }
 
 void PeerChoice::Helped(size_t peer) {
--- a/core/rollout/rollout.cc
+++ b/core/rollout/rollout.cc
@@ -46,46 +46,48 @@
   return std::max(spec().check.interval_seconds, pace_seconds_);
 }
 
-void Rollout::ChangeHealth(Instance& i, Health next, Time now) {
-  if (i.health == next) return;
-  i.health = next;
-  if (next == Health::kHealthy) i.healthy_since = now;
+void Rollout::ChangeHealth(Instance& instance, Health next, Time now) {
+  if (instance.health == next) return;
+  instance.health = next;
+  if (next == Health::kHealthy) instance.healthy_since = now;
 }
 
 void Rollout::OnCheck(const TaskAttemptKey& key, const CheckOutcome& outcome,
                       Time now) {
   const auto it = instances_.find(key);
   if (it == instances_.end()) return;
-  Instance& i = it->second;
-  i.checking = false;
-  i.answered = outcome.answered;
-  i.next_check = now + Interval();
+  Instance& instance = it->second;
+  instance.checking = false;
+  instance.answered = outcome.answered;
+  instance.next_check = now + Interval();
   if (outcome.good) {
     // Baking is without a gap: one that flaps never counts for the floor.
-    if (i.bad > 0) i.healthy_since = now;
-    ++i.good;
-    i.bad = 0;
-    i.proven = false;
-    i.last_good = now;
-    if (Baked(i, now)) i.relapses = 0;
-    (i.view.is_new ? new_latency_ : old_latency_).Add(outcome.latency_seconds);
-    if (i.good >= spec().check.good_in_row) {
-      ChangeHealth(i, Health::kHealthy, now);
+    if (instance.bad > 0) instance.healthy_since = now;
+    ++instance.good;
+    instance.bad = 0;
+    instance.proven = false;
+    instance.last_good = now;
+    if (Baked(instance, now)) instance.relapses = 0;
+    (instance.view.is_new ? new_latency_ : old_latency_)
+        .Add(outcome.latency_seconds);
+    if (instance.good >= spec().check.good_in_row) {
+      ChangeHealth(instance, Health::kHealthy, now);
     }
     return;
   }
-  if (i.good > 0 && outcome.answered) ++i.relapses;
-  i.good = 0;
-  if (i.bad++ == 0) i.first_bad = now;
+  if (instance.good > 0 && outcome.answered) ++instance.relapses;
+  instance.good = 0;
+  if (instance.bad++ == 0) instance.first_bad = now;
   // Silence proves nothing against the build unless its machine is heard in
   // the middle of it: behind a cut all is silent, and when the cut ends the
   // machine is heard a moment before the next check passes.
-  if (outcome.answered || i.heard_at_start > i.first_bad) i.proven = true;
+  if (outcome.answered || instance.heard_at_start > instance.first_bad)
+    instance.proven = true;
   // One that has never passed gets the time to start.
-  const bool starting = i.health == Health::kUnknown &&
-                        now - i.seen_running < spec().start_seconds;
-  if (i.bad >= spec().check.bad_in_row && i.proven && !starting) {
-    ChangeHealth(i, Health::kFailing, now);
+  const bool starting = instance.health == Health::kUnknown &&
+                        now - instance.seen_running < spec().start_seconds;
+  if (instance.bad >= spec().check.bad_in_row && instance.proven && !starting) {
+    ChangeHealth(instance, Health::kFailing, now);
   }
 }
 
@@ -105,32 +107,35 @@
   std::map<TaskAttemptKey, Instance> next;
   for (const InstanceView& seen : view.instances) {
     const auto it = instances_.find(seen.key);
-    Instance i = it == instances_.end() ? Instance{} : std::move(it->second);
-    i.view = seen;
-    if (seen.running && i.seen_running < 0) {
-      i.seen_running = now;
-      i.next_check = now;
+    Instance instance =
+        it == instances_.end() ? Instance{} : std::move(it->second);
+    instance.view = seen;
+    if (seen.running && instance.seen_running < 0) {
+      instance.seen_running = now;
+      instance.next_check = now;
     }
-    next.emplace(seen.key, std::move(i));
+    next.emplace(seen.key, std::move(instance));
   }
   instances_ = std::move(next);
 }
 
-bool Rollout::Healthy(const Instance& i, Time now) const {
+bool Rollout::Healthy(const Instance& instance, Time now) const {
   const HealthCheck& check = spec().check;
   const double fresh = 2 * (Interval() + check.timeout_seconds);
-  return i.view.running && !i.view.stopping && i.health == Health::kHealthy &&
-         i.bad == 0 && now - i.last_good <= fresh;
+  return instance.view.running && !instance.view.stopping &&
+         instance.health == Health::kHealthy && instance.bad == 0 &&
+         now - instance.last_good <= fresh;
 }
 
-bool Rollout::Baked(const Instance& i, Time now) const {
-  return Healthy(i, now) && now - i.healthy_since >= spec().bake_seconds;
+bool Rollout::Baked(const Instance& instance, Time now) const {
+  return Healthy(instance, now) &&
+         now - instance.healthy_since >= spec().bake_seconds;
 }
 
 // A check that passes now and fails two minutes later: a new instance carries
 // the floor only once it has baked.
-bool Rollout::Counts(const Instance& i, Time now) const {
-  return i.view.is_new ? Baked(i, now) : Healthy(i, now);
+bool Rollout::Counts(const Instance& instance, Time now) const {
+  return instance.view.is_new ? Baked(instance, now) : Healthy(instance, now);
 }
 
 uint32_t Rollout::Counted(Time now) const {
@@ -155,17 +160,18 @@
   const auto it = instances_.find(key);
   // Not looked at yet, or not of this rollout's picture: no.
   if (it == instances_.end()) return false;
-  const Instance& i = it->second;
-  if (i.health == Health::kFailing) return true;
-  if (!i.view.running && !i.view.stopping && i.view.is_new) return true;
+  const Instance& instance = it->second;
+  if (instance.health == Health::kFailing) return true;
+  if (!instance.view.running && !instance.view.stopping && instance.view.is_new)
+    return true;
   uint32_t counted = Counted(now);
   // A build that is being taken back carries nothing that an old instance is
   // needed for: while it still passed here and there, old ones have been let
   // go from a machine that was being drained, and it failed a moment later.
-  if (step() == kRollingBack && !i.view.is_new) {
+  if (step() == kRollingBack && !instance.view.is_new) {
     counted -= Count(now).new_baked;
   }
-  return counted >= spec().floor + (Counts(i, now) ? 1 : 0);
+  return counted >= spec().floor + (Counts(instance, now) ? 1 : 0);
 }
 
 void Rollout::NoteStopping(const TaskAttemptKey& key) {
@@ -175,8 +181,9 @@
 
 bool Rollout::AllSeen() const {
   return std::all_of(instances_.begin(), instances_.end(), [](const auto& e) {
-    const Instance& i = e.second;
-    return !i.view.running || i.view.stopping || i.good > 0 || i.bad > 0;
+    const Instance& instance = e.second;
+    return !instance.view.running || instance.view.stopping ||
+           instance.good > 0 || instance.bad > 0;
   });
 }
 
@@ -375,9 +382,10 @@
   uint32_t counted = Counted(now);
   for (const auto& [rank, key] : order) {
     if (excess == 0) break;
-    const Instance& i = instances_.at(key);
-    const bool carries = Counts(i, now);
-    const bool useless = i.health == Health::kFailing || !i.view.running;
+    const Instance& instance = instances_.at(key);
+    const bool carries = Counts(instance, now);
+    const bool useless =
+        instance.health == Health::kFailing || !instance.view.running;
     if (!useless && counted < spec().floor + (carries ? 1 : 0)) continue;
     counted -= carries;
     --excess;
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -171,13 +171,13 @@
   };
 
   double Interval() const;
-  void ChangeHealth(Instance& i, Health next, Time now);
+  void ChangeHealth(Instance& instance, Health next, Time now);
   void Take(const RolloutView& view, Time now);
   // Passes now: its latest check was good and is not old.
-  bool Healthy(const Instance& i, Time now) const;
-  bool Baked(const Instance& i, Time now) const;
+  bool Healthy(const Instance& instance, Time now) const;
+  bool Baked(const Instance& instance, Time now) const;
   // Whether the floor may rest on it.
-  bool Counts(const Instance& i, Time now) const;
+  bool Counts(const Instance& instance, Time now) const;
   uint32_t Counted(Time now) const;
   // Every instance that runs has been looked at by this leader.
   bool AllSeen() const;
--- a/tests/delegated_lease_test.cc
+++ b/tests/delegated_lease_test.cc
@@ -152,12 +152,12 @@
 // --- a zone that is cut off, or a controller that alone is
 
 Heartbeat Shows(const std::string& host, uint64_t seq, uint64_t token) {
-  Heartbeat r;
-  r.host = host;
-  r.incarnation = 1;
-  r.seq = seq;
-  r.token = token;
-  return r;
+  Heartbeat heartbeat;
+  heartbeat.host = host;
+  heartbeat.incarnation = 1;
+  heartbeat.seq = seq;
+  heartbeat.token = token;
+  return heartbeat;
 }
 
 TEST(PartitionDetector, WorkersAreKeptFromALeaderThatAsksForThem) {
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -31,11 +31,11 @@
     for (size_t at = 0; at < bytes.size(); at += piece) {
       reader.Append(bytes.substr(at, piece));
       for (;;) {
-        clients::PeerMessage m;
-        const auto result = reader.Next(&m);
+        clients::PeerMessage message;
+        const auto result = reader.Next(&message);
         if (result == FrameReader::Result::kBroken) return out;
         if (result == FrameReader::Result::kNeedMore) break;
-        out.push_back(clients::EncodeFrame(m));
+        out.push_back(clients::EncodeFrame(message));
       }
     }
     return out;
@@ -45,10 +45,10 @@
   for (const std::string& frame : whole) {
     FrameReader reader;
     reader.Append(frame);
-    clients::PeerMessage m;
-    Must(reader.Next(&m) == FrameReader::Result::kMessage,
+    clients::PeerMessage message;
+    Must(reader.Next(&message) == FrameReader::Result::kMessage,
          "an encoded frame is not read");
-    Must(clients::EncodeFrame(m) == frame, "a frame changes on its way");
+    Must(clients::EncodeFrame(message) == frame, "a frame changes on its way");
   }
 }
 
@@ -82,9 +82,9 @@
   if (!json::Parse(bytes, &doc) || !doc.IsObject()) return;
   JobSpec spec;
   if (!wire::ReadSpec(doc, &spec).empty()) return;
-  const auto text = [](const JobSpec& s) {
+  const auto text = [](const JobSpec& spec) {
     return wire::EncodeRecord(
-        JobRecord{std::make_shared<JobSpec>(s), 1, TerminalState::kNone, 0});
+        JobRecord{std::make_shared<JobSpec>(spec), 1, TerminalState::kNone, 0});
   };
   const std::string key = keys::Of(keys::kJob, spec.id);
   const std::string once = text(spec);
@@ -125,11 +125,11 @@
 }
 
 std::string SomeFrames() {
-  clients::PeerMessage m;
-  m.kind = clients::PeerKind::kReach;
-  m.node = "a";
-  m.text = "n-000001\nn-000002\n";
-  return clients::EncodeFrame(m) + clients::EncodeFrame(m);
+  clients::PeerMessage message;
+  message.kind = clients::PeerKind::kReach;
+  message.node = "a";
+  message.text = "n-000001\nn-000002\n";
+  return clients::EncodeFrame(message) + clients::EncodeFrame(message);
 }
 
 }  // namespace
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -108,9 +108,10 @@
 TEST(Loopback, PeersAnswerAndTheirLossIsNoticed) {
   Loop loop;
   clients::PeerServer server(
-      loop, Local(0), [](clients::PeerMessage m) -> Task<clients::PeerMessage> {
+      loop, Local(0),
+      [](clients::PeerMessage message) -> Task<clients::PeerMessage> {
         clients::PeerMessage reply;
-        reply.text = "got " + m.job_id;
+        reply.text = "got " + message.job_id;
         co_return reply;
       });
   net::Spawn(server.Run());
@@ -154,8 +155,9 @@
 TEST(Loopback, APeerThatGoesAwayTakesNothingWithIt) {
   Loop loop;
   clients::PeerServer server(
-      loop, Local(0), [](clients::PeerMessage m) -> Task<clients::PeerMessage> {
-        co_return m;
+      loop, Local(0),
+      [](clients::PeerMessage message) -> Task<clients::PeerMessage> {
+        co_return message;
       });
   net::Spawn(server.Run());
   RunToEnd(loop, [](Loop& l, uint16_t port) -> Task<void> {
--- a/tests/maintenance_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -222,9 +222,9 @@
     // Cut from the key-value store alone: it leads by promises.
     if (Every(60)) cut_until_[sim_.leading()] = now + Between(5, 150);
     for (const std::string& name : names_) {
-      SimController& c = sim_.controller(name);
-      c.no_state = now < cut_until_[name];
-      if (Every(1)) c.wall_off = Between(-bound_, bound_);
+      SimController& controller = sim_.controller(name);
+      controller.no_state = now < cut_until_[name];
+      if (Every(1)) controller.wall_off = Between(-bound_, bound_);
     }
     if (Every(150)) {
       sim_.LoseBookings(Between(0.2, 15));
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -46,20 +46,20 @@
     machines_.push_back(std::make_unique<Machine>(
         fmt::format("n-{}", n), MachineRecord{"big", zone, false, "x", 0, 0}, n,
         1));
-    Machine* m = machines_.back().get();
-    m->type = &type_;
-    m->used = m->lasting = m->staying =
+    Machine* machine = machines_.back().get();
+    machine->type = &type_;
+    machine->used = machine->lasting = machine->staying =
         Resources{gpus_used * 4, gpus_used, gpus_used * 28};
-    all_.push_back(m);
-    return m;
+    all_.push_back(machine);
+    return machine;
   }
   Machine* Choose(const JobSpec& spec, double wait_slo_seconds = 1e18) {
     JobRecord record;
     record.spec = std::make_shared<JobSpec>(spec);
     const Job job(record, -1, 0, 0);
     std::vector<Machine*> fitting;
-    for (Machine* m : all_) {
-      if (spec.need.FitsIn(m->free())) fitting.push_back(m);
+    for (Machine* machine : all_) {
+      if (spec.need.FitsIn(machine->free())) fitting.push_back(machine);
     }
     return placer_.Choose(
         job, fitting, {}, [](const Machine&) { return 0; }, 0.25,
@@ -76,15 +76,15 @@
 };
 
 TEST_F(Packing, UselessIsWhatNoFurtherTaskOfTheMixCouldUse) {
-  Machine* m = Add(2);
-  EXPECT_EQ(board_.Useless(*m), 0);  // nothing was asked for
-  Ask(Spec(JobKind::kGang, 8, 3));   // 24 accelerators
-  EXPECT_DOUBLE_EQ(board_.Useless(*m), 6);
+  Machine* machine = Add(2);
+  EXPECT_EQ(board_.Useless(*machine), 0);  // nothing was asked for
+  Ask(Spec(JobKind::kGang, 8, 3));         // 24 accelerators
+  EXPECT_DOUBLE_EQ(board_.Useless(*machine), 6);
   Ask(Spec(JobKind::kService, 4, 2));  // 8: a quarter; 2 of 6 are left over
-  EXPECT_NEAR(board_.Useless(*m), 0.75 * 6 + 0.25 * 2, 0.1);
+  EXPECT_NEAR(board_.Useless(*machine), 0.75 * 6 + 0.25 * 2, 0.1);
   // Cores count beside them: without, not one more of the small ones either.
-  m->lasting.cpus = m->used.cpus = 64 - 15;
-  EXPECT_NEAR(board_.Useless(*m), 6, 1e-9);
+  machine->lasting.cpus = machine->used.cpus = 64 - 15;
+  EXPECT_NEAR(board_.Useless(*machine), 6, 1e-9);
   // Short work runs off.
   Machine* busy = Add(0);
   busy->used = {64, 0, 100};
@@ -166,10 +166,12 @@
   JobRecord record;
   record.spec = std::make_shared<JobSpec>(Spec(JobKind::kService, 2, 2));
   const Job job(record, -1, 0, 0);
-  EXPECT_EQ(placer_.Choose(
-                job, all_, {},
-                [&](const Machine& m) { return &m == fuller ? 1 : 0; }, 0.25),
-            other);
+  EXPECT_EQ(
+      placer_.Choose(
+          job, all_, {},
+          [&](const Machine& machine) { return &machine == fuller ? 1 : 0; },
+          0.25),
+      other);
 }
 
 TEST_F(Packing, KeptInStepWithTheMachines) {
@@ -177,17 +179,18 @@
   std::mt19937_64 random(7);
   for (int i = 0; i < 6; ++i) Add(i);
   for (int step = 0; step < 500; ++step) {
-    Machine* m = all_[random() % all_.size()];
+    Machine* machine = all_[random() % all_.size()];
     const double gpus = static_cast<double>(random() % 9);
-    m->lasting = {gpus * 6, gpus, gpus * 20};
+    machine->lasting = {gpus * 6, gpus, gpus * 20};
     JobSpec spec = Spec(JobKind::kArray, 1 + static_cast<double>(step % 8), 1);
     if (step % 10 == 0) Ask(spec, step);
     FragmentationIndex fresh = board_;
-    Machine copy = *m;
+    Machine copy = *machine;
     copy.lasting.cpus -= 1e-3;  // whatever was known is of no use
     (void)fresh.Added(copy, {1e-3, 0, 0});
-    ASSERT_DOUBLE_EQ(board_.Added(*m, spec.need), fresh.Added(*m, spec.need));
-    ASSERT_DOUBLE_EQ(board_.Useless(*m), fresh.Useless(*m));
+    ASSERT_DOUBLE_EQ(board_.Added(*machine, spec.need),
+                     fresh.Added(*machine, spec.need));
+    ASSERT_DOUBLE_EQ(board_.Useless(*machine), fresh.Useless(*machine));
   }
 }
 
@@ -209,9 +212,9 @@
       constexpr int kTimes = 20;
       const auto begin = std::chrono::steady_clock::now();
       for (int i = 0; i < kTimes; ++i) {
-        Machine* m = placer_.Choose(
+        Machine* machine = placer_.Choose(
             job, all_, {}, [](const Machine&) { return 0; }, 0.25);
-        m->lasting += small.need;  // the next one finds it changed
+        machine->lasting += small.need;  // the next one finds it changed
       }
       const double us = std::chrono::duration<double, std::micro>(
                             std::chrono::steady_clock::now() - begin)
--- a/tests/peer_test.cc
+++ b/tests/peer_test.cc
@@ -8,13 +8,13 @@
 namespace {
 
 PeerMessage Sample() {
-  PeerMessage m;
-  m.kind = PeerKind::kPoll;
-  m.request = 7;
-  m.node = "a";
-  m.job_id = "job-000001";
-  m.done = 3;
-  return m;
+  PeerMessage message;
+  message.kind = PeerKind::kPoll;
+  message.request = 7;
+  message.node = "a";
+  message.job_id = "job-000001";
+  message.done = 3;
+  return message;
 }
 
 TEST(PeerFrames, ArriveInPiecesOfAnySize) {
@@ -22,14 +22,14 @@
   const std::string two = frame + frame;
   for (size_t split = 0; split <= two.size(); ++split) {
     FrameReader reader;
-    PeerMessage m;
+    PeerMessage message;
     int seen = 0;
     for (const auto& part : {two.substr(0, split), two.substr(split)}) {
       reader.Append(part);
-      while (reader.Next(&m) == FrameReader::Result::kMessage) {
+      while (reader.Next(&message) == FrameReader::Result::kMessage) {
         ++seen;
-        EXPECT_EQ(m.job_id, "job-000001");
-        EXPECT_EQ(m.done, 3U);
+        EXPECT_EQ(message.job_id, "job-000001");
+        EXPECT_EQ(message.done, 3U);
       }
     }
     EXPECT_EQ(seen, 2);
@@ -37,17 +37,17 @@
 }
 
 TEST(PeerFrames, OfAnotherVersionOrLengthAreRefused) {
-  PeerMessage m;
+  PeerMessage message;
   std::string frame = EncodeFrame(Sample());
   frame[4] = static_cast<char>(kPeerVersion + 1);
   FrameReader version;
   version.Append(frame);
-  EXPECT_EQ(version.Next(&m), FrameReader::Result::kBroken);
+  EXPECT_EQ(version.Next(&message), FrameReader::Result::kBroken);
   frame = EncodeFrame(Sample());
   frame[3] = 0x7f;
   FrameReader length;
   length.Append(frame);
-  EXPECT_EQ(length.Next(&m), FrameReader::Result::kBroken);
+  EXPECT_EQ(length.Next(&message), FrameReader::Result::kBroken);
 }
 
 TEST(PeerFrames, GarbageInsideDoesNoHarm) {
@@ -59,8 +59,8 @@
     }
     FrameReader reader;
     reader.Append(frame);
-    PeerMessage m;
-    EXPECT_NE(reader.Next(&m), FrameReader::Result::kNeedMore);
+    PeerMessage message;
+    EXPECT_NE(reader.Next(&message), FrameReader::Result::kNeedMore);
   }
 }
 
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -20,30 +20,31 @@
 }
 
 TEST(Images, QueuedBytesCountAsNotToFetch) {
-  Machine m("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
-  EXPECT_EQ(m.BytesToFetch("img", 3), 3);
-  m.QueueImage("img", 3, 10);
-  EXPECT_EQ(m.BytesToFetch("img", 3), 0);
-  EXPECT_FALSE(m.HasImage("img"));
-  m.ImageCached("img", 3, 16);
-  EXPECT_TRUE(m.HasImage("img"));
-  EXPECT_DOUBLE_EQ(m.bandwidth, 0.5);  // 3 GB in 6 s
+  Machine machine("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
+  EXPECT_EQ(machine.BytesToFetch("img", 3), 3);
+  machine.QueueImage("img", 3, 10);
+  EXPECT_EQ(machine.BytesToFetch("img", 3), 0);
+  EXPECT_FALSE(machine.HasImage("img"));
+  machine.ImageCached("img", 3, 16);
+  EXPECT_TRUE(machine.HasImage("img"));
+  EXPECT_DOUBLE_EQ(machine.bandwidth, 0.5);  // 3 GB in 6 s
 }
 
 TEST(Images, TheOldestLeavesAFullCache) {
   MachineType type;
   type.cache_gb = 5;
-  Machine m("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
-  m.type = &type;
-  m.ImageCached("one", 3, 1);
-  m.ImageCached("two", 2, 2);
-  m.ImageCached("one", 3, 3);  // used again
-  m.ImageCached("three", 2, 4);
-  EXPECT_TRUE(m.HasImage("one"));
-  EXPECT_FALSE(m.HasImage("two"));
-  EXPECT_TRUE(m.HasImage("three"));
-  m.ImageCached("huge", 50, 5);  // larger than the cache: it alone is there
-  EXPECT_FALSE(m.HasImage("one"));
+  Machine machine("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
+  machine.type = &type;
+  machine.ImageCached("one", 3, 1);
+  machine.ImageCached("two", 2, 2);
+  machine.ImageCached("one", 3, 3);  // used again
+  machine.ImageCached("three", 2, 4);
+  EXPECT_TRUE(machine.HasImage("one"));
+  EXPECT_FALSE(machine.HasImage("two"));
+  EXPECT_TRUE(machine.HasImage("three"));
+  machine.ImageCached("huge", 50,
+                      5);  // larger than the cache: it alone is there
+  EXPECT_FALSE(machine.HasImage("one"));
 }
 
 TEST(Rules, SpreadTakesHalfRoundedUp) {
@@ -66,8 +67,8 @@
 }
 
 TEST(States, IllegalChangesAreCaught) {
-  Machine m("n-1", {"small", "a", false, "", 0, 0}, 0, 1);
-  EXPECT_THROW(m.Change(MachineState::kDraining), IllegalTransition);
+  Machine machine("n-1", {"small", "a", false, "", 0, 0}, 0, 1);
+  EXPECT_THROW(machine.Change(MachineState::kDraining), IllegalTransition);
   JobRecord record;
   auto spec = std::make_shared<JobSpec>();
   spec->tasks = 1;
--- a/tests/random_simulation_test.cc
+++ b/tests/random_simulation_test.cc
@@ -161,7 +161,7 @@
     if (kind_ == Kind::kOutages) LongOutage();
     sim_.state_down = now < state_until_;
     for (const std::string& name : names_) {
-      SimController& c = sim_.controller(name);
+      SimController& controller = sim_.controller(name);
       Links& links = links_[name];
       if (Every(25)) links.no_reports_until = now + Between(1, 25);
       if (Every(25)) links.no_orders_until = now + Between(1, 25);
@@ -169,9 +169,9 @@
         links.no_reports_until = links.no_orders_until = now + Between(1, 40);
       }
       if (Every(30)) links.no_peers_until = now + Between(1, 20);
-      c.in_cut = now < links.no_reports_until;
-      c.out_cut = now < links.no_orders_until;
-      c.refused = now < links.no_peers_until;
+      controller.in_cut = now < links.no_reports_until;
+      controller.out_cut = now < links.no_orders_until;
+      controller.refused = now < links.no_peers_until;
     }
     for (auto& [host, w] : sim_.workers()) {
       Weather& weather = weather_[host];
@@ -218,16 +218,16 @@
 
   // No answer arrives there, and mostly no order either; one machine's trouble
   // or a whole zone's.
-  void Deafen(SimWorker& w, Weather& weather) {
+  void Deafen(SimWorker& worker, Weather& weather) {
     const Time now = sim_.now();
-    Time& zone = deaf_zones_[w.zone];
+    Time& zone = deaf_zones_[worker.zone];
     if (Every(120)) zone = now + Between(1, 40);
     if (Every(25)) {
       weather.no_answers_until = now + Between(1, 40);
       if (Happens(0.6)) weather.no_orders_until = weather.no_answers_until;
     }
-    w.answers_cut = now < weather.no_answers_until || now < zone;
-    w.commands_cut = w.commands_cut || now < zone;
+    worker.answers_cut = now < weather.no_answers_until || now < zone;
+    worker.commands_cut = worker.commands_cut || now < zone;
   }
 
   static std::string Name(int number) {
--- a/tests/rebalancer_test.cc
+++ b/tests/rebalancer_test.cc
@@ -83,9 +83,9 @@
       key += fmt::format("{}{}", token[m], heard[m]);
     }
     std::vector<std::string> sorted;
-    for (const WorkerCommand& o : commands) {
-      sorted.push_back(
-          fmt::format("{}{}{}{}", o.start, o.leg, o.machine, o.leader));
+    for (const WorkerCommand& command : commands) {
+      sorted.push_back(fmt::format("{}{}{}{}", command.start, command.leg,
+                                   command.machine, command.leader));
     }
     std::sort(sorted.begin(), sorted.end());
     for (const std::string& s : sorted) key += "o" + s;
@@ -200,8 +200,9 @@
 
   bool Outstanding(const Simulation& w, int machine, int leader) const {
     return std::any_of(w.commands.begin(), w.commands.end(),
-                       [&](const WorkerCommand& o) {
-                         return o.machine == machine && o.leader == leader;
+                       [&](const WorkerCommand& command) {
+                         return command.machine == machine &&
+                                command.leader == leader;
                        });
   }
   bool Good(const Simulation& w, int machine) const {
@@ -305,17 +306,18 @@
   bool Step(Simulation& w, Choices& choose) {
     std::vector<WorkerCommand> commands = std::move(w.commands);
     w.commands.clear();
-    for (const WorkerCommand& o : commands) {
+    for (const WorkerCommand& command : commands) {
       // A command that the worker would refuse may as well be lost.
-      const bool dead = o.machine == w.dead || o.leader < w.token[o.machine];
+      const bool dead = command.machine == w.dead ||
+                        command.leader < w.token[command.machine];
       switch (dead ? 1 : choose(3)) {
         case 0:
-          Execute(w, o);
+          Execute(w, command);
           break;
         case 1:
           break;
         default:
-          w.commands.push_back(o);
+          w.commands.push_back(command);
       }
     }
     if (!w.writes.empty()) {
@@ -363,13 +365,13 @@
     return true;
   }
 
-  static void Execute(Simulation& w, const WorkerCommand& o) {
-    w.token[o.machine] = o.leader;
-    const auto bit = static_cast<uint8_t>(1 << o.machine);
-    if (o.start) {
-      w.there[o.leg] |= bit;
+  static void Execute(Simulation& w, const WorkerCommand& command) {
+    w.token[command.machine] = command.leader;
+    const auto bit = static_cast<uint8_t>(1 << command.machine);
+    if (command.start) {
+      w.there[command.leg] |= bit;
     } else {
-      w.there[o.leg] &= static_cast<uint8_t>(~bit);
+      w.there[command.leg] &= static_cast<uint8_t>(~bit);
     }
   }
 
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -212,16 +212,16 @@
     return {record, 100};
   }
   void Add(uint32_t task, bool is_new) {
-    InstanceView i;
-    i.key = {is_new ? spec.to : spec.from, task, 7};
-    i.is_new = is_new;
-    i.running = i.heard = true;
-    i.zone = "a";
-    view.instances.push_back(i);
+    InstanceView instance_view;
+    instance_view.key = {is_new ? spec.to : spec.from, task, 7};
+    instance_view.is_new = is_new;
+    instance_view.running = instance_view.heard = true;
+    instance_view.zone = "a";
+    view.instances.push_back(instance_view);
   }
   void AllGood(Rollout* rollout, Time now) const {
-    for (const InstanceView& i : view.instances) {
-      rollout->OnCheck(i.key, {true, true, 0.01}, now);
+    for (const InstanceView& instance_view : view.instances) {
+      rollout->OnCheck(instance_view.key, {true, true, 0.01}, now);
     }
   }
   TaskAttemptKey Old() const { return view.instances[0].key; }
--- a/tests/scenario_test.cc
+++ b/tests/scenario_test.cc
@@ -310,76 +310,76 @@
     }
   }
 
-  void Disturb(SimWorker& w, const std::string& word,
+  void Disturb(SimWorker& worker, const std::string& word,
                std::istringstream& words) {
     if (word == "dies") {
-      w.dead = true;
-      w.died_at = sim_.now();
+      worker.dead = true;
+      worker.died_at = sim_.now();
     } else if (word == "answers-cut") {
       // answers-cut [S]: its heartbeats come to the leader so far apart
-      w.answers_cut = true;
-      words >> w.retry_seconds;
-      if (!words) w.retry_seconds = SimWorker().retry_seconds;
+      worker.answers_cut = true;
+      words >> worker.retry_seconds;
+      if (!words) worker.retry_seconds = SimWorker().retry_seconds;
     } else if (word == "answers-open") {
-      w.answers_cut = false;
+      worker.answers_cut = false;
     } else if (word == "copies")
-      words >> w.copy_after;  // copies S: every heartbeat again, S later
+      words >> worker.copy_after;  // copies S: every heartbeat again, S later
     else if (word == "hangs")
-      w.hung = true;
+      worker.hung = true;
     else if (word == "resumes")
-      w.hung = false;
+      worker.hung = false;
     else if (word == "cut" || word == "mute")
-      w.heartbeats_cut = true;  // commands still reach it
+      worker.heartbeats_cut = true;  // commands still reach it
     else if (word == "healed")
-      w.heartbeats_cut = false;
+      worker.heartbeats_cut = false;
     else if (word == "orders-cut")
-      w.commands_cut = true;
+      worker.commands_cut = true;
     else if (word == "orders-open")
-      w.commands_cut = false;
+      worker.commands_cut = false;
     else if (word == "kept")
-      w.kept = true;
+      worker.kept = true;
     else if (word == "not-kept")
-      w.kept = false;
+      worker.kept = false;
     else if (word == "by-way-of")
-      words >> w.by_way;
+      words >> worker.by_way;
     else if (word == "sound")
-      w.faulty = false;
+      worker.faulty = false;
     else if (word == "faulty")
-      w.faulty = true;
+      worker.faulty = true;
     else if (word == "notice") {
       double seconds = 0;
       words >> seconds;
-      w.notice = seconds;
+      worker.notice = seconds;
     } else
       FAIL() << "unknown fault";
   }
 
-  static void ReadController(SimController& c, const std::string& word,
+  static void ReadController(SimController& controller, const std::string& word,
                              std::istringstream& words) {
     if (word == "deaf") {
-      c.in_cut = c.out_cut = true;
+      controller.in_cut = controller.out_cut = true;
     } else if (word == "hears") {
-      c.in_cut = c.out_cut = false;
-      c.unheard.clear();
+      controller.in_cut = controller.out_cut = false;
+      controller.unheard.clear();
     } else if (word == "deaf-in") {
-      c.in_cut = true;
+      controller.in_cut = true;
     } else if (word == "deaf-out") {
-      c.out_cut = true;
+      controller.out_cut = true;
     } else if (word == "gone" || word == "back") {
-      c.gone = word == "gone";
+      controller.gone = word == "gone";
     } else if (word == "refused" || word == "open") {
-      c.refused = word == "refused";
+      controller.refused = word == "refused";
     } else if (word == "no-state" || word == "state") {
-      c.no_state = word == "no-state";
+      controller.no_state = word == "no-state";
     } else if (word == "dies-on-offer") {
-      c.dies_on_offer = true;
+      controller.dies_on_offer = true;
     } else if (word == "zone") {
-      words >> c.zone;
+      words >> controller.zone;
     } else if (word == "unheard") {
       std::string host;
-      while (words >> host) c.unheard.insert(host);
+      while (words >> host) controller.unheard.insert(host);
     } else if (word == "wall-off") {
-      words >> c.wall_off;
+      words >> controller.wall_off;
     } else {
       FAIL() << "unknown state of a controller";
     }
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -191,12 +191,12 @@
       "legs":[{"leg":"job-000412/3","try_no":2,"status":"running"},
               {"leg":"job-000398/0","try_no":1,"status":"exited",
                "exit_reason":"done"}]})";
-  Heartbeat r;
-  ASSERT_TRUE(wire::ParseReport(good, &r));
-  EXPECT_EQ(r.tasks.size(), 2U);
-  EXPECT_EQ(r.tasks[0].task, 3U);
-  EXPECT_EQ(r.tasks[1].reason, ExitReason::kDone);
-  EXPECT_FALSE(r.notice_seconds);
+  Heartbeat heartbeat;
+  ASSERT_TRUE(wire::ParseReport(good, &heartbeat));
+  EXPECT_EQ(heartbeat.tasks.size(), 2U);
+  EXPECT_EQ(heartbeat.tasks[0].task, 3U);
+  EXPECT_EQ(heartbeat.tasks[1].reason, ExitReason::kDone);
+  EXPECT_FALSE(heartbeat.notice_seconds);
   // A task that can't be understood must not look like one that is not there.
   Heartbeat bad;
   EXPECT_FALSE(wire::ParseReport(Replace(good, "job-000412/3", "job"), &bad));
