--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -18,8 +18,8 @@
   return job + "/" + std::to_string(task) + "#" + std::to_string(attempt);
 }
 
-bool Present(const SimTask& t) {
-  return t.phase != TaskPhase::kExited && t.phase != TaskPhase::kFetching;
+bool Present(const SimTask& task) {
+  return task.phase != TaskPhase::kExited && task.phase != TaskPhase::kFetching;
 }
 
 }  // namespace
@@ -39,15 +39,15 @@
 
 void Sim::AddWorker(const std::string& host, const std::string& type,
                     const std::string& zone, bool spot) {
-  SimWorker w;
-  w.host = host;
-  w.type = type;
-  w.zone = zone;
-  w.spot = spot;
-  w.up_at = now_;
-  w.lease_from = now_;
-  w.next_heartbeat = now_ + 0.1;
-  workers_[host] = w;
+  SimWorker worker;
+  worker.host = host;
+  worker.type = type;
+  worker.zone = zone;
+  worker.spot = spot;
+  worker.up_at = now_;
+  worker.lease_from = now_;
+  worker.next_heartbeat = now_ + 0.1;
+  workers_[host] = worker;
 }
 
 void Sim::SetFate(const std::string& host, Fate fate, double late_seconds) {
@@ -55,34 +55,38 @@
 }
 
 void Sim::AskForZones() {
-  for (auto& [name, c] : controllers_) {
-    if (c.zone.empty() || c.gone) continue;
-    if (!c.lease) {
-      c.lease.emplace(settings.workers);
-      c.lease->RecordedAnew(now_, now_);
+  for (auto& [name, controller] : controllers_) {
+    if (controller.zone.empty() || controller.gone) continue;
+    if (!controller.lease) {
+      controller.lease.emplace(settings.workers);
+      controller.lease->RecordedAnew(now_, now_);
     }
     if (state_down) {
-      c.recorded_until = now_ + DelegatedLeaseRecordTerm(settings.workers);
-    } else if (!c.no_state) {
-      if (now_ > c.recorded_until) c.lease->RecordedAnew(now_, now_);
-      c.lease->Recorded(now_);
-      c.recorded_until = now_ + DelegatedLeaseRecordTerm(settings.workers);
-    }
-    if (name == leading_ || c.refused || !leader_ || now_ < stalled_until_ ||
-        now_ < c.next_ask) {
+      controller.recorded_until =
+          now_ + DelegatedLeaseRecordTerm(settings.workers);
+    } else if (!controller.no_state) {
+      if (now_ > controller.recorded_until)
+        controller.lease->RecordedAnew(now_, now_);
+      controller.lease->Recorded(now_);
+      controller.recorded_until =
+          now_ + DelegatedLeaseRecordTerm(settings.workers);
+    }
+    if (name == leading_ || controller.refused || !leader_ ||
+        now_ < stalled_until_ || now_ < controller.next_ask) {
       continue;
     }
-    c.next_ask = now_ + LeaseYieldSeconds(settings.workers);
+    controller.next_ask = now_ + LeaseYieldSeconds(settings.workers);
     if (leader_->OnDelegationAsked(name, "life", now_, now_)) {
-      c.lease->Granted(now_);
+      controller.lease->Granted(now_);
     }
   }
 }
 
-bool Sim::KeptInZone(const SimWorker& w) {
-  for (auto& [name, c] : controllers_) {
-    if (name != leading_ && !c.gone && c.refused && c.zone == w.zone &&
-        c.lease && c.lease->Renew(now_)) {
+bool Sim::KeptInZone(const SimWorker& worker) {
+  for (auto& [name, controller] : controllers_) {
+    if (name != leading_ && !controller.gone && controller.refused &&
+        controller.zone == worker.zone && controller.lease &&
+        controller.lease->Renew(now_)) {
       return true;
     }
   }
@@ -91,8 +95,8 @@
 
 std::set<std::string> Sim::RecordedDelegates() const {
   std::set<std::string> names;
-  for (const auto& [name, c] : controllers_) {
-    if (now_ < c.recorded_until) names.insert(name);
+  for (const auto& [name, controller] : controllers_) {
+    if (now_ < controller.recorded_until) names.insert(name);
   }
   return names;
 }
@@ -124,9 +128,9 @@
   }
   catalog_.AdvanceWatch(revision_);
   leads_since_ = now_;
-  for (auto& [host, w] : workers_) {
-    w.seen_incarnation = 0;
-    w.risen = w.unproven = false;
+  for (auto& [host, worker] : workers_) {
+    worker.seen_incarnation = 0;
+    worker.risen = worker.unproven = false;
   }
   leader_ =
       std::make_unique<Leader>(settings, tuning, catalog_, revision_, now_,
@@ -262,7 +266,7 @@
     }
   }
   std::vector<std::string> names = {leading_};
-  for (const auto& [name, c] : controllers_) names.push_back(name);
+  for (const auto& [name, controller] : controllers_) names.push_back(name);
   for (const std::string& name : names) {
     if (controllers_.contains(name) && controllers_.at(name).no_state) continue;
     BookingView& view = booking_views_[name];
@@ -344,12 +348,12 @@
   catalog_.AdvanceWatch(revision_);
 }
 
-bool Sim::Well(const SimTask& t) const {
-  if (t.phase != TaskPhase::kRunning) return false;
-  const auto it = illness.find(t.job);
+bool Sim::Well(const SimTask& task) const {
+  if (task.phase != TaskPhase::kRunning) return false;
+  const auto it = illness.find(task.job);
   if (it == illness.end()) return true;
   const Illness& ill = it->second;
-  const double ran = now_ - t.running_since;
+  const double ran = now_ - task.running_since;
   if (now_ >= ill.sick_from || ran >= ill.sick_after) return false;
   return ill.flap_seconds <= 0 ||
          static_cast<int64_t>(ran / ill.flap_seconds) % 2 == 0;
@@ -357,11 +361,11 @@
 
 int Sim::CountWell() const {
   int n = 0;
-  for (const auto& [host, w] : workers_) {
-    if (w.dead || w.Hangs(now_)) continue;
-    for (const auto& [name, t] : w.tasks) {
-      n += std::count(floor_jobs.begin(), floor_jobs.end(), t.job) > 0 &&
-           Well(t);
+  for (const auto& [host, worker] : workers_) {
+    if (worker.dead || worker.Hangs(now_)) continue;
+    for (const auto& [name, status] : worker.tasks) {
+      n += std::count(floor_jobs.begin(), floor_jobs.end(), status.job) > 0 &&
+           Well(status);
     }
   }
   return n;
@@ -374,11 +378,11 @@
       leader_->OnHealth(check.rollout, check.key, outcome, now_);
     });
   };
-  for (auto& [host, w] : workers_) {
-    const auto it =
-        w.tasks.find(Name(check.key.job_id, check.key.task, check.key.attempt));
-    if (it == w.tasks.end() || w.dead || w.Hangs(now_) ||
-        unchecked_zones.contains(w.zone)) {
+  for (auto& [host, worker] : workers_) {
+    const auto it = worker.tasks.find(
+        Name(check.key.job_id, check.key.task, check.key.attempt));
+    if (it == worker.tasks.end() || worker.dead || worker.Hangs(now_) ||
+        unchecked_zones.contains(worker.zone)) {
       continue;
     }
     const bool well = Well(it->second);
@@ -403,15 +407,16 @@
   constexpr size_t kMostHang = 8;
   std::set<std::string> chosen;
   std::set<std::string> hosts;
-  for (auto& [host, w] : workers_) {
-    if (w.dead) continue;
-    for (const auto& [name, t] : w.tasks) {
-      const bool known = chosen.contains(t.job);
-      if (t.phase != TaskPhase::kRunning || cancel_asked_.contains(t.job) ||
+  for (auto& [host, worker] : workers_) {
+    if (worker.dead) continue;
+    for (const auto& [name, status] : worker.tasks) {
+      const bool known = chosen.contains(status.job);
+      if (status.phase != TaskPhase::kRunning ||
+          cancel_asked_.contains(status.job) ||
           (!known && chosen.size() >= static_cast<size_t>(count))) {
         continue;
       }
-      chosen.insert(t.job);
+      chosen.insert(status.job);
       if (hosts.size() < kMostHang) hosts.insert(host);
     }
   }
@@ -466,7 +471,7 @@
   if (tuning.rollouts_at_once > 0) Watch();
   if (tuning.tiers > 0) FollowTiers();
   AskForZones();
-  for (auto& [host, w] : workers_) AdvanceWorker(w);
+  for (auto& [host, worker] : workers_) AdvanceWorker(worker);
   if (leader_ && now_ >= stalled_until_) {
     leader_->Tick(now_, !by_promises);
     ExecuteActions();
@@ -487,159 +492,161 @@
   for (const auto& m : leader_->machines()) {
     const auto it = workers_.find(m->host());
     if (it == workers_.end()) continue;
-    SimWorker& w = it->second;
+    SimWorker& worker = it->second;
     const uint64_t seen = m->incarnation.number();
-    if (w.seen_incarnation != 0 && seen > w.seen_incarnation) {
+    if (worker.seen_incarnation != 0 && seen > worker.seen_incarnation) {
       // The first may have been over before this leader heard of it.
-      w.unproven = w.risen;
-      w.risen = true;
+      worker.unproven = worker.risen;
+      worker.risen = true;
     }
-    w.seen_incarnation = seen;
+    worker.seen_incarnation = seen;
   }
 }
 
-void Sim::AdvanceWorker(SimWorker& w) {
-  if (w.dead || now_ < w.up_at) return;
+void Sim::AdvanceWorker(SimWorker& worker) {
+  if (worker.dead || now_ < worker.up_at) return;
   // Holds for a hung machine too: what it finds first when it goes on is that
   // its lease has ended.
-  if (now_ - w.lease_from > settings.workers.lease_seconds) {
-    w.tasks.clear();
-    ++w.incarnation;
-    w.lease_from = now_;
+  if (now_ - worker.lease_from > settings.workers.lease_seconds) {
+    worker.tasks.clear();
+    ++worker.incarnation;
+    worker.lease_from = now_;
   }
-  if (w.Hangs(now_)) return;
+  if (worker.Hangs(now_)) return;
   bool changed = false;
-  for (auto& [name, t] : w.tasks) {
-    const JobSpec& spec = jobs_.at(t.job).spec;
-    if (t.phase == TaskPhase::kFetching && now_ >= t.ready_at) {
-      w.images.insert(spec.image);
+  for (auto& [name, status] : worker.tasks) {
+    const JobSpec& spec = jobs_.at(status.job).spec;
+    if (status.phase == TaskPhase::kFetching && now_ >= status.ready_at) {
+      worker.images.insert(spec.image);
       changed = true;
-      if (completed_[t.job].contains(t.task)) {
-        t.phase = TaskPhase::kExited;
-        t.reason = ExitReason::kDone;
-      } else if (w.faulty) {
-        t.phase = TaskPhase::kExited;
-        t.reason = ExitReason::kError;
+      if (completed_[status.job].contains(status.task)) {
+        status.phase = TaskPhase::kExited;
+        status.reason = ExitReason::kDone;
+      } else if (worker.faulty) {
+        status.phase = TaskPhase::kExited;
+        status.reason = ExitReason::kError;
       } else {
-        t.phase = spec.kind == JobKind::kGang ? TaskPhase::kWaiting
-                                              : TaskPhase::kRunning;
-        t.running_since = now_;
+        status.phase = spec.kind == JobKind::kGang ? TaskPhase::kWaiting
+                                                   : TaskPhase::kRunning;
+        status.running_since = now_;
       }
     }
-    if (t.phase == TaskPhase::kSaving && now_ >= t.ready_at) {
-      t.phase = TaskPhase::kExited;
-      t.reason = ExitReason::kStopped;
-      t.saved = true;
+    if (status.phase == TaskPhase::kSaving && now_ >= status.ready_at) {
+      status.phase = TaskPhase::kExited;
+      status.reason = ExitReason::kStopped;
+      status.saved = true;
       changed = true;
     }
-    if (t.phase == TaskPhase::kRunning && spec.kind != JobKind::kService &&
-        now_ - t.running_since >= spec.estimate_seconds) {
-      t.phase = TaskPhase::kExited;
-      t.reason = ExitReason::kDone;
-      EndTask(t);
+    if (status.phase == TaskPhase::kRunning && spec.kind != JobKind::kService &&
+        now_ - status.running_since >= spec.estimate_seconds) {
+      status.phase = TaskPhase::kExited;
+      status.reason = ExitReason::kDone;
+      EndTask(status);
       changed = true;
     }
-    if (t.phase == TaskPhase::kWaiting) {
+    if (status.phase == TaskPhase::kWaiting) {
       // The gang starts together once its last task has its image.
       size_t ready = 0;
       for (auto& [h, other] : workers_) {
         for (auto& [n, mate] : other.tasks) {
-          ready += mate.job == t.job && mate.attempt == t.attempt &&
+          ready += mate.job == status.job && mate.attempt == status.attempt &&
                    (mate.phase == TaskPhase::kWaiting ||
                     mate.phase == TaskPhase::kRunning);
         }
       }
       if (ready == spec.tasks) {
-        t.phase = TaskPhase::kRunning;
-        t.running_since = now_;
+        status.phase = TaskPhase::kRunning;
+        status.running_since = now_;
         changed = true;
       }
     }
   }
-  if (now_ >= w.next_heartbeat || (changed && now_ + 0.5 >= w.next_heartbeat)) {
-    SendHeartbeat(w);
+  if (now_ >= worker.next_heartbeat ||
+      (changed && now_ + 0.5 >= worker.next_heartbeat)) {
+    SendHeartbeat(worker);
   }
 }
 
-void Sim::EndTask(const SimTask& t) {
-  completed_[t.job].insert(t.task);
-  if (completed_[t.job].size() < jobs_.at(t.job).spec.tasks) return;
-  if (cancel_at_end_.contains(t.job) ||
+void Sim::EndTask(const SimTask& task) {
+  completed_[task.job].insert(task.task);
+  if (completed_[task.job].size() < jobs_.at(task.job).spec.tasks) return;
+  if (cancel_at_end_.contains(task.job) ||
       troubles.Happens(troubles.cancel_at_end)) {
-    After(0, [this, id = t.job] { CancelJob(id); });
+    After(0, [this, id = task.job] { CancelJob(id); });
   }
 }
 
-Heartbeat Sim::HeartbeatOf(SimWorker& w) {
-  Heartbeat r;
-  r.host = w.host;
-  r.endpoint = "10.0.0.1:" + std::to_string(1000 + w.host.size());
-  r.type = w.type;
-  r.zone = w.zone;
-  r.spot = w.spot;
-  r.incarnation = w.incarnation;
-  r.seq = ++w.seq;
-  r.token = w.token;
-  r.notice_seconds = w.notice;
-  r.forwarded = !w.by_way.empty();
-  for (const auto& [name, t] : w.tasks) {
-    r.tasks.push_back({t.job, t.task, t.attempt, t.phase, t.reason, t.saved});
+Heartbeat Sim::HeartbeatOf(SimWorker& worker) {
+  Heartbeat heartbeat;
+  heartbeat.host = worker.host;
+  heartbeat.endpoint = "10.0.0.1:" + std::to_string(1000 + worker.host.size());
+  heartbeat.type = worker.type;
+  heartbeat.zone = worker.zone;
+  heartbeat.spot = worker.spot;
+  heartbeat.incarnation = worker.incarnation;
+  heartbeat.seq = ++worker.seq;
+  heartbeat.token = worker.token;
+  heartbeat.notice_seconds = worker.notice;
+  heartbeat.forwarded = !worker.by_way.empty();
+  for (const auto& [name, status] : worker.tasks) {
+    heartbeat.tasks.push_back({status.job, status.task, status.attempt,
+                               status.phase, status.reason, status.saved});
   }
-  return r;
+  return heartbeat;
 }
 
-void Sim::SendHeartbeat(SimWorker& w) {
-  w.next_heartbeat = now_ + settings.workers.heartbeat_interval_seconds;
-  if (faults) return SendHeartbeatWithFaults(w);
+void Sim::SendHeartbeat(SimWorker& worker) {
+  worker.next_heartbeat = now_ + settings.workers.heartbeat_interval_seconds;
+  if (faults) return SendHeartbeatWithFaults(worker);
   // One report in flight.
-  if (now_ < w.waits_until) {
-    w.next_heartbeat = w.waits_until;
+  if (now_ < worker.waits_until) {
+    worker.next_heartbeat = worker.waits_until;
     return;
   }
-  if (w.kept) {
-    w.lease_from = now_;
+  if (worker.kept) {
+    worker.lease_from = now_;
     return;
   }
-  if (!w.by_way.empty() && controllers_[w.by_way].gone) {
+  if (!worker.by_way.empty() && controllers_[worker.by_way].gone) {
     // Refused; so is the next one that it tries, perhaps.
-    w.by_way.clear();
-    w.waits_until = now_ + 2 * kRetryPauseSeconds;
+    worker.by_way.clear();
+    worker.waits_until = now_ + 2 * kRetryPauseSeconds;
     return;
   }
-  const Heartbeat heartbeat = HeartbeatOf(w);
-  sent_[w.host] = heartbeat;
-  if (w.copy_after > 0) Copy(heartbeat, w.copy_after);
+  const Heartbeat heartbeat = HeartbeatOf(worker);
+  sent_[worker.host] = heartbeat;
+  if (worker.copy_after > 0) Copy(heartbeat, worker.copy_after);
   if (troubles.Happens(troubles.heartbeats_for_next)) KeepForNext(heartbeat);
-  if (w.heartbeats_cut || !leader_ || !LeaderNode().Hears(w.host)) {
-    if (KeptInZone(w)) w.lease_from = now_;
+  if (worker.heartbeats_cut || !leader_ || !LeaderNode().Hears(worker.host)) {
+    if (KeptInZone(worker)) worker.lease_from = now_;
     return;
   }
   const Time sent = now_;
-  const uint64_t incarnation = w.incarnation;
+  const uint64_t incarnation = worker.incarnation;
   const HeartbeatResponse reply = leader_->OnHeartbeat(heartbeat, now_);
   ExecuteActions();
-  if (w.answers_cut) {
-    w.waits_until = now_ + w.retry_seconds;
+  if (worker.answers_cut) {
+    worker.waits_until = now_ + worker.retry_seconds;
     return;
   }
   if (reply.withheld) {
-    NoteWithheld(w);
-    w.waits_until = now_ + kRetryPauseSeconds;
+    NoteWithheld(worker);
+    worker.waits_until = now_ + kRetryPauseSeconds;
     return;
   }
   if (reply.refused) {
-    Break("refused a report that is waited for: " + w.host);
-    w.waits_until = now_ + kRetryPauseSeconds;
+    Break("refused a report that is waited for: " + worker.host);
+    worker.waits_until = now_ + kRetryPauseSeconds;
     return;
   }
-  AcceptReply(w, reply, incarnation, sent);
+  AcceptReply(worker, reply, incarnation, sent);
 }
 
 // Only one that has heard nothing of this leader is left without an answer, and
 // once its lease has ended.
-void Sim::NoteWithheld(const SimWorker& w) {
-  if (leader_ && w.heard_from == leader_->revision()) {
-    Break("answers withheld from one that hears: " + w.host);
+void Sim::NoteWithheld(const SimWorker& worker) {
+  if (leader_ && worker.heard_from == leader_->revision()) {
+    Break("answers withheld from one that hears: " + worker.host);
   }
 }
 
@@ -651,14 +658,14 @@
   });
 }
 
-void Sim::AcceptReply(SimWorker& w, const HeartbeatResponse& reply,
+void Sim::AcceptReply(SimWorker& worker, const HeartbeatResponse& reply,
                       uint64_t incarnation, Time sent) {
-  if (reply.token < w.token || incarnation != w.incarnation) return;
-  w.unproven = false;
-  w.heard_from = reply.token >> kTokenBits;
-  w.token = reply.token;
-  w.lease_from = sent;
-  Execute(w, reply.commands);
+  if (reply.token < worker.token || incarnation != worker.incarnation) return;
+  worker.unproven = false;
+  worker.heard_from = reply.token >> kTokenBits;
+  worker.token = reply.token;
+  worker.lease_from = sent;
+  Execute(worker, reply.commands);
 }
 
 void Sim::OnLeader(uint64_t revision, std::function<void()> what) {
@@ -690,31 +697,32 @@
 }
 
 // One report in flight; an answer is good for 4 s after its heartbeat was sent.
-void Sim::SendHeartbeatWithFaults(SimWorker& w) {
+void Sim::SendHeartbeatWithFaults(SimWorker& sim_worker) {
   constexpr double kHeartbeatLifetimeSeconds = 4.0;
-  if (now_ < w.waits_until) {
-    w.next_heartbeat = w.waits_until;
+  if (now_ < sim_worker.waits_until) {
+    sim_worker.next_heartbeat = sim_worker.waits_until;
     return;
   }
-  const uint64_t number = ++w.heartbeats;
-  const Heartbeat heartbeat = HeartbeatOf(w);
+  const uint64_t number = ++sim_worker.heartbeats;
+  const Heartbeat heartbeat = HeartbeatOf(sim_worker);
   if (troubles.Happens(troubles.heartbeats_for_next)) KeepForNext(heartbeat);
-  w.waits_until = now_ + kHeartbeatLifetimeSeconds;
+  sim_worker.waits_until = now_ + kHeartbeatLifetimeSeconds;
   const std::optional<double> there = faults->Travel();
   std::optional<double> back = faults->Travel();
-  if (w.answers_cut) back.reset();
+  if (sim_worker.answers_cut) back.reset();
   if (faults->copied > 0 && faults->Happens(faults->copied)) {
     Copy(heartbeat, faults->Between(0.5, faults->latest_copy_seconds));
   }
   if (!leader_ && state_down && delegated && there && back) {
-    w.waits_until = 0;
-    w.lease_from = now_;
+    sim_worker.waits_until = 0;
+    sim_worker.lease_from = now_;
     return;
   }
-  if (w.heartbeats_cut || !there || !LeaderNode().Hears(w.host)) {
-    if (KeptInZone(w)) {
-      w.waits_until = 0;
-      w.lease_from = now_;
+  if (sim_worker.heartbeats_cut || !there ||
+      !LeaderNode().Hears(sim_worker.host)) {
+    if (KeptInZone(sim_worker)) {
+      sim_worker.waits_until = 0;
+      sim_worker.lease_from = now_;
     }
     return;
   }
@@ -776,15 +784,15 @@
   const std::optional<double> back = faults->Travel();
   if (cut || !there) return;
   After(*there, [this, commands, answer, back] {
-    OnWorker(commands.host, [this, commands, answer, back](SimWorker& w) {
-      const bool good =
-          commands.token >= w.token && commands.incarnation == w.incarnation;
+    OnWorker(commands.host, [this, commands, answer, back](SimWorker& worker) {
+      const bool good = commands.token >= worker.token &&
+                        commands.incarnation == worker.incarnation;
       if (good) {
-        w.token = commands.token;
-        Execute(w, commands.commands);
+        worker.token = commands.token;
+        Execute(worker, commands.commands);
       }
       if (!back) return;
-      After(*back, [answer, good, heartbeat = HeartbeatOf(w)] {
+      After(*back, [answer, good, heartbeat = HeartbeatOf(worker)] {
         answer(good ? CommandOutcome::kExecuted : CommandOutcome::kRefused,
                heartbeat);
       });
@@ -792,98 +800,105 @@
   });
 }
 
-void Sim::Execute(SimWorker& w, const std::vector<WorkerCommand>& commands) {
-  for (const WorkerCommand& o : commands) {
-    const std::string name = Name(o.job_id, o.task, o.attempt);
-    const auto it = w.tasks.find(name);
-    switch (o.kind) {
+void Sim::Execute(SimWorker& worker,
+                  const std::vector<WorkerCommand>& commands) {
+  for (const WorkerCommand& command : commands) {
+    const std::string name =
+        Name(command.job_id, command.task, command.attempt);
+    const auto it = worker.tasks.find(name);
+    switch (command.kind) {
       case CommandKind::kStart:
-        if (it == w.tasks.end()) StartTask(w, o);
+        if (it == worker.tasks.end()) StartTask(worker, command);
         break;
       case CommandKind::kStop: {
-        if (it == w.tasks.end() || it->second.phase == TaskPhase::kExited) {
+        if (it == worker.tasks.end() ||
+            it->second.phase == TaskPhase::kExited) {
           break;
         }
-        SimTask& t = it->second;
-        const JobSpec& spec = jobs_.at(t.job).spec;
-        if (t.phase == TaskPhase::kRunning && spec.checkpoint_seconds > 0 &&
-            o.grace_seconds >= spec.save_seconds) {
-          t.phase = TaskPhase::kSaving;
-          t.ready_at = now_ + spec.save_seconds;
-        } else if (t.phase != TaskPhase::kSaving || o.grace_seconds <= 0) {
-          t.phase = TaskPhase::kExited;
-          t.reason = ExitReason::kStopped;
+        SimTask& task = it->second;
+        const JobSpec& spec = jobs_.at(task.job).spec;
+        if (task.phase == TaskPhase::kRunning && spec.checkpoint_seconds > 0 &&
+            command.grace_seconds >= spec.save_seconds) {
+          task.phase = TaskPhase::kSaving;
+          task.ready_at = now_ + spec.save_seconds;
+        } else if (task.phase != TaskPhase::kSaving ||
+                   command.grace_seconds <= 0) {
+          task.phase = TaskPhase::kExited;
+          task.reason = ExitReason::kStopped;
         }
         break;
       }
       case CommandKind::kForget:
-        if (it != w.tasks.end() && it->second.phase == TaskPhase::kExited) {
-          w.tasks.erase(it);
+        if (it != worker.tasks.end() &&
+            it->second.phase == TaskPhase::kExited) {
+          worker.tasks.erase(it);
         }
         break;
     }
   }
   if (!commands.empty())
-    w.next_heartbeat = std::min(w.next_heartbeat, now_ + 0.5);
+    worker.next_heartbeat = std::min(worker.next_heartbeat, now_ + 0.5);
 }
 
-void Sim::StartTask(SimWorker& w, const WorkerCommand& o) {
-  const JobSpec& spec = jobs_.at(o.job_id).spec;
-  SimTask t;
-  t.job = o.job_id;
-  t.task = o.task;
-  t.attempt = o.attempt;
-  const MachineType& type = types.at(w.type);
+void Sim::StartTask(SimWorker& worker, const WorkerCommand& command) {
+  const JobSpec& spec = jobs_.at(command.job_id).spec;
+  SimTask task;
+  task.job = command.job_id;
+  task.task = command.task;
+  task.attempt = command.attempt;
+  const MachineType& type = types.at(worker.type);
   Resources used = spec.need;
-  for (const auto& [name, other] : w.tasks) {
+  for (const auto& [name, other] : worker.tasks) {
     if (other.phase != TaskPhase::kExited) {
       used += jobs_.at(other.job).spec.need;
     }
   }
   if (!used.FitsIn(type.total)) {
-    t.phase = TaskPhase::kExited;
-    t.reason = ExitReason::kNoRoom;
-    Break("refused: " + o.job_id + " does not fit on " + w.host);
+    task.phase = TaskPhase::kExited;
+    task.reason = ExitReason::kNoRoom;
+    Break("refused: " + command.job_id + " does not fit on " + worker.host);
   } else {
     ++starts_;
     CheckChainStart(spec);
-    starts_on_deaf_ += w.unproven;
-    if (jobs_.at(o.job_id).told) {
-      Break("started after its cancellation was told: " + o.job_id);
+    starts_on_deaf_ += worker.unproven;
+    if (jobs_.at(command.job_id).told) {
+      Break("started after its cancellation was told: " + command.job_id);
     }
     if (forbidden) {
       const std::string why = forbidden(spec, true_wall());
-      if (!why.empty()) Break("heavy start: " + o.job_id + " " + why);
+      if (!why.empty()) Break("heavy start: " + command.job_id + " " + why);
     }
-    const double fetch = w.images.contains(spec.image)
+    const double fetch = worker.images.contains(spec.image)
                              ? 0
                              : spec.image_gb / type.fetch_gb_per_second;
-    t.ready_at = now_ + fetch;
-    if (!spec.AllowsType(w.type) || !spec.AllowsZone(w.zone) ||
-        (w.spot && !spec.spot)) {
-      Break("wrong_place: " + o.job_id + " on " + w.host);
+    task.ready_at = now_ + fetch;
+    if (!spec.AllowsType(worker.type) || !spec.AllowsZone(worker.zone) ||
+        (worker.spot && !spec.spot)) {
+      Break("wrong_place: " + command.job_id + " on " + worker.host);
     }
     std::map<std::string, uint32_t> zones;
-    ++zones[w.zone];
+    ++zones[worker.zone];
     for (const auto& [host, other] : workers_) {
       if (other.dead) continue;
       for (const auto& [n, mate] : other.tasks) {
-        if (mate.job != o.job_id || mate.phase == TaskPhase::kExited) continue;
+        if (mate.job != command.job_id || mate.phase == TaskPhase::kExited)
+          continue;
         ++zones[other.zone];
-        if (mate.task == o.task) {
+        if (mate.task == command.task) {
           Break("ran_twice: " + n + " on " + host + " while it starts on " +
-                w.host);
+                worker.host);
         }
       }
     }
     if (spec.one_zone && zones.size() > 1) {
-      Break("wrong_place: " + o.job_id + " in two zones");
+      Break("wrong_place: " + command.job_id + " in two zones");
     }
-    if (spec.spread && zones[w.zone] > (spec.tasks + 1) / 2) {
-      Break("wrong_place: too much of " + o.job_id + " in " + w.zone);
+    if (spec.spread && zones[worker.zone] > (spec.tasks + 1) / 2) {
+      Break("wrong_place: too much of " + command.job_id + " in " +
+            worker.zone);
     }
   }
-  w.tasks[Name(o.job_id, o.task, o.attempt)] = t;
+  worker.tasks[Name(command.job_id, command.task, command.attempt)] = task;
 }
 
 void Sim::Do(const SendCommands& commands) {
@@ -906,11 +921,12 @@
         it->second.commands_cut || !LeaderNode().Sends(commands.host)) {
       return {};
     }
-    SimWorker& w = it->second;
-    if (commands.token < w.token || commands.incarnation != w.incarnation)
+    SimWorker& worker = it->second;
+    if (commands.token < worker.token ||
+        commands.incarnation != worker.incarnation)
       return false;
-    w.token = commands.token;
-    Execute(w, commands.commands);
+    worker.token = commands.token;
+    Execute(worker, commands.commands);
     return true;
   };
   const auto it = workers_.find(commands.host);
@@ -989,10 +1005,11 @@
 
 uint64_t Sim::Apply(const CompareAndSwap& txn,
                     std::vector<std::string>* failed) {
-  for (const Precondition& c : txn.preconditions) {
-    const auto it = store_.find(c.key);
-    if ((it == store_.end() ? 0 : it->second.second) != c.mod_revision) {
-      failed->push_back(c.key);
+  for (const Precondition& precondition : txn.preconditions) {
+    const auto it = store_.find(precondition.key);
+    if ((it == store_.end() ? 0 : it->second.second) !=
+        precondition.mod_revision) {
+      failed->push_back(precondition.key);
     }
   }
   if (!failed->empty()) return 0;
@@ -1100,10 +1117,11 @@
         const std::string host = "n-" + std::to_string(next_host_++);
         AddWorker(host, rent.scale_out.type, rent.scale_out.zone,
                   rent.scale_out.spot);
-        SimWorker& w = workers_[host];
-        w.up_at = never_boot ? 1e12 : now_ + types.at(w.type).boot_seconds;
-        w.lease_from = w.up_at;
-        w.next_heartbeat = w.up_at;
+        SimWorker& worker = workers_[host];
+        worker.up_at =
+            never_boot ? 1e12 : now_ + types.at(worker.type).boot_seconds;
+        worker.lease_from = worker.up_at;
+        worker.next_heartbeat = worker.up_at;
         hosts.push_back(host);
       }
     }
@@ -1130,9 +1148,9 @@
         const std::optional<double> back = faults->Travel();
         if (!there || !back || !LeaderNode().Sends(probe->host)) continue;
         After(*there, [this, leader, host = probe->host, back] {
-          OnWorker(host, [this, leader, back](SimWorker& w) {
-            if (w.commands_cut) return;
-            After(*back, [this, leader, heartbeat = HeartbeatOf(w)] {
+          OnWorker(host, [this, leader, back](SimWorker& worker) {
+            if (worker.commands_cut) return;
+            After(*back, [this, leader, heartbeat = HeartbeatOf(worker)] {
               OnLeader(leader, [this, heartbeat] {
                 leader_->OnProbeAnswer(heartbeat, now_);
               });
@@ -1198,13 +1216,13 @@
         AnswerReach(*ask);
       } else if (const auto* back = std::get_if<RequestLeaseYield>(&action)) {
         for (const std::string& name : back->peers) {
-          SimController& c = controllers_[name];
-          if (c.gone || c.refused || !c.lease ||
-              !c.lease->OnYieldRequested(now_)) {
+          SimController& controller = controllers_[name];
+          if (controller.gone || controller.refused || !controller.lease ||
+              !controller.lease->OnYieldRequested(now_)) {
             continue;
           }
           After(kLatency, [this, leader, name, sent = now_,
-                           ago = c.lease->RenewedAgo(now_)] {
+                           ago = controller.lease->RenewedAgo(now_)] {
             OnLeader(leader, [this, name, ago, sent] {
               leader_->OnLeaseYielded(name, "life", now_, ago, sent, now_);
             });
@@ -1261,9 +1279,10 @@
   }
 }
 
-bool Sim::Reaches(const SimController& c, const SimWorker& w) const {
-  return !w.dead && !w.Hangs(now_) && !w.commands_cut && now_ >= w.up_at &&
-         c.Sends(w.host);
+bool Sim::Reaches(const SimController& controller,
+                  const SimWorker& worker) const {
+  return !worker.dead && !worker.Hangs(now_) && !worker.commands_cut &&
+         now_ >= worker.up_at && controller.Sends(worker.host);
 }
 
 void Sim::WatchReach() {
@@ -1423,16 +1442,18 @@
 
 uint32_t Sim::RoomIn(const JobSpec& spec, const std::string& zone) const {
   uint32_t tasks = 0;
-  for (const auto& [host, w] : workers_) {
-    if (w.zone != zone || !w.Sound(now_) || !spec.AllowsType(w.type) ||
-        !spec.AllowsZone(w.zone) || (w.spot && !spec.spot)) {
+  for (const auto& [host, worker] : workers_) {
+    if (worker.zone != zone || !worker.Sound(now_) ||
+        !spec.AllowsType(worker.type) || !spec.AllowsZone(worker.zone) ||
+        (worker.spot && !spec.spot)) {
       continue;
     }
     Resources used = spec.need;
-    for (const auto& [name, t] : w.tasks) {
-      if (t.phase != TaskPhase::kExited) used += jobs_.at(t.job).spec.need;
+    for (const auto& [name, status] : worker.tasks) {
+      if (status.phase != TaskPhase::kExited)
+        used += jobs_.at(status.job).spec.need;
     }
-    for (; tasks < spec.tasks && used.FitsIn(types.at(w.type).total);
+    for (; tasks < spec.tasks && used.FitsIn(types.at(worker.type).total);
          used += spec.need) {
       ++tasks;
     }
@@ -1446,10 +1467,12 @@
   const bool gang = spec.kind == JobKind::kGang;
   std::set<std::string> zones;  // in which tasks of it are
   uint32_t there = 0;
-  for (const auto& [host, w] : workers_) {
-    for (const auto& [name, t] : w.tasks) {
-      if (w.dead || t.job != spec.id || t.phase == TaskPhase::kExited) continue;
-      zones.insert(w.zone);
+  for (const auto& [host, worker] : workers_) {
+    for (const auto& [name, status] : worker.tasks) {
+      if (worker.dead || status.job != spec.id ||
+          status.phase == TaskPhase::kExited)
+        continue;
+      zones.insert(worker.zone);
       ++there;
     }
   }
@@ -1470,7 +1493,7 @@
     }
   }
   std::set<std::string> all;
-  for (const auto& [host, w] : workers_) all.insert(w.zone);
+  for (const auto& [host, worker] : workers_) all.insert(worker.zone);
   uint32_t room = 0;
   for (const std::string& zone : all) {
     if (spec.one_zone && !zones.empty() && !zones.contains(zone)) continue;
@@ -1487,10 +1510,10 @@
   if (now_ < room_noted_ + kEvery) return;
   room_noted_ = now_;
   std::map<std::string, Resources> teams;
-  for (const auto& [host, w] : workers_) {
-    for (const auto& [name, t] : w.tasks) {
-      if (w.dead || t.phase == TaskPhase::kExited) continue;
-      const JobSpec& spec = jobs_.at(t.job).spec;
+  for (const auto& [host, worker] : workers_) {
+    for (const auto& [name, status] : worker.tasks) {
+      if (worker.dead || status.phase == TaskPhase::kExited) continue;
+      const JobSpec& spec = jobs_.at(status.job).spec;
       teams[spec.team] += spec.need;
     }
   }
@@ -1520,10 +1543,10 @@
   if (!leader_) return wrong;
   for (const auto& m : leader_->machines()) {
     const auto it = workers_.find(m->host());
-    for (const auto& [key, r] : m->task_attempts) {
+    for (const auto& [key, attempt] : m->task_attempts) {
       const std::string name = Name(key.job_id, key.task, key.attempt);
       // A start that is under way may not be there yet.
-      if (r.holds && r.order == StartProgress::kSettled &&
+      if (attempt.holds && attempt.order == StartProgress::kSettled &&
           (it == workers_.end() || !it->second.tasks.contains(name))) {
         wrong.push_back("not there: " + name + " on " + m->host());
       }
@@ -1583,12 +1606,12 @@
 void Sim::CheckRules() {
   CheckOrphanedTasks();
   std::map<std::string, Resources> teams;
-  for (const auto& [host, w] : workers_) {
-    if (w.dead) continue;
-    for (const auto& [name, t] : w.tasks) {
-      if (t.phase == TaskPhase::kExited) continue;
-      const StoredJob& job = jobs_.at(t.job);
-      if (Present(t)) teams[job.spec.team] += job.spec.need;
+  for (const auto& [host, worker] : workers_) {
+    if (worker.dead) continue;
+    for (const auto& [name, status] : worker.tasks) {
+      if (status.phase == TaskPhase::kExited) continue;
+      const StoredJob& job = jobs_.at(status.job);
+      if (Present(status)) teams[job.spec.team] += job.spec.need;
       if (job.told && now_ > *job.told + settings.workers.cancel_seconds) {
         Break("ran_cancelled: " + name);
       }
@@ -1626,18 +1649,18 @@
     Resources lasting;
     Resources leaving;
     std::array<Resources, kPriorities> used_by;
-    for (const auto& [key, r] : m->task_attempts) {
-      if (r.job == nullptr) continue;
-      Presence& here = jobs[r.job][m->index()];
+    for (const auto& [key, attempt] : m->task_attempts) {
+      if (attempt.job == nullptr) continue;
+      Presence& here = jobs[attempt.job][m->index()];
       ++here.listed;
-      if (r.phase == TaskPhase::kExited) continue;
+      if (attempt.phase == TaskPhase::kExited) continue;
       ++here.holding;
-      const Resources& need = r.job->spec().need;
+      const Resources& need = attempt.job->spec().need;
       used += need;
-      by_tier.at(r.job->tier) += need;
-      used_by[static_cast<size_t>(r.job->spec().priority)] += need;
-      if (r.stopping) leaving += need;
-      const JobKind kind = r.job->spec().kind;
+      by_tier.at(attempt.job->tier) += need;
+      used_by[static_cast<size_t>(attempt.job->spec().priority)] += need;
+      if (attempt.stopping) leaving += need;
+      const JobKind kind = attempt.job->spec().kind;
       if (kind == JobKind::kService) staying += need;
       if (kind != JobKind::kArray) lasting += need;
     }
@@ -1677,9 +1700,10 @@
     if (m->recorded_up && !m->reported) continue;
     const auto it = workers_.find(m->host());
     if (it == workers_.end() || it->second.dead) continue;
-    for (const auto& [name, t] : it->second.tasks) {
-      if (t.phase == TaskPhase::kExited ||
-          m->task_attempts.contains({t.job, t.task, t.attempt})) {
+    for (const auto& [name, status] : it->second.tasks) {
+      if (status.phase == TaskPhase::kExited ||
+          m->task_attempts.contains(
+              {status.job, status.task, status.attempt})) {
         continue;
       }
       wrong.push_back("taken for gone: " + name + " on " + m->host());
@@ -1710,9 +1734,10 @@
 
 int Sim::CountRunning(const std::string& job) const {
   int n = 0;
-  for (const auto& [host, w] : workers_) {
-    for (const auto& [name, t] : w.tasks) {
-      n += !w.dead && t.job == job && t.phase == TaskPhase::kRunning;
+  for (const auto& [host, worker] : workers_) {
+    for (const auto& [name, status] : worker.tasks) {
+      n += !worker.dead && status.job == job &&
+           status.phase == TaskPhase::kRunning;
     }
   }
   return n;
@@ -1720,9 +1745,10 @@
 
 int Sim::CountPresent(const std::string& job) const {
   int n = 0;
-  for (const auto& [host, w] : workers_) {
-    for (const auto& [name, t] : w.tasks) {
-      n += !w.dead && t.job == job && t.phase != TaskPhase::kExited;
+  for (const auto& [host, worker] : workers_) {
+    for (const auto& [name, status] : worker.tasks) {
+      n += !worker.dead && status.job == job &&
+           status.phase != TaskPhase::kExited;
     }
   }
   return n;
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -217,7 +217,7 @@
   // A report that comes once more, to whoever leads by then; nobody waits for
   // the answer.
   void Copy(const Heartbeat& heartbeat, double after);
-  void NoteWithheld(const SimWorker& w);
+  void NoteWithheld(const SimWorker& worker);
   // A copy of the heartbeat reaches the next leader just as it begins.
   void KeepForNext(const Heartbeat& heartbeat) { kept_.push_back(heartbeat); }
   // The last heartbeat that the worker has sent.
@@ -344,23 +344,23 @@
   void ExecuteActions();
   void Do(const SendCommands& commands);
   void DoWithFaults(const SendCommands& commands);
-  void SendHeartbeatWithFaults(SimWorker& w);
-  void AcceptReply(SimWorker& w, const HeartbeatResponse& reply,
+  void SendHeartbeatWithFaults(SimWorker& worker);
+  void AcceptReply(SimWorker& worker, const HeartbeatResponse& reply,
                    uint64_t incarnation, Time sent);
   // Controllers in zones ask for the right to keep their workers.
   void AskForZones();
   // Whether a controller inside answers a worker that nobody else hears.
-  bool KeptInZone(const SimWorker& w);
+  bool KeptInZone(const SimWorker& worker);
   std::set<std::string> RecordedDelegates() const;
   // Runs on the leader once it has the processor, if it still leads then.
   void OnLeader(uint64_t revision, std::function<void()> what);
   // Runs on the worker once it does not hang any more, if it is still there.
   void OnWorker(const std::string& host, std::function<void(SimWorker&)> what);
-  void Execute(SimWorker& w, const std::vector<WorkerCommand>& commands);
-  void StartTask(SimWorker& w, const WorkerCommand& o);
-  void AdvanceWorker(SimWorker& w);
-  void SendHeartbeat(SimWorker& w);
-  Heartbeat HeartbeatOf(SimWorker& w);
+  void Execute(SimWorker& worker, const std::vector<WorkerCommand>& commands);
+  void StartTask(SimWorker& worker, const WorkerCommand& command);
+  void AdvanceWorker(SimWorker& worker);
+  void SendHeartbeat(SimWorker& worker);
+  Heartbeat HeartbeatOf(SimWorker& worker);
   void Write(const CompareAndSwap& txn);
   // Revision of the change; 0 with the failed keys when a condition fails.
   uint64_t Apply(const CompareAndSwap& txn, std::vector<std::string>* failed);
@@ -376,7 +376,7 @@
   void LookAtClocks();
   void Check(const CheckInstance& check);
   // Whether the machine answers a probe of that controller.
-  bool Reaches(const SimController& c, const SimWorker& w) const;
+  bool Reaches(const SimController& controller, const SimWorker& worker) const;
   void WatchReach();
   void AnswerReach(const AskReach& ask);
   void AnswerTransferOffer(const OfferLeadershipTransfer& offer);
@@ -385,7 +385,7 @@
   SimController& LeaderNode() { return controllers_[leading_]; }
   // Every controller that reaches the key-value store follows the record.
   void FollowTiers();
-  bool Well(const SimTask& t) const;
+  bool Well(const SimTask& task) const;
   void NoteCancelled();
   // What a node tells that reads the records.
   std::string RecordedStatus(const std::string& id) const;
@@ -397,7 +397,7 @@
                const std::map<std::string, Resources>& teams) const;
   // How many tasks of the job the sound machines of a zone have room for.
   uint32_t RoomIn(const JobSpec& spec, const std::string& zone) const;
-  void EndTask(const SimTask& t);
+  void EndTask(const SimTask& task);
   void CheckRules();
   void CheckAnswers();
   // An account of its own of jobs that wait for others.
--- a/tests/stand_ins.cc
+++ b/tests/stand_ins.cc
@@ -475,10 +475,10 @@
   co_return response;
 }
 
-bool FakeWorker::IsWell(const Instance& i) const {
-  const double ran = loop_.Now() - i.running_from;
-  if (dead_ || i.exited || ran < 0) return false;
-  const auto it = cues_.find(i.job);
+bool FakeWorker::IsWell(const Instance& instance) const {
+  const double ran = loop_.Now() - instance.running_from;
+  if (dead_ || instance.exited || ran < 0) return false;
+  const auto it = cues_.find(instance.job);
   if (it == cues_.end()) return true;
   const Cue& cue = it->second;
   if (ran >= cue.sick_after) return false;
@@ -495,9 +495,9 @@
 int FakeWorker::Sick(const std::string& job) const {
   return static_cast<int>(
       std::count_if(instances_.begin(), instances_.end(), [&](const auto& e) {
-        const Instance& i = e.second;
-        return !dead_ && i.job == job && !i.exited &&
-               loop_.Now() >= i.running_from && !IsWell(i);
+        const Instance& instance = e.second;
+        return !dead_ && instance.job == job && !instance.exited &&
+               loop_.Now() >= instance.running_from && !IsWell(instance);
       }));
 }
 
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -172,7 +172,7 @@
   std::string Message();
   void CompleteTasks(double now);
   void Execute(const std::string& body);
-  bool IsWell(const Instance& i) const;
+  bool IsWell(const Instance& instance) const;
 
   net::Loop& loop_;
   std::string host_;
--- a/tests/write_queue_test.cc
+++ b/tests/write_queue_test.cc
@@ -99,8 +99,9 @@
   };
   const auto rests_on = [](const CompareAndSwap& txn, const Precondition& on) {
     return std::any_of(txn.preconditions.begin(), txn.preconditions.end(),
-                       [&](const Precondition& c) {
-                         return c.key == on.key && c.mod_revision == 0;
+                       [&](const Precondition& precondition) {
+                         return precondition.key == on.key &&
+                                precondition.mod_revision == 0;
                        });
   };
   creates_ = true;
--- a/tests/zone_simulation.h
+++ b/tests/zone_simulation.h
@@ -218,8 +218,8 @@
       }
     }
     std::erase_if(leases_, [this](const auto& l) { return now_ > l.second; });
-    for (Record& r : records_) {
-      if (r.mod_revision != 0 && !LeaseStands(r.lease)) r = {};
+    for (Record& record : records_) {
+      if (record.mod_revision != 0 && !LeaseStands(record.lease)) record = {};
     }
     if (holder_ >= 0 && !LeaseStands(key_lease_)) {
       holder_ = -1;
--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -271,13 +271,13 @@
   }
   Heartbeat HeartbeatOf(int w) {
     Worker& me = workers_[w];
-    Heartbeat r;
-    r.host = std::to_string(w);
-    r.incarnation = me.incarnation;
-    r.seq = ++me.seq;
-    r.token = me.token;
-    if (me.task) r.tasks.push_back({});
-    return r;
+    Heartbeat heartbeat;
+    heartbeat.host = std::to_string(w);
+    heartbeat.incarnation = me.incarnation;
+    heartbeat.seq = ++me.seq;
+    heartbeat.token = me.token;
+    if (me.task) heartbeat.tasks.push_back({});
+    return heartbeat;
   }
   void Probe(int i, int w) {
     nodes_[i].office->views[w].asked = now_;
@@ -287,30 +287,33 @@
       Expire(w);
       // Its order raises the token; the answer is its report.
       workers_[w].token = std::max(workers_[w].token, revision << 20);
-      const Heartbeat r = HeartbeatOf(w);
+      const Heartbeat heartbeat = HeartbeatOf(w);
       After(Way(), [=, this] {
-        if (Leads(i) && nodes_[i].revision == revision) Heard(i, w, r, false);
+        if (Leads(i) && nodes_[i].revision == revision)
+          Heard(i, w, heartbeat, false);
       });
     });
   }
   // As Leader::OnHeartbeat and OnProbeAnswer.
-  void Heard(int i, int w, const Heartbeat& r, bool by_heartbeat) {
+  void Heard(int i, int w, const Heartbeat& heartbeat, bool by_heartbeat) {
     View& v = nodes_[i].office->views[w];
     if (by_heartbeat) {
       v.incarnation.Change(IncarnationEvent::kAnswered, 0, now_);
       v.counted = std::max(v.counted, now_);
     }
-    if (!v.incarnation.MayBeNews(r.incarnation) ||
-        (r.incarnation == v.incarnation.number() && r.seq <= v.seq)) {
+    if (!v.incarnation.MayBeNews(heartbeat.incarnation) ||
+        (heartbeat.incarnation == v.incarnation.number() &&
+         heartbeat.seq <= v.seq)) {
       return;
     }
-    if (v.incarnation.Change(IncarnationEvent::kShown, r.incarnation, now_)) {
+    if (v.incarnation.Change(IncarnationEvent::kShown, heartbeat.incarnation,
+                             now_)) {
       v.counted = now_;
     }
-    v.seq = r.seq;
+    v.seq = heartbeat.seq;
     v.heard = now_;
     v.reported = true;
-    v.task = !r.tasks.empty();
+    v.task = !heartbeat.tasks.empty();
   }
 
   // --- a worker
@@ -334,7 +337,7 @@
     me.asked = ++reports_;
     const uint64_t number = me.asked;
     const int to = me.at;
-    const Heartbeat r = HeartbeatOf(w);
+    const Heartbeat heartbeat = HeartbeatOf(w);
     After(4, [=, this] { NoAnswer(w, number, /*at_once=*/true); });
     if (!ReachesWorker(to, me)) {
       // Silence behind a cut, a refusal where nothing listens.
@@ -346,7 +349,7 @@
     After(late, [=, this, sent = now_,
                  process_incarnation = nodes_[to].process_incarnation] {
       if (nodes_[to].process_incarnation == process_incarnation)
-        Arrives(w, to, number, r, sent);
+        Arrives(w, to, number, heartbeat, sent);
     });
   }
   void NoAnswer(int w, uint64_t number, bool next) {
@@ -356,7 +359,8 @@
     if (next) me.at = (me.at + 1) % kNodes;
     me.next_heartbeat = now_ + 1;
   }
-  void Arrives(int w, int i, uint64_t number, const Heartbeat& r, Time sent) {
+  void Arrives(int w, int i, uint64_t number, const Heartbeat& heartbeat,
+               Time sent) {
     ControllerNode& n = nodes_[i];
     int leader = Leads(i) ? i : -1;
     // Handed on to a leader in another zone.
@@ -368,11 +372,11 @@
     }
     if (leader >= 0) {
       n.signs->Clear();
-      Heard(leader, w, r, true);
+      Heard(leader, w, heartbeat, true);
       const uint64_t token = nodes_[leader].revision << 20;
       const int home = Happens(0.05) ? HomeOf(w, leader) : -1;
-      Answer(w, i, number, r.incarnation, sent, home < 0 ? 200 : 421, home,
-             token, workers_[w].task_cancelled <= now_);
+      Answer(w, i, number, heartbeat.incarnation, sent, home < 0 ? 200 : 421,
+             home, token, workers_[w].task_cancelled <= now_);
       return;
     }
     // Until it is known whether it is cut off.
@@ -381,11 +385,11 @@
       ControllerNode& me = nodes_[i];
       if (me.process_incarnation != process_incarnation) return;
       bool keeps = false;
-      if (r.token > 0 && kZoneOf[i] == workers_[w].zone && CutOff(i)) {
-        if (me.signs->Redirected(r, now_)) {
+      if (heartbeat.token > 0 && kZoneOf[i] == workers_[w].zone && CutOff(i)) {
+        if (me.signs->Redirected(heartbeat, now_)) {
           ++sent_on_;
         } else if (me.lease->Renew(now_)) {
-          me.signs->Kept(r, now_);
+          me.signs->Kept(heartbeat, now_);
           keeps = true;
           ++kept_;
         }
@@ -393,8 +397,8 @@
         me.signs->Clear();
       }
       const int named = keeps || CutOff(i) || me.leader == i ? -1 : me.leader;
-      Answer(w, i, number, r.incarnation, sent, keeps ? 200 : 421, named,
-             r.token, false);
+      Answer(w, i, number, heartbeat.incarnation, sent, keeps ? 200 : 421,
+             named, heartbeat.token, false);
     });
   }
   int HomeOf(int w, int leader) {
--- a/wire/job_json.cc
+++ b/wire/job_json.cc
@@ -113,9 +113,9 @@
 std::string WhyImpossible(const JobSpec& spec,
                           const std::map<std::string, MachineType>& types,
                           const std::vector<TeamQuota>& teams) {
-  const auto team =
-      std::find_if(teams.begin(), teams.end(),
-                   [&](const TeamQuota& t) { return t.name == spec.team; });
+  const auto team = std::find_if(
+      teams.begin(), teams.end(),
+      [&](const TeamQuota& team) { return team.name == spec.team; });
   if (team == teams.end()) return "unknown team";
   const bool fits = std::any_of(types.begin(), types.end(), [&](const auto& t) {
     const MachineType& type = t.second;
--- a/wire/records.cc
+++ b/wire/records.cc
@@ -62,22 +62,22 @@
     Key(w, "count");
     w.Int(r.count);
   }
-  void operator()(const TerminalRecord& r) const {
-    Field(w, "final", NameOf(kTerminalStates, r.state));
+  void operator()(const TerminalRecord& record) const {
+    Field(w, "final", NameOf(kTerminalStates, record.state));
     Key(w, "tasks");
-    w.Uint(r.tasks);
+    w.Uint(record.tasks);
   }
-  void operator()(const RolloutRecord& r) const {
+  void operator()(const RolloutRecord& record) const {
     Key(w, "spec");
     w.StartObject();
-    WriteRolloutSpec(w, *r.spec);
+    WriteRolloutSpec(w, *record.spec);
     w.EndObject();
-    Field(w, "step", NameOf(kRolloutStepNames, r.step));
-    Field(w, "paused_in", NameOf(kRolloutStepNames, r.paused_in));
-    Field(w, "wish", NameOf(kRolloutRequests, r.request));
-    Field(w, "reason", r.reason);
+    Field(w, "step", NameOf(kRolloutStepNames, record.step));
+    Field(w, "paused_in", NameOf(kRolloutStepNames, record.paused_in));
+    Field(w, "wish", NameOf(kRolloutRequests, record.request));
+    Field(w, "reason", record.reason);
     Key(w, "t");
-    w.Double(r.declared_wall);
+    w.Double(record.declared_wall);
   }
   void operator()(const StoreEpoch& r) const {
     Key(w, "number");
--- a/wire/worker_json.cc
+++ b/wire/worker_json.cc
@@ -40,15 +40,15 @@
 void WriteOrders(json::Writer& w, const std::vector<WorkerCommand>& commands) {
   w.Key("orders");
   w.StartArray();
-  for (const WorkerCommand& o : commands) {
+  for (const WorkerCommand& command : commands) {
     w.StartObject();
-    json::Field(w, "order", NameOf(kCommands, o.kind));
-    json::Field(w, "leg", o.job_id + "/" + std::to_string(o.task));
+    json::Field(w, "order", NameOf(kCommands, command.kind));
+    json::Field(w, "leg", command.job_id + "/" + std::to_string(command.task));
     w.Key("try_no");
-    w.Uint64(o.attempt);
-    if (o.kind == CommandKind::kStop) {
+    w.Uint64(command.attempt);
+    if (command.kind == CommandKind::kStop) {
       w.Key("wind_down_s");
-      w.Double(o.grace_seconds);
+      w.Double(command.grace_seconds);
     }
     w.EndObject();
   }
