--- a/api/rollout_routes.cc
+++ b/api/rollout_routes.cc
@@ -84,13 +84,13 @@
   }
   const std::string verb = id.substr(slash + 1);
   id.resize(slash);
-  RolloutRequest request = RolloutRequest::kNone;
-  if (!wire::TermOf(wire::kRolloutRequests, verb, &request) ||
-      request == RolloutRequest::kNone || !wire::ValidRolloutId(id)) {
+  RolloutRequest asked_for = RolloutRequest::kNone;
+  if (!wire::TermOf(wire::kRolloutRequests, verb, &asked_for) ||
+      asked_for == RolloutRequest::kNone || !wire::ValidRolloutId(id)) {
     co_return Error(404, "no such route");
   }
   if (!post) co_return WrongMethod("POST");
-  co_return ResponseOf(co_await service_.Request(std::move(id), request));
+  co_return ResponseOf(co_await service_.Request(std::move(id), asked_for));
 }
 
 }  // namespace oxbow::api
--- a/app/calendar_cli.cc
+++ b/app/calendar_cli.cc
@@ -268,16 +268,18 @@
   spec.job_class = command.job_class;
   spec.team = command.team;
   spec.need = {command.cores, command.accelerators, 0};
-  const Verdict verdict = calendar.MayStart(spec, "", command.run_seconds, 0);
+  const AdmissionDecision admission =
+      calendar.MayStart(spec, "", command.run_seconds, 0);
   if (!calendar.Names(spec, "")) {
     std::printf("no booking names this work\n");
-  } else if (verdict.may()) {
+  } else if (admission.may()) {
     std::printf("may start now\n");
   } else {
-    std::printf("waits for %s until %s\n",
-                verdict.booking.empty() ? "a window" : verdict.booking.c_str(),
-                verdict.until > 0 ? Utc(verdict.until).c_str()
-                                  : "a time that is not known");
+    std::printf(
+        "waits for %s until %s\n",
+        admission.booking.empty() ? "a window" : admission.booking.c_str(),
+        admission.until > 0 ? Utc(admission.until).c_str()
+                            : "a time that is not known");
   }
   return kRecordOk;
 }
--- a/app/dependency_admission.h
+++ b/app/dependency_admission.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "clients/key_value_store.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/model/job.h"
 #include "net/task.h"
 
--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -525,7 +525,7 @@
   hint.mod_revision = revision;
   hint.running = acceptance.waits ? 1 : 0;
   hint.text = wire::EncodeRecord(acceptance.record);
-  net::Spawn(leader->ResolveStatus(std::move(hint)));
+  net::Spawn(leader->Notify(std::move(hint)));
 }
 
 net::Task<api::Status> JobRequestHandler::CancelOrPass(std::string id) {
@@ -563,7 +563,7 @@
                                                  HeartbeatResponse* reply) {
   const Leader* leading = leader_runtime_.ActiveLeader();
   if (leading == nullptr) return false;
-  leader_runtime_.ResolveStatus(leading->revision(), [&](Leader& leader) {
+  leader_runtime_.Deliver(leading->revision(), [&](Leader& leader) {
     *reply = leader.OnHeartbeat(heartbeat, loop_.Now());
   });
   // The report may have ended this leadership; and a copy is not answered.
@@ -579,7 +579,7 @@
     out.leader =
         zone_coordinator_.BetterPlaceFor(heartbeat, leading->revision());
     if (!out.leader.empty()) {
-      leader_runtime_.ResolveStatus(leading->revision(), [&](Leader& leader) {
+      leader_runtime_.Deliver(leading->revision(), [&](Leader& leader) {
         leader.OnProbeAnswer(heartbeat, loop_.Now());
       });
       out.result = Result::kElsewhere;
--- a/app/job_request_handler.h
+++ b/app/job_request_handler.h
@@ -19,7 +19,7 @@
 #include "app/zone_coordinator.h"
 #include "clients/key_value_store.h"
 #include "clients/peer.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/read_consistency/read_consistency_gate.h"
 
 namespace oxbow::app {
--- a/app/leader_election.h
+++ b/app/leader_election.h
@@ -13,7 +13,7 @@
 #include "app/store_watcher.h"
 #include "clients/key_value_store.h"
 #include "clients/peer.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/lease/leadership.h"
 #include "net/loop.h"
 
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "app/calendar_records.h"
+#include "logging/structured_log.h"
 #include "wire/moves_json.h"
 #include "wire/tiers_json.h"
 
@@ -140,7 +141,7 @@
     LookAtClocks();
   }
   leader_->UseMoves(wire::kMoveCodec, now);
-  leader_->log_detail = spdlog::should_log(spdlog::level::debug);
+  leader_->set_log_detail(logging::DebugEnabled());
   if (!watcher_.types().empty()) {
     std::vector<MachineType> types;
     for (const auto& [name, type] : watcher_.types()) types.push_back(type);
@@ -245,11 +246,7 @@
         resign = quit->reason;
         unfit = quit->unfit;
       } else if (auto* note = std::get_if<LogEvent>(&action)) {
-        if (note->detail) {
-          spdlog::debug("{}", note->text);
-        } else {
-          spdlog::info("{}", note->text);
-        }
+        logging::Write(*note);
       }
     }
   }
--- a/app/record_coordinator.h
+++ b/app/record_coordinator.h
@@ -10,7 +10,7 @@
 
 #include "api/record_routes.h"
 #include "clients/key_value_store.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/model/settings.h"
 
 namespace oxbow::app {
--- a/app/settings.cc
+++ b/app/settings.cc
@@ -140,7 +140,7 @@
     read.Amount(*workers, "cancel_s", 0, &out->workers.cancel_seconds);
   }
   if (const auto* state = read.Object(cluster, "state")) {
-    ReadState(*state, read, &out->state);
+    ReadState(*state, read, &out->store);
   }
   if (const auto* cloud = read.Object(cluster, "cloud")) {
     read.Amount(*cloud, "rps", kAbove0, &out->cloud.rps);
--- a/app/store_watcher.h
+++ b/app/store_watcher.h
@@ -9,7 +9,7 @@
 
 #include "clients/cloud.h"
 #include "clients/key_value_store.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "net/loop.h"
 
 namespace oxbow::app {
--- a/app/version_coordinator.h
+++ b/app/version_coordinator.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "clients/key_value_store.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/model/settings.h"
 #include "core/upgrade/version_gate.h"
 #include "net/loop.h"
--- a/clients/cloud.h
+++ b/clients/cloud.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "clients/budget.h"
-#include "core/leader/actions.h"
+#include "core/leader_context/actions.h"
 #include "net/http_client.h"
 
 namespace oxbow::clients {
--- a/clients/health.h
+++ b/clients/health.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "core/leader/actions.h"
+#include "core/leader_context/actions.h"
 #include "health_expression/health_expression.h"
 #include "net/loop.h"
 
--- a/clients/worker.h
+++ b/clients/worker.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "core/leader/actions.h"
+#include "core/leader_context/actions.h"
 #include "core/model/heartbeat.h"
 #include "net/http_client.h"
 
--- a/core/leader/catalog.cc
+++ b/core/catalog/catalog.cc
@@ -1,4 +1,4 @@
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 
 #include <algorithm>
 #include <functional>
--- a/core/leader/command_dispatch.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -1,24 +1,26 @@
-// Orders to the workers: queued, sent in batches, answered or not.
+#include "core/command_dispatch/command_dispatcher.h"
 
 #include <algorithm>
 #include <deque>
 #include <iterator>
 #include <utility>
 
-#include "core/leader/leader.h"
-#include "core/leader/machine_limits.h"
+#include "core/maintenance/maintenance_manager.h"
+#include "core/worker_sessions/machine_limits.h"
 
 namespace oxbow {
 
-void Leader::QueueStop(Machine& machine, TaskAttempt& attempt,
+CommandDispatcher::CommandDispatcher(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), cluster_(context.cluster), actions_(context.actions), maintenance_(modules.maintenance) {}
+
+void CommandDispatcher::QueueStop(Machine& machine, TaskAttempt& attempt,
                        double grace_seconds, Time now) {
   if (attempt.phase == TaskPhase::kExited) return;
   if (attempt.start_progress == StartProgress::kQueued) {
     // Its start was never sent, so it is not there.
-    RemoveAttempt(machine, KeyOf(attempt));
+    cluster_.RemoveAttempt(machine, KeyOf(attempt));
     return;
   }
-  SetStopping(machine, attempt, true);
+  cluster_.SetStopping(machine, attempt, true);
   attempt.stop_grace = grace_seconds;
   attempt.stop_sent = now;
   machine.queue.push_back({CommandKind::kStop, attempt.job_id, attempt.task,
@@ -26,7 +28,7 @@
   DispatchCommands(machine, now);
 }
 
-void Leader::QueueForget(Machine& machine, TaskAttempt& attempt) {
+void CommandDispatcher::QueueForget(Machine& machine, TaskAttempt& attempt) {
   // A start of this attempt that is still under way would be executed anew
   // once the worker has forgotten it; the batch has to be settled first.
   if (attempt.forgetting || attempt.phase != TaskPhase::kExited) return;
@@ -38,8 +40,8 @@
 }
 
 // Stops every task of the job that is not being stopped already.
-void Leader::StopTasks(Job& job, double grace_seconds, Time now) {
-  for (const auto& [machine, key] : AttemptsOf(job)) {
+void CommandDispatcher::StopTasks(Job& job, double grace_seconds, Time now) {
+  for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const auto it = machine->task_attempts.find(key);
     if (it != machine->task_attempts.end() && !it->second.stopping) {
       QueueStop(*machine, it->second, grace_seconds, now);
@@ -48,8 +50,8 @@
 }
 
 // The job's end is recorded: its tasks go, its exits are forgotten.
-void Leader::StopJob(Job& job, Time now) {
-  for (const auto& [machine, key] : AttemptsOf(job)) {
+void CommandDispatcher::StopJob(Job& job, Time now) {
+  for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const auto it = machine->task_attempts.find(key);
     if (it == machine->task_attempts.end()) continue;
     TaskAttempt& attempt = it->second;
@@ -60,11 +62,11 @@
     }
   }
   for (const auto& [index, presence] : job.presence()) {
-    DispatchCommands(*machines_[static_cast<size_t>(index)], now);
+    DispatchCommands(cluster_.machine(index), now);
   }
 }
 
-void Leader::AcknowledgeBatch(Machine& machine) {
+void CommandDispatcher::AcknowledgeBatch(Machine& machine) {
   for (const WorkerCommand& command : machine.batch->commands) {
     if (command.kind != CommandKind::kStart) continue;
     const auto it = machine.task_attempts.find(
@@ -76,16 +78,16 @@
   machine.batch_lost = false;
 }
 
-void Leader::RaiseFencingToken(Machine& machine) {
-  const uint64_t next = NextNumber();
+void CommandDispatcher::RaiseFencingToken(Machine& machine) {
+  const uint64_t next = context_.NextNumber();
   if (next > machine.token) machine.token = next;
 }
 
 // Sends what is queued, one batch at a time. An empty batch under a token the
 // worker has not shown yet settles what an earlier leader may have sent.
-void Leader::DispatchCommands(Machine& machine, Time now) {
+void CommandDispatcher::DispatchCommands(Machine& machine, Time now) {
   if (machine.batch || machine.endpoint.empty() ||
-      !machine.incarnation.alive() || resigned_ ||
+      !machine.incarnation.alive() || context_.resigned ||
       now < machine.direct_broken_until ||
       machine.state() == MachineState::kGone ||
       machine.state() == MachineState::kBooting) {
@@ -97,12 +99,12 @@
     return;
   // Its report's answer takes everything: what went by itself now would be
   // under way, and no start could go with the answer.
-  const bool in_answer = HasCalendarStart(machine);
-  if (in_answer && answering_ == &machine) return;
+  const bool in_answer = maintenance_.HasCalendarStart(machine);
+  if (in_answer && responding_to_ == &machine) return;
   if (in_answer && machine.confirmed() &&
       std::all_of(machine.queue.begin(), machine.queue.end(),
                   [&](const WorkerCommand& command) {
-                    return SentInHeartbeatResponse(command);
+                    return maintenance_.SentInHeartbeatResponse(command);
                   })) {
     return;
   }
@@ -112,7 +114,7 @@
          batch.commands.size() < kMaxCommandsPerBatch) {
     WorkerCommand command = std::move(machine.queue.front());
     machine.queue.pop_front();
-    if (in_answer && SentInHeartbeatResponse(command)) {
+    if (in_answer && maintenance_.SentInHeartbeatResponse(command)) {
       stay.push_back(std::move(command));
       continue;
     }
@@ -139,7 +141,7 @@
 // reports until its token is confirmed; a pause of one, each time, had put
 // every second try on the broken way again, and a cancelled task outlived the
 // time it is given.
-void Leader::OnDirectCommandFailed(Machine& machine, Time now) {
+void CommandDispatcher::OnDirectCommandFailed(Machine& machine, Time now) {
   constexpr uint32_t kMostDoublings = 4;
   const uint32_t doublings =
       std::min(machine.direct_failures++, kMostDoublings);
@@ -149,11 +151,25 @@
                      settings_.workers.lease_seconds);
 }
 
-void Leader::OnCommandResponse(const std::string& host, uint64_t batch,
-                               CommandOutcome outcome,
-                               const Heartbeat* heartbeat, Time now) {
-  Machine* machine = FindMachine(host);
-  if (machine == nullptr) return;
+void CommandDispatcher::FillResponse(Machine& machine, HeartbeatResponse* response, Time now) {
+  if ((now >= machine.direct_broken_until && !maintenance_.HasCalendarStart(machine)) ||
+      machine.batch || !machine.confirmed() || machine.queue.empty()) {
+    return;
+  }
+  Batch batch{next_batch_++, {}, /*in_response=*/true};
+  batch.commands.assign(machine.queue.begin(), machine.queue.end());
+  machine.queue.clear();
+  for (auto& [key, attempt] : machine.task_attempts) {
+    if (attempt.start_progress == StartProgress::kQueued) {
+      attempt.start_progress = StartProgress::kSent;
+    }
+  }
+  response->commands = batch.commands;
+  machine.batch = std::move(batch);
+}
+
+void CommandDispatcher::OnCommandResponse(Machine& target, uint64_t batch, CommandOutcome outcome, Time now) {
+  Machine* machine = &target;
   if (machine->batch && machine->batch->id == batch && !machine->batch_lost) {
     switch (outcome) {
       case CommandOutcome::kExecuted:
@@ -169,7 +185,7 @@
             const auto it = machine->task_attempts.find(
                 {command.job_id, command.task, command.attempt});
             if (it == machine->task_attempts.end()) continue;
-            SetStopping(*machine, it->second, false);
+            cluster_.SetStopping(*machine, it->second, false);
             it->second.forgetting = false;
           }
         }
@@ -183,7 +199,8 @@
         OnDirectCommandFailed(*machine, now);
         for (auto it = commands.rbegin(); it != commands.rend(); ++it) {
           if (it->kind == CommandKind::kStart) {
-            RemoveAttempt(*machine, {it->job_id, it->task, it->attempt});
+            cluster_.RemoveAttempt(*machine,
+                                   {it->job_id, it->task, it->attempt});
           } else {
             machine->queue.push_front(std::move(*it));
           }
@@ -201,18 +218,14 @@
           if (it == machine->task_attempts.end() ||
               command.kind == CommandKind::kStart)
             continue;
-          SetStopping(*machine, it->second, false);
+          cluster_.SetStopping(*machine, it->second, false);
           it->second.forgetting = false;
         }
         RaiseFencingToken(*machine);
-        Log("orders to " + host + " unanswered, token raised");
+        context_.Log("orders to " + machine->host() + " unanswered, token raised");
         break;
     }
   }
-  if (heartbeat != nullptr)
-    ApplyHeartbeat(*machine, *heartbeat, /*by_heartbeat=*/false, now);
-  DispatchCommands(*machine, now);
-  Settle(now);
 }
 
 }  // namespace oxbow
--- a/core/leader/dependencies.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -1,13 +1,10 @@
-// Jobs that wait for others, on the leader: when one is released or cancelled,
-// by which write, and how jobs ended that nobody here remembers. A release and
-// a cancellation are one transaction each, conditioned on the waiting record:
-// of two that are under way only one is carried out, and a late one fails.
+#include "core/dependencies/dependency_coordinator.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/job_lifecycle/job_lifecycle.h"
 
 namespace oxbow {
 namespace {
@@ -40,7 +37,10 @@
 
 }  // namespace
 
-TerminalState Leader::TerminalStateOf(const std::string& id) const {
+
+DependencyCoordinator::DependencyCoordinator(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), queue_ranking_(context.queue_ranking), run_times_(context.run_times), job_lifecycle_(modules.job_lifecycle), dependency_graph_(*this) {}
+
+TerminalState DependencyCoordinator::TerminalStateOf(const std::string& id) const {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (end != TerminalState::kNone) return end;
   // A recorded cancellation decides, long before its user can be told.
@@ -48,16 +48,16 @@
   return job == nullptr ? TerminalState::kNone : job->terminal_state;
 }
 
-double Leader::CriticalPathSeconds(const JobSpec& spec) const {
-  return kPathMargin * RunSeconds(spec) +
+double DependencyCoordinator::CriticalPathSeconds(const JobSpec& spec) const {
+  return kPathMargin * run_times_.RunSeconds(spec) +
          kStepReports * settings_.workers.heartbeat_interval_seconds;
 }
 
-DueTimes Leader::DueTimesOf(const JobSpec& spec, Time submitted) const {
+DueTimes DependencyCoordinator::DueTimesOf(const JobSpec& spec, Time submitted) const {
   return queue_ranking_.DueTimesOf(spec, submitted);
 }
 
-void Leader::OnWaitingRecord(const std::string& id, Time now) {
+void DependencyCoordinator::OnWaitingRecord(const std::string& id, Time now) {
   const auto it = catalog_.waiting().find(id);
   if (it == catalog_.waiting().end()) return;
   // It was released or has ended: an older copy has come back.
@@ -67,13 +67,13 @@
   }
   const WaitingRecord& record = it->second;
   const Time submitted =
-      std::min(now, record.submitted_wall - wall_minus_steady_);
+      std::min(now, record.submitted_wall - context_.wall_minus_steady);
   dependency_graph_.Add(
       record.spec, submitted,
       [this](const std::string& need) { return TerminalStateOf(need); });
   for (const std::string& need : record.spec->dependencies)
     RequestTerminalState(need, now);
-  quiet_since_ = now;
+  cluster_.NoteDemand(now);
   UpdateInherited();
   QueueDependencySteps(now);
   writes_.Flush(now);
@@ -81,7 +81,7 @@
 
 // A job that is neither live here, nor waiting, nor known to have ended. That
 // it is missing proves nothing: only a record found counts.
-void Leader::RequestTerminalState(const std::string& need, Time now) {
+void DependencyCoordinator::RequestTerminalState(const std::string& need, Time now) {
   if (TerminalStateOf(need) != TerminalState::kNone ||
       catalog_.FindJob(need) != nullptr ||
       catalog_.FindWaiting(need) != nullptr) {
@@ -99,13 +99,13 @@
   actions_.push_back(ReadTerminalState{need});
 }
 
-void Leader::OnTerminalStateRead(const std::string& id, Time now) {
+void DependencyCoordinator::OnTerminalStateRead(const std::string& id, Time now) {
   terminal_state_reads_in_flight_ =
       std::max(0, terminal_state_reads_in_flight_ - 1);
   OnTerminalStateKnown(id, TerminalStateOf(id), now);
 }
 
-void Leader::OnTerminalStateKnown(const std::string& id, TerminalState end,
+void DependencyCoordinator::OnTerminalStateKnown(const std::string& id, TerminalState end,
                                   Time now) {
   if (end == TerminalState::kNone) return;
   terminal_state_reads_.erase(id);
@@ -115,7 +115,7 @@
   QueueDependencySteps(now);
 }
 
-void Leader::PollDependencies(Time now) {
+void DependencyCoordinator::PollDependencies(Time now) {
   for (const std::string& need :
        dependency_graph_.NextDependencies(kNeedsAtOnce)) {
     const TerminalState end = TerminalStateOf(need);
@@ -130,7 +130,7 @@
 
 // No more than half of a transaction at a time, so that the cancellation of a
 // long chain leaves room for the ends of other jobs.
-void Leader::QueueDependencySteps(Time now) {
+void DependencyCoordinator::QueueDependencySteps(Time now) {
   const size_t most =
       std::max<size_t>(1, static_cast<size_t>(settings_.store.txn_ops) / 2);
   while (dependency_steps_.size() < most) {
@@ -141,12 +141,12 @@
     // The wish of a user while the release was under way waits for its outcome.
     if (!dependency_steps_.insert(id).second) continue;
     WriteOp op{releases ? WriteKind::kRelease : WriteKind::kCancelWaiting, id};
-    op.released_wall = now + wall_minus_steady_;
+    op.released_wall = now + context_.wall_minus_steady;
     writes_.Queue(std::move(op));
   }
 }
 
-bool Leader::BuildDependencyStep(const WriteOp& op, CompareAndSwap* txn) const {
+bool DependencyCoordinator::BuildDependencyStep(const WriteOp& op, CompareAndSwap* txn) const {
   const auto it = catalog_.waiting().find(op.name);
   if (it == catalog_.waiting().end()) return false;
   const WaitingRecord& waiting = it->second;
@@ -200,7 +200,7 @@
   return true;
 }
 
-void Leader::OnDependencyStepWritten(const WriteOp& op, uint64_t revision,
+void DependencyCoordinator::OnDependencyStepWritten(const WriteOp& op, uint64_t revision,
                                      Time now) {
   const std::string& id = op.name;
   dependency_steps_.erase(id);
@@ -220,13 +220,13 @@
 }
 
 // By the records as they are known now, whoever wrote them.
-void Leader::SettleDependentJob(const std::string& id, Time now) {
+void DependencyCoordinator::SettleDependentJob(const std::string& id, Time now) {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (catalog_.FindJob(id) != nullptr) {
-    OnJobRecord(id, now);
+    job_lifecycle_.OnJobRecord(id, now);
   } else if (end != TerminalState::kNone) {
     if (dependency_graph_.Find(id) != nullptr) {
-      Log("job " + id + " waited for others, " +
+      context_.Log("job " + id + " waited for others, " +
           (end == TerminalState::kDone ? "done" : "cancelled"));
       dependency_graph_.Remove(id);
       actions_.push_back(JobTerminated{id, end});
@@ -249,7 +249,7 @@
 
 // A waiting job has become an ordinary one. True: its user cancelled it while
 // the release was under way.
-bool Leader::StopWaiting(const std::string& id) {
+bool DependencyCoordinator::StopWaiting(const std::string& id) {
   const DependentJob* chain = dependency_graph_.Find(id);
   if (chain == nullptr) return false;
   const bool cancelled = chain->state == DependencyState::kCancelling;
@@ -257,11 +257,11 @@
   return cancelled;
 }
 
-bool Leader::CancelWaiting(const std::string& id, Time now) {
+bool DependencyCoordinator::CancelWaiting(const std::string& id, Time now) {
   if (catalog_.FindWaiting(id) == nullptr) return false;
   if (dependency_graph_.Find(id) == nullptr) OnWaitingRecord(id, now);
   if (!dependency_graph_.Cancel(id)) return false;
-  Log("cancel " + id + ", which waits for others: asked by its user");
+  context_.Log("cancel " + id + ", which waits for others: asked by its user");
   UpdateInherited();
   QueueDependencySteps(now);
   writes_.Flush(now);
@@ -269,33 +269,33 @@
 }
 
 // Costs no more than the jobs whose inheritance has changed.
-void Leader::UpdateInherited() {
+void DependencyCoordinator::UpdateInherited() {
   for (const std::string& id : dependency_graph_.TakeChanged()) {
-    const auto it = jobs_.find(id);
-    if (it == jobs_.end()) continue;
+    const auto it = cluster_.jobs().find(id);
+    if (it == cluster_.jobs().end()) continue;
     it->second->inherit(dependency_graph_.InheritedBy(id));
-    dirty_ = true;
+    cluster_.MarkChanged();
   }
 }
 
 // What the next steps of chains will need at once, when all that they wait for
 // is about to be done.
-Resources Leader::NextSteps(Time now) const {
+Resources DependencyCoordinator::NextSteps(Time now) const {
   Resources soon;
   if (dependency_graph_.empty()) return soon;
   double boot_seconds = 0;
-  for (const auto& [name, type] : types_) {
+  for (const auto& [name, type] : cluster_.types()) {
     boot_seconds = std::max(boot_seconds, type.boot_seconds);
   }
   const auto ends_soon = [&](const std::string& id) {
-    const auto it = jobs_.find(id);
-    if (it == jobs_.end()) return false;
+    const auto it = cluster_.jobs().find(id);
+    if (it == cluster_.jobs().end()) return false;
     const Job& job = *it->second;
     return job.unplaced() == 0 &&
-           job.queued_since() + RunSeconds(job.spec()) < now + boot_seconds;
+           job.queued_since() + run_times_.RunSeconds(job.spec()) < now + boot_seconds;
   };
   std::set<std::string> counted;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs()) {
     const std::set<std::string>* dependents =
         dependency_graph_.DependentsOf(id);
     if (dependents == nullptr || !ends_soon(id)) continue;
@@ -312,7 +312,7 @@
   return soon;
 }
 
-std::vector<std::string> Leader::WaitingLines() const {
+std::vector<std::string> DependencyCoordinator::WaitingLines() const {
   constexpr size_t kMostLines = 20;
   constexpr size_t kMostNeeds = 5;
   std::vector<std::string> lines;
--- /dev/null
+++ b/core/job_lifecycle/job_lifecycle.cc
@@ -0,0 +1,131 @@
+#include "core/job_lifecycle/job_lifecycle.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/dependencies/dependency_coordinator.h"
+
+namespace oxbow {
+
+JobLifecycle::JobLifecycle(LeaderContext& context, const Modules& modules) : context_(context), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), tiers_(context.tiers), fragmentation_(context.fragmentation), queue_ranking_(context.queue_ranking), dispatcher_(modules.dispatcher), dependencies_(modules.dependencies) {}
+
+void JobLifecycle::AddJob(const JobRecord& record, Time now) {
+  const int team = cluster_.FindQuota(record.spec->team);
+  const Time submitted =
+      std::min(now, record.submitted_wall - context_.wall_minus_steady);
+  const Time queued_since =
+      record.released_wall > 0
+          ? std::min(now, record.released_wall - context_.wall_minus_steady)
+          : submitted;
+  auto job = std::make_unique<Job>(record, team, submitted, queued_since);
+  if (record.terminal_state == TerminalState::kDone) {
+    job->Change(JobState::kDone);
+  }
+  if (record.terminal_state == TerminalState::kAborted) {
+    job->Change(JobState::kAborted);
+  }
+  // What is written back gets a new stamp, but is as old as it was.
+  job->from_before = record.mod_revision <= context_.revision;
+  job->tier = tiers_.Classify(job->spec());
+  job->inherit(dependencies_.InheritedBy(job->id()));
+  Job& added = cluster_.AddJob(std::move(job));
+  if (!added.live()) {
+    RetireIfClear(added);
+    dependencies_.OnTerminalStateKnown(added.id(), record.terminal_state, now);
+  }
+  cluster_.NoteDemand(now);
+  queue_ranking_.Seen(added.spec());
+  fragmentation_.Note(added.spec(), added.queued_since());
+  cluster_.MarkChanged();
+  if (added.spec().priority == Priority::kProduction)
+    cluster_.MarkUrgentChange();
+}
+
+void JobLifecycle::OnJobRecord(const std::string& id, Time now) {
+  const JobRecord* record = catalog_.FindJob(id);
+  if (record == nullptr) return;
+  const bool cancelled = dependencies_.StopWaiting(id);
+  const auto it = cluster_.jobs().find(id);
+  if (it == cluster_.jobs().end()) {
+    AddJob(*record, now);
+    // Not sent from here: this may follow from a write that is being built.
+    const auto added = cluster_.jobs().find(id);
+    if (cancelled && added->second->live()) {
+      FinishJob(*added->second, TerminalState::kAborted);
+    }
+    context_.schedule_if_needed(now);
+  } else if (record->terminal_state != TerminalState::kNone) {
+    OnTerminalStateRecorded(id, record->terminal_state, now);
+  }
+}
+
+bool JobLifecycle::Cancel(const std::string& id, Time now) {
+  const auto it = cluster_.jobs().find(id);
+  if (it == cluster_.jobs().end()) {
+    if (dependencies_.CancelWaiting(id, now)) return true;
+    const TerminalState known = catalog_.FindTerminalState(id);
+    if (known == TerminalState::kNone) return false;
+    actions_.push_back(JobTerminated{id, known});
+    return true;
+  }
+  Job& job = *it->second;
+  if (job.live()) {
+    context_.Log("cancel " + id + ": asked by its user");
+    FinishJob(job, TerminalState::kAborted);
+    writes_.Flush(now);
+  } else if (job.state() == JobState::kDone) {
+    actions_.push_back(JobTerminated{id, TerminalState::kDone});
+  } else if (CancellationStands(job)) {
+    actions_.push_back(JobTerminated{id, TerminalState::kAborted});
+  }
+  return true;
+}
+
+// The record comes first. Nobody is told, and no task stopped, before it
+// stands: a leader that crashes in between must not leave a half-ended job.
+void JobLifecycle::FinishJob(Job& job, TerminalState state) {
+  job.Change(state == TerminalState::kDone ? JobState::kRecordingDone
+                                           : JobState::kRecordingAbort);
+  writes_.Queue({WriteKind::kFinish, job.id(), state, {}});
+}
+
+void JobLifecycle::OnTerminalStateRecorded(const std::string& id, TerminalState state,
+                                     Time now) {
+  dependencies_.OnTerminalStateKnown(id, state, now);
+  const auto it = cluster_.jobs().find(id);
+  if (it == cluster_.jobs().end()) return;
+  Job& job = *it->second;
+  if (job.ended_by_record()) return;
+  job.Change(state == TerminalState::kDone ? JobState::kDone
+                                           : JobState::kAborted);
+  job.ended = now;
+  context_.Log("job " + id + (state == TerminalState::kDone ? " done" : " cancelled") +
+      ", recorded");
+  // That it is cancelled is told once nothing is left of it (Done, kRetire).
+  if (state == TerminalState::kDone)
+    actions_.push_back(JobTerminated{id, state});
+  dispatcher_.StopJob(job, now);
+  cluster_.DropAllReservations(job);
+  RetireIfClear(job);
+  cluster_.MarkChanged();
+}
+
+// The record moves to the terminal states once no task of the job can be on any
+// machine: until then a new leader needs what its tasks hold. The user of a
+// cancelled job waits for that.
+void JobLifecycle::RetireIfClear(Job& job) {
+  if (!job.ended_by_record() || job.holding() > 0) return;
+  // A machine not heard yet may hold tasks that a former leader has started.
+  if (!cluster_.AllMachinesAccountedFor()) return;
+  writes_.Queue({WriteKind::kRetire, job.id(), TerminalState::kNone, {}},
+                /*lazy=*/job.state() == JobState::kDone);
+}
+
+bool JobLifecycle::CancellationStands(const Job& job) const {
+  return job.state() == JobState::kAborted &&
+         catalog_.FindTerminalState(job.id()) == TerminalState::kAborted;
+}
+
+}  // namespace oxbow
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -7,258 +7,232 @@
 namespace oxbow {
 namespace {
 
-// For how long what was asked for shapes the measure of fragmentation, in
+// How long a job shapes the measure of fragmentation after it was asked for, in
 // worker leases: some waves of work, not the whole day.
 constexpr double kMixLeases = 15;
 
-using enum ScaleOutState;
+// The changes that end a job: its end is recorded, or moves to the final keys.
+std::vector<TerminalStateWrite> TerminalStatesIn(const CompareAndSwap& txn) {
+  std::vector<TerminalStateWrite> ends;
+  for (const Mutation& change : txn.mutations) {
+    if (!change.key.starts_with(keys::kJob)) continue;
+    const auto* job = std::get_if<JobRecord>(&change.record);
+    if (job != nullptr && job->terminal_state == TerminalState::kNone) continue;
+    uint64_t mod_revision = 0;
+    for (const Precondition& precondition : txn.preconditions) {
+      if (precondition.key == change.key)
+        mod_revision = precondition.mod_revision;
+    }
+    ends.push_back({change.key.substr(keys::kJob.size()), mod_revision});
+  }
+  return ends;
+}
 
-constexpr std::array kScaleOutTransitions = {
-    std::pair{kRecording, kRequesting},
-    std::pair{kRequesting, kSettled},
-};
+// The leader key has to be the one that this leadership rests on.
+std::vector<Precondition> LeadershipPreconditions(const Catalog& catalog,
+                                                  uint64_t revision) {
+  std::vector<Precondition> preconditions{
+      {std::string(keys::kLeader), revision}};
+  // Without it, a write that is applied after the store has stepped back could
+  // find the leader key at the same revision by chance.
+  if (catalog.epoch().number > 0) {
+    auto [key, mod_revision] = catalog.Guard();
+    preconditions.push_back({std::move(key), mod_revision});
+  }
+  return preconditions;
+}
 
 }  // namespace
 
-void Leader::ScaleOutRequest::Change(ScaleOutState next) {
-  CheckedChange(state, next, kScaleOutTransitions, "rental");
-}
-
 Leader::Leader(const Settings& settings, const Tuning& tuning, Catalog& catalog,
                uint64_t revision, Time now, double wall_minus_steady,
                uint64_t seed,
                const std::optional<std::set<std::string>>& delegates)
-    : settings_(settings),
-      tuning_(tuning),
-      catalog_(catalog),
-      revision_(revision),
-      term_(TermOf(catalog.epoch(), revision)),
-      started_(now),
-      wall_minus_steady_(wall_minus_steady),
-      timeouts_(SilenceTimeouts::From(settings.workers, tuning)),
-      numbers_(term_),
+    : context_{settings,
+               tuning,
+               revision,
+               TermOf(catalog.epoch(), revision),
+               now,
+               wall_minus_steady,
+               SilenceTimeouts::From(settings.workers, tuning),
+               catalog,
+               cluster_,
+               writes_,
+               actions_,
+               tiers_,
+               liveness_,
+               fragmentation_,
+               queue_ranking_,
+               run_times_,
+               [this](Time at) { scheduler_.ScheduleIfNeeded(at); },
+               NumberSource(TermOf(catalog.epoch(), revision))},
+      store_operations_(context_,
+                        {consistency_gate_, dependencies_, job_lifecycle_,
+                         rollout_manager_, reconciler_, autoscaler_,
+                         [this](const std::string& name, Time at) {
+                           OnOperatorRecord(name, at);
+                         }}),
+      writes_(settings, LeadershipPreconditions(catalog, revision),
+              store_operations_, actions_),
+      cluster_(settings, FirstToken(context_.term), tuning.recovery_checks > 0,
+               *this),
+      liveness_(settings, tuning, context_.timeouts, cluster_.machines(), now,
+                seed, actions_),
       fragmentation_(kMixLeases * settings.workers.lease_seconds,
                      settings.workers.heartbeat_interval_seconds),
-      placer_(tuning, seed),
-      queue_ranking_(settings, tuning),
-      dependency_graph_(*this),
-      writes_(settings, LeadershipPreconditions(catalog, revision), *this,
-              actions_),
-      liveness_(settings, tuning, timeouts_, machines_, now, seed, actions_),
-      zones_(settings, now, delegates),
       tiers_(settings, tuning.tiers > 0),
-      calendar_(settings.workers.lease_seconds, settings.clock_off_ms / 1000) {
-  if (tuning.fragmentation_weight > 0) {
-    placer_.SetFragmentation(&fragmentation_);
-  }
-  for (const TeamQuota& team : settings.teams)
-    quotas_.push_back({team, {}, {}, {}});
+      queue_ranking_(settings, tuning),
+      machine_health_(context_),
+      dispatcher_(context_, {maintenance_}),
+      dependencies_(context_, {job_lifecycle_}),
+      job_lifecycle_(context_, {dispatcher_, dependencies_}),
+      rollout_manager_(context_,
+                       {machine_health_, dispatcher_, job_lifecycle_}),
+      maintenance_(context_, {dispatcher_, rollout_manager_}),
+      tier_manager_(context_, {rollout_manager_}),
+      reconciler_(context_, {dependencies_, job_lifecycle_}),
+      machine_lifecycle_(context_, {machine_health_, dispatcher_,
+                                    rollout_manager_, reconciler_}),
+      worker_sessions_(context_,
+                       {dispatcher_, job_lifecycle_, maintenance_, reconciler_,
+                        machine_lifecycle_},
+                       delegates),
+      rebalancing_(context_, {machine_health_, dispatcher_, rollout_manager_}),
+      autoscaler_(context_, {machine_health_, dependencies_, rollout_manager_,
+                             maintenance_, tier_manager_, machine_lifecycle_}),
+      scheduler_(context_,
+                 {machine_health_, dispatcher_, rollout_manager_, maintenance_,
+                  tier_manager_, rebalancing_},
+                 seed) {
+  TakeUpRecords(now);
+}
+
+void Leader::TakeUpRecords(Time now) {
+  const Catalog& catalog = context_.catalog;
   for (const auto& [host, record] : catalog.machines()) {
-    Machine& machine = AddMachine(host, record);
+    Machine& machine = cluster_.AddMachine(host, record);
     machine.incarnation.Change(IncarnationEvent::kFailover, 0, now);
     machine.recorded_up = !record.endpoint.empty();
     machine.requested_at =
-        std::min(now, record.requested_wall - wall_minus_steady);
+        std::min(now, record.requested_wall - context_.wall_minus_steady);
     if (machine.recorded_up) actions_.push_back(Probe{host, machine.endpoint});
   }
-  for (const auto& [id, record] : catalog.jobs()) AddJob(record, now);
+  for (const auto& [id, record] : catalog.jobs()) {
+    job_lifecycle_.AddJob(record, now);
+  }
   std::vector<std::string> waiting;
   for (const auto& [id, record] : catalog.waiting()) waiting.push_back(id);
-  for (const std::string& id : waiting) OnWaitingRecord(id, now);
+  for (const std::string& id : waiting) dependencies_.OnWaitingRecord(id, now);
   for (const auto& [name, record] : catalog.scale_outs()) {
-    // Asked for by an earlier leader, perhaps: repeating the request under its
-    // own name gets the same answer, or rents now what will be used.
-    ScaleOutRequest& scale_out = scale_outs_[name];
-    scale_out.record = record;
-    scale_out.Change(kRequesting);
+    autoscaler_.Restore(name, record);
   }
   std::vector<std::pair<uint64_t, std::string>> rollouts;
   for (const auto& [id, record] : catalog.rollouts()) {
     rollouts.emplace_back(record.mod_revision, id);
   }
   std::sort(rollouts.begin(), rollouts.end());
-  for (const auto& [mod_revision, id] : rollouts) OnRolloutRecord(id, now);
-  Log("leading under revision " + std::to_string(revision) + ": " +
-      std::to_string(jobs_.size()) + " jobs, " +
-      std::to_string(machines_.size()) + " machines, " +
-      std::to_string(scale_outs_.size()) + " open rentals");
+  for (const auto& [mod_revision, id] : rollouts) {
+    rollout_manager_.OnRolloutRecord(id, now);
+  }
+  context_.Log("leading under revision " + std::to_string(context_.revision) +
+               ": " + std::to_string(cluster_.jobs().size()) + " jobs, " +
+               std::to_string(cluster_.machines().size()) + " machines, " +
+               std::to_string(autoscaler_.open_scale_outs()) +
+               " open scale-outs");
 }
 
-void Leader::OnTypes(const std::vector<MachineType>& types) {
-  for (const MachineType& type : types) types_[type.name] = type;
-  for (auto& machine : machines_) {
-    const auto it = types_.find(machine->type_name);
-    machine->type = it == types_.end() ? nullptr : &it->second;
-  }
-  dirty_ = true;
+void Leader::OnOperatorRecord(const std::string& name, Time now) {
+  rebalancing_.OnMoveRecord(name, now);
+  cluster_.MarkChanged();
+  scheduler_.ScheduleIfNeeded(now);
 }
 
-void Leader::AddJob(const JobRecord& record, Time now) {
-  const auto team = std::find_if(
-      quotas_.begin(), quotas_.end(), [&](const QuotaUsage& quota) {
-        return quota.settings.name == record.spec->team;
-      });
-  const int index =
-      team == quotas_.end() ? -1 : static_cast<int>(team - quotas_.begin());
-  const Time submitted =
-      std::min(now, record.submitted_wall - wall_minus_steady_);
-  const Time queued_since =
-      record.released_wall > 0
-          ? std::min(now, record.released_wall - wall_minus_steady_)
-          : submitted;
-  auto job = std::make_unique<Job>(record, index, submitted, queued_since);
-  if (record.terminal_state == TerminalState::kDone) {
-    job->Change(JobState::kDone);
-  }
-  if (record.terminal_state == TerminalState::kAborted) {
-    job->Change(JobState::kAborted);
-  }
-  // What is written back gets a new stamp, but is as old as it was.
-  job->from_before = record.mod_revision <= revision_;
-  job->tier = tiers_.Classify(job->spec());
-  Job& added = *job;
-  added.inherit(dependency_graph_.InheritedBy(added.id()));
-  jobs_[record.spec->id] = std::move(job);
-  // A worker may have told of the job before its record was read here.
-  for (auto& machine : machines_) {
-    for (auto it = machine->task_attempts.lower_bound({added.id(), 0, 0});
-         it != machine->task_attempts.end() && it->first.job_id == added.id();
-         ++it) {
-      TaskAttempt& attempt = it->second;
-      if (attempt.job != nullptr || attempt.task >= added.size()) continue;
-      const bool there = attempt.phase != TaskPhase::kExited;
-      if (IsOrphaned(attempt)) --machine->orphaned_tasks;
-      attempt.job = &added;
-      added.ChangePresence(machine->index(), 0, 1);
-      if (there) ChargeQuota(*machine, attempt);
-      // It has run on since its record was lost: it is the job's task, not a
-      // second copy of it.
-      if (RecoveryEnabled() && there && !attempt.stopping)
-        AssignTask(added, *machine, attempt, there);
-    }
-  }
-  if (!added.live()) {
-    RetireIfClear(added);
-    OnTerminalStateKnown(added.id(), record.terminal_state, now);
-  }
-  quiet_since_ = now;
-  queue_ranking_.Seen(added.spec());
-  fragmentation_.Note(added.spec(), added.queued_since());
-  Resources& shape = accelerator_shape_;
-  const Resources& need = added.spec().need;
-  if (need.gpus > 0) {
-    shape = {std::max(shape.cpus, need.cpus), std::max(shape.gpus, need.gpus),
-             std::max(shape.memory_gb, need.memory_gb)};
-  }
-  dirty_ = true;
-  if (added.spec().priority == Priority::kProduction) urgent_dirty_ = true;
+HeartbeatResponse Leader::OnHeartbeat(const Heartbeat& heartbeat, Time now) {
+  HeartbeatResponse response = worker_sessions_.OnHeartbeat(heartbeat, now);
+  if (!response.refused) Settle(now);
+  return response;
 }
 
-void Leader::OnJobRecord(const std::string& id, Time now) {
-  const JobRecord* record = catalog_.FindJob(id);
-  if (record == nullptr) return;
-  const bool cancelled = StopWaiting(id);
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end()) {
-    AddJob(*record, now);
-    // Not sent from here: this may follow from a write that is being built.
-    const auto added = jobs_.find(id);
-    if (cancelled && added->second->live()) {
-      FinishJob(*added->second, TerminalState::kAborted);
-    }
-    ScheduleIfNeeded(now);
-  } else if (record->terminal_state != TerminalState::kNone) {
-    OnTerminalStateRecorded(id, record->terminal_state, now);
+void Leader::OnCommandResponse(const std::string& host, uint64_t batch,
+                               CommandOutcome outcome,
+                               const Heartbeat* heartbeat, Time now) {
+  Machine* machine = cluster_.FindMachine(host);
+  if (machine == nullptr) return;
+  dispatcher_.OnCommandResponse(*machine, batch, outcome, now);
+  if (heartbeat != nullptr) {
+    worker_sessions_.ApplyHeartbeat(*machine, *heartbeat,
+                                    /*by_heartbeat=*/false, now);
   }
+  dispatcher_.DispatchCommands(*machine, now);
+  Settle(now);
 }
 
-void Leader::OnOperatorRecord(const std::string& name, Time now) {
-  OnMoveRecord(name, now);
-  dirty_ = true;
-  ScheduleIfNeeded(now);
+void Leader::OnProbeAnswer(const Heartbeat& heartbeat, Time now) {
+  if (worker_sessions_.OnProbeAnswer(heartbeat, now)) Settle(now);
 }
 
-bool Leader::Cancel(const std::string& id, Time now) {
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end()) {
-    if (CancelWaiting(id, now)) return true;
-    const TerminalState known = catalog_.FindTerminalState(id);
-    if (known == TerminalState::kNone) return false;
-    actions_.push_back(JobTerminated{id, known});
-    return true;
-  }
-  Job& job = *it->second;
-  if (job.live()) {
-    Log("cancel " + id + ": asked by its user");
-    FinishJob(job, TerminalState::kAborted);
-    writes_.Flush(now);
-  } else if (job.state() == JobState::kDone) {
-    actions_.push_back(JobTerminated{id, TerminalState::kDone});
-  } else if (CancellationStands(job)) {
-    actions_.push_back(JobTerminated{id, TerminalState::kAborted});
+void Leader::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
+  if (!liveness_.OnReach(round, std::move(answers), now)) {
+    context_.resigned = true;
   }
-  return true;
 }
 
-// The record comes first. Nobody is told, and no task stopped, before it
-// stands: a leader that crashes in between must not leave a half-ended job.
-void Leader::FinishJob(Job& job, TerminalState state) {
-  job.Change(state == TerminalState::kDone ? JobState::kRecordingDone
-                                           : JobState::kRecordingAbort);
-  writes_.Queue({WriteKind::kFinish, job.id(), state, {}});
-}
-
-void Leader::OnTerminalStateRecorded(const std::string& id, TerminalState state,
-                                     Time now) {
-  OnTerminalStateKnown(id, state, now);
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end()) return;
-  Job& job = *it->second;
-  if (job.ended_by_record()) return;
-  job.Change(state == TerminalState::kDone ? JobState::kDone
-                                           : JobState::kAborted);
-  job.ended = now;
-  Log("job " + id + (state == TerminalState::kDone ? " done" : " cancelled") +
-      ", recorded");
-  // That it is cancelled is told once nothing is left of it (Done, kRetire).
-  if (state == TerminalState::kDone)
-    actions_.push_back(JobTerminated{id, state});
-  StopJob(job, now);
-  DropReservation(&job, nullptr);
-  RetireIfClear(job);
-  dirty_ = true;
+void Leader::OnTransferAccepted() {
+  context_.resigned = true;
+  liveness_.OnTransferAccepted();
 }
 
-// The record moves to the terminal states once no task of the job can be on any
-// machine: until then a new leader needs what its tasks hold. The user of a
-// cancelled job waits for that.
-void Leader::RetireIfClear(Job& job) {
-  if (!job.ended_by_record() || job.holding() > 0) return;
-  // A machine not heard yet may hold tasks that a former leader has started.
-  if (!AllAccounted()) return;
-  writes_.Queue({WriteKind::kRetire, job.id(), TerminalState::kNone, {}},
-                /*lazy=*/job.state() == JobState::kDone);
+void Leader::OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
+                           const std::vector<std::string>& failed, Time now) {
+  switch (outcome) {
+    case WriteOutcome::kApplied:
+      consistency_gate_.Applied(id);
+      break;
+    case WriteOutcome::kNotExecuted:
+    case WriteOutcome::kRefused:
+      consistency_gate_.Refused(id);
+      break;
+    case WriteOutcome::kConflict: {
+      std::set<std::string> differing;
+      for (const std::string& key : failed) {
+        if (!key.starts_with(keys::kJob)) continue;
+        differing.insert(key.substr(keys::kJob.size()));
+      }
+      consistency_gate_.Refused(id, differing);
+      break;
+    }
+    case WriteOutcome::kUnknown:
+      consistency_gate_.Unanswered(id);
+      break;
+  }
+  if (!writes_.OnAnswer(id, outcome, revision, failed, now)) {
+    context_.GiveUp("the leader key has changed");
+  }
 }
 
-bool Leader::CancellationStands(const Job& job) const {
-  return job.state() == JobState::kAborted &&
-         catalog_.FindTerminalState(job.id()) == TerminalState::kAborted;
+std::vector<Action> Leader::TakeActions() {
+  for (const Action& action : actions_) {
+    const auto* txn = std::get_if<CompareAndSwap>(&action);
+    // From here on it may be carried out.
+    if (txn != nullptr) consistency_gate_.Left(txn->id, TerminalStatesIn(*txn));
+  }
+  return std::exchange(actions_, {});
 }
 
 JobObservation Leader::View(const std::string& id, JobView* out) const {
-  const auto it = jobs_.find(id);
-  const DependentJob* chain = dependency_graph_.Find(id);
-  if (it == jobs_.end() && chain != nullptr &&
-      catalog_.FindWaiting(id) != nullptr) {
+  const auto it = cluster_.jobs().find(id);
+  const DependentJob* chain = dependencies_.Find(id);
+  if (it == cluster_.jobs().end() && chain != nullptr &&
+      context_.catalog.FindWaiting(id) != nullptr) {
     *out = {"pending", 0, 0};
     // The write that ends it may have left, and been read elsewhere.
     return chain->state == DependencyState::kCancelling
                ? JobObservation::kInDoubt
                : JobObservation::kLive;
   }
-  if (it == jobs_.end()) {
-    return ViewOrphanedTasks(id, out) ? JobObservation::kUnrecorded
-                                      : JobObservation::kUnseen;
+  if (it == cluster_.jobs().end()) {
+    return reconciler_.ViewOrphanedTasks(id, out) ? JobObservation::kUnrecorded
+                                                  : JobObservation::kUnseen;
   }
   const Job& job = *it->second;
   out->done = job.done();
@@ -269,108 +243,121 @@
     out->running = 0;
     return JobObservation::kEnded;
   }
-  if (CancellationStands(job)) {
+  if (job_lifecycle_.CancellationStands(job)) {
     out->status = "aborted";
     return JobObservation::kEnded;
   }
   out->status = job.running() > 0 ? "running" : "pending";
   // Another controller may have read the end by now, and told it: see
   // went-back-done-told-elsewhere.txt.
-  const JobRecord* record = catalog_.FindJob(id);
+  const JobRecord* record = context_.catalog.FindJob(id);
   const uint64_t mod_revision = record == nullptr ? 0 : record->mod_revision;
   return consistency_gate_.InDoubt(id, mod_revision) ? JobObservation::kInDoubt
                                                      : JobObservation::kLive;
 }
 
-bool Leader::AllAccounted() const {
-  return std::all_of(machines_.begin(), machines_.end(), [](const auto& m) {
-    return !m->recorded_up || m->reported || m->state() == MachineState::kGone;
-  });
-}
-
-void Leader::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
-  if (!liveness_.OnReach(round, std::move(answers), now)) resigned_ = true;
-}
-
-void Leader::OnTransferAccepted() {
-  resigned_ = true;
-  liveness_.OnTransferAccepted();
-}
-
-uint64_t Leader::NextNumber() {
-  const auto number = numbers_.Next();
-  if (number) return *number;
-  if (!resigned_) {
-    resigned_ = true;
-    actions_.push_back(Resign{"numbers of this revision are used up"});
+std::vector<std::string> Leader::Alarms() const {
+  std::vector<std::string> alarms = liveness_.Alarms();
+  int orphaned_tasks = 0;
+  for (const auto& machine : cluster_.machines())
+    orphaned_tasks += machine->orphaned_tasks;
+  if (orphaned_tasks > 0) {
+    alarms.push_back(std::to_string(orphaned_tasks) +
+                     " tasks run whose jobs have no record");
   }
-  // Above the range there is nothing safe to give; the caller checks.
-  return 0;
-}
-
-void Leader::Log(std::string text) {
-  actions_.push_back(LogEvent{std::move(text), false});
+  if (!context_.catalog.pending_writes().empty()) {
+    alarms.push_back(std::to_string(context_.catalog.pending_writes().size()) +
+                     " records are still to be written back");
+  }
+  if (writes_.set_aside() > 0) {
+    alarms.push_back(std::to_string(writes_.set_aside()) +
+                     " writes are larger than the state service takes");
+  }
+  if (!context_.catalog.epoch().whole) {
+    alarms.push_back(
+        "jobs may have been lost with the state service's data: whoever misses "
+        "one submits it again");
+  }
+  return alarms;
 }
 
 void Leader::LogFragmentation(Time now) {
-  if (tuning_.fragmentation_weight <= 0 || now < next_fragmentation_log_) {
+  if (context_.tuning.fragmentation_weight <= 0 ||
+      now < next_fragmentation_log_) {
     return;
   }
   constexpr double kEvery = 60;  // s: for people, whatever the lease
   next_fragmentation_log_ = now + kEvery;
+  const Rebalancer* rebalancer = rebalancing_.rebalancer();
   const FragmentationCount n = CountFragmentation();
   if (n.accelerators <= 0) return;
   const auto whole = [](double x) {
     return std::to_string(static_cast<int64_t>(std::llround(x)));
   };
-  Log("fragmentation: of " + whole(n.accelerators) + " accelerators " +
-      whole(n.free) + " free, " + whole(n.useless) +
-      " of these of no use to what is asked " + "for; " +
-      std::to_string(n.whole) + " machines whole, " +
-      std::to_string(n.fragmented) + " fragmented" +
-      (rebalancer_
-           ? "; moves settled " + std::to_string(rebalancer_->settled()) +
-                 ", given up " + std::to_string(rebalancer_->given_up())
-           : ""));
+  context_.Log("fragmentation: of " + whole(n.accelerators) + " accelerators " +
+               whole(n.free) + " free, " + whole(n.useless) +
+               " of these of no use to what is asked " + "for; " +
+               std::to_string(n.whole) + " machines whole, " +
+               std::to_string(n.fragmented) + " fragmented" +
+               (rebalancer != nullptr
+                    ? "; moves settled " +
+                          std::to_string(rebalancer->settled()) +
+                          ", given up " + std::to_string(rebalancer->given_up())
+                    : ""));
 }
 
 void Leader::Tick(Time now, bool by_lease) {
   liveness_.Count(now);
-  incarnations_unsettled_ = false;
-  for (auto& machine : machines_) TickMachine(*machine, now, by_lease);
-  if (incarnations_unsettled_ && now >= next_delegates_read_) {
-    next_delegates_read_ = now + LeaseYieldSeconds(settings_.workers);
-    actions_.push_back(ReadDelegates{});
+  worker_sessions_.BeginTick();
+  for (const auto& machine : cluster_.machines()) {
+    if (machine->state() == MachineState::kGone) continue;
+    if (by_lease) worker_sessions_.ExpireIfOver(*machine, now);
+    machine_lifecycle_.TickMachine(*machine, now);
   }
+  worker_sessions_.EndTick(now);
   liveness_.Ask(now);
-  for (auto& [name, scale_out] : scale_outs_) {
-    if (scale_out.state == kRequesting && now >= scale_out.next_try) {
-      Request(name, now);
-    }
-    if (scale_out.state == kSettled) SettleScaleOut(name);
-  }
-  TickRollouts(now);
-  TickMoves(now);
-  TickReconciliation(now);
-  std::erase_if(refused_until_,
-                [now](const auto& e) { return e.second <= now; });
-  if (now >= next_autoscaler_run_) {
-    SurveyTiers();
-    PollDependencies(now);
-    RunAutoscaler(now);
-    next_autoscaler_run_ = now + settings_.workers.heartbeat_interval_seconds;
-    TickCalendar(now);
-    for (auto& [id, job] : jobs_) RetireIfClear(*job);
-    LogFragmentation(now);
-    // Backed-off jobs, expired reservations, machines no longer suspect.
-    dirty_ = true;
-  }
+  autoscaler_.TickRequests(now);
+  rollout_manager_.TickRollouts(now);
+  rebalancing_.TickMoves(scheduler_.large_waiting(), now);
+  reconciler_.TickReconciliation(now);
+  autoscaler_.ForgetRefusals(now);
+  if (autoscaler_.IsDue(now)) TickSlowly(now);
   Settle(now);
 }
 
+void Leader::TickSlowly(Time now) {
+  tier_manager_.SurveyTiers();
+  dependencies_.PollDependencies(now);
+  autoscaler_.RunAutoscaler(now);
+  autoscaler_.SetNextRun(now +
+                         context_.settings.workers.heartbeat_interval_seconds);
+  maintenance_.TickCalendar(now);
+  for (const auto& [id, job] : cluster_.jobs()) {
+    job_lifecycle_.RetireIfClear(*job);
+  }
+  LogFragmentation(now);
+  // Jobs whose back-off is over, expired reservations, machines that are no
+  // longer suspect.
+  cluster_.MarkChanged();
+}
+
 void Leader::Settle(Time now) {
-  ScheduleIfNeeded(now);
+  scheduler_.ScheduleIfNeeded(now);
   writes_.Flush(now);
 }
 
+void Leader::OnCapacityCharged(const Job& job, const Resources& need) {
+  tiers_.Hold(job.tier, need);
+}
+
+void Leader::OnCapacityReleased(const Job& job, const Resources& need) {
+  tiers_.Release(job.tier, need);
+}
+
+void Leader::OnAttemptStopping(const TaskAttempt& attempt) {
+  rollout_manager_.OnAttemptStopping(attempt);
+}
+
+void Leader::OnAttemptRemoved(Job& job) { job_lifecycle_.RetireIfClear(job); }
+
 }  // namespace oxbow
--- a/core/leader/actions.h
+++ b/core/leader_context/actions.h
@@ -9,8 +9,9 @@
 #include <variant>
 #include <vector>
 
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/model/heartbeat.h"
+#include "core/model/log_event.h"
 #include "core/model/machine.h"
 #include "core/rollout/rollout.h"
 
@@ -113,11 +114,6 @@
   bool unfit = false;  // others should go first
 };
 
-struct LogEvent {  // for the log
-  std::string text;
-  bool detail = false;
-};
-
 using Action =
     std::variant<SendCommands, Probe, CompareAndSwap, ReadKeys, RequestScaleOut,
                  DeleteMachines, JobTerminated, CheckInstance, AskReach,
--- a/core/lease/delegated_lease.cc
+++ b/core/lease/delegated_lease.cc
@@ -90,11 +90,11 @@
                             Time now) {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
-  Peer& peer = it->second;
-  peer.right_until =
-      std::max(peer.right_until, now + right_seconds_ * (1 + kDrift));
-  peer.granted = now;
-  Meet(peer, process_incarnation, age, now);
+  Peer& delegate = it->second;
+  delegate.right_until =
+      std::max(delegate.right_until, now + right_seconds_ * (1 + kDrift));
+  delegate.granted = now;
+  Meet(delegate, process_incarnation, age, now);
 }
 
 void DelegatedLeases::RecordsRead(const std::set<std::string>& recorded,
@@ -112,16 +112,17 @@
                                    Time now) {
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
-  Peer& peer = it->second;
+  Peer& delegate = it->second;
   // Of a life that has ended, held back on the way.
-  if (peer.process_incarnation != process_incarnation && sent <= peer.met)
+  if (delegate.process_incarnation != process_incarnation &&
+      sent <= delegate.met)
     return;
-  Meet(peer, process_incarnation, age, now);
+  Meet(delegate, process_incarnation, age, now);
   if (renewed_ago >= 0) {
-    peer.kept = std::max(peer.kept, now - renewed_ago * (1 - kDrift));
+    delegate.kept = std::max(delegate.kept, now - renewed_ago * (1 - kDrift));
   }
-  peer.yielded_until =
-      std::max(peer.yielded_until, sent + yield_seconds_ * (1 - kDrift));
+  delegate.yielded_until =
+      std::max(delegate.yielded_until, sent + yield_seconds_ * (1 - kDrift));
 }
 
 bool DelegatedLeases::MayBeRenewed(const std::string& zone, Time now) const {
--- a/core/leader/maintenance.cc
+++ b/core/maintenance/maintenance_manager.cc
@@ -1,11 +1,11 @@
-// The calendar on the leader: what waits for its window, and how its starts
-// go out.
+#include "core/maintenance/maintenance_manager.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/rollout/rollout_manager.h"
 
 namespace oxbow {
 namespace {
@@ -34,44 +34,48 @@
 
 }  // namespace
 
-void Leader::OnClocks(const WallReading& reading, Time confirmed, Time now) {
+
+MaintenanceManager::MaintenanceManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), cluster_(context.cluster), tiers_(context.tiers), run_times_(context.run_times), dispatcher_(modules.dispatcher), rollout_manager_(modules.rollout_manager), calendar_(context.settings.workers.lease_seconds, context.settings.clock_off_ms / 1000) {}
+
+void MaintenanceManager::OnClocks(const WallReading& reading, Time confirmed, Time now) {
   calendar_.ReadWall(reading);
   calendar_.Confirmed(confirmed, now);
 }
 
-void Leader::OnBooking(const MaintenanceWindow& booking, uint64_t version,
+void MaintenanceManager::OnBooking(const MaintenanceWindow& booking, uint64_t version,
                        Time now) {
   calendar_.Take(booking, version, now);
-  dirty_ = true;
+  cluster_.MarkChanged();
 }
 
-void Leader::OnBookingWithdrawn(const std::string& id, uint64_t version,
+void MaintenanceManager::OnBookingWithdrawn(const std::string& id, uint64_t version,
                                 Time now) {
   calendar_.Withdraw(id, version, now);
-  dirty_ = true;
+  cluster_.MarkChanged();
 }
 
 // Empty where no tiers are in force.
-std::string Leader::TierOf(const Job& job) const {
+std::string MaintenanceManager::TierOf(const Job& job) const {
   if (!tiers_.active() || job.tier >= tiers_.set().size()) return {};
   return tiers_.set().at(job.tier).name;
 }
 
-AdmissionDecision Leader::AdmissionOf(const Job& job, Time now) const {
+AdmissionDecision MaintenanceManager::AdmissionOf(const Job& job, Time now) const {
   const JobSpec& spec = job.spec();
   // What is fetched first comes on top of the run.
   const double fetch =
-      types_.empty()
+      cluster_.types().empty()
           ? 0
           : spec.image_gb /
-                std::max(1e-3, types_.begin()->second.fetch_gb_per_second);
-  return calendar_.MayStart(spec, TierOf(job), RunSeconds(spec) + fetch, now);
+                std::max(1e-3,
+                         cluster_.types().begin()->second.fetch_gb_per_second);
+  return calendar_.MayStart(spec, TierOf(job), run_times_.RunSeconds(spec) + fetch, now);
 }
 
-std::optional<AdmissionDecision> Leader::CalendarAdmission(
+std::optional<AdmissionDecision> MaintenanceManager::CalendarAdmission(
     const std::string& id, Time now) const {
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end()) return std::nullopt;
+  const auto it = cluster_.jobs().find(id);
+  if (it == cluster_.jobs().end()) return std::nullopt;
   if (calendar_.empty() || !it->second->live()) return AdmissionDecision{};
   AdmissionDecision verdict = AdmissionOf(*it->second, now);
   if (verdict.may() && it->second->placed() == 0 &&
@@ -81,16 +85,16 @@
   return verdict;
 }
 
-void Leader::CountWindows() {
+void MaintenanceManager::CountWindows() {
   in_window_.clear();
   fleet_ = {};
   if (calendar_.empty()) return;
-  for (const auto& machine : machines_) {
+  for (const auto& machine : cluster_.machines()) {
     if (machine->state() == MachineState::kUp) fleet_ += machine->total();
   }
   for (const std::string& id : calendar_.AllWindows()) in_window_[id];
   if (in_window_.empty()) return;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs()) {
     if (job->holding() == 0) continue;
     const JobSpec& spec = job->spec();
     for (const auto& [booking, share] : calendar_.Windows(spec, TierOf(*job))) {
@@ -101,7 +105,7 @@
 
 // What is too large for the room goes when nothing else of the window is
 // there: refused it would wait for ever.
-bool Leader::WindowAllows(const Job& job, double tasks) const {
+bool MaintenanceManager::WindowAllows(const Job& job, double tasks) const {
   if (in_window_.empty()) return true;
   const JobSpec& spec = job.spec();
   for (const auto& [booking, share] : calendar_.Windows(spec, TierOf(job))) {
@@ -121,14 +125,14 @@
 
 // A command sent to a worker's address may be carried out minutes later. The
 // worker drops the answer to a heartbeat after 4 s, whatever held it up.
-bool Leader::SentInHeartbeatResponse(const WorkerCommand& command) const {
+bool MaintenanceManager::SentInHeartbeatResponse(const WorkerCommand& command) const {
   if (command.kind != CommandKind::kStart || calendar_.empty()) return false;
-  const auto it = jobs_.find(command.job_id);
-  return it != jobs_.end() &&
+  const auto it = cluster_.jobs().find(command.job_id);
+  return it != cluster_.jobs().end() &&
          calendar_.Names(it->second->spec(), TierOf(*it->second));
 }
 
-bool Leader::HasCalendarStart(const Machine& machine) const {
+bool MaintenanceManager::HasCalendarStart(const Machine& machine) const {
   return !calendar_.empty() &&
          std::any_of(machine.queue.begin(), machine.queue.end(),
                      [&](const WorkerCommand& command) {
@@ -136,22 +140,22 @@
                      });
 }
 
-void Leader::DropLateStarts(Machine& machine, Time now) {
+void MaintenanceManager::DropLateStarts(Machine& machine, Time now) {
   if (calendar_.empty()) return;
   std::vector<TaskAttemptKey> late;
   for (const WorkerCommand& command : machine.queue) {
     if (!SentInHeartbeatResponse(command)) continue;
-    if (!AdmissionOf(*jobs_.at(command.job_id), now).may()) {
+    if (!AdmissionOf(*cluster_.jobs().at(command.job_id), now).may()) {
       late.push_back({command.job_id, command.task, command.attempt});
     }
   }
-  for (const TaskAttemptKey& key : late) RemoveAttempt(machine, key);
+  for (const TaskAttemptKey& key : late) cluster_.RemoveAttempt(machine, key);
 }
 
 // What does not run yet loses nothing when it goes; what runs is stopped only
 // if its booking says so and it can save, as if its machine were drained. A
 // gang is stopped whole.
-void Leader::WithdrawQueuedStarts(Job& job, Time now) {
+void MaintenanceManager::WithdrawQueuedStarts(Job& job, Time now) {
   const JobSpec& spec = job.spec();
   const double heartbeat = settings_.workers.heartbeat_interval_seconds;
   const std::string tier = TierOf(job);
@@ -161,7 +165,7 @@
   const bool back =
       calendar_.Caught(spec, tier, 2 * heartbeat, now) != OverrunStep::kNone;
   if (!save && !back) return;
-  const auto task_attempts = AttemptsOf(job);
+  const auto task_attempts = cluster_.AttemptsOf(job);
   const auto runs = [](const TaskAttempt& attempt) {
     return attempt.phase == TaskPhase::kRunning ||
            attempt.phase == TaskPhase::kSaving;
@@ -171,23 +175,23 @@
     any_runs |= runs(machine->task_attempts.at(key));
   }
   if (spec.kind == JobKind::kGang) {
-    if (any_runs ? save : back) StopTasks(job, any_runs ? grace : 0, now);
+    if (any_runs ? save : back) dispatcher_.StopTasks(job, any_runs ? grace : 0, now);
     return;
   }
   for (const auto& [machine, key] : task_attempts) {
     const auto it = machine->task_attempts.find(key);
     if (it == machine->task_attempts.end() || it->second.stopping ||
-        !DisruptionAllowed(key, job, now)) {
+        !rollout_manager_.DisruptionAllowed(key, job, now)) {
       continue;
     }
     const bool running = runs(it->second);
     if (running ? save : back) {
-      QueueStop(*machine, it->second, running ? grace : 0, now);
+      dispatcher_.QueueStop(*machine, it->second, running ? grace : 0, now);
     }
   }
 }
 
-void Leader::LogAdmissionChange(const Job& job,
+void MaintenanceManager::LogAdmissionChange(const Job& job,
                                 const AdmissionDecision& verdict, Time now) {
   HeldBy& told = held_[job.id()];
   if (told == verdict.hold) return;
@@ -206,14 +210,14 @@
   } else {
     text += ", no chance is known";
   }
-  Log(std::move(text));
+  context_.Log(std::move(text));
 }
 
-void Leader::TickCalendar(Time now) {
+void MaintenanceManager::TickCalendar(Time now) {
   calendar_.Age(now);
   const CalendarFreshness standing = calendar_.standing(now);
   if (standing != std::exchange(logged_freshness_, standing)) {
-    Log("calendar: " + std::to_string(calendar_.size()) + " bookings, " +
+    context_.Log("calendar: " + std::to_string(calendar_.size()) + " bookings, " +
         (standing == CalendarFreshness::kNone      ? "none in force"
          : standing == CalendarFreshness::kCurrent ? "current"
          : standing == CalendarFreshness::kStale
@@ -221,11 +225,11 @@
              : "too old, no work that they name starts"));
   }
   std::erase_if(held_, [&](const auto& held) {
-    const auto it = jobs_.find(held.first);
-    return it == jobs_.end() || !it->second->live();
+    const auto it = cluster_.jobs().find(held.first);
+    return it == cluster_.jobs().end() || !it->second->live();
   });
   if (calendar_.empty()) return;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : cluster_.jobs()) {
     if (!job->live() || !calendar_.Names(job->spec(), TierOf(*job))) continue;
     if (job->unplaced() > 0)
       LogAdmissionChange(*job, AdmissionOf(*job, now), now);
@@ -233,4 +237,10 @@
   }
 }
 
+void MaintenanceManager::NoteStart(const Job& job) {
+  for (auto& [id, used] : in_window_) {
+    if (calendar_.InWindow(id, job.spec(), TierOf(job))) used += job.spec().need;
+  }
+}
+
 }  // namespace oxbow
--- a/core/leader/priority_tiers.cc
+++ b/core/priority_tiers/tier_manager.cc
@@ -1,31 +1,32 @@
-// What the leader's picture says about tiers, and what they say to placement.
+#include "core/priority_tiers/tier_manager.h"
 
 #include <algorithm>
 
-#include "core/leader/leader.h"
+#include "core/rollout/rollout_manager.h"
 
 namespace oxbow {
 
-void Leader::UseTiers(std::shared_ptr<const TierSet> set) {
+TierManager::TierManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), cluster_(context.cluster), tiers_(context.tiers), rollout_manager_(modules.rollout_manager) {}
+
+void TierManager::UseTiers(std::shared_ptr<const TierSet> set) {
   if (!tiers_.Use(std::move(set))) return;
   tiers_.ForgetHeld();
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : cluster_.jobs()) {
     job->tier = tiers_.Classify(job->spec());
   }
-  for (const auto& machine : machines_) {
+  for (const auto& machine : cluster_.machines()) {
     for (const auto& [key, attempt] : machine->task_attempts) {
       if (attempt.holds) tiers_.Hold(attempt.job->tier, attempt.need);
     }
   }
-  Log("tiers: " + std::to_string(tiers_.set().listed().size()) +
+  context_.Log("tiers: " + std::to_string(tiers_.set().listed().size()) +
       " in force besides the one for what is left over");
-  dirty_ = true;
+  cluster_.MarkChanged();
 }
 
-void Leader::BeginTiers(const std::vector<Job*>& order,
+void TierManager::BeginTiers(const std::vector<Job*>& order,
                         const std::vector<Machine*>& usable, bool accounted,
                         Time now) {
-  over_share_.clear();
   if (!tiers_.active()) return;
   TierView view;
   view.machines = usable.size();
@@ -39,13 +40,13 @@
   }
   // Before each machine has been heard, nobody knows what is missing.
   const double settled = 3 * settings_.workers.lease_seconds;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs()) {
     if (!accounted || job->tier != 0 || !job->live() ||
         job->spec().kind != JobKind::kService ||
         now - job->queued_since() < settled) {
       continue;
     }
-    view.best_wanted += job->placed() + StartableTasks(*job);
+    view.best_wanted += job->placed() + rollout_manager_.StartableTasks(*job);
     view.best_placed += job->placed();
     view.best_running += job->running();
   }
@@ -54,15 +55,15 @@
   const RecoveryStep step = tiers_.recovery().step();
   if (step == before) return;
   if (step == RecoveryStep::kLoss) {
-    Log("tiers: many replicas of the best tier are lost, the others wait");
+    context_.Log("tiers: many replicas of the best tier are lost, the others wait");
   } else if (step == RecoveryStep::kNextTier) {
-    Log("tiers: the best tier has had its time, the others follow");
+    context_.Log("tiers: the best tier has had its time, the others follow");
   } else if (step == RecoveryStep::kRest) {
-    Log("tiers: all may start again");
+    context_.Log("tiers: all may start again");
   }
 }
 
-bool Leader::TierAllows(const Job& job, const Machine& machine) const {
+bool TierManager::TierAllows(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
   if (tiers_.MayUse(job, job.tier, machine.zone, spec.need,
                     machine.BytesToFetch(spec.image, spec.image_gb) > 0)) {
@@ -70,23 +71,23 @@
   }
   // Room that was made for the job by stopping others is its own: refused here,
   // they would have been stopped for nothing.
-  return spec.need.FitsIn(ReservedFor(job, machine));
+  return spec.need.FitsIn(cluster_.ReservedFor(job, machine));
 }
 
-bool Leader::UsesReservedHeadroom(const Job& job, const Machine& machine,
+bool TierManager::UsesReservedHeadroom(const Job& job, const Machine& machine,
                                   const PreemptionPlan& plan) const {
   const JobSpec& spec = job.spec();
   return plan.victims.empty() && spec.need.FitsIn(machine.free()) &&
          !TierAllows(job, machine);
 }
 
-void Leader::SurveyTiers() {
+void TierManager::SurveyTiers() {
   if (!tiers_.active()) return;
   for (size_t place = 0; place < tiers_.set().size(); ++place) {
     const auto tier = static_cast<uint8_t>(place);
     if (!tiers_.Keeps(tier)) continue;
     std::map<int32_t, Resources> by_machine;
-    for (const auto& [id, job] : jobs_) {
+    for (const auto& [id, job] : cluster_.jobs()) {
       if (job->tier != tier) continue;
       for (const auto& [index, presence] : job->presence()) {
         by_machine[index] += job->spec().need * presence.holding;
@@ -94,7 +95,7 @@
     }
     std::map<std::string, TierHolding> where;
     for (const auto& [index, held] : by_machine) {
-      TierHolding& holding = where[machines_[static_cast<size_t>(index)]->zone];
+      TierHolding& holding = where[cluster_.machine(index).zone];
       holding.in_zone += held;
       holding.on_one_machine = Larger(holding.on_one_machine, held);
     }
@@ -102,10 +103,10 @@
   }
 }
 
-void Leader::ReserveTierHeadroom(AutoscalerInput& input) const {
+void TierManager::ReserveTierHeadroom(AutoscalerInput& input) const {
   if (!tiers_.active()) return;
   uint8_t last = 0;
-  for (const auto& [id, job] : jobs_) {
+  for (const auto& [id, job] : cluster_.jobs()) {
     if (job->live() && job->unplaced() > 0) last = std::max(last, job->tier);
   }
   std::map<std::string, Resources> kept;
--- a/core/leader/rebalancing.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -1,10 +1,11 @@
-// Moves on the leader: what they see, which are planned, and how their claims
-// are recorded. What is stopped here is placed again as any other replica.
+#include "core/rebalancing/rebalancing_manager.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/rollout/rollout_manager.h"
+#include "core/worker_sessions/machine_health.h"
 #include "core/rebalancing/rebalancer.h"
 #include "core/rebalancing/rebalancing_plan.h"
 
@@ -22,7 +23,10 @@
 
 }  // namespace
 
-void Leader::UseMoves(const MoveCodec& codec, Time now) {
+
+RebalancingManager::RebalancingManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), tuning_(context.tuning), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), liveness_(context.liveness), fragmentation_(context.fragmentation), machine_health_(modules.machine_health), dispatcher_(modules.dispatcher), rollout_manager_(modules.rollout_manager) {}
+
+void RebalancingManager::UseMoves(const MoveCodec& codec, Time now) {
   if (tuning_.moves_at_once < 1 || tuning_.fragmentation_weight <= 0) return;
   move_codec_ = codec;
   MoveLimits limits;
@@ -43,11 +47,11 @@
         name != std::string(kPrefix) + claim.id) {
       continue;
     }
-    rebalancer_->Restore(claim, wall_minus_steady_, now);
+    rebalancer_->Restore(claim, context_.wall_minus_steady, now);
   }
 }
 
-void Leader::OnMoveRecord(const std::string& name, Time now) {
+void RebalancingManager::OnMoveRecord(const std::string& name, Time now) {
   if (!rebalancer_ || !name.starts_with(kPrefix)) return;
   const std::string id = name.substr(kPrefix.size());
   const auto move = rebalancer_->moves().find(id);
@@ -64,39 +68,40 @@
   if (stands) rebalancer_->Recorded(id, now);
 }
 
-uint32_t Leader::CountConfirmedRunning(const Job& job, Time now) const {
+uint32_t RebalancingManager::CountConfirmedRunning(const Job& job, Time now) const {
   uint32_t n = 0;
-  for (const auto& [machine, key] : AttemptsOf(job)) {
+  for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const TaskAttempt& attempt = machine->task_attempts.at(key);
     n += attempt.phase == TaskPhase::kRunning && !attempt.stopping &&
-         IsCurrent(*machine, attempt) && Usable(*machine, now);
+         cluster_.IsCurrent(*machine, attempt) && machine_health_.Usable(*machine, now);
   }
   return n;
 }
 
-ReplicaMoveObservation Leader::ObservationOf(const Rebalancer::Move& move,
+ReplicaMoveObservation RebalancingManager::ObservationOf(const Rebalancer::Move& move,
                                              Time now) {
   ReplicaMoveObservation observation;
   const MoveClaim& claim = move.claim;
-  const auto it = jobs_.find(claim.job);
-  if (it == jobs_.end() || !it->second->live()) return observation;
+  const auto it = cluster_.jobs().find(claim.job);
+  if (it == cluster_.jobs().end() || !it->second->live()) return observation;
   const Job& job = *it->second;
   const JobSpec& spec = job.spec();
   observation.live = true;
-  observation.wants = StartableTasks(job) > 0;
+  observation.wants = rollout_manager_.StartableTasks(job) > 0;
   const TaskAttemptKey key{claim.job, claim.task, claim.attempt};
-  Machine* from = FindMachine(claim.from);
+  Machine* from = cluster_.FindMachine(claim.from);
   if (from != nullptr) {
     const auto r = from->task_attempts.find(key);
     if (r != from->task_attempts.end() &&
         r->second.phase != TaskPhase::kExited) {
       observation.on_source = true;
       observation.runs = r->second.phase == TaskPhase::kRunning &&
-                         !r->second.stopping && IsCurrent(*from, r->second);
+                         !r->second.stopping &&
+                         cluster_.IsCurrent(*from, r->second);
     }
-    observation.source_good = Usable(*from, now);
+    observation.source_good = machine_health_.Usable(*from, now);
   }
-  Machine* to = FindMachine(claim.to);
+  Machine* to = cluster_.FindMachine(claim.to);
   if (to != nullptr) {
     for (auto r = to->task_attempts.lower_bound({claim.job, 0, 0});
          r != to->task_attempts.end() && r->first.job_id == claim.job; ++r) {
@@ -108,32 +113,33 @@
       observation.on_target = true;
       observation.runs_on_target = r->second.phase == TaskPhase::kRunning;
     }
-    ZoneSpread where = ZoneSpreadOf(job);
+    ZoneSpread where = cluster_.ZoneSpreadOf(job);
     if (observation.on_source) where.Add(from->zone, -1);
     observation.target_good =
         observation.on_target
             ? to->state() == MachineState::kUp
-            : Usable(*to, now) && Allowed(spec, *to, where) &&
+            : machine_health_.Usable(*to, now) && Allowed(spec, *to, where) &&
                   spec.need.FitsIn(to->CapacityFor(&job, spec.priority));
   }
-  const auto waiting = jobs_.find(claim.for_job);
-  observation.wanted = waiting != jobs_.end() && waiting->second->live() &&
-                       StartableTasks(*waiting->second) > 0;
+  const auto waiting = cluster_.jobs().find(claim.for_job);
+  observation.wanted = waiting != cluster_.jobs().end() &&
+                       waiting->second->live() &&
+                       rollout_manager_.StartableTasks(*waiting->second) > 0;
   // A restored one moves nothing any more.
   if (move.state != ReplicaMoveState::kClaimed) return observation;
   const auto down = static_cast<uint32_t>(rebalancer_->Down(claim.job));
-  observation.whole =
-      AllAccounted() && CountConfirmedRunning(job, now) + down >= job.size();
+  observation.whole = cluster_.AllMachinesAccountedFor() &&
+                      CountConfirmedRunning(job, now) + down >= job.size();
   // The limiter counts what it allows, so it is asked last.
   observation.allowed = observation.wanted && observation.runs &&
                         observation.target_good && observation.source_good &&
-                        observation.whole && RolloutOf(job) == nullptr &&
-                        DisruptionAllowed(key, job, now) &&
+                        observation.whole && rollout_manager_.RolloutOf(job) == nullptr &&
+                        rollout_manager_.DisruptionAllowed(key, job, now) &&
                         liveness_.LossAllowed(*from, LossCause::kMoved, now);
   return observation;
 }
 
-void Leader::StepMoves(Time now) {
+void RebalancingManager::StepMoves(Time now) {
   std::vector<std::string> ids;
   for (const auto& [id, move] : rebalancer_->moves()) {
     if (!Ended(move.state)) ids.push_back(id);
@@ -145,36 +151,36 @@
         rebalancer_->Step(id, ObservationOf(move, now), now);
     const MoveClaim& claim = move.claim;
     if (move.state != before) {
-      Log("move " + id + " of " + claim.job + "/" + std::to_string(claim.task) +
+      context_.Log("move " + id + " of " + claim.job + "/" + std::to_string(claim.task) +
           " from " + claim.from + " to " + claim.to + " for " + claim.for_job +
           ": " + std::string(NameOf(move.state)) +
           (move.why.empty() ? "" : ", " + std::string(move.why)));
     }
     if (act != ReplicaMoveAction::kStop) continue;
-    Machine* from = FindMachine(claim.from);
+    Machine* from = cluster_.FindMachine(claim.from);
     const auto r =
         from->task_attempts.find({claim.job, claim.task, claim.attempt});
     const JobSpec& spec = r->second.job->spec();
-    QueueStop(*from, r->second,
+    dispatcher_.QueueStop(*from, r->second,
               spec.checkpoint_seconds > 0 ? spec.save_seconds : 0, now);
   }
   rebalancer_->Forget(now);
 }
 
-void Leader::TickMoves(Time now) {
+void RebalancingManager::TickMoves(const std::vector<std::string>& large_waiting, Time now) {
   if (!rebalancer_ || now < next_moves_) return;
   next_moves_ = now + settings_.workers.heartbeat_interval_seconds / 4;
   StepMoves(now);
-  if (now < next_move_plan_ || !AllAccounted() ||
+  if (now < next_move_plan_ || !cluster_.AllMachinesAccountedFor() ||
       rebalancer_->under_way() >= static_cast<int>(tuning_.moves_at_once) ||
       liveness_.leader_health() != LeaderHealthState::kHealthy) {
     return;
   }
   next_move_plan_ = now + settings_.workers.heartbeat_interval_seconds;
-  for (const std::string& id : large_waiting_) {
-    const auto it = jobs_.find(id);
-    if (it == jobs_.end() || !it->second->live() ||
-        StartableTasks(*it->second) == 0 ||
+  for (const std::string& id : large_waiting) {
+    const auto it = cluster_.jobs().find(id);
+    if (it == cluster_.jobs().end() || !it->second->live() ||
+        rollout_manager_.StartableTasks(*it->second) == 0 ||
         now - it->second->queued_since() <
             kWaitsLeases * settings_.workers.lease_seconds) {
       continue;
@@ -185,10 +191,10 @@
   }
 }
 
-void Leader::PlanMovesFor(const Job& waiting, Time now) {
+void RebalancingManager::PlanMovesFor(const Job& waiting, Time now) {
   std::vector<Machine*> usable;
-  for (auto& machine : machines_) {
-    if (machine->state() != MachineState::kGone && Usable(*machine, now) &&
+  for (auto& machine : cluster_.machines()) {
+    if (machine->state() != MachineState::kGone && machine_health_.Usable(*machine, now) &&
         !DrainedByMove(*machine)) {
       usable.push_back(machine.get());
     }
@@ -198,23 +204,23 @@
   input.fragmentation = &fragmentation_;
   input.usable = usable;
   input.waiting = &waiting.spec();
-  input.missing = StartableTasks(waiting);
+  input.missing = rollout_manager_.StartableTasks(waiting);
   input.most = static_cast<size_t>(std::max(
       0, static_cast<int>(tuning_.moves_at_once) - rebalancer_->under_way()));
   input.settled_seconds = kSettledLeases * lease;
   input.disturbance_seconds = 2 * settings_.workers.heartbeat_interval_seconds;
   input.horizon_seconds = kHorizonLeases * lease;
   input.now = now;
-  input.where = [this](const Job& job) { return ZoneSpreadOf(job); };
+  input.where = [this](const Job& job) { return cluster_.ZoneSpreadOf(job); };
   input.may_leave = [&](const TaskAttempt& attempt) {
-    return attempt.job->live() && RolloutOf(*attempt.job) == nullptr &&
-           DisruptionAllowed(KeyOf(attempt), *attempt.job, now) &&
+    return attempt.job->live() && rollout_manager_.RolloutOf(*attempt.job) == nullptr &&
+           rollout_manager_.DisruptionAllowed(KeyOf(attempt), *attempt.job, now) &&
            CountConfirmedRunning(*attempt.job, now) == attempt.job->size();
   };
   input.may_go = [&](const TaskAttempt& attempt, const Machine& to,
                      bool fetches) {
     // The loss of the target must not take the service.
-    return CountOn(*attempt.job, to) <
+    return cluster_.CountOn(*attempt.job, to) <
                ReplicasPerMachineLimit(attempt.job->size()) &&
            rebalancer_->MayBegin(attempt.job_id, attempt.job->size(),
                                  attempt.job->spec().team, to.host(), to.zone,
@@ -229,7 +235,7 @@
     bool all = true;
     for (; i < plan.size() && plan[i].from == from; ++i) {
       const PlannedMove& move = plan[i];
-      const JobSpec& spec = jobs_.at(move.leg.job_id)->spec();
+      const JobSpec& spec = cluster_.jobs().at(move.leg.job_id)->spec();
       MoveClaim claim;
       claim.job = move.leg.job_id;
       claim.task = move.leg.task;
@@ -241,7 +247,7 @@
       if (trial.MayBegin(claim.job, spec.tasks, spec.team, claim.to,
                          move.to->zone, move.fetch_seconds > 0, now)) {
         begun = trial.Begin(claim, move.to->zone, spec.team, move.fetch_seconds,
-                            wall_minus_steady_, now);
+                            context_.wall_minus_steady, now);
       }
       all = all && begun;
       if (begun) claims.push_back(*begun);
@@ -257,7 +263,7 @@
       record->version =
           known == catalog_.operators().end() ? 1 : known->second.version + 1;
       record->author = settings_.node;
-      record->changed_wall = now + wall_minus_steady_;
+      record->changed_wall = now + context_.wall_minus_steady;
       WriteOp op{WriteKind::kOperator, name};
       op.record = std::move(record);
       writes_.Queue(std::move(op));
@@ -265,16 +271,17 @@
   }
 }
 
-void Leader::ReserveMoveTargets(Time now) {
+void RebalancingManager::ReserveMoveTargets(Time now) {
   if (!rebalancer_) return;
   for (const auto& [id, move] : rebalancer_->moves()) {
     if (move.state != ReplicaMoveState::kClaimed &&
         move.state != ReplicaMoveState::kStopping) {
       continue;
     }
-    Machine* to = FindMachine(move.claim.to);
-    const auto it = jobs_.find(move.claim.job);
-    if (to == nullptr || it == jobs_.end() || !it->second->live()) continue;
+    Machine* to = cluster_.FindMachine(move.claim.to);
+    const auto it = cluster_.jobs().find(move.claim.job);
+    if (to == nullptr || it == cluster_.jobs().end() || !it->second->live())
+      continue;
     Job* job = it->second.get();
     const bool held = std::any_of(
         to->reservations.begin(), to->reservations.end(),
@@ -285,12 +292,12 @@
   }
 }
 
-Machine* Leader::ReservedByMove(const Job& job, const ZoneSpread& where,
+Machine* RebalancingManager::ReservedByMove(const Job& job, const ZoneSpread& where,
                                 Time now) {
   const std::string* host =
       rebalancer_ ? rebalancer_->TargetFor(job.id()) : nullptr;
-  Machine* machine = host == nullptr ? nullptr : FindMachine(*host);
-  if (machine == nullptr || !Usable(*machine, now) ||
+  Machine* machine = host == nullptr ? nullptr : cluster_.FindMachine(*host);
+  if (machine == nullptr || !machine_health_.Usable(*machine, now) ||
       !Allowed(job.spec(), *machine, where) ||
       !job.spec().need.FitsIn(
           machine->CapacityFor(&job, job.spec().priority))) {
--- a/core/leader/reconciliation.cc
+++ b/core/reconciliation/reconciler.cc
@@ -1,10 +1,10 @@
-// After the key-value store has lost data: what is owed to it is written back,
-// and what has no record is left alone. See docs/recovery.md.
+#include "core/reconciliation/reconciler.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/dependencies/dependency_coordinator.h"
+#include "core/job_lifecycle/job_lifecycle.h"
 
 namespace oxbow {
 namespace {
@@ -26,23 +26,21 @@
 
 }  // namespace
 
-std::vector<Precondition> Leader::LeadershipPreconditions(
-    const Catalog& catalog, uint64_t revision) {
-  std::vector<Precondition> leadership_preconditions{
-      {std::string(keys::kLeader), revision}};
-  // Without it, a write that is applied after the service has stepped back
-  // could find the leader key at the same revision by chance.
-  if (catalog.epoch().number > 0) {
-    auto [key, mod_revision] = catalog.Guard();
-    leadership_preconditions.push_back({std::move(key), mod_revision});
-  }
-  return leadership_preconditions;
-}
+Reconciler::Reconciler(LeaderContext& context, const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      tuning_(context.tuning),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      dependencies_(modules.dependencies),
+      job_lifecycle_(modules.job_lifecycle) {}
 
 // A task that runs without a record: either its job has ended, which is known
 // or can be read, or its record is lost, and killing it would be the loss of
 // the work as well.
-bool Leader::MayStopUnknownTask(const TaskAttempt& attempt, Time now) {
+bool Reconciler::MayStopUnknownTask(const TaskAttempt& attempt, Time now) {
   if (!RecoveryEnabled() ||
       catalog_.FindTerminalState(attempt.job_id) != TerminalState::kNone) {
     return true;
@@ -55,23 +53,15 @@
   return false;
 }
 
-Resources Leader::OrphanedTasksUpperBound() const {
-  Resources bound;
-  for (const auto& machine : machines_) {
-    if (machine->orphaned_tasks > 0) bound += machine->total();
-  }
-  return bound;
-}
-
-bool Leader::ViewOrphanedTasks(const std::string& id, JobView* out) const {
+bool Reconciler::ViewOrphanedTasks(const std::string& id, JobView* out) const {
   bool there = false;
   out->done = 0;
   out->running = 0;
-  for (const auto& machine : machines_) {
+  for (const auto& machine : cluster_.machines()) {
     if (machine->orphaned_tasks == 0) continue;
     for (auto r = machine->task_attempts.lower_bound({id, 0, 0});
          r != machine->task_attempts.end() && r->first.job_id == id; ++r) {
-      there = there || IsOrphaned(r->second);
+      there = there || cluster_.IsOrphaned(r->second);
       out->running += r->second.phase == TaskPhase::kRunning;
     }
   }
@@ -79,34 +69,9 @@
   return there;
 }
 
-std::vector<std::string> Leader::Alarms() const {
-  std::vector<std::string> alarms = liveness_.Alarms();
-  int orphaned_tasks = 0;
-  for (const auto& machine : machines_)
-    orphaned_tasks += machine->orphaned_tasks;
-  if (orphaned_tasks > 0) {
-    alarms.push_back(std::to_string(orphaned_tasks) +
-                     " tasks run whose jobs have no record");
-  }
-  if (!catalog_.pending_writes().empty()) {
-    alarms.push_back(std::to_string(catalog_.pending_writes().size()) +
-                     " records are still to be written back");
-  }
-  if (writes_.set_aside() > 0) {
-    alarms.push_back(std::to_string(writes_.set_aside()) +
-                     " writes are larger than the state service takes");
-  }
-  if (!catalog_.epoch().whole) {
-    alarms.push_back(
-        "jobs may have been lost with the state service's data: whoever misses "
-        "one submits it again");
-  }
-  return alarms;
-}
-
 // Machines first: a leader that takes over has to know where to look. Then
 // live services, then all else that users wait for.
-std::vector<std::string> Leader::ReconciliationOrder() const {
+std::vector<std::string> Reconciler::ReconciliationOrder() const {
   const auto rank = [this](const std::string& key) {
     if (key.starts_with(keys::kMachine)) return 0;
     if (!key.starts_with(keys::kJob)) return 3;
@@ -125,14 +90,14 @@
   return order;
 }
 
-void Leader::OnUnrecordedTerminalStates(
+void Reconciler::OnUnrecordedTerminalStates(
     std::vector<std::pair<std::string, TerminalState>> ends, bool whole) {
   unrecorded_terminal_states_ = std::move(ends);
   terminal_states_compared_ = true;
   retained_records_complete_ = whole;
 }
 
-void Leader::TickReconciliation(Time now) {
+void Reconciler::TickReconciliation(Time now) {
   // The picture against the records, once a lease: a record that came past
   // every event (its hint lost, its job taken in while this leader took office)
   // runs all the same, an end that was read on the side ends its job, and a job
@@ -144,21 +109,23 @@
     next->second = now + settings_.workers.lease_seconds;
     std::vector<std::string> news;
     for (const auto& [id, record] : catalog_.jobs()) {
-      const auto it = jobs_.find(id);
-      if (it == jobs_.end() || (record.terminal_state != TerminalState::kNone &&
-                                it->second->state() != JobState::kDone &&
-                                it->second->state() != JobState::kAborted)) {
+      const auto it = cluster_.jobs().find(id);
+      if (it == cluster_.jobs().end() ||
+          (record.terminal_state != TerminalState::kNone &&
+           it->second->state() != JobState::kDone &&
+           it->second->state() != JobState::kAborted)) {
         news.push_back(id);
       }
     }
-    for (const std::string& id : news) OnJobRecord(id, now);
+    for (const std::string& id : news) job_lifecycle_.OnJobRecord(id, now);
     std::vector<std::string> waiting;
     for (const auto& [id, record] : catalog_.waiting()) {
-      if (dependency_graph_.Find(id) == nullptr) waiting.push_back(id);
+      if (dependencies_.Find(id) == nullptr) waiting.push_back(id);
     }
-    for (const std::string& id : waiting) OnWaitingRecord(id, now);
+    for (const std::string& id : waiting)
+      dependencies_.OnWaitingRecord(id, now);
     std::vector<std::pair<std::string, TerminalState>> ended;
-    for (const auto& [id, job] : jobs_) {
+    for (const auto& [id, job] : cluster_.jobs()) {
       if (job->state() == JobState::kDone ||
           job->state() == JobState::kAborted ||
           catalog_.FindJob(id) != nullptr) {
@@ -171,7 +138,8 @@
         actions_.push_back(RequestJobRecord{id});
       }
     }
-    for (const auto& [id, end] : ended) OnTerminalStateRecorded(id, end, now);
+    for (const auto& [id, end] : ended)
+      job_lifecycle_.OnTerminalStateRecorded(id, end, now);
   }
   // After the rebuild nothing is owed, but by one that had no part in it and
   // leads before it has handed in what it remembers.
@@ -203,8 +171,8 @@
   writes_.Flush(now);
 }
 
-bool Leader::BuildReconciliationWrite(const WriteOp& op,
-                                      CompareAndSwap* txn) const {
+bool Reconciler::BuildReconciliationWrite(const WriteOp& op,
+                                          CompareAndSwap* txn) const {
   switch (op.kind) {
     case WriteKind::kReconcileRecord: {
       if (!catalog_.pending_writes().contains(op.name)) return false;
@@ -266,7 +234,7 @@
   }
 }
 
-void Leader::OnReconciliationWritten(const WriteOp& op, uint64_t revision) {
+void Reconciler::OnReconciliationWritten(const WriteOp& op, uint64_t revision) {
   if (revision == 0) return;
   if (op.kind == WriteKind::kReconcileRecord) {
     catalog_.Put(op.name, PendingRecord(catalog_, op), revision);
@@ -281,7 +249,8 @@
     epoch.rebuilt = true;
     epoch.whole = retained_records_complete_;
     catalog_.Put(std::string(keys::kEpoch), epoch, revision);
-    Log("everything that is remembered stands in the state service again");
+    context_.Log(
+        "everything that is remembered stands in the state service again");
   }
 }
 
--- a/core/leader/rollouts.cc
+++ b/core/rollout/rollout_manager.cc
@@ -1,11 +1,12 @@
-// Rollouts on the leader: what they see, what they hold back, what they stop,
-// and how their steps are recorded.
+#include "core/rollout/rollout_manager.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/job_lifecycle/job_lifecycle.h"
+#include "core/worker_sessions/machine_health.h"
 
 namespace oxbow {
 namespace {
@@ -19,18 +20,21 @@
 
 }  // namespace
 
-const Rollout* Leader::FindRollout(const std::string& id) const {
+
+RolloutManager::RolloutManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), tuning_(context.tuning), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), machine_health_(modules.machine_health), dispatcher_(modules.dispatcher), job_lifecycle_(modules.job_lifecycle) {}
+
+const Rollout* RolloutManager::FindRollout(const std::string& id) const {
   const auto it = rollouts_.find(id);
   return it == rollouts_.end() ? nullptr : &it->second;
 }
 
-const Rollout* Leader::RolloutOf(const Job& job) const {
+const Rollout* RolloutManager::RolloutOf(const Job& job) const {
   if (in_rollout_.empty()) return nullptr;
   const auto it = in_rollout_.find(job.id());
   return it == in_rollout_.end() ? nullptr : FindRollout(it->second);
 }
 
-uint32_t Leader::StartableTasks(const Job& job) const {
+uint32_t RolloutManager::StartableTasks(const Job& job) const {
   const Rollout* rollout = RolloutOf(job);
   if (rollout == nullptr) return job.unplaced();
   const uint32_t most = rollout->spec().to == job.id() ? rollout->MostOfNew()
@@ -39,7 +43,7 @@
   return std::min(job.unplaced(), left);
 }
 
-bool Leader::DisruptionAllowed(const TaskAttemptKey& key, const Job& job,
+bool RolloutManager::DisruptionAllowed(const TaskAttemptKey& key, const Job& job,
                                Time now) const {
   const Rollout* rollout = RolloutOf(job);
   return rollout == nullptr || !job.live() || rollout->MayStop(key, now);
@@ -48,7 +52,7 @@
 // A controller that has just accepted a job tells the leader of it ahead of the
 // watch. The rollout that was declared before the job comes by the watch, so
 // until that has caught up the job could start whole.
-bool Leader::MayBeRestricted(const Job& job) const {
+bool RolloutManager::MayBeRestricted(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
   }
@@ -57,7 +61,7 @@
          record->mod_revision > catalog_.watched_revision();
 }
 
-void Leader::OnRolloutRecord(const std::string& id, Time now) {
+void RolloutManager::OnRolloutRecord(const std::string& id, Time now) {
   const auto known = catalog_.rollouts().find(id);
   if (known == catalog_.rollouts().end()) return;
   const RolloutRecord& record = known->second;
@@ -75,27 +79,27 @@
     rollouts_.emplace(id, Rollout(record, now));
     in_rollout_[record.spec->from] = id;
     in_rollout_[record.spec->to] = id;
-    Log("roll-out " + id + ": " + record.spec->from + " to " + record.spec->to +
+    context_.Log("roll-out " + id + ": " + record.spec->from + " to " + record.spec->to +
         ", " + std::string(NameOf(record.step)));
   }
-  dirty_ = true;
+  cluster_.MarkChanged();
 }
 
-void Leader::OnHealth(const std::string& rollout, const TaskAttemptKey& key,
+void RolloutManager::OnHealth(const std::string& rollout, const TaskAttemptKey& key,
                       const CheckOutcome& outcome, Time now) {
   --checks_in_flight_;
   const auto it = rollouts_.find(rollout);
   if (it != rollouts_.end()) it->second.OnCheck(key, outcome, now);
 }
 
-RolloutView Leader::ViewOf(const Rollout& rollout, Time now) const {
+RolloutView RolloutManager::ViewOf(const Rollout& rollout, Time now) const {
   RolloutView view;
   const RolloutSpec& spec = rollout.spec();
   for (const bool is_new : {false, true}) {
     const std::string& id = is_new ? spec.to : spec.from;
-    const auto it = jobs_.find(id);
+    const auto it = cluster_.jobs().find(id);
     const bool ended = catalog_.FindTerminalState(id) != TerminalState::kNone;
-    if (it == jobs_.end()) {
+    if (it == cluster_.jobs().end()) {
       if (is_new) view.to_known = ended;
       continue;
     }
@@ -103,16 +107,17 @@
     (is_new ? view.to_live : view.from_live) = job.live();
     (is_new ? view.to_tasks : view.from_tasks) = job.size();
     if (is_new) view.to_known = true;
-    for (const auto& [machine, key] : AttemptsOf(job)) {
+    for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
       const TaskAttempt& attempt = machine->task_attempts.at(key);
-      if (attempt.phase == TaskPhase::kExited || !IsCurrent(*machine, attempt))
+      if (attempt.phase == TaskPhase::kExited ||
+          !cluster_.IsCurrent(*machine, attempt))
         continue;
       InstanceView seen;
       seen.key = key;
       seen.is_new = is_new;
       seen.running = attempt.phase == TaskPhase::kRunning;
       seen.stopping = attempt.stopping;
-      seen.heard = !Suspect(*machine, now);
+      seen.heard = !machine_health_.Suspect(*machine, now);
       seen.last_heard = machine->last_heard;
       seen.leaving = machine->state() != MachineState::kUp;
       seen.zone = machine->zone;
@@ -122,11 +127,11 @@
   return view;
 }
 
-void Leader::TickRollouts(Time now) {
+void RolloutManager::TickRollouts(Time now) {
   if (rollouts_.empty() || now < next_rollouts_) return;
   next_rollouts_ = now + settings_.workers.heartbeat_interval_seconds / 4;
   // A picture with holes would take unheard instances for missing ones.
-  if (!AllAccounted()) return;
+  if (!cluster_.AllMachinesAccountedFor()) return;
   for (auto& [id, rollout] : rollouts_) {
     const uint32_t old_before = rollout.MostOfOld();
     const uint32_t new_before = rollout.MostOfNew();
@@ -141,22 +146,23 @@
                      rollout.record().request});
     }
     for (const TaskAttemptKey& key : plan.stop) {
-      const auto job = jobs_.find(key.job_id);
-      if (job == jobs_.end()) continue;
+      const auto job = cluster_.jobs().find(key.job_id);
+      if (job == cluster_.jobs().end()) continue;
       const int32_t index = job->second->task(key.task).machine;
       if (index < 0) continue;
-      Machine& machine = *machines_[static_cast<size_t>(index)];
+      Machine& machine = cluster_.machine(index);
       const auto it = machine.task_attempts.find(key);
       if (it == machine.task_attempts.end() || it->second.stopping) continue;
-      LogDetail([&, &name = id] {
+      context_.LogDetail([&, &name = id] {
         return "roll-out " + name + " stops " + key.job_id + "/" +
                std::to_string(key.task) + " on " + machine.host();
       });
-      QueueStop(machine, it->second, 0, now);
+      dispatcher_.QueueStop(machine, it->second, 0, now);
     }
     if (rollout.MostOfOld() != old_before ||
         rollout.MostOfNew() != new_before) {
-      dirty_ = urgent_dirty_ = true;
+      cluster_.MarkChanged();
+      cluster_.MarkUrgentChange();
     }
   }
   BeginChecks(now);
@@ -167,7 +173,7 @@
 // and the workers' heartbeats need. What the bound leaves is spread evenly:
 // each instance is checked more seldom, and the belief in its health lasts
 // longer.
-int Leader::ChecksAllowed(Time now) {
+int RolloutManager::ChecksAllowed(Time now) {
   constexpr double kCostSeconds =
       1e-4;  // of one check: twice what was measured
   const double share = settings_.limits.cpu_share * tuning_.rollout_cpu_share;
@@ -190,7 +196,7 @@
   return std::min(most - checks_in_flight_, static_cast<int>(checks_allowed_));
 }
 
-void Leader::BeginChecks(Time now) {
+void RolloutManager::BeginChecks(Time now) {
   int room = ChecksAllowed(now);
   // Each rollout in turn gets the first pick, so that none starves.
   std::vector<Rollout*> order;
@@ -205,24 +211,24 @@
     for (const TaskAttemptKey& key :
          rollout->TakeDue(static_cast<size_t>(room), now)) {
       --room;
-      const auto job = jobs_.find(key.job_id);
-      const int32_t index =
-          job == jobs_.end() ? -1 : job->second->task(key.task).machine;
+      const auto job = cluster_.jobs().find(key.job_id);
+      const int32_t index = job == cluster_.jobs().end()
+                                ? -1
+                                : job->second->task(key.task).machine;
       if (index < 0) {
         rollout->OnCheck(key, {}, now);
         continue;
       }
       ++checks_in_flight_;
       checks_allowed_ -= 1;
-      actions_.push_back(
-          CheckInstance{rollout->spec().id, key,
-                        machines_[static_cast<size_t>(index)]->endpoint,
-                        rollout->record().spec});
+      actions_.push_back(CheckInstance{rollout->spec().id, key,
+                                       cluster_.machine(index).endpoint,
+                                       rollout->record().spec});
     }
   }
 }
 
-RolloutRecord Leader::AfterOp(const RolloutRecord& record, const WriteOp& op) {
+RolloutRecord RolloutManager::AfterOp(const RolloutRecord& record, const WriteOp& op) {
   RolloutRecord next = record;
   if (op.step == RolloutStep::kPaused) next.paused_in = next.step;
   next.step = op.step;
@@ -246,7 +252,7 @@
 // The end of a rollout and of the job that it replaces, or takes back, stand
 // in one transaction: the declaration was made by the user of both, and nobody
 // is told of one without the other.
-bool Leader::BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const {
+bool RolloutManager::BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const {
   const auto known = catalog_.rollouts().find(op.name);
   if (known == catalog_.rollouts().end() || known->second.step == op.step) {
     return false;
@@ -274,7 +280,7 @@
   return true;
 }
 
-void Leader::RolloutOpDone(const WriteOp& op, uint64_t revision, Time now) {
+void RolloutManager::RolloutOpDone(const WriteOp& op, uint64_t revision, Time now) {
   const auto it = rollouts_.find(op.name);
   if (revision > 0) {
     const auto known = catalog_.rollouts().find(op.name);
@@ -289,7 +295,7 @@
       }
     }
   }
-  Log("roll-out " + op.name + ": " + std::string(NameOf(op.step)) +
+  context_.Log("roll-out " + op.name + ": " + std::string(NameOf(op.step)) +
       (op.reason.empty() ? "" : ", " + op.reason));
   if (!Ended(op.step) || it == rollouts_.end()) return;
   const std::string from = it->second.spec().from;
@@ -298,8 +304,8 @@
   in_rollout_.erase(from);
   in_rollout_.erase(to);
   const std::string& ends = op.step == RolloutStep::kDone ? from : to;
-  const auto job = jobs_.find(ends);
-  if (op.step != RolloutStep::kFailed && job != jobs_.end() &&
+  const auto job = cluster_.jobs().find(ends);
+  if (op.step != RolloutStep::kFailed && job != cluster_.jobs().end() &&
       job->second->live()) {
     if (revision > 0) {
       if (const JobRecord* record = catalog_.FindJob(ends)) {
@@ -310,9 +316,17 @@
       }
     }
     job->second->Change(JobState::kRecordingAbort);
-    OnTerminalStateRecorded(ends, TerminalState::kAborted, now);
+    job_lifecycle_.OnTerminalStateRecorded(ends, TerminalState::kAborted, now);
   }
-  dirty_ = urgent_dirty_ = true;
+  cluster_.MarkChanged();
+  cluster_.MarkUrgentChange();
+}
+
+void RolloutManager::OnAttemptStopping(const TaskAttempt& attempt) {
+  if (attempt.job == nullptr || in_rollout_.empty()) return;
+  const auto it = in_rollout_.find(attempt.job_id);
+  if (it == in_rollout_.end()) return;
+  rollouts_.at(it->second).NoteStopping(KeyOf(attempt));
 }
 
 }  // namespace oxbow
--- a/core/leader/queue_ranking.cc
+++ b/core/scheduler/queue_ranking.cc
@@ -1,4 +1,4 @@
-#include "core/leader/queue_ranking.h"
+#include "core/scheduler/queue_ranking.h"
 
 #include <algorithm>
 
--- a/core/leader/scheduling.cc
+++ b/core/scheduler/scheduler.cc
@@ -1,18 +1,45 @@
-// What runs where, on the leader.
+#include "core/scheduler/scheduler.h"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/autoscaler/quiescence.h"
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/maintenance/maintenance_manager.h"
+#include "core/priority_tiers/tier_manager.h"
+#include "core/rebalancing/rebalancing_manager.h"
+#include "core/rollout/rollout_manager.h"
+#include "core/worker_sessions/machine_health.h"
 
 namespace oxbow {
 
+Scheduler::Scheduler(LeaderContext& context, const Modules& modules,
+                     uint64_t seed)
+    : context_(context),
+      settings_(context.settings),
+      tuning_(context.tuning),
+      cluster_(context.cluster),
+      tiers_(context.tiers),
+      fragmentation_(context.fragmentation),
+      queue_ranking_(context.queue_ranking),
+      run_times_(context.run_times),
+      machine_health_(modules.machine_health),
+      dispatcher_(modules.dispatcher),
+      rollout_manager_(modules.rollout_manager),
+      maintenance_(modules.maintenance),
+      tier_manager_(modules.tier_manager),
+      rebalancing_(modules.rebalancing),
+      placer_(context.tuning, seed) {
+  if (context.tuning.fragmentation_weight > 0)
+    placer_.SetFragmentation(&fragmentation_);
+}
+
 // A job is within its team's guarantee if it fits into it together with the
 // team's earlier unfinished jobs.
-void Leader::ComputeGuaranteedJobs() {
+void Scheduler::ComputeGuaranteedJobs() {
   std::vector<Job*> order;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : cluster_.jobs()) {
     job->within_guarantee = false;
     if (job->live() && job->team() >= 0) order.push_back(job.get());
   }
@@ -22,9 +49,9 @@
     }
     return a->id() < b->id();
   });
-  std::vector<Resources> sum(quotas_.size());
+  std::vector<Resources> sum(cluster_.quotas().size());
   for (Job* job : order) {
-    const TeamQuota& team = quotas_[job->team()].settings;
+    const TeamQuota& team = cluster_.quota(job->team()).quota;
     if (team.cpus <= 0 && team.gpus <= 0) continue;
     Resources& used = sum[job->team()];
     used += job->spec().need * (job->size() - job->done());
@@ -32,82 +59,55 @@
   }
 }
 
-bool Leader::Placeable(const Job& job, Time now, bool accounted) const {
-  if (!job.live() || StartableTasks(job) == 0 || now < job.not_before)
+bool Scheduler::Placeable(const Job& job, Time now, bool accounted) const {
+  if (!job.live() || rollout_manager_.StartableTasks(job) == 0 ||
+      now < job.not_before)
     return false;
-  if (MayBeRestricted(job)) return false;
-  if (!calendar_.empty() && !AdmissionOf(job, now).may()) return false;
+  if (rollout_manager_.MayBeRestricted(job)) return false;
+  if (!maintenance_.MayStartNow(job, now)) return false;
   if (accounted) return true;
   // Tasks of a job accepted under this leader are nowhere else. In a capped
   // team, unheard machines may hold what fills the limit.
-  return !job.from_before && (job.team() < 0 || !quotas_[job.team()].capped());
-}
-
-bool Leader::QuotaUsage::LimitAllows(const Resources& want) const {
-  constexpr double kEpsilon = 1e-6;
-  return (settings.cpus_max <= 0 ||
-          want.cpus <= settings.cpus_max + kEpsilon) &&
-         (settings.gpus_max <= 0 || want.gpus <= settings.gpus_max + kEpsilon);
-}
-
-bool Leader::QuotaAllows(const Job& job, double tasks) const {
-  if (job.team() < 0) return true;
-  const QuotaUsage& team = quotas_[job.team()];
-  return team.LimitAllows(team.used + team.held + team.orphaned_tasks +
-                          job.spec().need * tasks);
-}
-
-ZoneSpread Leader::ZoneSpreadOf(const Job& job) const {
-  ZoneSpread where;
-  if (job.spec().spread || job.spec().one_zone ||
-      job.spec().kind == JobKind::kService) {
-    for (const auto& [index, presence] : job.presence()) {
-      if (presence.holding == 0) continue;
-      where.Add(machines_[static_cast<size_t>(index)]->zone, presence.holding);
-    }
-  }
-  return where;
-}
-
-int Leader::CountOn(const Job& job, const Machine& machine) const {
-  const auto it = job.presence().find(machine.index());
-  return it == job.presence().end() ? 0 : it->second.holding;
+  return !job.from_before &&
+         (job.team() < 0 || !cluster_.quota(job.team()).has_maximum());
 }
 
-void Leader::ScheduleIfNeeded(Time now) {
-  if (!dirty_ || resigned_ || types_.empty()) return;
+void Scheduler::ScheduleIfNeeded(Time now) {
+  if (!cluster_.changed() || context_.resigned || cluster_.types().empty())
+    return;
   // Live services are placed at once, the rest in batches: a pass over
   // everything for each exit of a short task would cost more than it gains.
-  if (!urgent_dirty_ && now < next_schedule_) return;
+  if (!cluster_.urgent() && now < next_schedule_) return;
   next_schedule_ = now + 0.06 * settings_.workers.heartbeat_interval_seconds;
-  dirty_ = urgent_dirty_ = false;
-  const bool accounted = AllAccounted();
+  cluster_.ClearChanges();
+  const bool accounted = cluster_.AllMachinesAccountedFor();
   ComputeGuaranteedJobs();
-  CountWindows();
-  const Resources orphaned_tasks = OrphanedTasksUpperBound();
-  for (QuotaUsage& team : quotas_) {
+  maintenance_.CountWindows();
+  const Resources orphaned_tasks = cluster_.OrphanedTasksUpperBound();
+  for (QuotaUsage& team : cluster_.quotas()) {
     team.held = {};
     team.orphaned_tasks = orphaned_tasks;
   }
   part_is_held_ = false;
   fragmentation_.Settle(now);
   std::vector<Job*> order;
-  for (auto& [id, job] : jobs_) {
+  for (auto& [id, job] : cluster_.jobs()) {
     if (Placeable(*job, now, accounted)) order.push_back(job.get());
   }
   if (order.empty()) return;
   std::vector<Machine*> usable;
   std::vector<Machine*> alive;
-  for (auto& machine : machines_) {
+  for (auto& machine : cluster_.machines()) {
     std::erase_if(machine->reservations, [&](const Reservation& reservation) {
       return now > reservation.until || !reservation.job->live() ||
-             StartableTasks(*reservation.job) == 0;
+             rollout_manager_.StartableTasks(*reservation.job) == 0;
     });
     if (machine->state() == MachineState::kGone) continue;
     alive.push_back(machine.get());
-    if (Usable(*machine, now)) usable.push_back(machine.get());
+    if (machine_health_.Usable(*machine, now)) usable.push_back(machine.get());
   }
-  BeginTiers(order, usable, accounted, now);
+  over_share_.clear();
+  tier_manager_.BeginTiers(order, usable, accounted, now);
   struct Entry {
     QueuePosition place;
     Job* job;
@@ -115,8 +115,8 @@
   std::vector<Entry> entries;
   entries.reserve(order.size());
   for (Job* job : order) {
-    QueuePosition where =
-        queue_ranking_.PositionOf(*job, RunSeconds(job->spec()), now);
+    QueuePosition where = queue_ranking_.PositionOf(
+        *job, run_times_.RunSeconds(job->spec()), now);
     where.tier = tiers_.RankOf(*job, job->tier);
     // What has waited for its minimum share comes next after the best tier.
     if (where.by_minimum_share) where.tier = std::min(where.tier, 1);
@@ -130,7 +130,7 @@
     }
     return a.job->id() < b.job->id();
   });
-  ReserveMoveTargets(now);
+  rebalancing_.ReserveMoveTargets(now);
   const double bandwidth = MeanBandwidth(alive);
   const auto place = [&](const Entry& entry) {
     Job* job = entry.job;
@@ -151,37 +151,40 @@
   large_waiting_.clear();
   constexpr size_t kMostLarge = 4;
   for (const Entry& entry : entries) {
-    if (!rebalancer_ || large_waiting_.size() >= kMostLarge) break;
+    if (!rebalancing_.enabled() || large_waiting_.size() >= kMostLarge) break;
     const Job& job = *entry.job;
-    const uint32_t wanted = StartableTasks(job);
+    const uint32_t wanted = rollout_manager_.StartableTasks(job);
     if (job.spec().need.gpus > 0 && wanted > 0 &&
-        QuotaAllows(job, job.spec().kind == JobKind::kGang ? wanted : 1)) {
+        cluster_.QuotaAllows(job,
+                             job.spec().kind == JobKind::kGang ? wanted : 1)) {
       large_waiting_.push_back(job.id());
     }
   }
-  for (Machine* machine : usable) DispatchCommands(*machine, now);
+  for (Machine* machine : usable) dispatcher_.DispatchCommands(*machine, now);
 }
 
-Machine* Leader::FindPlace(const Job& job, const std::vector<Machine*>& usable,
-                           const ZoneSpread& where, double bandwidth) {
+Machine* Scheduler::FindPlace(const Job& job,
+                              const std::vector<Machine*>& usable,
+                              const ZoneSpread& where, double bandwidth) {
   const JobSpec& spec = job.spec();
   std::vector<Machine*> fitting;
   for (Machine* machine : usable) {
     if (spec.need.FitsIn(machine->CapacityFor(&job, job.priority())) &&
-        Allowed(spec, *machine, where) && TierAllows(job, *machine)) {
+        Allowed(spec, *machine, where) &&
+        tier_manager_.TierAllows(job, *machine)) {
       fitting.push_back(machine);
     }
   }
   return placer_.Choose(
       job, fitting, where,
-      [&](const Machine& machine) { return CountOn(job, machine); }, bandwidth,
-      queue_ranking_.WaitSloSeconds(spec));
+      [&](const Machine& machine) { return cluster_.CountOn(job, machine); },
+      bandwidth, queue_ranking_.WaitSloSeconds(spec));
 }
 
-void Leader::Start(Job& job, uint32_t task, Machine& machine, uint64_t attempt,
-                   Time now) {
+void Scheduler::Start(Job& job, uint32_t task, Machine& machine,
+                      uint64_t attempt, Time now) {
   const JobSpec& spec = job.spec();
-  LogDetail([&] {
+  context_.LogDetail([&] {
     return "start " + spec.id + "/" + std::to_string(task) + " on " +
            machine.host() + ", image " +
            (machine.HasImage(spec.image)                          ? "there"
@@ -202,47 +205,33 @@
                  machine.BytesToFetch(spec.image, spec.image_gb) > 0, now);
   machine.QueueImage(spec.image, spec.image_gb, now);
   machine.queue.push_back({CommandKind::kStart, spec.id, task, attempt, 0});
-  AddAttempt(machine, std::move(task_attempt), /*there=*/true);
+  cluster_.AddAttempt(machine, std::move(task_attempt), /*present=*/true);
   job.Place(task, machine.index(), attempt);
-  for (auto& [id, used] : in_window_) {
-    if (calendar_.InWindow(id, spec, TierOf(job))) used += spec.need;
-  }
+  maintenance_.NoteStart(job);
   job.ChangeTask(task, TaskState::kStarting);
-  DropReservation(&job, &machine);
-}
-
-void Leader::DropReservation(const Job* job, Machine* machine) {
-  const auto mine = [&](const Reservation& reservation) {
-    return reservation.job == job;
-  };
-  if (machine == nullptr) {
-    for (auto& other : machines_) std::erase_if(other->reservations, mine);
-    return;
-  }
-  const auto it = std::find_if(machine->reservations.begin(),
-                               machine->reservations.end(), mine);
-  if (it != machine->reservations.end()) machine->reservations.erase(it);
+  cluster_.DropReservation(job, machine);
 }
 
-std::optional<Machine*> Leader::FindReplicaPlace(
+std::optional<Machine*> Scheduler::FindReplicaPlace(
     Job& job, const std::vector<Machine*>& usable, const ZoneSpread& where,
     double bandwidth, Time now) {
   const JobSpec& spec = job.spec();
-  if (Machine* held = ReservedByMove(job, where, now)) return held;
+  if (Machine* held = rebalancing_.ReservedByMove(job, where, now)) return held;
   // Exception to the design, "accelerator headroom": a replica stays for
   // long, and one too many on a machine keeps accelerator work off it all
   // that time. Rather than spoil one, it takes the room of short work.
   std::vector<Machine*> sparing;
-  const bool calm = IsQuiescent(now);
+  const bool calm = IsQuiescent(cluster_, settings_, tuning_, now);
   for (Machine* machine : usable) {
     // In a calm replicas gather where they spoil nothing any more. Two beside
     // every gang's room had kept sixty machines rented after the last gang.
     // Nor does it break a whole machine while there is fragmented room.
-    if ((calm ? IsConsolidationTarget(*machine)
-              : !BlocksAcceleratorWork(spec, *machine, accelerator_shape_)) &&
+    if ((calm ? IsConsolidationTarget(cluster_, *machine)
+              : !BlocksAcceleratorWork(spec, *machine,
+                                       cluster_.largest_accelerator_task())) &&
         !placer_.FragmentsWholeMachine(spec, *machine,
                                        queue_ranking_.WaitSloSeconds(spec)) &&
-        !DrainedByMove(*machine)) {
+        !rebalancing_.DrainedByMove(*machine)) {
       sparing.push_back(machine);
     }
   }
@@ -267,20 +256,20 @@
   return best;
 }
 
-void Leader::PlaceJob(Job& job, const QueuePosition& from,
-                      const std::vector<Machine*>& usable, double bandwidth,
-                      Time now) {
-  ZoneSpread where = ZoneSpreadOf(job);
+void Scheduler::PlaceJob(Job& job, const QueuePosition& from,
+                         const std::vector<Machine*>& usable, double bandwidth,
+                         Time now) {
+  ZoneSpread where = cluster_.ZoneSpreadOf(job);
   int64_t task;
   uint32_t left = from.by_minimum_share
                       ? QueueRanking::MinimumShareOf(job.spec())
                       : UINT32_MAX;
-  while (left > 0 && StartableTasks(job) > 0 &&
+  while (left > 0 && rollout_manager_.StartableTasks(job) > 0 &&
          (task = job.PeekPending()) >= 0) {
-    if (!WindowAllows(job, 1)) return;
-    if (!QuotaAllows(job, 1)) {
+    if (!maintenance_.WindowAllows(job, 1)) return;
+    if (!cluster_.QuotaAllows(job, 1)) {
       if (job.spec().kind == JobKind::kService) {
-        PreemptWithinQuota(job, StartableTasks(job), now);
+        PreemptWithinQuota(job, rollout_manager_.StartableTasks(job), now);
       }
       return;
     }
@@ -306,19 +295,22 @@
     // 25,000 tasks, the choice took the leader longer than its lease.
     uint32_t here = 1;
     if (job.spec().kind == JobKind::kArray) {
-      here = std::max(1u, job.spec().need.TimesIn(
-                              machine->CapacityFor(&job, job.priority()),
-                              std::min(left, StartableTasks(job))));
+      here = std::max(
+          1u, job.spec().need.TimesIn(
+                  machine->CapacityFor(&job, job.priority()),
+                  std::min(left, rollout_manager_.StartableTasks(job))));
     }
     for (uint32_t n = 0; n < here; ++n) {
       task = job.PeekPending();
-      if (task < 0 || !QuotaAllows(job, 1) || !WindowAllows(job, 1) ||
-          !Allowed(job.spec(), *machine, where) || !TierAllows(job, *machine) ||
+      if (task < 0 || !cluster_.QuotaAllows(job, 1) ||
+          !maintenance_.WindowAllows(job, 1) ||
+          !Allowed(job.spec(), *machine, where) ||
+          !tier_manager_.TierAllows(job, *machine) ||
           (n > 0 && (!tiers_.MayStart(job, job.tier) ||
                      !tiers_.WithinShare(job, job.tier, job.spec().need)))) {
         break;
       }
-      const uint64_t attempt = NextNumber();
+      const uint64_t attempt = context_.NextNumber();
       if (attempt == 0) return;
       job.PopPending();
       Start(job, static_cast<uint32_t>(task), *machine, attempt, now);
@@ -330,21 +322,21 @@
 
 // Whole or not at all, all tasks under one attempt number, and not before the
 // last task of the attempt before is surely gone.
-void Leader::PlaceGang(Job& job, const QueuePosition& from,
-                       const std::vector<Machine*>& usable, double bandwidth,
-                       Time now) {
+void Scheduler::PlaceGang(Job& job, const QueuePosition& from,
+                          const std::vector<Machine*>& usable, double bandwidth,
+                          Time now) {
   const JobSpec& spec = job.spec();
   if (job.placed() > 0) {
     // A leader that crashed half-way through the starts, or a task lost: what
     // is left is stopped, and the next attempt takes the whole.
-    StopTasks(job, 0, now);
+    dispatcher_.StopTasks(job, 0, now);
     return;
   }
   // Zombies of an earlier attempt hold their zone and their place.
   if (job.holding() > 0) return;
   const uint32_t tasks = job.unplaced();
-  if (!WindowAllows(job, tasks)) return;
-  if (!QuotaAllows(job, tasks)) {
+  if (!maintenance_.WindowAllows(job, tasks)) return;
+  if (!cluster_.QuotaAllows(job, tasks)) {
     PreemptWithinQuota(job, tasks, now);
     return;
   }
@@ -402,7 +394,7 @@
     ReserveGangByPreemption(job, usable, now);
     return;
   }
-  const uint64_t attempt = NextNumber();
+  const uint64_t attempt = context_.NextNumber();
   if (attempt == 0) return;
   queue_ranking_.Placed(job, from, now);
   for (Machine* machine : best) {
@@ -413,27 +405,28 @@
   tiers_.TurnUsed(job, job.tier, now);
 }
 
-bool Leader::MayPreempt(const Job& job, const TaskAttempt& victim,
-                        Time now) const {
+bool Scheduler::MayPreempt(const Job& job, const TaskAttempt& victim,
+                           Time now) const {
   if (victim.job == nullptr || victim.job == &job ||
       victim.phase == TaskPhase::kExited) {
     return false;
   }
   const Job& other = *victim.job;
-  if (!DisruptionAllowed(KeyOf(victim), other, now)) return false;
+  if (!rollout_manager_.DisruptionAllowed(KeyOf(victim), other, now))
+    return false;
   if (other.priority() > job.priority()) return true;
   // Borrowed room goes back to a team that is within its guarantee.
   if (!job.within_guarantee || other.team() < 0 || other.team() == job.team() ||
       other.priority() == Priority::kProduction) {
     return false;
   }
-  const QuotaUsage& owner = quotas_[other.team()];
-  const bool beyond = owner.used.cpus > owner.settings.cpus ||
-                      owner.used.gpus > owner.settings.gpus;
+  const QuotaUsage& owner = cluster_.quota(other.team());
+  const bool beyond =
+      owner.used.cpus > owner.quota.cpus || owner.used.gpus > owner.quota.gpus;
   return beyond && !other.within_guarantee;
 }
 
-double Leader::PreemptionCost(const TaskAttempt& victim, Time now) const {
+double Scheduler::PreemptionCost(const TaskAttempt& victim, Time now) const {
   const JobSpec& spec = victim.job->spec();
   const double ran =
       victim.running_since > 0 ? now - victim.running_since : 0.0;
@@ -448,21 +441,21 @@
          (whole ? spec.tasks : 1);
 }
 
-void Leader::Preempt(Machine& machine, TaskAttempt& victim,
-                     const JobSpec& for_job, Time now) {
+void Scheduler::Preempt(Machine& machine, TaskAttempt& victim,
+                        const JobSpec& for_job, Time now) {
   const JobSpec& theirs = victim.job->spec();
   const double grace =
       theirs.checkpoint_seconds > 0
           ? theirs.save_seconds + settings_.workers.heartbeat_interval_seconds
           : 0;
-  LogDetail([&] {
+  context_.LogDetail([&] {
     return "stop " + victim.job_id + "/" + std::to_string(victim.task) +
            " on " + machine.host() + " for " + for_job.id;
   });
   if (theirs.kind == JobKind::kGang && theirs.tasks > 1) {
-    StopTasks(*victim.job, grace, now);
+    dispatcher_.StopTasks(*victim.job, grace, now);
   } else {
-    QueueStop(machine, victim, grace, now);
+    dispatcher_.QueueStop(machine, victim, grace, now);
   }
 }
 
@@ -470,19 +463,19 @@
 // Not in vain: where the team's services leave less than a gang needs, holding
 // what they leave kept all other jobs of the team waiting for as long as they
 // ran (docs/incidents/2026-12-02-limit-held-in-vain.md).
-void Leader::PreemptWithinQuota(Job& job, uint32_t tasks, Time now) {
-  QuotaUsage& team = quotas_[job.team()];
+void Scheduler::PreemptWithinQuota(Job& job, uint32_t tasks, Time now) {
+  QuotaUsage& team = cluster_.quota(job.team());
   Resources room;
   Resources staying;  // what neither ends by itself nor makes way
   std::vector<std::pair<double, std::pair<Machine*, TaskAttemptKey>>> victims;
-  for (const auto& machine : machines_) {
+  for (const auto& machine : cluster_.machines()) {
     for (const auto& [key, attempt] : machine->task_attempts) {
       if (attempt.job == nullptr || attempt.job->team() != job.team()) continue;
       if (attempt.stopping) {
         room += attempt.need;
       } else if (attempt.phase != TaskPhase::kExited &&
                  attempt.job->priority() > job.priority() &&
-                 DisruptionAllowed(key, *attempt.job, now)) {
+                 rollout_manager_.DisruptionAllowed(key, *attempt.job, now)) {
         victims.push_back({PreemptionCost(attempt, now), {machine.get(), key}});
       } else if (attempt.job->spec().kind == JobKind::kService) {
         staying += attempt.need;
@@ -490,14 +483,14 @@
     }
   }
   const bool whole = job.spec().kind == JobKind::kGang;
-  while (tasks > 0 && !team.LimitAllows(staying + job.spec().need * tasks)) {
+  while (tasks > 0 && !team.WithinMaximum(staying + job.spec().need * tasks)) {
     tasks = whole ? 0 : tasks - 1;
   }
   if (tasks == 0) return;
   std::sort(victims.begin(), victims.end());
   const auto fits = [&] {
-    return team.LimitAllows(team.used + team.held + job.spec().need * tasks -
-                            room);
+    return team.WithinMaximum(team.used + team.held + job.spec().need * tasks -
+                              room);
   };
   std::vector<std::pair<Machine*, TaskAttemptKey>> chosen;
   for (const auto& [cost, where] : victims) {
@@ -512,27 +505,19 @@
   for (const auto& [machine, key] : chosen) {
     const auto it = machine->task_attempts.find(key);
     if (it != machine->task_attempts.end() &&
-        DisruptionAllowed(key, *it->second.job, now)) {
+        rollout_manager_.DisruptionAllowed(key, *it->second.job, now)) {
       Preempt(*machine, it->second, job.spec(), now);
     }
   }
 }
 
-Resources Leader::ReservedFor(const Job& job, const Machine& machine) {
-  Resources held;
-  for (const Reservation& reservation : machine.reservations) {
-    if (reservation.job == &job) held += reservation.need;
-  }
-  return held;
-}
-
 // What would have to be stopped on the machine for one more task of the job,
 // when `taken` of its room is spoken for, besides what is on its way out
 // already; nothing if even all would not do.
-std::optional<Leader::PreemptionPlan> Leader::PlanPreemption(const Job& job,
-                                                             Machine& machine,
-                                                             Resources taken,
-                                                             Time now) const {
+std::optional<PreemptionPlan> Scheduler::PlanPreemption(const Job& job,
+                                                        Machine& machine,
+                                                        Resources taken,
+                                                        Time now) const {
   const JobSpec& spec = job.spec();
   Resources room =
       machine.CapacityFor(&job, job.priority()) + machine.leaving - taken;
@@ -561,15 +546,15 @@
   return std::nullopt;
 }
 
-void Leader::ExecutePreemption(const PreemptionPlan& plan,
-                               const JobSpec& for_job, Time now) {
+void Scheduler::ExecutePreemption(const PreemptionPlan& plan,
+                                  const JobSpec& for_job, Time now) {
   Machine& machine = *plan.machine;
   for (const TaskAttemptKey& key : plan.victims) {
     const auto it = machine.task_attempts.find(key);
     // A gang's tasks may have been stopped for their place elsewhere, and the
     // victims before this one may have used up what a floor allows.
     if (it == machine.task_attempts.end() || it->second.stopping ||
-        !DisruptionAllowed(key, *it->second.job, now)) {
+        !rollout_manager_.DisruptionAllowed(key, *it->second.job, now)) {
       continue;
     }
     Preempt(machine, it->second, for_job, now);
@@ -578,13 +563,14 @@
 
 // Nothing fits. Picks the machines whose eviction costs least and holds their
 // room for the job, by stopping what may be stopped.
-bool Leader::ReserveByPreemption(Job& job, const std::vector<Machine*>& usable,
-                                 Time now) {
+bool Scheduler::ReserveByPreemption(Job& job,
+                                    const std::vector<Machine*>& usable,
+                                    Time now) {
   const JobSpec& spec = job.spec();
   const double hold = 3 * settings_.workers.lease_seconds;
-  ZoneSpread where = ZoneSpreadOf(job);
+  ZoneSpread where = cluster_.ZoneSpreadOf(job);
   uint32_t held = 0;
-  for (const auto& machine : machines_) {
+  for (const auto& machine : cluster_.machines()) {
     // Room held where the job can't go any more would only make it wait: the
     // machine has fallen silent, or what came since leaves it no place there.
     if (machine->reservations.empty()) continue;
@@ -599,19 +585,19 @@
     for (const Reservation& reservation : machine->reservations)
       held += reservation.job == &job;
   }
-  const uint32_t wanted = std::min(StartableTasks(job), 40u);
+  const uint32_t wanted = std::min(rollout_manager_.StartableTasks(job), 40u);
   std::vector<PreemptionPlan> options;
   if (held < wanted) {
     for (Machine* machine : usable) {
       if (!Allowed(spec, *machine, where)) continue;
-      if (auto option =
-              PlanPreemption(job, *machine, ReservedFor(job, *machine), now)) {
-        if (!UsesReservedHeadroom(job, *machine, *option))
+      if (auto option = PlanPreemption(
+              job, *machine, cluster_.ReservedFor(job, *machine), now)) {
+        if (!tier_manager_.UsesReservedHeadroom(job, *machine, *option))
           options.push_back(std::move(*option));
       }
     }
   }
-  while (held < wanted && QuotaAllows(job, held + 1)) {
+  while (held < wanted && cluster_.QuotaAllows(job, held + 1)) {
     std::erase_if(options, [&](const PreemptionPlan& plan) {
       return !Allowed(spec, *plan.machine, where);
     });
@@ -627,8 +613,8 @@
     where.Add(machine.zone, 1);
     ++held;
     ExecutePreemption(*best, spec, now);
-    if (auto next =
-            PlanPreemption(job, machine, ReservedFor(job, machine), now)) {
+    if (auto next = PlanPreemption(job, machine,
+                                   cluster_.ReservedFor(job, machine), now)) {
       *best = std::move(*next);
     } else {
       options.erase(best);
@@ -640,12 +626,12 @@
 // Room for a gang is held whole, in one place, and anew in each pass. Gangs
 // that each kept a part of what they needed have waited for one another for
 // ever, with most machines idle.
-bool Leader::ReserveGangByPreemption(Job& job,
-                                     const std::vector<Machine*>& usable,
-                                     Time now) {
+bool Scheduler::ReserveGangByPreemption(Job& job,
+                                        const std::vector<Machine*>& usable,
+                                        Time now) {
   const JobSpec& spec = job.spec();
   const uint32_t wanted = job.unplaced();
-  DropReservation(&job, nullptr);
+  cluster_.DropAllReservations(job);
   std::map<std::string, std::vector<GangSlot>> zones;
   std::map<std::string, uint32_t> most;  // that could ever be there
   for (Machine* machine : usable) {
@@ -662,7 +648,7 @@
     const Resources runs_off = machine->total() - held - machine->lasting;
     for (uint32_t n = 0; n < wanted; ++n, taken += spec.need) {
       if (auto plan = PlanPreemption(job, *machine, taken, now)) {
-        if (UsesReservedHeadroom(job, *machine, *plan)) break;
+        if (tier_manager_.UsesReservedHeadroom(job, *machine, *plan)) break;
         slots.push_back({std::move(*plan), false});
       } else if (spec.need.FitsIn(runs_off - taken)) {
         slots.push_back({{machine, machine->used.cpus, {}}, true});
--- a/core/leader/store_operations.cc
+++ b/core/store_writes/store_operations.cc
@@ -1,44 +1,32 @@
-// What each kind of the leader's writes changes, conditioned on what is known
-// of the keys, and what follows once it stands.
+#include "core/store_writes/store_operations.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-#include "core/leader/leader.h"
+#include "core/autoscaler/autoscaler.h"
+#include "core/dependencies/dependency_coordinator.h"
+#include "core/job_lifecycle/job_lifecycle.h"
+#include "core/reconciliation/reconciler.h"
+#include "core/rollout/rollout_manager.h"
 
 namespace oxbow {
-namespace {
 
-// The changes that end a job: its end is recorded, or moves to the final keys.
-std::vector<TerminalStateWrite> TerminalStatesIn(const CompareAndSwap& txn) {
-  std::vector<TerminalStateWrite> ends;
-  for (const Mutation& change : txn.mutations) {
-    if (!change.key.starts_with(keys::kJob)) continue;
-    const auto* job = std::get_if<JobRecord>(&change.record);
-    if (job != nullptr && job->terminal_state == TerminalState::kNone) continue;
-    uint64_t mod_revision = 0;
-    for (const Precondition& precondition : txn.preconditions) {
-      if (precondition.key == change.key)
-        mod_revision = precondition.mod_revision;
-    }
-    ends.push_back({change.key.substr(keys::kJob.size()), mod_revision});
-  }
-  return ends;
-}
+StoreOperations::StoreOperations(LeaderContext& context, const Modules& modules)
+    : context_(context),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      consistency_gate_(modules.consistency_gate),
+      dependencies_(modules.dependencies),
+      job_lifecycle_(modules.job_lifecycle),
+      rollout_manager_(modules.rollout_manager),
+      reconciler_(modules.reconciler),
+      autoscaler_(modules.autoscaler),
+      on_operator_record_(modules.on_operator_record) {}
 
-}  // namespace
-
-std::vector<Action> Leader::TakeActions() {
-  for (const Action& action : actions_) {
-    const auto* txn = std::get_if<CompareAndSwap>(&action);
-    // From here on it may be carried out.
-    if (txn != nullptr) consistency_gate_.Left(txn->id, TerminalStatesIn(*txn));
-  }
-  return std::exchange(actions_, {});
-}
-
-bool Leader::Build(const WriteOp& op, CompareAndSwap* txn) const {
+bool StoreOperations::Build(const WriteOp& op, CompareAndSwap* txn) const {
   switch (op.kind) {
     case WriteKind::kFinish: {
       const JobRecord* record = catalog_.FindJob(op.name);
@@ -66,9 +54,9 @@
       return true;
     }
     case WriteKind::kMachineUp: {
-      const auto index = machine_index_.find(op.name);
-      if (index == machine_index_.end()) return false;
-      const Machine& machine = *machines_[index->second];
+      const Machine* found = cluster_.FindMachine(op.name);
+      if (found == nullptr) return false;
+      const Machine& machine = *found;
       if (machine.state() == MachineState::kGone) return false;
       const auto it = catalog_.machines().find(op.name);
       const bool known = it != catalog_.machines().end();
@@ -78,7 +66,8 @@
       txn->mutations.push_back(
           {key, MachineRecord{machine.type_name, machine.zone, machine.spot,
                               machine.endpoint,
-                              machine.requested_at + wall_minus_steady_, 0}});
+                              machine.requested_at + context_.wall_minus_steady,
+                              0}});
       return true;
     }
     case WriteKind::kMachineForget: {
@@ -93,18 +82,16 @@
       if (catalog_.scale_outs().contains(op.name)) return false;
       const std::string key = keys::Of(keys::kScaleOut, op.name);
       txn->preconditions.push_back({key, 0});
-      txn->mutations.push_back({key, scale_outs_.at(op.name).record});
+      txn->mutations.push_back({key, *autoscaler_.FindRecord(op.name)});
       return true;
     }
     case WriteKind::kScaledOutMachine: {
       // Without the rental it is a late answer to one that is settled. One
       // that has reported meanwhile is recorded with its address (kMachineUp).
       const auto scale_out = catalog_.scale_outs().find(op.reason);
-      const auto index = machine_index_.find(op.name);
-      if (scale_out == catalog_.scale_outs().end() ||
-          index == machine_index_.end() ||
-          !machines_[index->second]->endpoint.empty() ||
-          catalog_.machines().contains(op.name)) {
+      const Machine* machine = cluster_.FindMachine(op.name);
+      if (scale_out == catalog_.scale_outs().end() || machine == nullptr ||
+          !machine->endpoint.empty() || catalog_.machines().contains(op.name)) {
         return false;
       }
       const std::string key = keys::Of(keys::kMachine, op.name);
@@ -112,8 +99,8 @@
                                     scale_out->second.mod_revision});
       txn->preconditions.push_back({key, 0});
       txn->mutations.push_back(
-          {key, RecordOfNewMachine(scale_out->second,
-                                   machines_[index->second]->requested_at)});
+          {key, autoscaler_.RecordOfNewMachine(scale_out->second,
+                                               machine->requested_at)});
       return true;
     }
     case WriteKind::kSettleScaleOut: {
@@ -125,7 +112,7 @@
       return true;
     }
     case WriteKind::kRollout:
-      return BuildRolloutOp(op, txn);
+      return rollout_manager_.BuildRolloutOp(op, txn);
     case WriteKind::kOperator: {
       const auto it = catalog_.operators().find(op.name);
       const bool known = it != catalog_.operators().end();
@@ -144,58 +131,16 @@
     case WriteKind::kReconcileRecord:
     case WriteKind::kReconcileTerminalState:
     case WriteKind::kCompleteReconciliation:
-      return BuildReconciliationWrite(op, txn);
+      return reconciler_.BuildReconciliationWrite(op, txn);
     case WriteKind::kRelease:
     case WriteKind::kCancelWaiting:
     case WriteKind::kTidyWaiting:
-      return BuildDependencyStep(op, txn);
+      return dependencies_.BuildDependencyStep(op, txn);
   }
   return false;
 }
 
-MachineRecord Leader::RecordOfNewMachine(const ScaleOutRecord& scale_out,
-                                         Time requested_at) const {
-  return {scale_out.type,
-          scale_out.zone,
-          scale_out.spot,
-          "",
-          requested_at + wall_minus_steady_,
-          0};
-}
-
-void Leader::OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
-                           const std::vector<std::string>& failed, Time now) {
-  switch (outcome) {
-    case WriteOutcome::kApplied:
-      consistency_gate_.Applied(id);
-      break;
-    case WriteOutcome::kNotExecuted:
-    case WriteOutcome::kRefused:
-      consistency_gate_.Refused(id);
-      break;
-    case WriteOutcome::kConflict: {
-      std::set<std::string> differing;
-      for (const std::string& key : failed) {
-        if (!key.starts_with(keys::kJob)) continue;
-        differing.insert(key.substr(keys::kJob.size()));
-      }
-      consistency_gate_.Refused(id, differing);
-      break;
-    }
-    case WriteOutcome::kUnknown:
-      consistency_gate_.Unanswered(id);
-      break;
-  }
-  if (writes_.OnAnswer(id, outcome, revision, failed, now) || resigned_) return;
-  actions_.push_back(Resign{"the leader key has changed"});
-  resigned_ = true;
-}
-
-void Leader::OnReadAnswer(uint64_t id, bool ok, Time now) {
-  writes_.OnRead(id, ok, now);
-}
-
-void Leader::Done(const WriteOp& op, uint64_t revision, Time now) {
+void StoreOperations::Done(const WriteOp& op, uint64_t revision, Time now) {
   switch (op.kind) {
     case WriteKind::kFinish: {
       if (revision > 0) {
@@ -209,7 +154,7 @@
           record ? record->terminal_state : catalog_.FindTerminalState(op.name);
       if (state != TerminalState::kNone) consistency_gate_.Stands(op.name);
       if (state != TerminalState::kNone) {
-        OnTerminalStateRecorded(op.name, state, now);
+        job_lifecycle_.OnTerminalStateRecorded(op.name, state, now);
       }
       break;
     }
@@ -222,36 +167,27 @@
       if (catalog_.FindTerminalState(op.name) == TerminalState::kAborted) {
         actions_.push_back(JobTerminated{op.name, TerminalState::kAborted});
       }
-      const auto it = jobs_.find(op.name);
-      if (it == jobs_.end()) break;
+      const Job* job = cluster_.FindJob(op.name);
+      if (job == nullptr) break;
       // A start under way for minutes has turned up since the write was made:
       // the job goes once that is gone as well.
-      if (it->second->holding() > 0) break;
-      for (const auto& [machine, key] : AttemptsOf(*it->second)) {
-        machine->task_attempts.at(key).job = nullptr;
-      }
-      for (auto& machine : machines_) {
-        std::erase_if(machine->reservations,
-                      [&](const Reservation& reservation) {
-                        return reservation.job == it->second.get();
-                      });
-      }
-      jobs_.erase(it);
+      if (job->holding() > 0) break;
+      cluster_.RemoveJob(op.name);
       break;
     }
     case WriteKind::kMachineUp: {
-      Machine* machine = FindMachine(op.name);
+      Machine* machine = cluster_.FindMachine(op.name);
       if (machine == nullptr) break;
       if (revision > 0) {
-        catalog_.Put(
-            keys::Of(keys::kMachine, op.name),
-            MachineRecord{machine->type_name, machine->zone, machine->spot,
-                          machine->endpoint,
-                          machine->requested_at + wall_minus_steady_, 0},
-            revision);
+        catalog_.Put(keys::Of(keys::kMachine, op.name),
+                     MachineRecord{
+                         machine->type_name, machine->zone, machine->spot,
+                         machine->endpoint,
+                         machine->requested_at + context_.wall_minus_steady, 0},
+                     revision);
       }
       machine->recorded_up = true;
-      dirty_ = true;
+      cluster_.MarkChanged();
       break;
     }
     case WriteKind::kMachineForget:
@@ -260,41 +196,38 @@
       }
       break;
     case WriteKind::kScaleOut: {
-      ScaleOutRequest& scale_out = scale_outs_.at(op.name);
       if (revision > 0) {
-        catalog_.Put(keys::Of(keys::kScaleOut, op.name), scale_out.record,
-                     revision);
+        catalog_.Put(keys::Of(keys::kScaleOut, op.name),
+                     *autoscaler_.FindRecord(op.name), revision);
       }
-      if (scale_out.state == ScaleOutState::kRecording) {
-        scale_out.Change(ScaleOutState::kRequesting);
-      }
-      Request(op.name, now);
+      autoscaler_.OnScaleOutRecorded(op.name, now);
       break;
     }
     case WriteKind::kScaledOutMachine: {
-      const Machine* machine = FindMachine(op.name);
+      const Machine* machine = cluster_.FindMachine(op.name);
       const auto scale_out = catalog_.scale_outs().find(op.reason);
       if (revision > 0 && scale_out != catalog_.scale_outs().end()) {
-        catalog_.Put(keys::Of(keys::kMachine, op.name),
-                     RecordOfNewMachine(scale_out->second,
-                                        machine ? machine->requested_at : now),
-                     revision);
+        catalog_.Put(
+            keys::Of(keys::kMachine, op.name),
+            autoscaler_.RecordOfNewMachine(
+                scale_out->second, machine ? machine->requested_at : now),
+            revision);
         // Deleted while its record was under way.
         if (machine == nullptr) {
           writes_.Queue({WriteKind::kMachineForget, op.name}, /*lazy=*/true);
         }
       }
-      SettleScaleOut(op.reason);
+      autoscaler_.SettleScaleOut(op.reason);
       break;
     }
     case WriteKind::kSettleScaleOut:
       if (revision > 0) {
         catalog_.Erase(keys::Of(keys::kScaleOut, op.name), revision);
       }
-      scale_outs_.erase(op.name);
+      autoscaler_.RemoveScaleOut(op.name);
       break;
     case WriteKind::kRollout:
-      RolloutOpDone(op, revision, now);
+      rollout_manager_.RolloutOpDone(op, revision, now);
       break;
     case WriteKind::kOperator:
       if (revision > 0) {
@@ -305,17 +238,17 @@
           catalog_.Erase(key, revision);
         }
       }
-      OnOperatorRecord(op.name, now);
+      on_operator_record_(op.name, now);
       break;
     case WriteKind::kReconcileRecord:
     case WriteKind::kReconcileTerminalState:
     case WriteKind::kCompleteReconciliation:
-      OnReconciliationWritten(op, revision);
+      reconciler_.OnReconciliationWritten(op, revision);
       break;
     case WriteKind::kRelease:
     case WriteKind::kCancelWaiting:
     case WriteKind::kTidyWaiting:
-      OnDependencyStepWritten(op, revision, now);
+      dependencies_.OnDependencyStepWritten(op, revision, now);
       break;
   }
 }
--- a/core/leader/write_queue.cc
+++ b/core/store_writes/write_queue.cc
@@ -1,4 +1,4 @@
-#include "core/leader/write_queue.h"
+#include "core/store_writes/write_queue.h"
 
 #include <algorithm>
 #include <utility>
--- a/core/leader/write_queue.h
+++ b/core/store_writes/write_queue.h
@@ -28,7 +28,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/leader/actions.h"
+#include "core/leader_context/actions.h"
 #include "core/model/settings.h"
 #include "core/rollout/rollout.h"
 
--- a/core/leader/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -1,7 +1,7 @@
 // What the leader hears of its machines, what it asks the others about them,
 // and what it may do about those it doesn't hear.
 
-#include "core/leader/liveness_monitor.h"
+#include "core/worker_sessions/liveness_monitor.h"
 
 #include <algorithm>
 #include <utility>
@@ -77,7 +77,7 @@
       sampling_(seed) {}
 
 void LivenessMonitor::Log(std::string text) {
-  actions_.push_back(LogEvent{std::move(text), false});
+  actions_.push_back(LogEvent{std::move(text)});
 }
 
 bool LivenessMonitor::HeartbeatOverdue(const Machine& machine, Time now) const {
--- a/core/leader/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/actions.h"
+#include "core/leader_context/actions.h"
 #include "core/leader_health/leader_health.h"
 #include "core/limits/loss_limiter.h"
 #include "core/model/machine.h"
--- a/core/leader/machines.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -1,115 +1,41 @@
-// Machines as a whole: found and added, silent, drained, deleted, and when it
-// is certain that an incarnation is over.
+#include "core/worker_sessions/machine_lifecycle.h"
 
 #include <algorithm>
 #include <array>
 #include <memory>
+#include <utility>
 
-#include "core/leader/leader.h"
-#include "core/leader/machine_limits.h"
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/reconciliation/reconciler.h"
+#include "core/rollout/rollout_manager.h"
+#include "core/worker_sessions/machine_health.h"
+#include "core/worker_sessions/machine_limits.h"
+#include "core/worker_sessions/worker_sessions.h"
 
 namespace oxbow {
 
-Machine* Leader::FindMachine(const std::string& host) {
-  const auto it = machine_index_.find(host);
-  return it == machine_index_.end() ? nullptr : machines_[it->second].get();
-}
-
-Machine& Leader::AddMachine(const std::string& host,
-                            const MachineRecord& record) {
-  const auto index = static_cast<int32_t>(machines_.size());
-  machines_.push_back(
-      std::make_unique<Machine>(host, record, index, FirstToken(term_)));
-  Machine& machine = *machines_.back();
-  machine_index_[host] = index;
-  const auto type = types_.find(record.type);
-  if (type != types_.end()) machine.type = &type->second;
-  return machine;
-}
-
-bool Leader::IncarnationExpired(const Machine& machine, Time now) {
-  const double lease = settings_.workers.lease_seconds;
-  // The others are asked a little before, so that nobody waits for them.
-  const double early = 2 * LeaseYieldSeconds(settings_.workers);
-  if (now <= machine.incarnation.MayLiveUntil(lease) - early) return false;
-  const std::vector<std::string> asked = zones_.PeersToAsk(machine.zone, now);
-  if (!asked.empty()) actions_.push_back(RequestLeaseYield{asked});
-  return now > machine.incarnation.MayLiveUntil(lease) &&
-         !zones_.MayBeRenewed(machine.zone, now);
-}
-
-bool Leader::ZoneSettled(const std::string& zone, Time now) const {
-  for (const auto& machine : machines_) {
-    // What it holds is not known yet.
-    if (machine->zone == zone && machine->recorded_up && !machine->reported &&
-        machine->state() != MachineState::kGone) {
-      return false;
-    }
-  }
-  const double margin = CancellationMargin(settings_.workers) / 2;
-  for (const auto& [id, job] : jobs_) {
-    if (job->state() != JobState::kAborted || job->holding() == 0 ||
-        now - job->ended < margin) {
-      continue;
-    }
-    for (const auto& [index, presence] : job->presence()) {
-      if (presence.holding > 0 &&
-          machines_[static_cast<size_t>(index)]->zone == zone) {
-        return false;
-      }
-    }
-  }
-  return true;
-}
-
-bool Leader::OnDelegationAsked(const std::string& peer,
-                               const std::string& process_incarnation,
-                               double age, Time now) {
-  for (const PeerSettings& settings : settings_.peers) {
-    if (settings.name != peer) continue;
-    if (!ZoneSettled(settings.zone, now)) return false;
-    zones_.Grant(peer, process_incarnation, age, now);
-    return true;
-  }
-  return false;
-}
-
-void Leader::Expire(Machine& machine, Time now) {
-  machine.incarnation.Change(IncarnationEvent::kExpire, 0, now);
-  MarkAllLost(machine, "no report answered for a whole lease");
-  machine.reported = true;  // accounted for
-  machine.idle_since = now;
-  dirty_ = true;
-}
-
-bool Leader::Suspect(const Machine& machine, Time now) const {
-  return now - machine.last_heard > timeouts_.suspect;
-}
+MachineLifecycle::MachineLifecycle(LeaderContext& context,
+                                   const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      tuning_(context.tuning),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      liveness_(context.liveness),
+      machine_health_(modules.machine_health),
+      dispatcher_(modules.dispatcher),
+      rollout_manager_(modules.rollout_manager),
+      reconciler_(modules.reconciler) {}
 
-// Commands may reach a machine that reaches no controller, and it answers them.
-// But nothing renews its lease then: what is started there is lost with it. A
-// new leader gives each worker the time that it takes to find it.
-bool Leader::Usable(const Machine& machine, Time now) const {
-  const Time reported =
-      std::max(machine.last_heartbeat,
-               started_ + kHeartbeatTimeoutSeconds + kRetryPauseSeconds);
-  return now - reported <= timeouts_.suspect &&
-         machine.state() == MachineState::kUp && machine.type != nullptr &&
-         machine.recorded_up && machine.reported && machine.confirmed() &&
-         !machine.batch_lost && machine.incarnation.alive() &&
-         machine.orphaned_tasks == 0 && now >= machine.distrusted_until &&
-         machine.reachability.MayTakeWork() &&
-         now >= machine.direct_broken_until && !Suspect(machine, now);
-}
-
-void Leader::Drain(Machine& machine, Time now, const char* why) {
+void MachineLifecycle::Drain(Machine& machine, Time now, const char* why) {
   if (machine.state() != MachineState::kUp) return;
   machine.Change(MachineState::kDraining);
-  Log("machine " + machine.host() + " draining: " + why);
+  context_.Log("machine " + machine.host() + " draining: " + why);
   StopLeaving(machine, now);
 }
 
-void Leader::StopLeaving(Machine& machine, Time now) {
+void MachineLifecycle::StopLeaving(Machine& machine, Time now) {
   std::vector<TaskAttemptKey> all;
   for (const auto& [key, attempt] : machine.task_attempts) all.push_back(key);
   for (const TaskAttemptKey& key : all) {
@@ -123,7 +49,8 @@
     const JobSpec& spec = attempt.job->spec();
     const double left = machine.notice_until ? *machine.notice_until - now : 0;
     if (spec.kind == JobKind::kArray && spec.checkpoint_seconds <= 0) continue;
-    if (!DisruptionAllowed(key, *attempt.job, now)) continue;  // asked again
+    if (!rollout_manager_.DisruptionAllowed(key, *attempt.job, now))
+      continue;  // asked again
     // Services move at once, work that can save does so while there is time.
     // What can't save is left: it may yet end before the machine goes.
     if (spec.kind == JobKind::kService || spec.checkpoint_seconds > 0) {
@@ -133,15 +60,16 @@
               : 0;
       if (spec.kind == JobKind::kGang && spec.tasks > 1) {
         // An orderly stop needs every task of the gang told in time.
-        StopTasks(*attempt.job, grace, now);
+        dispatcher_.StopTasks(*attempt.job, grace, now);
       } else {
-        QueueStop(machine, attempt, grace, now);
+        dispatcher_.QueueStop(machine, attempt, grace, now);
       }
     }
   }
 }
 
-bool Leader::RemoveMachine(Machine& machine, LossCause cause, Time now) {
+bool MachineLifecycle::RemoveMachine(Machine& machine, LossCause cause,
+                                     Time now) {
   if (!liveness_.LossAllowed(machine, cause, now)) return false;
   static constexpr std::array<const char*, kLossCauses> kWhy = {
       "silent",
@@ -158,7 +86,7 @@
   if (cause == LossCause::kDistrusted) {
     machine.distrusted_until =
         now + kDistrustLeases * settings_.workers.lease_seconds;
-    Log("machine " + machine.host() + " distrusted: " + why);
+    context_.Log("machine " + machine.host() + " distrusted: " + why);
     return true;
   }
   machine.given_up =
@@ -167,34 +95,19 @@
   return true;
 }
 
-void Leader::AskDelete(Machine& machine, Time now, const char* why) {
+void MachineLifecycle::AskDelete(Machine& machine, Time now, const char* why) {
   if (machine.state() == MachineState::kGone) return;
   if (machine.state() != MachineState::kDeleting) {
-    Log("delete " + machine.host() + ": " + why);
+    context_.Log("delete " + machine.host() + ": " + why);
     machine.Change(MachineState::kDeleting);
   }
   machine.delete_sent = now;
   actions_.push_back(DeleteMachines{{machine.host()}});
 }
 
-void Leader::TickMachine(Machine& machine, Time now, bool by_lease) {
+void MachineLifecycle::TickMachine(Machine& machine, Time now) {
   if (machine.state() == MachineState::kGone) return;
   const double lease = settings_.workers.lease_seconds;
-  const bool may_hold = !machine.task_attempts.empty() || machine.batch ||
-                        (machine.recorded_up && !machine.reported);
-  if (by_lease && may_hold &&
-      machine.incarnation.state() != IncarnationState::kExpired) {
-    incarnations_unsettled_ =
-        incarnations_unsettled_ ||
-        now - std::max(machine.last_heard, started_) > timeouts_.suspect;
-    if (IncarnationExpired(machine, now)) {
-      Expire(machine, now);
-    } else if (LeaseExpired(machine, now)) {
-      Log("machine " + machine.host() + " hears nothing, what it held is over");
-      MarkAllLost(machine, "no answer to it for a whole lease");
-      machine.reported = true;
-    }
-  }
   if (machine.state() == MachineState::kDeleting) {
     if (now - machine.delete_sent > lease / 2) AskDelete(machine, now, "again");
     return;
@@ -211,7 +124,7 @@
         machine.task_attempts.begin(), machine.task_attempts.end(),
         [](const auto& e) { return e.second.phase != TaskPhase::kExited; });
     if (!busy || (machine.notice_until && now > *machine.notice_until &&
-                  Suspect(machine, now))) {
+                  machine_health_.Suspect(machine, now))) {
       AskDelete(machine, now, busy ? "its notice has run out" : "drained");
       return;
     }
@@ -223,7 +136,7 @@
   // every machine was asked: what it may hold keeps all old jobs waiting.
   const bool matters =
       machine.reported
-          ? !machine.task_attempts.empty() && now - started_ > lease
+          ? !machine.task_attempts.empty() && now - context_.started > lease
           : !machine.task_attempts.empty() ||
                 now < machine.incarnation.MayLiveUntil(lease);
   if (machine.recorded_up && matters && liveness_.SilentTooLong(machine, now) &&
@@ -241,19 +154,19 @@
     if (attempt.phase == TaskPhase::kExited) {
       ++exited;
       const bool over = attempt.job == nullptr
-                            ? MayStopUnknownTask(attempt, now)
+                            ? reconciler_.MayStopUnknownTask(attempt, now)
                             : attempt.job->ended_by_record() ||
                                   attempt.reason != ExitReason::kDone ||
-                                  !IsCurrent(machine, attempt);
+                                  !cluster_.IsCurrent(machine, attempt);
       // A done exit stays until the record of the job's end stands: if the
       // leader ended first, the next one would begin every task again.
-      if (over) QueueForget(machine, attempt);
+      if (over) dispatcher_.QueueForget(machine, attempt);
       continue;
     }
     const double again =
         attempt.stop_grace + 2 * settings_.workers.heartbeat_interval_seconds;
     const bool unwanted = attempt.job == nullptr
-                              ? MayStopUnknownTask(attempt, now)
+                              ? reconciler_.MayStopUnknownTask(attempt, now)
                               : attempt.job->ended_by_record();
     if ((attempt.stopping && now - attempt.stop_sent > again) ||
         (unwanted && !attempt.stopping &&
@@ -264,16 +177,96 @@
   for (const TaskAttemptKey& key : kept) {
     const auto it = machine.task_attempts.find(key);
     if (it != machine.task_attempts.end())
-      QueueStop(machine, it->second, 0, now);
+      dispatcher_.QueueStop(machine, it->second, 0, now);
   }
   // A report holds every exit until it is cleared; its size has a limit.
   constexpr size_t kMostExits = 250;
   if (exited > kMostExits) {
     for (auto& [key, attempt] : machine.task_attempts) {
-      if (attempt.phase == TaskPhase::kExited) QueueForget(machine, attempt);
+      if (attempt.phase == TaskPhase::kExited)
+        dispatcher_.QueueForget(machine, attempt);
+    }
+  }
+  dispatcher_.DispatchCommands(machine, now);
+}
+
+// Everything on the machine is surely gone, and nothing sent to it before can
+// be executed any more: its incarnation has changed, expired, or the machine is
+// deleted.
+void MachineLifecycle::LogLostTasks(const Machine& machine, const char* why) {
+  if (machine.task_attempts.empty()) return;
+  context_.Log("lost " + std::to_string(machine.task_attempts.size()) +
+               " tasks on " + machine.host() + ": " + why);
+}
+
+void MachineLifecycle::LoseTasks(Machine& machine, const char* why) {
+  LogLostTasks(machine, why);
+  cluster_.MarkAllLost(machine);
+}
+
+void MachineLifecycle::OnDeleteAnswer(const std::vector<std::string>& hosts,
+                                      bool ok, Time now) {
+  for (const std::string& host : hosts) {
+    Machine* machine = cluster_.FindMachine(host);
+    if (machine == nullptr) continue;
+    if (!ok) {
+      machine->delete_sent = now - settings_.workers.lease_seconds / 2;
+      continue;
+    }
+    context_.Log("machine " + host + " deleted, confirmed by the cloud");
+    LogLostTasks(*machine, "deleted");
+    cluster_.MarkDeleted(*machine);
+    writes_.Queue({WriteKind::kMachineForget, host, TerminalState::kNone, {}},
+                  /*lazy=*/true);
+  }
+  if (ok) {
+    cluster_.MarkChanged();
+    writes_.Flush(now);
+  }
+}
+
+void MachineLifecycle::OnMachineList(const std::vector<ListedMachine>& list,
+                                     Time asked, Time now) {
+  std::unordered_set<std::string> listed;
+  for (const ListedMachine& entry : list) {
+    listed.insert(entry.host);
+    if (cluster_.IsDeleted(entry.host)) continue;  // the list lags
+    Machine* machine = cluster_.FindMachine(entry.host);
+    if (machine == nullptr) {
+      context_.Log("machine " + entry.host +
+                   " was not expected, taken into use");
+      Machine& added = cluster_.AddMachine(
+          entry.host,
+          {entry.type, entry.zone, entry.spot, "",
+           now - entry.age_seconds + context_.wall_minus_steady, 0});
+      added.requested_at = now - entry.age_seconds;
+      machine = &added;
+    }
+    machine->missing_in_list = false;
+    if (entry.state == "failed" &&
+        machine->state() != MachineState::kDeleting) {
+      AskDelete(*machine, now, "the cloud lists it as failed");
+    }
+  }
+  // Once listed, a machine stays listed until it is gone. One that is neither
+  // heard nor listed long after its rental is asked to be deleted, which turns
+  // the guess into a certainty.
+  const double lag = 2 * settings_.cloud.list_lag_seconds;
+  for (auto& machine : cluster_.machines()) {
+    if (machine->state() == MachineState::kGone ||
+        listed.contains(machine->host())) {
+      continue;
+    }
+    const bool silent = now - machine->last_heard > lag &&
+                        now - machine->requested_at > 2 * lag &&
+                        asked - context_.started > lag;
+    if (silent && machine->missing_in_list &&
+        machine->state() != MachineState::kDeleting &&
+        now - machine->reached_by_other > lag) {
+      RemoveMachine(*machine, LossCause::kUnlisted, now);
     }
+    machine->missing_in_list = true;
   }
-  DispatchCommands(machine, now);
 }
 
 }  // namespace oxbow
--- a/tests/dependency_graph_memory.cc
+++ b/tests/dependency_graph_memory.cc
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "core/dependencies/dependency_graph.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 
 namespace {
 
--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -6,7 +6,7 @@
 
 #include <map>
 
-#include "core/leader/queue_ranking.h"
+#include "core/scheduler/queue_ranking.h"
 
 namespace oxbow::test {
 namespace {
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "clients/retained_records_page.h"
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 #include "core/lease/fencing_token.h"
 #include "core/lease/leadership.h"
 #include "core/recovery/peer_choice.h"
--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -1211,7 +1211,7 @@
         });
       } else if (const auto* note = std::get_if<LogEvent>(&action);
                  note != nullptr && std::getenv("OXBOW_SIM_LOG") != nullptr) {
-        std::fprintf(stderr, "%.2f %s\n", now_, note->text.c_str());
+        std::fprintf(stderr, "%.2f %s\n", now_, Render(*note).c_str());
       } else if (const auto* ask = std::get_if<AskReach>(&action)) {
         AnswerReach(*ask);
       } else if (const auto* back = std::get_if<RequestLeaseYield>(&action)) {
--- a/tests/write_queue_test.cc
+++ b/tests/write_queue_test.cc
@@ -1,7 +1,7 @@
 // The leader's writes on their way, by themselves: what an answer means, and
 // what waits for it.
 
-#include "core/leader/write_queue.h"
+#include "core/store_writes/write_queue.h"
 
 #include <gtest/gtest.h>
 
--- a/wire/records.h
+++ b/wire/records.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/leader/catalog.h"
+#include "core/catalog/catalog.h"
 
 namespace oxbow::wire {
 
--- a/wire/worker_json.h
+++ b/wire/worker_json.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/leader/actions.h"
+#include "core/leader_context/actions.h"
 #include "core/model/heartbeat.h"
 #include "wire/json.h"
 
