--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -45,9 +45,9 @@
   EXPECT_FALSE(sizes.IsLargest("c", 4));
 }
 
-class WorkerCommand : public ::testing::Test {
+class QueueRankingTest : public ::testing::Test {
  protected:
-  Order() {
+  QueueRankingTest() {
     tuning.begin_within_seconds = 240;
     settings.objectives = {{"wait", "train", 80, 0.9, 0},
                            {"finished", "train", 350, 0.9, 0},
@@ -71,7 +71,7 @@
 
 // A gang of the largest size behind a stream of small ones, of which there is
 // always one that is quicker.
-TEST_F(WorkerCommand, TheLargestGangGetsItsTurnAmongSmallOnes) {
+TEST_F(QueueRankingTest, TheLargestGangGetsItsTurnAmongSmallOnes) {
   QueueRanking order(settings, tuning);
   const Job large = Waiting("large", JobKind::kGang, 8, 0);
   const Job small = Waiting("small", JobKind::kGang, 1, 55);
@@ -88,7 +88,7 @@
                   .Before(order.PositionOf(large, 100, 62)));
 }
 
-TEST_F(WorkerCommand, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
+TEST_F(QueueRankingTest, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
   QueueRanking order(settings, tuning);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
   const Job small = Waiting("small", JobKind::kArray, 10, 115);
@@ -100,7 +100,7 @@
   EXPECT_EQ(QueueRanking::MinimumShareOf(large.spec()), 21u);
 }
 
-TEST_F(WorkerCommand, WithoutTheRuleNothingGoesOutOfTurn) {
+TEST_F(QueueRankingTest, WithoutTheRuleNothingGoesOutOfTurn) {
   tuning.begin_within_seconds = 0;
   QueueRanking order(settings, tuning);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -37,7 +37,7 @@
   EXPECT_EQ(s.node, "a");
   EXPECT_EQ(s.peers.size(), 1U);
   EXPECT_EQ(s.workers.lease_seconds, 12);
-  EXPECT_EQ(s.state.txn_ops, 8);
+  EXPECT_EQ(s.store.txn_ops, 8);
   EXPECT_EQ(s.teams[0].cpus_max, 8);
 }
 
@@ -67,12 +67,12 @@
          "next": {"value_kb": 2, "txn_ops": 5, "write_rps": 70, "rps": 300})");
   Settings s;
   ASSERT_EQ(app::ParseSettings(next, &s), "");
-  EXPECT_EQ(s.state.txn_ops, 5);
-  EXPECT_EQ(s.state.value_kb, 2);
-  EXPECT_EQ(s.state.write_rps, 70);
-  EXPECT_EQ(s.state.rps, 100);
+  EXPECT_EQ(s.store.txn_ops, 5);
+  EXPECT_EQ(s.store.value_kb, 2);
+  EXPECT_EQ(s.store.write_rps, 70);
+  EXPECT_EQ(s.store.rps, 100);
   // What stands may have been written before.
-  EXPECT_EQ(s.state.stored_value_kb, 8);
+  EXPECT_EQ(s.store.stored_value_kb, 8);
   for (const auto& [from, to, field] : std::vector<std::array<std::string, 3>>{
            {"\"txn_ops\": 5", "\"txn_ops\": 0", "next, txn_ops"},
            {"\"value_kb\": 2", "\"value_kb\": \"2\"", "next, value_kb"},
