--- a/tests/calendar_simulation_test.cc
+++ b/tests/calendar_simulation_test.cc
@@ -8,6 +8,7 @@
 
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 
 namespace oxbow::test {
@@ -307,6 +308,7 @@
   for (int i = 0; i < seeds; ++i) {
     const int seed = GetParam() + kParts * i;
     if (only >= 0 && seed != only) continue;
+    const TrailedRun trailed("calendar", static_cast<uint64_t>(seed));
     BookedDay day(static_cast<uint64_t>(seed), machines, length);
     const std::string wrong = day.Play();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others, "
--- a/tests/chains_test.cc
+++ b/tests/chains_test.cc
@@ -12,6 +12,7 @@
 #include <map>
 #include <set>
 
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 
 namespace oxbow::test {
@@ -411,6 +412,7 @@
   const uint64_t seeds =
       runs == nullptr ? 12 : std::strtoull(runs, nullptr, 10);
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
+    const TrailedRun trailed("chains", seed);
     const std::string wrong = ChainStorm(seed).Play();
     ASSERT_EQ(wrong, "") << "seed " << seed;
   }
--- a/tests/combined_faults_test.cc
+++ b/tests/combined_faults_test.cc
@@ -10,6 +10,7 @@
 #include <array>
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 
 namespace oxbow::test {
@@ -275,7 +276,9 @@
   const int first = FromEnvironment("OXBOW_SEED", 0);
   int starts = 0;
   for (int i = 0; i < seeds; ++i) {
-    CombinedFaults run(static_cast<uint64_t>(first + i));
+    const auto seed = static_cast<uint64_t>(first + i);
+    const TrailedRun trailed("combined-faults", seed);
+    CombinedFaults run(seed);
     ASSERT_EQ(run.Play(), "")
         << "seed " << first + i << ", after " << i << " others";
     starts += run.starts();
--- a/tests/leadership_simulation.h
+++ b/tests/leadership_simulation.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "core/lease/leadership.h"
+#include "tests/behavior_trail.h"
 
 namespace oxbow::test::leadership {
 
@@ -216,6 +217,30 @@
     }
     if (by_lease && keeps) Wrong("kept while somebody leads by its lease");
     for (int w = 0; w < kWorkers; ++w) Work(w);
+    if (TrailIsWritten()) WriteTrail();
+  }
+
+  // What the rights have led to, for the comparison of two versions: who holds
+  // the key, what each controller may do, what the workers count from.
+  void WriteTrail() {
+    TrailState(now_, "key",
+               fmt::format("{} {} {} {} {:.3f}", key_.holder, key_.life,
+                           key_.revision, key_.renews_only, key_.ends));
+    for (int i = 0; i < kNodes; ++i) {
+      const Node& n = nodes_[i];
+      TrailState(now_, "node " + Name(i),
+                 n.right ? fmt::format("{} {} {}", n.life, n.right->revision(),
+                                       static_cast<int>(n.right->state()))
+                         : "gone");
+    }
+    for (int w = 0; w < kWorkers; ++w) {
+      TrailState(
+          now_, fmt::format("worker {}", w),
+          fmt::format("{:.3f} {:.3f}", workers_[w].counted, workers_[w].began));
+    }
+    TrailState(
+        now_, "tally",
+        fmt::format("{} {} {} {}", led_, kept_, expired_, later_.size()));
   }
 
   void Act(int i) {
--- a/tests/leadership_simulation_test.cc
+++ b/tests/leadership_simulation_test.cc
@@ -12,6 +12,8 @@
 
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
+
 namespace oxbow::test::leadership {
 namespace {
 
@@ -29,6 +31,7 @@
   for (int i = 0; i < seeds; ++i) {
     const auto seed = static_cast<uint64_t>(GetParam() + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
+    const TrailedRun trailed("leadership", seed);
     Simulation simulation(seed);
     ASSERT_EQ(simulation.Play(), "") << "seed " << seed << ", after " << i;
     expired += simulation.expired();
--- a/tests/moves_simulation_test.cc
+++ b/tests/moves_simulation_test.cc
@@ -9,6 +9,7 @@
 
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 
 namespace oxbow::test {
@@ -184,6 +185,7 @@
   int stopped = 0;
   for (int seed = 0; seed < seeds; ++seed) {
     if (only != nullptr && std::to_string(seed) != only) continue;
+    const TrailedRun trailed("moves", static_cast<uint64_t>(seed));
     MovingDay day(static_cast<uint64_t>(seed));
     ASSERT_EQ(day.Play(), "") << "seed " << seed;
     settled += day.settled();
--- a/tests/random_simulation_test.cc
+++ b/tests/random_simulation_test.cc
@@ -10,6 +10,7 @@
 
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 
 namespace oxbow::test {
@@ -285,6 +286,22 @@
   return text == nullptr ? fallback : std::atoi(text);
 }
 
+std::string TrailName(Kind kind) {
+  switch (kind) {
+    case Kind::kPlain:
+      return "random-plain";
+    case Kind::kDeaf:
+      return "random-deaf";
+    case Kind::kCopies:
+      return "random-copies";
+    case Kind::kLateWrites:
+      return "random-late-writes";
+    case Kind::kOutages:
+      return "random-outages";
+  }
+  return "random";
+}
+
 // In parts, so that they run side by side.
 class RandomSimulations : public testing::TestWithParam<int> {};
 
@@ -298,6 +315,7 @@
   for (int i = 0; i < seeds; ++i) {
     const auto seed = static_cast<uint64_t>(GetParam() + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
+    const TrailedRun trailed(TrailName(Kind::kPlain), seed);
     RandomDay day(seed);
     const std::string wrong = day.Play();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others";
@@ -321,6 +339,7 @@
   for (int i = 0; i < seeds; ++i) {
     const auto seed = static_cast<uint64_t>(part + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
+    const TrailedRun trailed(TrailName(kind), seed);
     RandomDay day(seed, kind);
     const std::string wrong = day.Play();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others";
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -9,6 +9,7 @@
 
 #include "core/rollout/latency.h"
 #include "script/verdict.h"
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 #include "wire/rollout_json.h"
 
@@ -179,6 +180,7 @@
   const char* only = std::getenv("OXBOW_SEED");
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     if (only != nullptr && std::to_string(seed) != only) continue;
+    const TrailedRun trailed("rollout", seed);
     TroubledRollout one(seed);
     ASSERT_EQ(one.Play(&tally), "") << "seed " << seed;
   }
--- a/tests/scenario_test.cc
+++ b/tests/scenario_test.cc
@@ -6,6 +6,7 @@
 #include <fstream>
 #include <sstream>
 
+#include "tests/behavior_trail.h"
 #include "tests/sim.h"
 #include "wire/names.h"
 #include "wire/tiers_json.h"
@@ -614,7 +615,11 @@
 
 class Scenario : public testing::TestWithParam<std::string> {};
 
-TEST_P(Scenario, Holds) { Runner().Run(GetParam()); }
+TEST_P(Scenario, Holds) {
+  const std::string name = std::filesystem::path(GetParam()).stem();
+  const TrailedRun trailed("scenario-" + name);
+  Runner().Run(GetParam());
+}
 
 INSTANTIATE_TEST_SUITE_P(Files, Scenario, testing::ValuesIn(Files()),
                          [](const auto& info) {
--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -5,6 +5,7 @@
 #include <cstdio>
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
 #include "wire/moves_json.h"
 #include "wire/tiers_json.h"
 
@@ -75,6 +76,7 @@
     c.next_ask = now_ + StandBackFor(settings.workers);
     if (leader_->OnDelegationAsked(name, "life", now_, now_)) {
       c.lease->Granted(now_);
+      TrailEvent(now_, "delegated", name);
     }
   }
 }
@@ -392,7 +394,8 @@
 void Sim::CancelJob(const std::string& id) {
   if (!leader_) return;
   cancel_asked_.insert(id);
-  leader_->Cancel(id, now_);
+  const bool known = leader_->Cancel(id, now_);
+  TrailEvent(now_, known ? "cancel" : "cancel-of-unknown", id);
   Perform();
 }
 
@@ -615,6 +618,7 @@
   const Time sent = now_;
   const uint64_t session = w.session;
   const ReportReply reply = leader_->OnReport(report, now_);
+  TrailReply(now_, report.host, reply);
   Perform();
   if (w.answers_cut) {
     w.waits_until = now_ + w.retry_s;
@@ -644,8 +648,9 @@
 void Sim::Copy(const WorkerReport& report, double after) {
   After(after, [this, report] {
     if (!leader_) return;
-    OnLeader(leader_->revision(),
-             [this, report] { leader_->OnReport(report, now_); });
+    OnLeader(leader_->revision(), [this, report] {
+      TrailReply(now_, report.host, leader_->OnReport(report, now_));
+    });
   });
 }
 
@@ -720,6 +725,7 @@
     if (!leader_) return;
     OnLeader(leader_->revision(), [this, report, number, back, sent] {
       const ReportReply reply = leader_->OnReport(report, now_);
+      TrailReply(now_, report.host, reply);
       if (!back) return;
       After(*back, [this, report, number, reply, sent] {
         OnWorker(report.host, [this, report, number, reply,
@@ -1108,6 +1114,7 @@
   while (leader_) {
     const std::vector<Action> actions = leader_->TakeActions();
     if (actions.empty()) return;
+    TrailActions(now_, actions);
     const uint64_t leader = leader_->revision();
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendOrders>(&action)) {
@@ -1391,6 +1398,7 @@
     const bool leader_answers = leader_ && now_ >= stalled_until_;
     // A leader that knows nothing of a job reads the records.
     std::string told = leader_answers ? JobStatus(id) : "unknown";
+    TrailStatus(now_, id, told);
     if (told != "unknown") answers.push_back(told);
     if (!state_down && !records_lost_) answers.push_back(RecordedStatus(id));
     for (const std::string& status : answers) {
@@ -1746,6 +1754,7 @@
   const JobSight sight = leader_ ? leader_->View(id, &view) : JobSight::kUnseen;
   if (sight == JobSight::kUnseen) return "unknown";
   if (sight == JobSight::kInDoubt) return "in-doubt";
+  TrailTasks(now_, id, view);
   return std::string(view.status);
 }
 
--- a/tests/zone_simulation.h
+++ b/tests/zone_simulation.h
@@ -18,6 +18,7 @@
 #include "core/lease/delegated_lease.h"
 #include "core/lease/delegated_lease_record.h"
 #include "core/model/session.h"
+#include "tests/behavior_trail.h"
 
 namespace oxbow::test::zones {
 
@@ -235,6 +236,25 @@
       Act(i);
     }
     for (int w = 0; w < kWorkers; ++w) Work(w);
+    if (TrailIsWritten()) WriteTrail();
+  }
+
+  // What the rights have led to, for the comparison of two versions: who leads,
+  // which rights are recorded, what the workers count from and run.
+  void WriteTrail() {
+    TrailState(now_, "key", fmt::format("{} {}", holder_, key_stamp_));
+    for (int i = 0; i < kNodes; ++i) {
+      const Record& r = records_[i];
+      TrailState(now_, fmt::format("right {}", i),
+                 fmt::format("{} {}", r.stamp, r.lease));
+    }
+    for (int w = 0; w < kWorkers; ++w) {
+      const Worker& worker = workers_[w];
+      TrailState(now_, fmt::format("worker {}", w),
+                 fmt::format("{} {} {} {:.3f} {}", worker.at, worker.session,
+                             worker.token, worker.counted, worker.task));
+    }
+    TrailState(now_, "later", fmt::format("{}", later_.size()));
   }
   double RecordTtl() const {
     return DelegatedLeaseRecordTerm(settings_.workers);
--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -16,6 +16,8 @@
 #include <cstdlib>
 #include <tuple>
 
+#include "tests/behavior_trail.h"
+
 namespace oxbow::test::zones {
 namespace {
 
@@ -474,6 +476,7 @@
   for (int i = 0; i < seeds; ++i) {
     const auto seed = static_cast<uint64_t>(GetParam() + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
+    const TrailedRun trailed("zones", seed);
     RandomSimulation simulation(seed);
     ASSERT_EQ(simulation.Play(), "") << "seed " << seed << ", after " << i;
     over += simulation.over();
