--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -5,6 +5,7 @@
 #include <cstdio>
 #include <cstdlib>
 
+#include "tests/behavior_trail.h"
 #include "wire/moves_json.h"
 #include "wire/tiers_json.h"
 
@@ -78,6 +79,7 @@
     controller.next_ask = now_ + LeaseYieldSeconds(settings.workers);
     if (leader_->OnDelegationAsked(name, "life", now_, now_)) {
       controller.lease->Granted(now_);
+      TrailEvent(now_, "delegated", name);
     }
   }
 }
@@ -398,7 +400,8 @@
 void Sim::CancelJob(const std::string& id) {
   if (!leader_) return;
   cancel_asked_.insert(id);
-  leader_->Cancel(id, now_);
+  const bool known = leader_->Cancel(id, now_);
+  TrailEvent(now_, known ? "cancel" : "cancel-of-unknown", id);
   ExecuteActions();
 }
 
@@ -624,6 +627,7 @@
   const Time sent = now_;
   const uint64_t incarnation = worker.incarnation;
   const HeartbeatResponse reply = leader_->OnHeartbeat(heartbeat, now_);
+  TrailReply(now_, heartbeat.host, reply);
   ExecuteActions();
   if (worker.answers_cut) {
     worker.waits_until = now_ + worker.retry_seconds;
@@ -653,8 +657,9 @@
 void Sim::Copy(const Heartbeat& heartbeat, double after) {
   After(after, [this, heartbeat] {
     if (!leader_) return;
-    OnLeader(leader_->revision(),
-             [this, heartbeat] { leader_->OnHeartbeat(heartbeat, now_); });
+    OnLeader(leader_->revision(), [this, heartbeat] {
+      TrailReply(now_, heartbeat.host, leader_->OnHeartbeat(heartbeat, now_));
+    });
   });
 }
 
@@ -730,6 +735,7 @@
     if (!leader_) return;
     OnLeader(leader_->revision(), [this, heartbeat, number, back, sent] {
       const HeartbeatResponse reply = leader_->OnHeartbeat(heartbeat, now_);
+      TrailReply(now_, heartbeat.host, reply);
       if (!back) return;
       After(*back, [this, heartbeat, number, reply, sent] {
         OnWorker(heartbeat.host, [this, heartbeat, number, reply,
@@ -1138,6 +1144,7 @@
   while (leader_) {
     const std::vector<Action> actions = leader_->TakeActions();
     if (actions.empty()) return;
+    TrailActions(now_, actions);
     const uint64_t leader = leader_->revision();
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendCommands>(&action)) {
@@ -1428,6 +1435,7 @@
     const bool leader_answers = leader_ && now_ >= stalled_until_;
     // A leader that knows nothing of a job reads the records.
     std::string told = leader_answers ? JobStatus(id) : "unknown";
+    TrailStatus(now_, id, told);
     if (told != "unknown") answers.push_back(told);
     if (!state_down && !records_lost_) answers.push_back(RecordedStatus(id));
     for (const std::string& status : answers) {
@@ -1792,6 +1800,7 @@
       leader_ ? leader_->View(id, &view) : JobObservation::kUnseen;
   if (observation == JobObservation::kUnseen) return "unknown";
   if (observation == JobObservation::kInDoubt) return "in-doubt";
+  TrailTasks(now_, id, view);
   return std::string(view.status);
 }
 
