--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -1554,7 +1554,7 @@
     for (const auto& [key, attempt] : m->task_attempts) {
       const std::string name = Name(key.job_id, key.task, key.attempt);
       // A start that is under way may not be there yet.
-      if (attempt.holds && attempt.order == StartProgress::kSettled &&
+      if (attempt.holds && attempt.start_progress == StartProgress::kSettled &&
           (it == workers_.end() || !it->second.tasks.contains(name))) {
         wrong.push_back("not there: " + name + " on " + m->host());
       }
