--- a/clients/budget.h
+++ b/clients/budget.h
@@ -10,6 +10,7 @@
 // What a request is for, the most important first. Lease renewals pass always.
 enum class Urgency { kLease, kUser, kLeader, kBackground };
 
+// Not thread-safe; times in seconds of the steady clock.
 class Budget {
  public:
   // `burst_s`: seconds' worth that may be saved up.
--- a/clients/cloud.h
+++ b/clients/cloud.h
@@ -10,6 +10,9 @@
 
 namespace oxbow::clients {
 
+// Lists machine types and machines, requests and deletes machines, within the
+// rate that the cloud allows. Nothing is retried here: requests carry a name,
+// so the caller may repeat them. Must outlive its pending calls.
 class CloudClient {
  public:
   CloudClient(net::Loop& loop, const net::Address& address,
--- a/clients/health.cc
+++ b/clients/health.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr size_t kBodyLimit = 64 * 1024;
-constexpr size_t kVerdictsKept = 64;
+constexpr size_t kMaxExpressions = 64;
 
 // {job} and {task} in a path, for machines where one agent answers for all.
 std::string PathOf(const std::string& pattern, const TaskAttemptKey& key) {
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-health_expression::HealthExpression& HealthClient::AdmissionOf(
+health_expression::HealthExpression& HealthClient::ExpressionFor(
     const CheckInstance& check) {
-  if (verdicts_.size() > kVerdictsKept) verdicts_.clear();
-  Entry& entry = verdicts_[check.rollout];
+  if (expressions_.size() > kMaxExpressions) expressions_.clear();
+  Entry& entry = expressions_[check.rollout];
   const std::string& text = check.spec->check.verdict;
-  if (!entry.verdict || entry.text != text) {
+  if (!entry.expression || entry.text != text) {
     entry = {text, std::make_unique<health_expression::HealthExpression>(text)};
   }
-  return *entry.verdict;
+  return *entry.expression;
 }
 
 net::Task<CheckOutcome> HealthClient::Check(CheckInstance check) {
@@ -57,7 +57,7 @@
   out.latency_seconds = loop_.Now() - sent;
   const health_expression::HealthExpression::Answer seen{
       answer.status, answer.body, out.latency_seconds * 1000};
-  out.good = AdmissionOf(check).Judge(seen) ==
+  out.good = ExpressionFor(check).Judge(seen) ==
              health_expression::HealthExpression::Result::kGood;
   co_return out;
 }
--- a/clients/health.h
+++ b/clients/health.h
@@ -1,4 +1,4 @@
-// Health checks of instances: HTTP against the instance, the verdict by the
+// Health checks of instances: HTTP against the instance, judged by the
 // operators' expression.
 #pragma once
 
@@ -12,23 +12,27 @@
 
 namespace oxbow::clients {
 
+// Runs checks side by side; each is one request on a connection of its own.
+// Owns the compiled expressions, one per rollout. Must outlive its pending
+// checks.
 class HealthClient {
  public:
   explicit HealthClient(net::Loop& loop) : loop_(loop) {}
 
   net::Task<CheckOutcome> Check(CheckInstance check);
-  void Clear() { verdicts_.clear(); }
+  void Clear() { expressions_.clear(); }
 
  private:
-  health_expression::HealthExpression& AdmissionOf(const CheckInstance& check);
+  health_expression::HealthExpression& ExpressionFor(
+      const CheckInstance& check);
 
   net::Loop& loop_;
   // By rollout; a new declaration under an old name brings its own text.
   struct Entry {
     std::string text;
-    std::unique_ptr<health_expression::HealthExpression> verdict;
+    std::unique_ptr<health_expression::HealthExpression> expression;
   };
-  std::map<std::string, Entry> verdicts_;
+  std::map<std::string, Entry> expressions_;
 };
 
 }  // namespace oxbow::clients
--- a/clients/key_value_store.h
+++ b/clients/key_value_store.h
@@ -12,8 +12,8 @@
 
 #include "clients/budget.h"
 #include "clients/write_retry.h"
-#include "core/leader_context/actions.h"
 #include "core/catalog/catalog.h"
+#include "core/leader_context/actions.h"
 #include "core/model/settings.h"
 #include "net/http_client.h"
 
--- a/clients/peer.h
+++ b/clients/peer.h
@@ -15,6 +15,8 @@
 
 namespace oxbow::clients {
 
+// What a message asks for. The numbers are sent between versions: new kinds are
+// added at the end, none is removed or reordered.
 enum class PeerKind : uint8_t {
   kHello,        // who are you, do you lead?
   kPoll,         // state of a job
@@ -46,10 +48,13 @@
   kRelayChain,
 };
 
+// The answer to a question of the kinds that are answered by yes or no.
 enum class PeerAnswer : uint8_t { kNo, kYes, kUnknownJob, kKnownJob };
 
 inline constexpr uint32_t kMaxFrame = 64 * 1024;
 
+// One frame's content. Which fields count depends on the kind; the others are
+// sent all the same, so that the form of a frame never changes.
 struct PeerMessage {
   PeerKind kind = PeerKind::kHello;
   PeerAnswer answer = PeerAnswer::kNo;
--- a/clients/reach_client.h
+++ b/clients/reach_client.h
@@ -11,6 +11,7 @@
 
 namespace oxbow::clients {
 
+// Must outlive its pending rounds. Bounded by `most_at_once` connections.
 class ReachClient {
  public:
   // `most_at_once`: connections open for this purpose at any moment.
--- a/clients/worker.h
+++ b/clients/worker.h
@@ -11,6 +11,8 @@
 
 namespace oxbow::clients {
 
+// One HTTP client per worker address, created when first used. Must outlive its
+// pending calls; Clear drops the idle clients when a leadership ends.
 class WorkerClients {
  public:
   WorkerClients(net::Loop& loop, double timeout_seconds)
--- a/net/http.h
+++ b/net/http.h
@@ -9,6 +9,8 @@
 
 namespace oxbow::net {
 
+// A request as received. Header fields that the project does not use are
+// dropped by the parser.
 struct HttpRequest {
   std::string method;
   std::string target;  // as sent: path and query
@@ -20,6 +22,7 @@
   std::string_view query(std::string_view name) const;
 };
 
+// A response to be sent. `body` is JSON or empty.
 struct HttpResponse {
   int status = 200;
   std::string body;
@@ -28,7 +31,9 @@
   bool keep_alive = true;
 };
 
+// The phrase of the status line, such as "Not Found".
 std::string_view ReasonPhrase(int status);
+// The bytes of a whole message.
 std::string Serialize(const HttpResponse& response);
 std::string SerializeRequest(std::string_view method, std::string_view target,
                              std::string_view host, std::string_view body);
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -16,6 +16,7 @@
 // executed later, one without an answer can, minutes later.
 enum class Outcome { kAnswered, kNotSent, kUnknown };
 
+// What came of one request. `status` and `body` count only if it was answered.
 struct ClientResult {
   Outcome outcome = Outcome::kNotSent;
   int status = 0;
@@ -25,6 +26,9 @@
   bool ok() const { return outcome == Outcome::kAnswered && status == 200; }
 };
 
+// Keeps up to `max_idle` connections open. A request that is awaited keeps the
+// client in use: the client must outlive it. Requests run side by side, each on
+// a connection of its own.
 class HttpClient {
  public:
   // `urgent`: its answers go before all else that is ready.
--- a/net/http_server.h
+++ b/net/http_server.h
@@ -10,6 +10,10 @@
 
 namespace oxbow::net {
 
+// Owns its connections: each is a detached coroutine that ends with the
+// connection. The handler is called once a request; requests beyond the limits
+// are refused with 4xx, connections beyond `Limits::connections` are closed.
+// The server must live as long as the loop runs.
 class HttpServer {
  public:
   using Handler = std::function<Task<HttpResponse>(HttpRequest request)>;
--- a/net/loop.h
+++ b/net/loop.h
@@ -14,6 +14,7 @@
 
 // Steady time in seconds, the unit of the whole project.
 using Time = double;
+// Seconds of the steady clock; of the wall clock since 1970.
 Time SteadyNow();
 Time WallNow();
 
@@ -31,6 +32,8 @@
   bool queued = false;  // stands in one of the loop's queues
 };
 
+// Runs callbacks and coroutines of one thread. Not thread-safe. Callbacks run
+// between two looks at the sockets; one that takes long delays all others.
 class Loop {
  public:
   using TimerMap = std::multimap<Time, std::function<void()>>;
--- a/net/socket.h
+++ b/net/socket.h
@@ -11,6 +11,7 @@
 
 namespace oxbow::net {
 
+// An IPv4 address and a port.
 struct Address {
   std::string ip;
   uint16_t port = 0;
@@ -20,6 +21,9 @@
 // "10.0.0.1:80"; false when it is not IPv4 and a port.
 bool ParseAddress(std::string_view text, Address* out);
 
+// Owns a descriptor and its registration with the loop, which must outlive it.
+// At most one coroutine reads and one writes at a time; neither may outlive the
+// socket. Deadlines are times of the loop, s.
 class Socket {
  public:
   Socket(Loop& loop, int fd);
@@ -51,6 +55,8 @@
   FdWaiters waiters_;
 };
 
+// A listening socket. The constructor throws std::runtime_error if the address
+// can't be bound.
 class Listener {
  public:
   Listener(Loop& loop, const Address& address);
--- a/net/task.h
+++ b/net/task.h
@@ -14,6 +14,7 @@
 
 namespace internal {
 
+// What all promises share: the awaiting coroutine and an exception in transit.
 struct PromiseBase {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
@@ -55,6 +56,8 @@
 
 }  // namespace internal
 
+// Owns a suspended coroutine; it runs when it is awaited, once. A parameter
+// taken by reference must outlive the coroutine.
 template <typename T = void>
 class [[nodiscard]] Task {
  public:
@@ -109,6 +112,8 @@
 
 }  // namespace internal
 
+// Runs the coroutine now, and on, without an owner: it must keep alive whatever
+// it uses.
 inline void Spawn(Task<void> task) { internal::RunDetached(std::move(task)); }
 
 }  // namespace oxbow::net
--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -86,13 +86,13 @@
   return read.error();
 }
 
-void WriteNames(json::Writer& w, const char* key,
+void WriteNames(json::Writer& writer, const char* key,
                 const std::vector<std::string>& names) {
   if (names.empty()) return;
-  w.Key(key);
-  w.StartArray();
-  for (const std::string& name : names) json::String(w, name);
-  w.EndArray();
+  writer.Key(key);
+  writer.StartArray();
+  for (const std::string& name : names) json::String(writer, name);
+  writer.EndArray();
 }
 
 }  // namespace
@@ -138,46 +138,46 @@
 
 std::string WriteBooking(const MaintenanceWindow& booking) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "kind", NameOf(kBookingKinds, booking.kind));
-  w.Key("work");
-  w.StartObject();
-  WriteNames(w, "classes", booking.work.classes);
-  WriteNames(w, "teams", booking.work.teams);
-  WriteNames(w, "tiers", booking.work.tiers);
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "kind", NameOf(kBookingKinds, booking.kind));
+  writer.Key("work");
+  writer.StartObject();
+  WriteNames(writer, "classes", booking.work.classes);
+  WriteNames(writer, "teams", booking.work.teams);
+  WriteNames(writer, "tiers", booking.work.tiers);
   if (booking.work.cores_above >= 0) {
-    w.Key("cores_above");
-    w.Double(booking.work.cores_above);
+    writer.Key("cores_above");
+    writer.Double(booking.work.cores_above);
   }
   if (booking.work.accelerators_above >= 0) {
-    w.Key("accelerators_above");
-    w.Double(booking.work.accelerators_above);
+    writer.Key("accelerators_above");
+    writer.Double(booking.work.accelerators_above);
   }
-  w.EndObject();
-  w.Key("room");
-  w.Double(booking.room_share);
-  json::Field(w, "overrun", NameOf(kOverruns, booking.overrun));
-  json::Field(w, "zone", booking.zone);
-  json::Field(w, "starts", booking.starts);
-  if (!booking.rule.empty()) json::Field(w, "rule", booking.rule);
-  WriteNames(w, "except", booking.except);
-  w.Key("length_s");
-  w.Double(booking.length_seconds);
-  w.Key("times");
-  w.StartArray();
+  writer.EndObject();
+  writer.Key("room");
+  writer.Double(booking.room_share);
+  json::Field(writer, "overrun", NameOf(kOverruns, booking.overrun));
+  json::Field(writer, "zone", booking.zone);
+  json::Field(writer, "starts", booking.starts);
+  if (!booking.rule.empty()) json::Field(writer, "rule", booking.rule);
+  WriteNames(writer, "except", booking.except);
+  writer.Key("length_s");
+  writer.Double(booking.length_seconds);
+  writer.Key("times");
+  writer.StartArray();
   for (const UtcInterval& t : booking.times) {
-    w.StartArray();
-    w.Int64(std::llround(t.from));
-    w.Int64(std::llround(t.to) - std::llround(t.from));
-    w.EndArray();
+    writer.StartArray();
+    writer.Int64(std::llround(t.from));
+    writer.Int64(std::llround(t.to) - std::llround(t.from));
+    writer.EndArray();
   }
-  w.EndArray();
+  writer.EndArray();
   if (booking.known_until > 0) {
-    w.Key("known_until");
-    w.Int64(std::llround(booking.known_until));
+    writer.Key("known_until");
+    writer.Int64(std::llround(booking.known_until));
   }
-  w.EndObject();
+  writer.EndObject();
   return json::Text(buffer);
 }
 
--- a/wire/job_json.cc
+++ b/wire/job_json.cc
@@ -66,48 +66,48 @@
   return {};
 }
 
-void WriteSpec(json::Writer& w, const JobSpec& spec) {
+void WriteSpec(json::Writer& writer, const JobSpec& spec) {
   const auto number = [&](const char* key, double value) {
-    w.Key(key);
-    w.Double(value);
+    writer.Key(key);
+    writer.Double(value);
   };
-  w.StartObject();
-  json::Field(w, "id", spec.id);
-  json::Field(w, "duty", spec.job_class);
-  json::Field(w, "crew", spec.team);
-  json::Field(w, "form", NameOf(kJobKinds, spec.kind));
-  json::Field(w, "standing", NameOf(kPriorities, spec.priority));
-  w.Key("legs");
-  w.Uint(spec.tasks);
+  writer.StartObject();
+  json::Field(writer, "id", spec.id);
+  json::Field(writer, "duty", spec.job_class);
+  json::Field(writer, "crew", spec.team);
+  json::Field(writer, "form", NameOf(kJobKinds, spec.kind));
+  json::Field(writer, "standing", NameOf(kPriorities, spec.priority));
+  writer.Key("legs");
+  writer.Uint(spec.tasks);
   number("cores", spec.need.cpus);
   number("accelerators", spec.need.gpus);
   number("memory_gb", spec.need.memory_gb);
-  json::Field(w, "build", spec.image);
+  json::Field(writer, "build", spec.image);
   number("size_gb", spec.image_gb);
   if (spec.types) {
-    w.Key("fleets");
-    w.StartArray();
-    for (const std::string& type : *spec.types) json::String(w, type);
-    w.EndArray();
+    writer.Key("fleets");
+    writer.StartArray();
+    for (const std::string& type : *spec.types) json::String(writer, type);
+    writer.EndArray();
   }
-  if (spec.zone) json::Field(w, "yard", *spec.zone);
-  w.Key("together");
-  w.Bool(spec.one_zone);
-  w.Key("scatter");
-  w.Bool(spec.spread);
-  w.Key("loaner");
-  w.Bool(spec.spot);
+  if (spec.zone) json::Field(writer, "yard", *spec.zone);
+  writer.Key("together");
+  writer.Bool(spec.one_zone);
+  writer.Key("scatter");
+  writer.Bool(spec.spread);
+  writer.Key("loaner");
+  writer.Bool(spec.spot);
   number("reckon_s", spec.estimate_seconds);
   number("bookmark_s", spec.checkpoint_seconds);
   number("stow_s", spec.save_seconds);
   if (spec.deadline_seconds) number("due_s", *spec.deadline_seconds);
   if (!spec.dependencies.empty()) {
-    w.Key("waits_on");
-    w.StartArray();
-    for (const std::string& id : spec.dependencies) json::String(w, id);
-    w.EndArray();
+    writer.Key("waits_on");
+    writer.StartArray();
+    for (const std::string& id : spec.dependencies) json::String(writer, id);
+    writer.EndArray();
   }
-  w.EndObject();
+  writer.EndObject();
 }
 
 std::string WhyImpossible(const JobSpec& spec,
--- a/wire/job_json.h
+++ b/wire/job_json.h
@@ -18,7 +18,7 @@
 
 // Reads a description; returns what is wrong with it, or nothing.
 std::string ReadSpec(const rapidjson::Value& value, JobSpec* out);
-void WriteSpec(json::Writer& w, const JobSpec& spec);
+void WriteSpec(json::Writer& writer, const JobSpec& spec);
 
 // Why the job can never run, or nothing.
 std::string WhyImpossible(const JobSpec& spec,
--- a/wire/moves_json.cc
+++ b/wire/moves_json.cc
@@ -34,22 +34,22 @@
 
 std::string WriteMoveClaim(const MoveClaim& claim) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "id", claim.id);
-  json::Field(w, "service", claim.job);
-  w.Key("task");
-  w.Uint(claim.task);
-  w.Key("attempt");
-  w.Uint64(claim.attempt);
-  json::Field(w, "from", claim.from);
-  json::Field(w, "to", claim.to);
-  json::Field(w, "for", claim.for_job);
-  w.Key("until");
-  w.Double(claim.until_wall);
-  w.Key("cool");
-  w.Double(claim.cool_wall);
-  w.EndObject();
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "id", claim.id);
+  json::Field(writer, "service", claim.job);
+  writer.Key("task");
+  writer.Uint(claim.task);
+  writer.Key("attempt");
+  writer.Uint64(claim.attempt);
+  json::Field(writer, "from", claim.from);
+  json::Field(writer, "to", claim.to);
+  json::Field(writer, "for", claim.for_job);
+  writer.Key("until");
+  writer.Double(claim.until_wall);
+  writer.Key("cool");
+  writer.Double(claim.cool_wall);
+  writer.EndObject();
   return json::Text(buffer);
 }
 
--- a/wire/operator_json.cc
+++ b/wire/operator_json.cc
@@ -4,18 +4,18 @@
 
 namespace oxbow::wire {
 
-void WriteOperator(json::Writer& w, const OperatorRecord& r) {
-  json::Field(w, "kind", r.kind);
-  json::Field(w, "text", r.text);
-  json::Key(w, "version");
-  w.Uint64(r.version);
-  json::Field(w, "author", r.author);
-  json::Field(w, "note", r.note);
-  json::Key(w, "t");
-  w.Double(r.changed_wall);
+void WriteOperator(json::Writer& writer, const OperatorRecord& r) {
+  json::Field(writer, "kind", r.kind);
+  json::Field(writer, "text", r.text);
+  json::Key(writer, "version");
+  writer.Uint64(r.version);
+  json::Field(writer, "author", r.author);
+  json::Field(writer, "note", r.note);
+  json::Key(writer, "t");
+  writer.Double(r.changed_wall);
   if (r.withdrawn) {
-    json::Key(w, "withdrawn");
-    w.Bool(true);
+    json::Key(writer, "withdrawn");
+    writer.Bool(true);
   }
 }
 
@@ -32,26 +32,26 @@
 
 std::string OperatorBody(const std::string& name, const OperatorRecord& r) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "name", name);
-  json::Field(w, "kind", r.kind);
-  json::Key(w, "version");
-  w.Uint64(r.version);
-  json::Field(w, "author", r.author);
-  json::Field(w, "note", r.note);
-  json::Key(w, "t");
-  w.Double(r.changed_wall);
-  json::Key(w, "withdrawn");
-  w.Bool(r.withdrawn);
-  json::Key(w, "text");
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "name", name);
+  json::Field(writer, "kind", r.kind);
+  json::Key(writer, "version");
+  writer.Uint64(r.version);
+  json::Field(writer, "author", r.author);
+  json::Field(writer, "note", r.note);
+  json::Key(writer, "t");
+  writer.Double(r.changed_wall);
+  json::Key(writer, "withdrawn");
+  writer.Bool(r.withdrawn);
+  json::Key(writer, "text");
   rapidjson::Document text;
   if (json::Parse(r.text, &text)) {
-    text.Accept(w);
+    text.Accept(writer);
   } else {
-    w.Null();
+    writer.Null();
   }
-  w.EndObject();
+  writer.EndObject();
   return json::Text(buffer);
 }
 
@@ -71,8 +71,8 @@
     return out->record.withdrawn ? "" : "field text";
   }
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  text->Accept(w);
+  json::Writer writer(buffer);
+  text->Accept(writer);
   out->record.text = json::Text(buffer);
   return {};
 }
--- a/wire/operator_json.h
+++ b/wire/operator_json.h
@@ -12,7 +12,7 @@
 namespace oxbow::wire {
 
 // The fields of the stored form, without the braces round them.
-void WriteOperator(json::Writer& w, const OperatorRecord& record);
+void WriteOperator(json::Writer& writer, const OperatorRecord& record);
 bool ReadOperator(const rapidjson::Value& value, OperatorRecord* out);
 
 // What an operator is told; the text as JSON, not as a string of it.
--- a/wire/records.cc
+++ b/wire/records.cc
@@ -15,95 +15,95 @@
 using json::Key;
 
 struct Encoder {
-  json::Writer& w;
+  json::Writer& writer;
 
-  void operator()(std::monostate) const { w.Null(); }
+  void operator()(std::monostate) const { writer.Null(); }
   void operator()(const LeaderRecord& r) const {
-    Field(w, "node", r.node);
-    Field(w, "incarnation", r.incarnation);
+    Field(writer, "node", r.node);
+    Field(writer, "incarnation", r.incarnation);
     if (r.renews_only) {
-      Key(w, "keeping");
-      w.Bool(true);
+      Key(writer, "keeping");
+      writer.Bool(true);
     }
   }
   void operator()(const JobRecord& r) const {
-    Key(w, "spec");
-    WriteSpec(w, *r.spec);
-    Key(w, "t");
-    w.Double(r.submitted_wall);
+    Key(writer, "spec");
+    WriteSpec(writer, *r.spec);
+    Key(writer, "t");
+    writer.Double(r.submitted_wall);
     if (r.terminal_state != TerminalState::kNone) {
-      Field(w, "final", NameOf(kTerminalStates, r.terminal_state));
+      Field(writer, "final", NameOf(kTerminalStates, r.terminal_state));
     }
     if (r.released_wall > 0) {
-      Key(w, "released");
-      w.Double(r.released_wall);
+      Key(writer, "released");
+      writer.Double(r.released_wall);
     }
   }
   void operator()(const WaitingRecord& r) const {
-    Key(w, "spec");
-    WriteSpec(w, *r.spec);
-    Key(w, "t");
-    w.Double(r.submitted_wall);
+    Key(writer, "spec");
+    WriteSpec(writer, *r.spec);
+    Key(writer, "t");
+    writer.Double(r.submitted_wall);
   }
   void operator()(const MachineRecord& r) const {
-    Field(w, "type", r.type);
-    Field(w, "zone", r.zone);
-    Key(w, "spot");
-    w.Bool(r.spot);
-    Field(w, "endpoint", r.endpoint);
-    Key(w, "t");
-    w.Double(r.requested_wall);
+    Field(writer, "type", r.type);
+    Field(writer, "zone", r.zone);
+    Key(writer, "spot");
+    writer.Bool(r.spot);
+    Field(writer, "endpoint", r.endpoint);
+    Key(writer, "t");
+    writer.Double(r.requested_wall);
   }
   void operator()(const ScaleOutRecord& r) const {
-    Field(w, "type", r.type);
-    Field(w, "zone", r.zone);
-    Key(w, "spot");
-    w.Bool(r.spot);
-    Key(w, "count");
-    w.Int(r.count);
+    Field(writer, "type", r.type);
+    Field(writer, "zone", r.zone);
+    Key(writer, "spot");
+    writer.Bool(r.spot);
+    Key(writer, "count");
+    writer.Int(r.count);
   }
   void operator()(const TerminalRecord& record) const {
-    Field(w, "final", NameOf(kTerminalStates, record.state));
-    Key(w, "tasks");
-    w.Uint(record.tasks);
+    Field(writer, "final", NameOf(kTerminalStates, record.state));
+    Key(writer, "tasks");
+    writer.Uint(record.tasks);
   }
   void operator()(const RolloutRecord& record) const {
-    Key(w, "spec");
-    w.StartObject();
-    WriteRolloutSpec(w, *record.spec);
-    w.EndObject();
-    Field(w, "step", NameOf(kRolloutStepNames, record.step));
-    Field(w, "paused_in", NameOf(kRolloutStepNames, record.paused_in));
-    Field(w, "wish", NameOf(kRolloutRequests, record.request));
-    Field(w, "reason", record.reason);
-    Key(w, "t");
-    w.Double(record.declared_wall);
+    Key(writer, "spec");
+    writer.StartObject();
+    WriteRolloutSpec(writer, *record.spec);
+    writer.EndObject();
+    Field(writer, "step", NameOf(kRolloutStepNames, record.step));
+    Field(writer, "paused_in", NameOf(kRolloutStepNames, record.paused_in));
+    Field(writer, "wish", NameOf(kRolloutRequests, record.request));
+    Field(writer, "reason", record.reason);
+    Key(writer, "t");
+    writer.Double(record.declared_wall);
   }
   void operator()(const StoreEpoch& r) const {
-    Key(w, "number");
-    w.Uint64(r.number);
-    Field(w, "id", r.id);
-    Key(w, "base");
-    w.Uint64(r.base);
-    Key(w, "whole");
-    w.Bool(r.whole);
-    Key(w, "rebuilt");
-    w.Bool(r.rebuilt);
-    Key(w, "t");
-    w.Double(r.opened_wall);
+    Key(writer, "number");
+    writer.Uint64(r.number);
+    Field(writer, "id", r.id);
+    Key(writer, "base");
+    writer.Uint64(r.base);
+    Key(writer, "whole");
+    writer.Bool(r.whole);
+    Key(writer, "rebuilt");
+    writer.Bool(r.rebuilt);
+    Key(writer, "t");
+    writer.Double(r.opened_wall);
   }
   void operator()(const EpochMark& r) const {
-    Key(w, "number");
-    w.Uint64(r.number);
+    Key(writer, "number");
+    writer.Uint64(r.number);
   }
-  void operator()(const OperatorRecord& r) const { WriteOperator(w, r); }
+  void operator()(const OperatorRecord& r) const { WriteOperator(writer, r); }
   void operator()(const VersionRecord& r) const {
-    Key(w, "version");
-    w.Uint(r.version);
+    Key(writer, "version");
+    writer.Uint(r.version);
   }
   void operator()(const WriteFence& r) const {
-    Key(w, "number");
-    w.Uint64(r.number);
+    Key(writer, "number");
+    writer.Uint64(r.number);
   }
 };
 
@@ -111,10 +111,10 @@
 
 std::string EncodeRecord(const Record& record) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  std::visit(Encoder{w}, record);
-  w.EndObject();
+  json::Writer writer(buffer);
+  writer.StartObject();
+  std::visit(Encoder{writer}, record);
+  writer.EndObject();
   return json::Text(buffer);
 }
 
--- a/wire/rollout_json.cc
+++ b/wire/rollout_json.cc
@@ -69,36 +69,36 @@
   return ReadCheck(*check, &out->check);
 }
 
-void WriteRolloutSpec(json::Writer& w, const RolloutSpec& spec) {
+void WriteRolloutSpec(json::Writer& writer, const RolloutSpec& spec) {
   const auto number = [&](const char* key, double value) {
-    w.Key(key);
-    w.Double(value);
+    writer.Key(key);
+    writer.Double(value);
   };
   const auto count = [&](const char* key, uint32_t value) {
-    w.Key(key);
-    w.Uint(value);
+    writer.Key(key);
+    writer.Uint(value);
   };
-  json::Field(w, "id", spec.id);
-  json::Field(w, "from", spec.from);
-  json::Field(w, "to", spec.to);
+  json::Field(writer, "id", spec.id);
+  json::Field(writer, "from", spec.from);
+  json::Field(writer, "to", spec.to);
   count("floor", spec.floor);
   count("surge", spec.surge);
   number("start_s", spec.start_seconds);
   number("bake_s", spec.bake_seconds);
   number("watch_s", spec.watch_seconds);
-  w.Key("check");
-  w.StartObject();
+  writer.Key("check");
+  writer.StartObject();
   count("port", spec.check.port);
-  w.Key("port_per_task");
-  w.Bool(spec.check.port_per_task);
-  json::Field(w, "path", spec.check.path);
+  writer.Key("port_per_task");
+  writer.Bool(spec.check.port_per_task);
+  json::Field(writer, "path", spec.check.path);
   number("interval_s", spec.check.interval_seconds);
   number("timeout_s", spec.check.timeout_seconds);
   count("good_in_row", spec.check.good_in_row);
   count("bad_in_row", spec.check.bad_in_row);
-  json::Field(w, "verdict", spec.check.verdict);
+  json::Field(writer, "verdict", spec.check.verdict);
   number("slow_ratio", spec.check.slow_ratio);
-  w.EndObject();
+  writer.EndObject();
 }
 
 std::string WhyNoRollout(const RolloutSpec& spec, uint32_t from_tasks) {
@@ -118,18 +118,18 @@
 std::string RolloutBody(const RolloutRecord& record,
                         const RolloutCounts* counts) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  WriteRolloutSpec(w, *record.spec);
-  json::Field(w, "step", NameOf(kRolloutStepNames, record.step));
-  if (!record.reason.empty()) json::Field(w, "reason", record.reason);
+  json::Writer writer(buffer);
+  writer.StartObject();
+  WriteRolloutSpec(writer, *record.spec);
+  json::Field(writer, "step", NameOf(kRolloutStepNames, record.step));
+  if (!record.reason.empty()) json::Field(writer, "reason", record.reason);
   if (record.request != RolloutRequest::kNone) {
-    json::Field(w, "wish", NameOf(kRolloutRequests, record.request));
+    json::Field(writer, "wish", NameOf(kRolloutRequests, record.request));
   }
   if (counts != nullptr) {
     const auto count = [&](const char* key, uint32_t value) {
-      w.Key(key);
-      w.Uint(value);
+      writer.Key(key);
+      writer.Uint(value);
     };
     count("old", counts->old_there);
     count("old_healthy", counts->old_healthy);
@@ -137,7 +137,7 @@
     count("new_healthy", counts->new_healthy);
     count("new_baked", counts->new_baked);
   }
-  w.EndObject();
+  writer.EndObject();
   return json::Text(buffer);
 }
 
--- a/wire/rollout_json.h
+++ b/wire/rollout_json.h
@@ -16,7 +16,7 @@
 // Reads a declaration; returns what is malformed, or nothing.
 std::string ReadRolloutSpec(const rapidjson::Value& value, RolloutSpec* out);
 // Fields of an object that the caller has begun.
-void WriteRolloutSpec(json::Writer& w, const RolloutSpec& spec);
+void WriteRolloutSpec(json::Writer& writer, const RolloutSpec& spec);
 
 // Why it can't be done for a job of so many replicas, in words, or nothing.
 std::string WhyNoRollout(const RolloutSpec& spec, uint32_t from_tasks);
--- a/wire/tiers_json.cc
+++ b/wire/tiers_json.cc
@@ -75,13 +75,13 @@
 }
 
 template <typename List, typename Name>
-void WriteList(json::Writer& w, const char* key, const List& list,
+void WriteList(json::Writer& writer, const char* key, const List& list,
                const Name& name) {
   if (list.empty()) return;
-  w.Key(key);
-  w.StartArray();
-  for (const auto& item : list) json::String(w, name(item));
-  w.EndArray();
+  writer.Key(key);
+  writer.StartArray();
+  for (const auto& item : list) json::String(writer, name(item));
+  writer.EndArray();
 }
 
 }  // namespace
@@ -119,37 +119,37 @@
 
 std::string WriteTiers(const std::vector<Tier>& tiers) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
+  json::Writer writer(buffer);
   const auto word = [](const std::string& text) { return text; };
-  w.StartObject();
-  w.Key("tiers");
-  w.StartArray();
+  writer.StartObject();
+  writer.Key("tiers");
+  writer.StartArray();
   for (const Tier& tier : tiers) {
-    w.StartObject();
-    json::Field(w, "name", tier.name);
-    w.Key("rank");
-    w.Uint(tier.rank);
-    w.Key("match");
-    w.StartObject();
-    WriteList(w, "duty", tier.match.classes, word);
-    WriteList(w, "crew", tier.match.teams, word);
-    WriteList(w, "standing", tier.match.priorities,
+    writer.StartObject();
+    json::Field(writer, "name", tier.name);
+    writer.Key("rank");
+    writer.Uint(tier.rank);
+    writer.Key("match");
+    writer.StartObject();
+    WriteList(writer, "duty", tier.match.classes, word);
+    WriteList(writer, "crew", tier.match.teams, word);
+    WriteList(writer, "standing", tier.match.priorities,
               [](Priority p) { return NameOf(kPriorities, p); });
-    WriteList(w, "form", tier.match.kinds,
+    WriteList(writer, "form", tier.match.kinds,
               [](JobKind k) { return NameOf(kJobKinds, k); });
-    w.EndObject();
-    w.Key("kept_share");
-    w.Double(tier.kept_share);
-    w.Key("most_share");
-    w.Double(tier.most_share);
+    writer.EndObject();
+    writer.Key("kept_share");
+    writer.Double(tier.kept_share);
+    writer.Key("most_share");
+    writer.Double(tier.most_share);
     if (tier.floor_seconds > 0) {
-      w.Key("floor_s");
-      w.Double(tier.floor_seconds);
+      writer.Key("floor_s");
+      writer.Double(tier.floor_seconds);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   return json::Text(buffer);
 }
 
--- a/wire/worker_json.cc
+++ b/wire/worker_json.cc
@@ -37,22 +37,24 @@
 
 }  // namespace
 
-void WriteOrders(json::Writer& w, const std::vector<WorkerCommand>& commands) {
-  w.Key("orders");
-  w.StartArray();
+void WriteOrders(json::Writer& writer,
+                 const std::vector<WorkerCommand>& commands) {
+  writer.Key("orders");
+  writer.StartArray();
   for (const WorkerCommand& command : commands) {
-    w.StartObject();
-    json::Field(w, "order", NameOf(kCommands, command.kind));
-    json::Field(w, "leg", command.job_id + "/" + std::to_string(command.task));
-    w.Key("try_no");
-    w.Uint64(command.attempt);
+    writer.StartObject();
+    json::Field(writer, "order", NameOf(kCommands, command.kind));
+    json::Field(writer, "leg",
+                command.job_id + "/" + std::to_string(command.task));
+    writer.Key("try_no");
+    writer.Uint64(command.attempt);
     if (command.kind == CommandKind::kStop) {
-      w.Key("wind_down_s");
-      w.Double(command.grace_seconds);
+      writer.Key("wind_down_s");
+      writer.Double(command.grace_seconds);
     }
-    w.EndObject();
+    writer.EndObject();
   }
-  w.EndArray();
+  writer.EndArray();
 }
 
 bool ParseReport(std::string_view body, Heartbeat* out) {
@@ -86,12 +88,12 @@
 
 std::string EncodeReply(const HeartbeatResponse& reply) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  w.Key("fence");
-  w.Uint64(reply.token);
-  WriteOrders(w, reply.commands);
-  w.EndObject();
+  json::Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("fence");
+  writer.Uint64(reply.token);
+  WriteOrders(writer, reply.commands);
+  writer.EndObject();
   return json::Text(buffer);
 }
 
--- a/wire/worker_json.h
+++ b/wire/worker_json.h
@@ -17,6 +17,7 @@
 bool ParseReport(std::string_view body, Heartbeat* out);
 std::string EncodeReply(const HeartbeatResponse& reply);
 // The field of an object that the caller has begun.
-void WriteOrders(json::Writer& w, const std::vector<WorkerCommand>& commands);
+void WriteOrders(json::Writer& writer,
+                 const std::vector<WorkerCommand>& commands);
 
 }  // namespace oxbow::wire
