--- /dev/null
+++ b/core/scheduler/machine_selector.cc
@@ -0,0 +1,42 @@
+#include "core/scheduler/machine_selector.h"
+
+#include "core/priority_tiers/tier_manager.h"
+
+namespace oxbow {
+
+MachineSelector::MachineSelector(LeaderContext& context,
+                                 const TierManager& tier_manager, uint64_t seed)
+    : cluster_(context.cluster),
+      queue_ranking_(context.queue_ranking),
+      tier_manager_(tier_manager),
+      placer_(context.tuning, seed) {
+  if (context.tuning.fragmentation_weight > 0)
+    placer_.SetFragmentation(&context.fragmentation);
+}
+
+Machine* MachineSelector::FindMachine(const Job& job,
+                                      const std::vector<Machine*>& candidates,
+                                      const ZoneSpread& spread,
+                                      double mean_bandwidth) {
+  const JobSpec& spec = job.spec();
+  std::vector<Machine*> feasible;
+  for (Machine* machine : candidates) {
+    if (spec.need.FitsIn(machine->CapacityFor(&job, job.priority())) &&
+        Allowed(spec, *machine, spread) &&
+        tier_manager_.TierAllows(job, *machine)) {
+      feasible.push_back(machine);
+    }
+  }
+  return placer_.Choose(
+      job, feasible, spread,
+      [&](const Machine& machine) { return cluster_.CountOn(job, machine); },
+      mean_bandwidth, queue_ranking_.WaitSloSeconds(spec));
+}
+
+bool MachineSelector::FragmentsWholeMachine(const JobSpec& spec,
+                                            const Machine& machine) const {
+  return placer_.FragmentsWholeMachine(spec, machine,
+                                       queue_ranking_.WaitSloSeconds(spec));
+}
+
+}  // namespace oxbow
--- a/core/scheduler/preemption_plan.h
+++ b/core/scheduler/preemption_plan.h
@@ -1,4 +1,4 @@
-// What would have to be stopped on one machine so that a task fits.
+// What would have to be stopped on one machine so that one more task fits.
 #pragma once
 
 #include <vector>
@@ -8,8 +8,12 @@
 namespace oxbow {
 
 struct PreemptionPlan {
+  // Not owned; never null in a plan that a planner returns.
   Machine* machine = nullptr;
-  double cost = 0;  // of all victims; comparable between plans
+  // Of all victims: weighted core seconds of lost work. Comparable between
+  // plans for the same job.
+  double cost = 0;
+  // The cheapest first. Empty: enough capacity is free or about to be.
   std::vector<TaskAttemptKey> victims;
 };
 
--- a/core/scheduler/scheduler.h
+++ b/core/scheduler/scheduler.h
@@ -1,30 +1,30 @@
-// The scheduling pass: queue positions, feasible machines, score, start; where
-// nothing fits, preemption and reservations. Owns the placer and what one pass
-// remembers.
+// The scheduling pass: queue positions, usable machines, then for each job in
+// turn score and start, and where nothing fits preempt or reserve. Composes the
+// classes that do these steps and remembers between passes only when the next
+// one is due and which large jobs the last one left waiting.
 #pragma once
 
 #include <cstdint>
-#include <map>
-#include <memory>
-#include <optional>
-#include <set>
 #include <string>
-#include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "core/leader_context/leader_context.h"
-#include "core/placement/placement.h"
-#include "core/scheduler/preemption_plan.h"
+#include "core/scheduler/gang_scheduler.h"
+#include "core/scheduler/machine_selector.h"
+#include "core/scheduler/preemption_planner.h"
+#include "core/scheduler/reservations.h"
+#include "core/scheduler/scheduling_pass.h"
+#include "core/scheduler/task_scheduler.h"
+#include "core/scheduler/task_starter.h"
 
 namespace oxbow {
 
-class MachineHealth;
 class CommandDispatcher;
-class RolloutManager;
+class MachineHealth;
 class MaintenanceManager;
-class TierManager;
 class RebalancingManager;
+class RolloutManager;
+class TierManager;
 
 class Scheduler {
  public:
@@ -37,78 +37,57 @@
     TierManager& tier_manager;
     RebalancingManager& rebalancing;
   };
-  // `seed`: of the choice between equally good machines.
+  // `seed`: of the choice between machines of equal score.
   Scheduler(LeaderContext& context, const Modules& modules, uint64_t seed);
 
-  // Runs a placement pass now if anything has changed since the last.
+  // Runs a scheduling pass now if anything has changed since the last one and
+  // the next one is due.
   void ScheduleIfNeeded(Time now);
-  // Jobs with accelerators that the last pass left without a place, in the order
-  // of the queue; a few.
+
+  // Ids of jobs with accelerators that the last pass left waiting for capacity,
+  // in the order of the queue; a few.
   const std::vector<std::string>& large_waiting() const {
     return large_waiting_;
   }
 
  private:
-  struct GangSlot {
-    PreemptionPlan plan;
-    bool waits = false;  // for short work to run off
+  struct QueuedJob {
+    QueuePosition position;
+    Job* job = nullptr;
   };
+
+  bool PassIsDue(Time now) const;
+  void RunPass(Time now);
+
+  // Marks the jobs that are within the guaranteed quota of their team.
   void ComputeGuaranteedJobs();
-  bool Placeable(const Job& job, Time now, bool accounted) const;
-  Machine* FindPlace(const Job& job, const std::vector<Machine*>& usable,
-                     const ZoneSpread& where, double bandwidth);
-  void Start(Job& job, uint32_t task, Machine& machine, uint64_t attempt,
-             Time now);
-  // The machine for a replica, null for none; nothing while room is being made
-  // on a machine that suits it better.
-  std::optional<Machine*> FindReplicaPlace(Job& job,
-                                           const std::vector<Machine*>& usable,
-                                           const ZoneSpread& where,
-                                           double bandwidth, Time now);
-  void PlaceJob(Job& job, const QueuePosition& from,
-                const std::vector<Machine*>& usable, double bandwidth,
-                Time now);
-  void PlaceGang(Job& job, const QueuePosition& from,
-                 const std::vector<Machine*>& usable, double bandwidth,
-                 Time now);
-  bool MayPreempt(const Job& job, const TaskAttempt& victim, Time now) const;
-  double PreemptionCost(const TaskAttempt& victim, Time now) const;
-  // Stops a task so that another may run.
-  void Preempt(Machine& machine, TaskAttempt& victim, const JobSpec& for_job,
-               Time now);
-  // The team's limit keeps the job out. What comes after it must not take what
-  // the team frees, and less important work of the team makes way.
-  void PreemptWithinQuota(Job& job, uint32_t tasks, Time now);
-  std::optional<PreemptionPlan> PlanPreemption(const Job& job, Machine& machine,
-                                               Resources taken, Time now) const;
-  void ExecutePreemption(const PreemptionPlan& plan, const JobSpec& for_job,
-                         Time now);
-  // False when there is nothing that could be drained.
-  bool ReserveByPreemption(Job& job, const std::vector<Machine*>& usable,
-                           Time now);
-  bool ReserveGangByPreemption(Job& job, const std::vector<Machine*>& usable,
-                               Time now);
+  void ResetQuotas();
+  std::vector<Job*> SchedulableJobs(const SchedulingPass& pass) const;
+  bool IsSchedulable(const Job& job, const SchedulingPass& pass) const;
+  std::vector<Machine*> UsableMachines(Time now) const;
+  double MeasuredBandwidth() const;
+  std::vector<QueuedJob> BuildQueue(const std::vector<Job*>& jobs,
+                                    Time now) const;
+  void ScheduleJob(const QueuedJob& queued, SchedulingPass& pass);
+  void RecordLargeWaiting(const std::vector<QueuedJob>& queue);
 
   LeaderContext& context_;
-  const Settings& settings_;
-  const Tuning& tuning_;
   ClusterState& cluster_;
   TierPolicy& tiers_;
-  FragmentationIndex& fragmentation_;
-  QueueRanking& queue_ranking_;
-  RunTimeEstimates& run_times_;
   MachineHealth& machine_health_;
   CommandDispatcher& dispatcher_;
   RolloutManager& rollout_manager_;
   MaintenanceManager& maintenance_;
   TierManager& tier_manager_;
   RebalancingManager& rebalancing_;
-  Placer placer_;
-  std::set<const Job*> over_share_;  // in this pass
-  bool part_is_held_ = false;        // in this pass, for a gang
-  // Work with accelerators that the last pass left without a place, in turn.
+  MachineSelector machine_selector_;
+  TaskStarter task_starter_;
+  PreemptionPlanner preemption_planner_;
+  Reservations reservations_;
+  GangScheduler gang_scheduler_;
+  TaskScheduler task_scheduler_;
   std::vector<std::string> large_waiting_;
-  Time next_schedule_ = 0;
+  Time next_pass_ = 0;
 };
 
 }  // namespace oxbow
