--- a/core/autoscaler/capacity_planning.h
+++ b/core/autoscaler/capacity_planning.h
@@ -8,6 +8,7 @@
 
 #include "core/model/job.h"
 #include "core/model/machine.h"
+#include "core/placement/placement.h"
 
 namespace oxbow {
 
@@ -30,7 +31,7 @@
   const JobSpec* spec = nullptr;
   int tasks = 0;
   // Tasks of the job per zone, for `spread` and `one_zone`.
-  std::vector<std::pair<std::string, int>> per_zone;
+  std::vector<ZoneTaskCount> per_zone;
 };
 
 struct AutoscalerInput {
--- a/core/fair_queueing/fair_queueing.cc
+++ b/core/fair_queueing/fair_queueing.cc
@@ -4,27 +4,36 @@
 #include <cmath>
 
 namespace oxbow {
+namespace {
 
-FairQueueing::Sum FairQueueing::Decayed(const Sum& sum, Time now) const {
-  const double kept = std::exp(-std::max(0.0, now - sum.at) / memory_seconds_);
-  return {sum.minimum_share * kept, sum.quickest * kept, now};
+// Of the largest size seen: jobs above it are among the largest.
+constexpr double kLargestShare = 0.75;
+
+}  // namespace
+
+FairQueueing::Account FairQueueing::Decayed(const Account& account,
+                                            Time now) const {
+  const double kept =
+      std::exp(-std::max(0.0, now - account.at) / memory_seconds_);
+  return {account.minimum_share * kept, account.quickest * kept, now};
 }
 
 bool FairQueueing::MinimumShareFirst(const std::string& job_class,
                                      Time now) const {
-  const auto it = placed_.find(job_class);
-  if (it == placed_.end()) return minimum_share_ > 0;
-  const Sum sum = Decayed(it->second, now);
-  return sum.minimum_share <
-             minimum_share_ * (sum.minimum_share + sum.quickest) ||
-         (minimum_share_ > 0 && sum.minimum_share + sum.quickest <= 0);
+  const auto it = accounts_.find(job_class);
+  if (it == accounts_.end()) return minimum_share_ > 0;
+  const Account account = Decayed(it->second, now);
+  const double placed = account.minimum_share + account.quickest;
+  return account.minimum_share < minimum_share_ * placed ||
+         (minimum_share_ > 0 && placed <= 0);
 }
 
 void FairQueueing::Placed(const std::string& job_class, QueueSide side,
                           double work, Time now) {
-  Sum& sum = placed_[job_class];
-  sum = Decayed(sum, now);
-  (side == QueueSide::kMinimumShare ? sum.minimum_share : sum.quickest) += work;
+  Account& account = accounts_[job_class];
+  account = Decayed(account, now);
+  (side == QueueSide::kMinimumShare ? account.minimum_share
+                                    : account.quickest) += work;
 }
 
 void LargestSizes::Seen(const std::string& job_class, uint32_t tasks) {
@@ -35,10 +44,9 @@
 
 bool LargestSizes::IsLargest(const std::string& job_class,
                              uint32_t tasks) const {
-  constexpr double kShare = 0.75;
   const auto it = by_class_.find(job_class);
   return it != by_class_.end() && it->second.least < it->second.most &&
-         tasks > kShare * it->second.most;
+         tasks > kLargestShare * it->second.most;
 }
 
 }  // namespace oxbow
--- a/core/fair_queueing/fair_queueing.h
+++ b/core/fair_queueing/fair_queueing.h
@@ -1,6 +1,5 @@
-// Fair queueing: how room is shared between the jobs that would each be
-// quickest and those that have waited for long, class by class. No I/O, no
-// clock.
+// Fair queueing: how capacity is shared, class by class, between the jobs that
+// are quickest to finish and those that have waited longest. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -11,49 +10,52 @@
 
 namespace oxbow {
 
-// What a class's room goes to while there is more work than room.
+// Which of two orders a job was placed by while there was more work than
+// capacity.
 enum class QueueSide : uint8_t {
   kQuickest,      // least work first: most jobs are served in time
-  kMinimumShare,  // the longest waiting and the largest: nobody is left out
+  kMinimumShare,  // longest waiting and largest first: none starves
 };
 
-// Least work first keeps the large ones waiting for ever; by age alone most
-// jobs come late together. Each side is owed a share of the work that is
-// placed, and the one that is behind goes first. What was placed long ago is
-// forgotten, so that a new leader, who begins with nothing, soon shares alike.
+// By least work first the large jobs starve; by age alone most jobs are late
+// together. So each side is entitled to a share of the work that is placed, and
+// the side that is behind its share comes first. The account decays with time,
+// so a new leader, which begins with an empty one, soon shares alike.
 class FairQueueing {
  public:
-  // `minimum_share`: of the work placed, for the longest waiting, between 0
-  // and 1. `memory_s`: what was placed so long ago counts for 1/e.
+  // `minimum_share`: of the work placed, for the longest waiting, 0 to 1.
+  // `memory_seconds`: work placed so long ago counts for 1/e; above 0.
   FairQueueing(double minimum_share, double memory_seconds)
       : minimum_share_(minimum_share), memory_seconds_(memory_seconds) {}
 
-  // Whether the class's jobs that are owed a minimum share go before the
-  // quickest now.
+  // Whether the jobs of the class that wait for their minimum share come before
+  // the quickest now.
   bool MinimumShareFirst(const std::string& job_class, Time now) const;
-  // Work (core seconds) of the class has been placed.
+  // Accounts for `work` (core seconds) of the class that is placed now.
   void Placed(const std::string& job_class, QueueSide side, double work,
               Time now);
 
  private:
-  struct Sum {
+  // Work placed by each side, core seconds, as of `at`.
+  struct Account {
     double minimum_share = 0;
     double quickest = 0;
     Time at = 0;
   };
-  Sum Decayed(const Sum& sum, Time now) const;
+  Account Decayed(const Account& account, Time now) const;
 
   const double minimum_share_;
   const double memory_seconds_;
-  std::map<std::string, Sum> placed_;  // by class, of which there are few
+  std::map<std::string, Account> accounts_;  // by class, of which there are few
 };
 
-// The sizes that a class's jobs come in, as far as the largest go.
+// The range of sizes, in tasks, that the jobs of each class come in.
 class LargestSizes {
  public:
+  // A job of the class has `tasks` tasks.
   void Seen(const std::string& job_class, uint32_t tasks);
-  // Among the largest: above three quarters of the largest there was, and not
-  // the only size there is.
+  // Whether a job of that size is among the largest of its class: above three
+  // quarters of the largest seen. False where all have the same size.
   bool IsLargest(const std::string& job_class, uint32_t tasks) const;
 
  private:
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -6,72 +6,77 @@
 namespace oxbow {
 namespace {
 
-// More shapes than a fleet's classes of work would only cost time.
-constexpr size_t kMostShapes = 12;
-// Needs that differ by less are one shape; the larger stands for both.
-constexpr double kClose = 0.25;
+// A cluster has few classes of work; more shapes would only cost time.
+constexpr size_t kMaxShapes = 12;
+// Needs that differ by a smaller share are one shape; the larger is kept.
+constexpr double kSimilarShare = 0.25;
 constexpr double kEpsilon = 1e-6;
 
-bool Close(double a, double b) {
-  return std::abs(a - b) <= kClose * std::max(a, b) + kEpsilon;
+bool Similar(double left, double right) {
+  return std::abs(left - right) <=
+         kSimilarShare * std::max(left, right) + kEpsilon;
 }
 
-bool Alike(const TaskShape& shape, const JobSpec& spec) {
+bool Similar(const TaskShape& shape, const JobSpec& spec) {
   return std::abs(shape.need.gpus - spec.need.gpus) < kEpsilon &&
-         Close(shape.need.cpus, spec.need.cpus) &&
-         Close(shape.need.memory_gb, spec.need.memory_gb) &&
+         Similar(shape.need.cpus, spec.need.cpus) &&
+         Similar(shape.need.memory_gb, spec.need.memory_gb) &&
          shape.spot == spec.spot && shape.zone == spec.zone &&
          shape.types == spec.types;
 }
 
-bool Same(const Resources& a, const Resources& b) {
-  return a.gpus == b.gpus && a.cpus == b.cpus && a.memory_gb == b.memory_gb;
+bool Equal(const Resources& left, const Resources& right) {
+  return left.gpus == right.gpus && left.cpus == right.cpus &&
+         left.memory_gb == right.memory_gb;
 }
 
 }  // namespace
 
-double ShapeMix::Faded(const Entry& entry, Time now) const {
+double ShapeMix::DecayedWeight(const Entry& entry, Time now) const {
   return entry.weight *
          std::exp(-std::max(0.0, now - entry.at) / memory_seconds_);
 }
 
-void ShapeMix::Note(const JobSpec& spec, Time asked) {
+void ShapeMix::Note(const JobSpec& spec, Time submitted) {
   if (spec.need.gpus <= 0) return;
-  noted_ = true;
+  has_new_jobs_ = true;
   const double weight = spec.need.gpus * spec.tasks;
   for (Entry& entry : entries_) {
-    if (!Alike(entry.shape, spec)) continue;
+    if (!Similar(entry.shape, spec)) continue;
     Resources& need = entry.shape.need;
     need.cpus = std::max(need.cpus, spec.need.cpus);
     need.memory_gb = std::max(need.memory_gb, spec.need.memory_gb);
-    // Whichever is older fades to the later moment.
-    const Time at = std::max(entry.at, asked);
-    entry.weight =
-        Faded(entry, at) + weight * std::exp(-(at - asked) / memory_seconds_);
+    // Both weights as of the later of the two times.
+    const Time at = std::max(entry.at, submitted);
+    entry.weight = DecayedWeight(entry, at) +
+                   weight * std::exp(-(at - submitted) / memory_seconds_);
     entry.at = at;
     return;
   }
-  if (entries_.size() >= kMostShapes) {
-    const auto least = std::min_element(
-        entries_.begin(), entries_.end(), [&](const Entry& a, const Entry& b) {
-          return Faded(a, asked) < Faded(b, asked);
-        });
+  if (entries_.size() >= kMaxShapes) {
+    const auto least =
+        std::min_element(entries_.begin(), entries_.end(),
+                         [&](const Entry& left, const Entry& right) {
+                           return DecayedWeight(left, submitted) <
+                                  DecayedWeight(right, submitted);
+                         });
     entries_.erase(least);
   }
   entries_.push_back(
-      {{spec.need, spec.types, spec.zone, spec.spot, 0}, weight, asked});
+      {{spec.need, spec.types, spec.zone, spec.spot, 0}, weight, submitted});
 }
 
 bool ShapeMix::Settle(Time now) {
-  if (!noted_) return false;  // all fade alike: the shares stay
-  noted_ = false;
+  // All weights decay alike, so without new jobs the shares stay.
+  if (!has_new_jobs_) return false;
+  has_new_jobs_ = false;
   shapes_.clear();
   double sum = 0;
-  for (const Entry& entry : entries_) sum += Faded(entry, now);
+  for (const Entry& entry : entries_) sum += DecayedWeight(entry, now);
   if (sum <= 0) return true;
   for (const Entry& entry : entries_) {
     shapes_.push_back(entry.shape);
-    shapes_.back().share = Faded(entry, now) / sum;
+    shapes_.back().share = DecayedWeight(entry, now) / sum;
   }
   return true;
 }
@@ -101,32 +106,32 @@
   return useless;
 }
 
-FragmentationIndex::Known& FragmentationIndex::Fresh(
+FragmentationIndex::CacheEntry& FragmentationIndex::ValidEntry(
     const Machine& machine) const {
   const auto index = static_cast<size_t>(machine.index());
-  if (index >= known_.size()) known_.resize(index + 1);
-  Known& known = known_[index];
+  if (index >= cache_.size()) cache_.resize(index + 1);
+  CacheEntry& entry = cache_[index];
   const Resources free = LastingRoom(machine);
-  if (known.version != version_ || !Same(known.free, free)) {
-    known = {version_, free, Measure(machine, free), {}, 0, false};
+  if (entry.version != version_ || !Equal(entry.free, free)) {
+    entry = {version_, free, Measure(machine, free), {}, 0, false};
   }
-  return known;
+  return entry;
 }
 
 double FragmentationIndex::Useless(const Machine& machine) const {
-  return Fresh(machine).useless;
+  return ValidEntry(machine).useless;
 }
 
 double FragmentationIndex::Added(const Machine& machine,
                                  const Resources& need) const {
   if (machine.total().gpus <= 0) return 0;
-  Known& known = Fresh(machine);
-  if (!known.has_added || !Same(known.need, need)) {
-    known.added = Measure(machine, known.free - need) - known.useless;
-    known.need = need;
-    known.has_added = true;
+  CacheEntry& entry = ValidEntry(machine);
+  if (!entry.has_added || !Equal(entry.need, need)) {
+    entry.added = Measure(machine, entry.free - need) - entry.useless;
+    entry.need = need;
+    entry.has_added = true;
   }
-  return known.added;
+  return entry.added;
 }
 
 const TaskShape* FragmentationIndex::Largest() const {
--- a/core/scheduler/gang_scheduler.h
+++ b/core/scheduler/gang_scheduler.h
@@ -22,6 +22,7 @@
 class MaintenanceManager;
 class TierManager;
 
+// Schedules one gang at a time within a pass.
 class GangScheduler {
  public:
   // The modules that it calls.
--- a/core/scheduler/machine_selector.cc
+++ b/core/scheduler/machine_selector.cc
@@ -6,8 +6,7 @@
 
 MachineSelector::MachineSelector(LeaderContext& context,
                                  const TierManager& tier_manager, uint64_t seed)
-    : cluster_(context.cluster),
-      queue_ranking_(context.queue_ranking),
+    : queue_ranking_(context.queue_ranking),
       tier_manager_(tier_manager),
       placer_(context.tuning, seed) {
   if (context.tuning.fragmentation_weight > 0)
@@ -27,10 +26,16 @@
       feasible.push_back(machine);
     }
   }
-  return placer_.Choose(
-      job, feasible, spread,
-      [&](const Machine& machine) { return cluster_.CountOn(job, machine); },
-      mean_bandwidth, queue_ranking_.WaitSloSeconds(spec));
+  const PlacementRequest request = {
+      .job = job,
+      .spread = spread,
+      .count_on_machine =
+          [&](const Machine& machine) {
+            return ClusterState::CountOn(job, machine);
+          },
+      .mean_bandwidth = mean_bandwidth,
+      .wait_slo_seconds = queue_ranking_.WaitSloSeconds(spec)};
+  return placer_.Choose(request, feasible);
 }
 
 bool MachineSelector::FragmentsWholeMachine(const JobSpec& spec,
--- a/core/scheduler/machine_selector.h
+++ b/core/scheduler/machine_selector.h
@@ -13,6 +13,7 @@
 
 class TierManager;
 
+// Finds the machine for one task at a time.
 class MachineSelector {
  public:
   // `seed`: of the choice between machines of equal score.
@@ -31,7 +32,6 @@
   bool FragmentsWholeMachine(const JobSpec& spec, const Machine& machine) const;
 
  private:
-  const ClusterState& cluster_;
   const QueueRanking& queue_ranking_;
   const TierManager& tier_manager_;
   Placer placer_;
--- a/core/scheduler/preemption_plan.h
+++ b/core/scheduler/preemption_plan.h
@@ -7,6 +7,7 @@
 
 namespace oxbow {
 
+// The tasks to stop on one machine, and what that costs.
 struct PreemptionPlan {
   // Not owned; never null in a plan that a planner returns.
   Machine* machine = nullptr;
--- a/core/scheduler/preemption_planner.h
+++ b/core/scheduler/preemption_planner.h
@@ -14,6 +14,7 @@
 class CommandDispatcher;
 class RolloutManager;
 
+// Plans preemptions and carries them out.
 class PreemptionPlanner {
  public:
   // The modules that it calls.
--- a/core/scheduler/queue_ranking.cc
+++ b/core/scheduler/queue_ranking.cc
@@ -1,25 +1,47 @@
 #include "core/scheduler/queue_ranking.h"
 
 #include <algorithm>
+#include <limits>
 
 namespace oxbow {
 namespace {
 
-// Groups within a rank.
-constexpr int kMinimumShareGroup = -1;
-constexpr int kLastAim = 0;  // the last aim that counts comes near
-constexpr int kInTime = 1;
-constexpr int kLater = 2;
-constexpr int kHopeless = 3;
-
-// Later than any time that is due.
+// Groups within a rank, the first to be served first.
+enum Group : int {
+  kMinimumShareGroup = -1,
+  kLastSloNear = 0,  // the last objective that counts would soon be missed
+  kInTime = 1,
+  kLater = 2,
+  kHopeless = 3,
+};
+
+// Ranks of jobs below production priority: those within the guaranteed quota
+// of their team come before all others.
+constexpr int kProductionRank = 0;
+constexpr int kGuaranteedRank = 1;
+constexpr int kBeyondGuaranteeRank = 10;
+
+// Later than any due time that is set.
 constexpr Time kNever = 1e17;
+// A due time is near when less than this share of the time for it is left.
+constexpr double kNearShare = 0.3;
+// And that many times the job's own run time.
+constexpr double kNearRuns = 2;
 
 // Of the time within which every job is to begin: so long an array waits for
-// its turn before it is begun out of turn.
+// its turn before a part of it starts out of turn.
 constexpr double kArrayWaitShare = 0.5;
-// The largest gangs are given as much of it to find their room.
+// The largest gangs get the rest of it to find their capacity.
 constexpr double kGangWaitShare = 0.25;
+// An array that starts out of turn starts one in so many of its tasks.
+constexpr uint32_t kMinimumShareDivisor = 50;
+// More than any wait: separates the largest gangs from those that are late.
+constexpr double kGangKeyOffsetSeconds = 1e6;
+
+// `span_seconds`: the time that there was for it in all.
+bool IsNear(Time due, double span_seconds, double run_seconds, Time now) {
+  return due - now < kNearShare * span_seconds + kNearRuns * run_seconds;
+}
 
 }  // namespace
 
@@ -29,11 +51,11 @@
                                                ? tuning.begin_within_seconds / 2
                                                : 1) {
   for (const Objective& objective : settings.objectives) {
-    ClassSlos& aims = slos_[objective.job_class];
+    ClassSlos& slos = slos_[objective.job_class];
     std::vector<double>* times =
-        objective.kind == "deadline"   ? &aims.deadline_times
-        : objective.kind == "wait"     ? &aims.start_within
-        : objective.kind == "finished" ? &aims.finish_within
+        objective.kind == "deadline"   ? &slos.deadline_times
+        : objective.kind == "wait"     ? &slos.start_within
+        : objective.kind == "finished" ? &slos.finish_within
                                        : nullptr;
     if (times == nullptr) continue;
     times->push_back(objective.kind == "deadline" ? objective.times
@@ -48,9 +70,10 @@
   return it == slos_.end() ? none : it->second;
 }
 
-double QueueRanking::WaitSloSeconds(const JobSpec& spec) const {
+std::optional<double> QueueRanking::WaitSloSeconds(const JobSpec& spec) const {
   const std::vector<double>& within = SlosOf(spec).start_within;
-  return within.empty() ? 1e18 : within.front();
+  if (within.empty()) return std::nullopt;
+  return within.front();
 }
 
 DueTimes QueueRanking::DueTimesOf(const JobSpec& spec, Time submitted) const {
@@ -68,134 +91,154 @@
 }
 
 uint32_t QueueRanking::MinimumShareOf(const JobSpec& spec) {
-  constexpr uint32_t kOneIn = 50;
-  return 1 + spec.tasks / kOneIn;
+  return 1 + spec.tasks / kMinimumShareDivisor;
+}
+
+int QueueRanking::RankOf(const Job& job) {
+  if (job.priority() == Priority::kProduction) return kProductionRank;
+  return (job.within_guarantee ? kGuaranteedRank : kBeyondGuaranteeRank) +
+         static_cast<int>(job.priority());
 }
 
 QueuePosition QueueRanking::PositionOf(const Job& job, double run_seconds,
                                        Time now) const {
-  const JobSpec& spec = job.spec();
-  QueuePosition place;
-  const bool first = job.priority() == Priority::kProduction;
-  place.rank = first ? 0
-                     : (job.within_guarantee ? 1 : 10) +
-                           static_cast<int>(job.priority());
-  if (spec.kind == JobKind::kGang) {
-    GangPlace(job, run_seconds, now, &place);
-  } else {
-    ArrayPlace(job, run_seconds, now, &place);
-  }
-  return place;
+  QueuePosition position = job.spec().kind == JobKind::kGang
+                               ? GangPosition(job, run_seconds, now)
+                               : ArrayPosition(job, run_seconds, now);
+  position.rank = RankOf(job);
+  return position;
 }
 
-// Without deadlines, first come, first served. With them, earliest deadline
-// first would make every job late once there is more work than room, so a job
-// that can't make its deadline any more steps back behind those that can, the
-// least work first, until its next multiple of the deadline comes near.
-//
 // By least work first the large arrays of a flood did not begin within four
-// minutes. An array begins with a task, so one that has waited for half of that
-// is begun with a small part of it, whatever its size, and then waits its turn.
-void QueueRanking::ArrayPlace(const Job& job, double run_seconds, Time now,
-                              QueuePosition* out) const {
-  const JobSpec& spec = job.spec();
-  const double waited = now - job.queued_since();
-  if (spec.kind == JobKind::kArray && begin_within_seconds_ > 0 &&
-      job.placed() == 0 && job.done() == 0 &&
-      waited > kArrayWaitShare * begin_within_seconds_) {
-    out->group = kMinimumShareGroup;
-    out->key = job.queued_since();
-    out->by_minimum_share = true;
-    return;
+// minutes. An array begins with its first task, so one that has waited for half
+// of that time starts a small part of its tasks, whatever its size, and then
+// waits its turn.
+bool QueueRanking::StartsOutOfTurn(const Job& job, Time now) const {
+  return job.spec().kind == JobKind::kArray && begin_within_seconds_ > 0 &&
+         job.placed() == 0 && job.done() == 0 &&
+         now - job.queued_since() > kArrayWaitShare * begin_within_seconds_;
+}
+
+// Without deadlines: first come, first served.
+QueuePosition QueueRanking::ArrayPosition(const Job& job, double run_seconds,
+                                          Time now) const {
+  QueuePosition position;
+  if (StartsOutOfTurn(job, now)) {
+    position.group = kMinimumShareGroup;
+    position.key = job.queued_since();
+    position.by_minimum_share = true;
+    return position;
   }
-  const DueTimes own = DueTimesOf(spec, job.submitted());
+  const DueTimes own = DueTimesOf(job.spec(), job.submitted());
   const DueTimes due = {std::min(own.first, job.needed_by().first),
                         std::min(own.last, job.needed_by().last)};
   if (due.last >= kNever) {
-    out->group = kLater;
-    return;
-  }
-  const double left = job.size() - job.done();
-  // The last time that counts: from here on nothing may come between.
-  const double last = due.last;
-  constexpr double kNear = 0.3;
-  if (job.needed_by().last < kNever && now + run_seconds <= last &&
-      due.first - now <
-          kNear * (due.first - job.submitted()) + 2 * run_seconds) {
-    // Others wait for it: what it loses here no later step makes good.
-    out->group = kLastAim;
-    out->key = due.first;
-  } else if (last > due.first && now + run_seconds <= last &&
-             last - now <
-                 kNear * spec.deadline_seconds.value_or(0) + 2 * run_seconds) {
-    out->group = kLastAim;
-    out->key = last;
-  } else if (now + run_seconds <= due.first) {
-    out->group = kInTime;
-    out->key = left * spec.need.cpus * run_seconds;
+    position.group = kLater;
   } else {
-    out->group = now + run_seconds <= last ? kLater : kHopeless;
-    out->key = last;
+    RankByDeadline(job, due, run_seconds, now, position);
   }
+  return position;
 }
 
-// Gangs likewise, by the times that their class is to start within: when there
-// is more work than room the small ones go first, or one that needs a whole
-// zone keeps a dozen others waiting past their aim. Before its last aim comes
-// near, each gets its turn, and the largest sooner, since their room takes
-// longest to come together: in a flood of four times a fifth to a half of them
-// began after four minutes. Both together get no more than the minimum share of
-// the work, or in a flood every gang would wait that long.
-void QueueRanking::GangPlace(const Job& job, double run_seconds, Time now,
-                             QueuePosition* out) const {
+// Earliest deadline first would make every job late once there is more work
+// than capacity. So a job that can't meet its deadline any more comes after
+// those that can, which are ordered by least work, until its next multiple of
+// the deadline comes near.
+void QueueRanking::RankByDeadline(const Job& job, const DueTimes& due,
+                                  double run_seconds, Time now,
+                                  QueuePosition& position) {
   const JobSpec& spec = job.spec();
-  const ClassSlos& aims = SlosOf(spec);
-  double first = 1e18;
-  double last = 0;
-  for (const double within : aims.start_within) {
-    first = std::min(first, within);
-    last = std::max(last, within);
-  }
-  for (const double within : aims.finish_within) {
-    first = std::min(first, within - run_seconds);
-    last = std::max(last, within - run_seconds);
+  const bool makes_first = now + run_seconds <= due.first;
+  const bool makes_last = now + run_seconds <= due.last;
+  const bool has_dependents = job.needed_by().last < kNever;
+  if (has_dependents && makes_last &&
+      IsNear(due.first, due.first - job.submitted(), run_seconds, now)) {
+    // What it loses here, its dependents can't make up for.
+    position.group = kLastSloNear;
+    position.key = due.first;
+  } else if (due.last > due.first && makes_last &&
+             IsNear(due.last, spec.deadline_seconds.value_or(0), run_seconds,
+                    now)) {
+    position.group = kLastSloNear;
+    position.key = due.last;
+  } else if (makes_first) {
+    const double tasks_left = job.size() - job.done();
+    position.group = kInTime;
+    position.key = tasks_left * spec.need.cpus * run_seconds;
+  } else {
+    position.group = makes_last ? kLater : kHopeless;
+    position.key = due.last;
   }
+}
+
+QueueRanking::StartWindow QueueRanking::StartWindowOf(
+    const JobSpec& spec, double run_seconds) const {
+  const ClassSlos& slos = SlosOf(spec);
+  StartWindow window = {std::numeric_limits<double>::infinity(), 0};
+  const auto include = [&](double start_within) {
+    window.first = std::min(window.first, start_within);
+    window.last = std::max(window.last, start_within);
+  };
+  for (const double within : slos.start_within) include(within);
+  for (const double within : slos.finish_within) include(within - run_seconds);
+  return window;
+}
+
+// When there is more work than capacity the small gangs come first, or one that
+// needs a whole zone keeps a dozen others waiting past their objective.
+QueuePosition QueueRanking::GangPosition(const Job& job, double run_seconds,
+                                         Time now) const {
+  const StartWindow window = StartWindowOf(job.spec(), run_seconds);
   const double waited = now - job.queued_since();
-  out->group = kLater;
-  out->key = last > 0 ? WorkOf(job) : 0;
-  if (last > 0 && waited <= first) out->group = kInTime;
-  constexpr double kNear = 0.3;
+  QueuePosition position;
+  position.group = window.last > 0 && waited <= window.first ? kInTime : kLater;
+  position.key = window.last > 0 ? WorkOf(job) : 0;
   const DueTimes& due = job.needed_by();
   if (due.last < kNever && now + run_seconds <= due.last) {
-    // Others wait for it.
-    const bool soon = due.first - now <
-                      kNear * (due.first - job.submitted()) + 2 * run_seconds;
-    out->group = soon ? kLastAim : kInTime;
-    out->key = soon ? due.first : out->key;
-    return;
+    // Its dependents wait for it.
+    const bool near =
+        IsNear(due.first, due.first - job.submitted(), run_seconds, now);
+    position.group = near ? kLastSloNear : kInTime;
+    if (near) position.key = due.first;
+    return position;
   }
-  const bool near =
-      last > first && waited <= last && last - waited < kNear * last;
-  const bool largest = begin_within_seconds_ > 0 &&
+  ApplyMinimumShare(job, window, now, position);
+  return position;
+}
+
+// Before its last objective comes near, each gang gets its turn, and the
+// largest sooner, since it takes longest to gather their capacity: in a flood
+// of four times the capacity a fifth to a half of them began after four
+// minutes. Both together get no more than the minimum share of the work, or in
+// a flood every gang would wait that long.
+void QueueRanking::ApplyMinimumShare(const Job& job, const StartWindow& window,
+                                     Time now, QueuePosition& position) const {
+  const JobSpec& spec = job.spec();
+  const double waited = now - job.queued_since();
+  const bool limited = begin_within_seconds_ > 0;
+  const bool near = window.last > window.first && waited <= window.last &&
+                    window.last - waited < kNearShare * window.last;
+  const bool largest = limited &&
                        waited > kGangWaitShare * begin_within_seconds_ &&
                        sizes_.IsLargest(spec.job_class, spec.tasks);
   if (!near && !largest) return;
-  const bool bounded = begin_within_seconds_ > 0;
-  if (bounded && !fair_queueing_.MinimumShareFirst(spec.job_class, now)) return;
-  // One that is late already does not make those late that are not.
-  const bool late = bounded && waited > begin_within_seconds_;
-  constexpr double kBehind = 1e6;  // s
-  out->group = kLastAim;
-  out->key = (bounded ? job.queued_since() : job.queued_since() + last) +
-             (late ? kBehind : 0) - (largest && !late ? kBehind : 0);
-  out->by_minimum_share = true;
-}
-
-void QueueRanking::Placed(const Job& job, const QueuePosition& from, Time now) {
-  fair_queueing_.Placed(
-      job.spec().job_class,
-      from.by_minimum_share ? QueueSide::kMinimumShare : QueueSide::kQuickest,
-      WorkOf(job), now);
+  if (limited && !fair_queueing_.MinimumShareFirst(spec.job_class, now)) return;
+  // One that is late already must not make those late that are not.
+  const bool late = limited && waited > begin_within_seconds_;
+  position.group = kLastSloNear;
+  position.key =
+      (limited ? job.queued_since() : job.queued_since() + window.last) +
+      (late ? kGangKeyOffsetSeconds : 0) -
+      (largest && !late ? kGangKeyOffsetSeconds : 0);
+  position.by_minimum_share = true;
+}
+
+void QueueRanking::Placed(const Job& job, const QueuePosition& position,
+                          Time now) {
+  fair_queueing_.Placed(job.spec().job_class,
+                        position.by_minimum_share ? QueueSide::kMinimumShare
+                                                  : QueueSide::kQuickest,
+                        WorkOf(job), now);
 }
 
 }  // namespace oxbow
--- a/core/scheduler/reservations.h
+++ b/core/scheduler/reservations.h
@@ -24,6 +24,7 @@
   bool partial = false;
 };
 
+// Makes, reviews and drops reservations.
 class Reservations {
  public:
   // The modules that it calls.
--- a/core/scheduler/scheduler.h
+++ b/core/scheduler/scheduler.h
@@ -26,6 +26,7 @@
 class RolloutManager;
 class TierManager;
 
+// Runs the scheduling passes of one leadership.
 class Scheduler {
  public:
   // The modules that it calls.
--- a/core/scheduler/scheduling_pass.h
+++ b/core/scheduler/scheduling_pass.h
@@ -10,6 +10,8 @@
 
 namespace oxbow {
 
+// Written by the scheduler that runs the pass and, where a field says so, by
+// the schedulers that it calls.
 struct SchedulingPass {
   Time now = 0;
   // Every recorded machine has reported to this leader or is gone, so no task
--- a/core/scheduler/task_scheduler.cc
+++ b/core/scheduler/task_scheduler.cc
@@ -140,7 +140,8 @@
                                         double mean_bandwidth) const {
   return !machine.HasImage(spec.image) &&
          FetchSeconds(machine, spec, mean_bandwidth) >
-             queue_ranking_.WaitSloSeconds(spec);
+             queue_ranking_.WaitSloSeconds(spec).value_or(
+                 kUnlimitedWaitSeconds);
 }
 
 std::optional<uint32_t> TaskScheduler::StartTasksOn(Job& job, Machine& machine,
--- a/core/scheduler/task_scheduler.h
+++ b/core/scheduler/task_scheduler.h
@@ -22,6 +22,7 @@
 class RolloutManager;
 class TierManager;
 
+// Schedules one job array or service at a time within a pass.
 class TaskScheduler {
  public:
   // The modules that it calls.
--- a/core/scheduler/task_starter.h
+++ b/core/scheduler/task_starter.h
@@ -10,6 +10,7 @@
 
 class MaintenanceManager;
 
+// The one way in which a task is started.
 class TaskStarter {
  public:
   TaskStarter(LeaderContext& context, MaintenanceManager& maintenance);
--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -1,4 +1,5 @@
-// Whose turn it is when there is more work than room: nobody is left out.
+// Fair queueing and queue positions when there is more work than capacity: no
+// job starves.
 
 #include "core/fair_queueing/fair_queueing.h"
 
@@ -72,39 +73,39 @@
 // A gang of the largest size behind a stream of small ones, of which there is
 // always one that is quicker.
 TEST_F(QueueRankingTest, TheLargestGangGetsItsTurnAmongSmallOnes) {
-  QueueRanking order(settings, tuning);
+  QueueRanking ranking(settings, tuning);
   const Job large = Waiting("large", JobKind::kGang, 8, 0);
   const Job small = Waiting("small", JobKind::kGang, 1, 55);
-  order.Seen(large.spec());
-  order.Seen(small.spec());
-  EXPECT_TRUE(order.PositionOf(small, 100, 59)
-                  .Before(order.PositionOf(large, 100, 59)));
-  EXPECT_TRUE(order.PositionOf(large, 100, 61)
-                  .Before(order.PositionOf(small, 100, 61)));
-  // Having had more than its share, the minimum share stands back for the quick
-  // ones.
-  order.Placed(large, order.PositionOf(large, 100, 61), 61);
-  EXPECT_TRUE(order.PositionOf(small, 100, 62)
-                  .Before(order.PositionOf(large, 100, 62)));
+  ranking.Seen(large.spec());
+  ranking.Seen(small.spec());
+  EXPECT_TRUE(ranking.PositionOf(small, 100, 59)
+                  .Before(ranking.PositionOf(large, 100, 59)));
+  EXPECT_TRUE(ranking.PositionOf(large, 100, 61)
+                  .Before(ranking.PositionOf(small, 100, 61)));
+  // The minimum share has had more than its share of the work, so the quickest
+  // jobs come first again.
+  ranking.Placed(large, ranking.PositionOf(large, 100, 61), 61);
+  EXPECT_TRUE(ranking.PositionOf(small, 100, 62)
+                  .Before(ranking.PositionOf(large, 100, 62)));
 }
 
 TEST_F(QueueRankingTest, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
-  QueueRanking order(settings, tuning);
+  QueueRanking ranking(settings, tuning);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
   const Job small = Waiting("small", JobKind::kArray, 10, 115);
-  EXPECT_FALSE(order.PositionOf(large, 18, 119)
-                   .Before(order.PositionOf(small, 18, 119)));
-  const QueuePosition place = order.PositionOf(large, 18, 121);
-  EXPECT_TRUE(place.Before(order.PositionOf(small, 18, 121)));
-  EXPECT_TRUE(place.by_minimum_share);
+  EXPECT_FALSE(ranking.PositionOf(large, 18, 119)
+                   .Before(ranking.PositionOf(small, 18, 119)));
+  const QueuePosition position = ranking.PositionOf(large, 18, 121);
+  EXPECT_TRUE(position.Before(ranking.PositionOf(small, 18, 121)));
+  EXPECT_TRUE(position.by_minimum_share);
   EXPECT_EQ(QueueRanking::MinimumShareOf(large.spec()), 21u);
 }
 
 TEST_F(QueueRankingTest, WithoutTheRuleNothingGoesOutOfTurn) {
   tuning.begin_within_seconds = 0;
-  QueueRanking order(settings, tuning);
+  QueueRanking ranking(settings, tuning);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
-  EXPECT_FALSE(order.PositionOf(large, 18, 1000).by_minimum_share);
+  EXPECT_FALSE(ranking.PositionOf(large, 18, 1000).by_minimum_share);
 }
 
 }  // namespace
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -1,4 +1,4 @@
-// Fragmentation of accelerators: the measure, and where tasks go by it.
+// Fragmentation of accelerators: the measure, and how it decides placement.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -13,10 +13,12 @@
 
 constexpr double kMemorySeconds = 300;
 constexpr double kSettleSeconds = 1;
+constexpr double kMeanBandwidth = 0.25;  // GB/s
 
 class Packing : public testing::Test {
  protected:
-  Packing() : board_(kMemorySeconds, kSettleSeconds), placer_(tuning_, 1) {
+  Packing()
+      : fragmentation_(kMemorySeconds, kSettleSeconds), placer_(tuning_, 1) {
     tuning_.fragmentation_weight = 2;
     type_.name = "big";
     type_.total = {64, 8, 384};
@@ -24,7 +26,7 @@
     type_.fetch_gb_per_second = 0.25;
     type_.price = 10;
     type_.zones = {"a", "b"};
-    placer_.SetFragmentation(&board_);
+    placer_.SetFragmentation(&fragmentation_);
   }
 
   static JobSpec Spec(JobKind kind, double gpus, uint32_t tasks) {
@@ -37,9 +39,9 @@
     spec.image_gb = 14;
     return spec;
   }
-  void Ask(const JobSpec& spec, Time now = 0) {
-    board_.Note(spec, now);
-    board_.Settle(now + 2 * kSettleSeconds * ++asked_);
+  void Submit(const JobSpec& spec, Time now = 0) {
+    fragmentation_.Note(spec, now);
+    fragmentation_.Settle(now + 2 * kSettleSeconds * ++submitted_);
   }
   Machine* Add(double gpus_used, const std::string& zone = "a") {
     const auto n = static_cast<int32_t>(machines_.size());
@@ -53,7 +55,8 @@
     all_.push_back(machine);
     return machine;
   }
-  Machine* Choose(const JobSpec& spec, double wait_slo_seconds = 1e18) {
+  Machine* Choose(const JobSpec& spec,
+                  std::optional<double> wait_slo_seconds = std::nullopt) {
     JobRecord record;
     record.spec = std::make_shared<JobSpec>(spec);
     const Job job(record, -1, 0, 0);
@@ -61,35 +64,38 @@
     for (Machine* machine : all_) {
       if (spec.need.FitsIn(machine->free())) fitting.push_back(machine);
     }
-    return placer_.Choose(
-        job, fitting, {}, [](const Machine&) { return 0; }, 0.25,
-        wait_slo_seconds);
+    return placer_.Choose({.job = job,
+                           .spread = {},
+                           .count_on_machine = [](const Machine&) { return 0; },
+                           .mean_bandwidth = kMeanBandwidth,
+                           .wait_slo_seconds = wait_slo_seconds},
+                          fitting);
   }
 
   Tuning tuning_;
   MachineType type_;
-  FragmentationIndex board_;
+  FragmentationIndex fragmentation_;
   Placer placer_;
   std::vector<std::unique_ptr<Machine>> machines_;
   std::vector<Machine*> all_;
-  int asked_ = 0;
+  int submitted_ = 0;
 };
 
 TEST_F(Packing, UselessIsWhatNoFurtherTaskOfTheMixCouldUse) {
   Machine* machine = Add(2);
-  EXPECT_EQ(board_.Useless(*machine), 0);  // nothing was asked for
-  Ask(Spec(JobKind::kGang, 8, 3));         // 24 accelerators
-  EXPECT_DOUBLE_EQ(board_.Useless(*machine), 6);
-  Ask(Spec(JobKind::kService, 4, 2));  // 8: a quarter; 2 of 6 are left over
-  EXPECT_NEAR(board_.Useless(*machine), 0.75 * 6 + 0.25 * 2, 0.1);
+  EXPECT_EQ(fragmentation_.Useless(*machine), 0);  // nothing was asked for
+  Submit(Spec(JobKind::kGang, 8, 3));              // 24 accelerators
+  EXPECT_DOUBLE_EQ(fragmentation_.Useless(*machine), 6);
+  Submit(Spec(JobKind::kService, 4, 2));  // 8: a quarter; 2 of 6 are left over
+  EXPECT_NEAR(fragmentation_.Useless(*machine), 0.75 * 6 + 0.25 * 2, 0.1);
   // Cores count beside them: without, not one more of the small ones either.
   machine->lasting.cpus = machine->used.cpus = 64 - 15;
-  EXPECT_NEAR(board_.Useless(*machine), 6, 1e-9);
-  // Short work runs off.
+  EXPECT_NEAR(fragmentation_.Useless(*machine), 6, 1e-9);
+  // Short work does not count: it ends soon.
   Machine* busy = Add(0);
   busy->used = {64, 0, 100};
-  EXPECT_EQ(board_.Useless(*busy), 0);
-  const FragmentationCount count = board_.Count(machines_);
+  EXPECT_EQ(fragmentation_.Useless(*busy), 0);
+  const FragmentationCount count = fragmentation_.Count(machines_);
   EXPECT_EQ(count.whole, 1);
   EXPECT_EQ(count.fragmented, 1);
   EXPECT_EQ(count.free, 14);
@@ -98,44 +104,44 @@
 TEST_F(Packing, ZonesTypesAndSpotMatter) {
   JobSpec spec = Spec(JobKind::kGang, 8, 1);
   spec.zone = "b";
-  Ask(spec);
+  Submit(spec);
   Machine* here = Add(0, "b");
   Machine* elsewhere = Add(0, "a");
   Machine* spot = Add(0, "b");
   spot->spot = true;
-  EXPECT_EQ(board_.Useless(*here), 0);
-  EXPECT_EQ(board_.Useless(*elsewhere), 8);
-  EXPECT_EQ(board_.Useless(*spot), 8);
-  // So a small one goes where nobody else could.
-  EXPECT_LT(board_.Added(*elsewhere, {8, 2, 56}), 0);
-  EXPECT_GT(board_.Added(*here, {8, 2, 56}), 0);
+  EXPECT_EQ(fragmentation_.Useless(*here), 0);
+  EXPECT_EQ(fragmentation_.Useless(*elsewhere), 8);
+  EXPECT_EQ(fragmentation_.Useless(*spot), 8);
+  // So a small task goes where no other work could.
+  EXPECT_LT(fragmentation_.Added(*elsewhere, {8, 2, 56}), 0);
+  EXPECT_GT(fragmentation_.Added(*here, {8, 2, 56}), 0);
 }
 
 TEST_F(Packing, TheMixForgets) {
-  Ask(Spec(JobKind::kGang, 8, 10), 0);
-  Ask(Spec(JobKind::kService, 2, 10), 5 * kMemorySeconds);
-  ASSERT_EQ(board_.shapes().size(), 2U);
-  EXPECT_LT(board_.shapes()[0].share, 0.05);
-  // However many sorts are asked for, few are looked at.
+  Submit(Spec(JobKind::kGang, 8, 10), 0);
+  Submit(Spec(JobKind::kService, 2, 10), 5 * kMemorySeconds);
+  ASSERT_EQ(fragmentation_.shapes().size(), 2U);
+  EXPECT_LT(fragmentation_.shapes()[0].share, 0.05);
+  // However many shapes are submitted, few are kept.
   for (int i = 1; i <= 40; ++i) {
     JobSpec spec = Spec(JobKind::kArray, 1, 1);
     spec.need.cpus = i * i;
-    Ask(spec, 5 * kMemorySeconds);
+    Submit(spec, 5 * kMemorySeconds);
   }
-  EXPECT_LE(board_.shapes().size(), 12U);
+  EXPECT_LE(fragmentation_.shapes().size(), 12U);
 }
 
 TEST_F(Packing, SmallOnesFillTheFullestFragmentAndLeaveWholeMachinesWhole) {
-  Ask(Spec(JobKind::kGang, 8, 10));
-  Ask(Spec(JobKind::kService, 2, 4));
+  Submit(Spec(JobKind::kGang, 8, 10));
+  Submit(Spec(JobKind::kService, 2, 4));
   for (int i = 0; i < 20; ++i) Add(0);
   Machine* little = Add(2);
   Machine* much = Add(6);
   const JobSpec small = Spec(JobKind::kService, 2, 2);
-  EXPECT_TRUE(placer_.FragmentsWholeMachine(small, *all_[0], 1e18));
-  EXPECT_FALSE(placer_.FragmentsWholeMachine(small, *little, 1e18));
+  EXPECT_TRUE(placer_.FragmentsWholeMachine(small, *all_[0], std::nullopt));
+  EXPECT_FALSE(placer_.FragmentsWholeMachine(small, *little, std::nullopt));
   EXPECT_EQ(Choose(small), much);
-  // The weights on a whole machine are no reason to break it.
+  // A cached image is no reason to fragment a whole machine.
   all_[0]->ImageCached("img", 14, 1);
   EXPECT_EQ(Choose(small), much);
   // Without the weight, it is one.
@@ -144,7 +150,7 @@
 }
 
 TEST_F(Packing, FetchesBegunTogetherAreNotGatheredOnOneLink) {
-  Ask(Spec(JobKind::kGang, 8, 10));
+  Submit(Spec(JobKind::kGang, 8, 10));
   Machine* whole = Add(0);
   Machine* fragmented = Add(2);
   fragmented->QueueImage("other", 14, 1);
@@ -160,22 +166,24 @@
   EXPECT_EQ(ReplicasPerMachineLimit(1), 1);
   EXPECT_EQ(ReplicasPerMachineLimit(4), 1);
   EXPECT_EQ(ReplicasPerMachineLimit(8), 2);
-  Ask(Spec(JobKind::kGang, 8, 10));
+  Submit(Spec(JobKind::kGang, 8, 10));
   Machine* fuller = Add(4);
   Machine* other = Add(2);
   JobRecord record;
   record.spec = std::make_shared<JobSpec>(Spec(JobKind::kService, 2, 2));
   const Job job(record, -1, 0, 0);
-  EXPECT_EQ(
-      placer_.Choose(
-          job, all_, {},
-          [&](const Machine& machine) { return &machine == fuller ? 1 : 0; },
-          0.25),
-      other);
+  const auto count_on_machine = [&](const Machine& machine) {
+    return &machine == fuller ? 1 : 0;
+  };
+  EXPECT_EQ(placer_.Choose({.job = job,
+                            .spread = {},
+                            .count_on_machine = count_on_machine,
+                            .mean_bandwidth = kMeanBandwidth},
+                           all_),
+            other);
 }
 
-TEST_F(Packing, KeptInStepWithTheMachines) {
-  // What is remembered for a machine against a fresh board, over many changes.
+TEST_F(Packing, CachedResultsEqualFreshOnesAfterAnyChange) {
   std::mt19937_64 random(7);
   for (int i = 0; i < 6; ++i) Add(i);
   for (int step = 0; step < 500; ++step) {
@@ -184,22 +192,22 @@
     machine->lasting = {gpus * 6, gpus, gpus * 20};
     JobSpec spec = Spec(JobKind::kArray, 1 + static_cast<double>(step % 8), 1);
     if (step % 10 == 0) Ask(spec, step);
-    FragmentationIndex fresh = board_;
+    FragmentationIndex fresh = fragmentation_;
     Machine copy = *machine;
-    copy.lasting.cpus -= 1e-3;  // whatever was known is of no use
+    copy.lasting.cpus -= 1e-3;  // no cached result is valid any more
     (void)fresh.Added(copy, {1e-3, 0, 0});
-    ASSERT_DOUBLE_EQ(board_.Added(*machine, spec.need),
+    ASSERT_DOUBLE_EQ(fragmentation_.Added(*machine, spec.need),
                      fresh.Added(*machine, spec.need));
-    ASSERT_DOUBLE_EQ(board_.Useless(*machine), fresh.Useless(*machine));
+    ASSERT_DOUBLE_EQ(fragmentation_.Useless(*machine), fresh.Useless(*machine));
   }
 }
 
-// Figures: printed. Bound: a decision is no dearer than its machines.
+// Prints its figures. A decision takes no more than a bounded time per machine.
 TEST_F(Packing, CostOfADecision) {
-  Ask(Spec(JobKind::kGang, 8, 10));
-  Ask(Spec(JobKind::kGang, 4, 10));
-  Ask(Spec(JobKind::kService, 2, 10));
-  Ask(Spec(JobKind::kService, 1, 10));
+  Submit(Spec(JobKind::kGang, 8, 10));
+  Submit(Spec(JobKind::kGang, 4, 10));
+  Submit(Spec(JobKind::kService, 2, 10));
+  Submit(Spec(JobKind::kService, 1, 10));
   std::mt19937_64 random(3);
   for (const size_t size : {100U, 1000U, 4000U}) {
     while (all_.size() < size) Add(static_cast<double>(random() % 7));
@@ -213,7 +221,11 @@
       const auto begin = std::chrono::steady_clock::now();
       for (int i = 0; i < kTimes; ++i) {
         Machine* machine = placer_.Choose(
-            job, all_, {}, [](const Machine&) { return 0; }, 0.25);
+            {.job = job,
+             .spread = {},
+             .count_on_machine = [](const Machine&) { return 0; },
+             .mean_bandwidth = kMeanBandwidth},
+            all_);
         machine->lasting += small.need;  // the next one finds it changed
       }
       const double us = std::chrono::duration<double, std::micro>(
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -9,13 +9,15 @@
 namespace {
 
 TEST(LeastCongested, ScalesFetchTimesBetweenWAndZero) {
-  const std::vector<double> t = {0, 5, 10};
-  EXPECT_EQ(LeastCongestedScores(t, 2), (std::vector<double>{2, 1, 0}));
+  const std::vector<double> fetch_seconds = {0, 5, 10};
+  EXPECT_EQ(LeastCongestedScores(fetch_seconds, 2),
+            (std::vector<double>{2, 1, 0}));
 }
 
 TEST(LeastCongested, GivesEveryMachineWWhenAllAreEqual) {
-  const std::vector<double> t = {3, 3};
-  EXPECT_EQ(LeastCongestedScores(t, 1), (std::vector<double>{1, 1}));
+  const std::vector<double> fetch_seconds = {3, 3};
+  EXPECT_EQ(LeastCongestedScores(fetch_seconds, 1),
+            (std::vector<double>{1, 1}));
   EXPECT_TRUE(LeastCongestedScores({}, 1).empty());
 }
 
@@ -57,11 +59,11 @@
   // A number beyond the range would be one that the next leader gives too.
   NumberSource numbers(7);
   uint64_t last = 0;
-  while (const auto n = numbers.Next()) {
-    ASSERT_GT(*n, FirstToken(7));
-    ASSERT_LT(*n, FirstToken(8));
-    ASSERT_GT(*n, last);
-    last = *n;
+  while (const auto number = numbers.Next()) {
+    ASSERT_GT(*number, FirstToken(7));
+    ASSERT_LT(*number, FirstToken(8));
+    ASSERT_GT(*number, last);
+    last = *number;
   }
   EXPECT_EQ(last, FirstToken(8) - 1);
 }
@@ -80,7 +82,7 @@
   EXPECT_THROW(job.Change(JobState::kAccepted), IllegalTransition);
 }
 
-TEST(Provision, FillsExistingRoomFirstAndPrefersTheCheapKind) {
+TEST(ScaleOut, FillsExistingCapacityFirstAndPrefersTheCheapestPool) {
   std::map<std::string, MachineType> types;
   types["small"] = {"small", {4, 0, 16}, 10, 1, 1.0, 0.4, 5, {"a"}};
   types["gpu"] = {"gpu", {4, 4, 16}, 10, 1, 9.0, 3.0, 5, {"a"}};
@@ -92,10 +94,10 @@
   input.rooms = {{{"small", "a", false}, {2, 0, 16}}};
   input.demand = {{&spec, 6, {}}};
   input.most_machines = 10;
-  const auto rent = PlanScaleOut(input);
-  ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent.begin()->first, (MachinePool{"small", "a", false}));
-  EXPECT_EQ(rent.begin()->second, 1);
+  const auto scale_out = PlanScaleOut(input);
+  ASSERT_EQ(scale_out.size(), 1U);
+  EXPECT_EQ(scale_out.begin()->first, (MachinePool{"small", "a", false}));
+  EXPECT_EQ(scale_out.begin()->second, 1);
 }
 
 }  // namespace
