--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -191,7 +191,7 @@
     const double gpus = static_cast<double>(random() % 9);
     machine->lasting = {gpus * 6, gpus, gpus * 20};
     JobSpec spec = Spec(JobKind::kArray, 1 + static_cast<double>(step % 8), 1);
-    if (step % 10 == 0) Ask(spec, step);
+    if (step % 10 == 0) Submit(spec, step);
     FragmentationIndex fresh = fragmentation_;
     Machine copy = *machine;
     copy.lasting.cpus -= 1e-3;  // no cached result is valid any more
