--- a/core/autoscaler/autoscaler.cc
+++ b/core/autoscaler/autoscaler.cc
@@ -2,9 +2,11 @@
 
 #include <algorithm>
 #include <cmath>
+#include <memory>
 #include <utility>
 
 #include "core/autoscaler/quiescence.h"
+#include "core/autoscaler/scale_out_operations.h"
 #include "core/dependencies/dependency_coordinator.h"
 #include "core/maintenance/maintenance_manager.h"
 #include "core/priority_tiers/tier_manager.h"
@@ -144,7 +146,8 @@
                    kind.type + " in " + kind.zone +
                    (kind.spot ? " (spot)" : "") + " as " + name +
                    ": tasks without a place");
-      writes_.Queue({WriteKind::kScaleOut, name, TerminalState::kNone, {}});
+      writes_.Enqueue(
+          std::make_unique<RecordScaleOutOperation>(context_, *this, name));
     }
   }
   // Returning. Only when nothing has come or waited for a while: between two
@@ -326,9 +329,8 @@
   scale_out.Change(ScaleOutState::kSettled);
   scale_out.hosts = hosts;
   for (const std::string& host : hosts) {
-    WriteOp op{WriteKind::kScaledOutMachine, host};
-    op.reason = name;
-    writes_.Queue(std::move(op));
+    writes_.Enqueue(std::make_unique<RecordScaledOutMachineOperation>(
+        context_, *this, host, name));
   }
   SettleScaleOut(name);
   next_autoscaler_run_ =
@@ -353,7 +355,8 @@
       std::any_of(hosts.begin(), hosts.end(), open)) {
     return;
   }
-  writes_.Queue({WriteKind::kSettleScaleOut, name});
+  writes_.Enqueue(
+      std::make_unique<SettleScaleOutOperation>(context_, *this, name));
 }
 
 void Autoscaler::ScaleOutRequest::Change(ScaleOutState next) {
--- a/core/dependencies/dependency_coordinator.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -4,6 +4,7 @@
 #include <memory>
 #include <utility>
 
+#include "core/dependencies/dependency_operations.h"
 #include "core/job_lifecycle/job_lifecycle.h"
 
 namespace oxbow {
@@ -19,28 +20,23 @@
 // report, the record, the release, the order.
 constexpr double kStepReports = 2;
 
-std::string WaitingKey(const std::string& id) {
-  return keys::Of(keys::kWaiting, id);
-}
-
-JobRecord Released(const WaitingRecord& waiting, const WriteOp& op) {
-  JobRecord job{waiting.spec, waiting.submitted_wall, TerminalState::kNone, 0,
-                op.released_wall};
-  if (op.compact) {
-    // Too large with the names, which it does not need any more.
-    auto spec = std::make_shared<JobSpec>(*waiting.spec);
-    spec->dependencies.clear();
-    job.spec = std::move(spec);
-  }
-  return job;
-}
-
 }  // namespace
 
+DependencyCoordinator::DependencyCoordinator(LeaderContext& context,
+                                             const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      queue_ranking_(context.queue_ranking),
+      run_times_(context.run_times),
+      job_lifecycle_(modules.job_lifecycle),
+      dependency_graph_(*this) {}
 
-DependencyCoordinator::DependencyCoordinator(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), queue_ranking_(context.queue_ranking), run_times_(context.run_times), job_lifecycle_(modules.job_lifecycle), dependency_graph_(*this) {}
-
-TerminalState DependencyCoordinator::TerminalStateOf(const std::string& id) const {
+TerminalState DependencyCoordinator::TerminalStateOf(
+    const std::string& id) const {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (end != TerminalState::kNone) return end;
   // A recorded cancellation decides, long before its user can be told.
@@ -53,7 +49,8 @@
          kStepReports * settings_.workers.heartbeat_interval_seconds;
 }
 
-DueTimes DependencyCoordinator::DueTimesOf(const JobSpec& spec, Time submitted) const {
+DueTimes DependencyCoordinator::DueTimesOf(const JobSpec& spec,
+                                           Time submitted) const {
   return queue_ranking_.DueTimesOf(spec, submitted);
 }
 
@@ -62,7 +59,7 @@
   if (it == catalog_.waiting().end()) return;
   // It was released or has ended: an older copy has come back.
   if (catalog_.FindWaiting(id) == nullptr) {
-    writes_.Queue({WriteKind::kTidyWaiting, id}, /*lazy=*/true);
+    DeleteObsoleteWaitingRecord(id);
     return;
   }
   const WaitingRecord& record = it->second;
@@ -81,7 +78,8 @@
 
 // A job that is neither live here, nor waiting, nor known to have ended. That
 // it is missing proves nothing: only a record found counts.
-void DependencyCoordinator::RequestTerminalState(const std::string& need, Time now) {
+void DependencyCoordinator::RequestTerminalState(const std::string& need,
+                                                 Time now) {
   if (TerminalStateOf(need) != TerminalState::kNone ||
       catalog_.FindJob(need) != nullptr ||
       catalog_.FindWaiting(need) != nullptr) {
@@ -99,14 +97,15 @@
   actions_.push_back(ReadTerminalState{need});
 }
 
-void DependencyCoordinator::OnTerminalStateRead(const std::string& id, Time now) {
+void DependencyCoordinator::OnTerminalStateRead(const std::string& id,
+                                                Time now) {
   terminal_state_reads_in_flight_ =
       std::max(0, terminal_state_reads_in_flight_ - 1);
   OnTerminalStateKnown(id, TerminalStateOf(id), now);
 }
 
-void DependencyCoordinator::OnTerminalStateKnown(const std::string& id, TerminalState end,
-                                  Time now) {
+void DependencyCoordinator::OnTerminalStateKnown(const std::string& id,
+                                                 TerminalState end, Time now) {
   if (end == TerminalState::kNone) return;
   terminal_state_reads_.erase(id);
   if (dependency_graph_.empty()) return;
@@ -133,101 +132,46 @@
 void DependencyCoordinator::QueueDependencySteps(Time now) {
   const size_t most =
       std::max<size_t>(1, static_cast<size_t>(settings_.store.txn_ops) / 2);
-  while (dependency_steps_.size() < most) {
+  while (steps_in_flight_.size() < most) {
     const std::string id = dependency_graph_.TakeDue();
     if (id.empty()) return;
     const bool releases =
         dependency_graph_.Find(id)->state == DependencyState::kReleasing;
     // The wish of a user while the release was under way waits for its outcome.
-    if (!dependency_steps_.insert(id).second) continue;
-    WriteOp op{releases ? WriteKind::kRelease : WriteKind::kCancelWaiting, id};
-    op.released_wall = now + context_.wall_minus_steady;
-    writes_.Queue(std::move(op));
-  }
-}
-
-bool DependencyCoordinator::BuildDependencyStep(const WriteOp& op, CompareAndSwap* txn) const {
-  const auto it = catalog_.waiting().find(op.name);
-  if (it == catalog_.waiting().end()) return false;
-  const WaitingRecord& waiting = it->second;
-  const bool waits = catalog_.FindWaiting(op.name) != nullptr;
-  const DependentJob* chain = dependency_graph_.Find(op.name);
-  const std::string job_key = keys::Of(keys::kJob, op.name);
-  const std::string final_key = keys::Of(keys::kTerminal, op.name);
-  const std::string key = WaitingKey(op.name);
-  switch (op.kind) {
-    case WriteKind::kRelease:
-      if (!waits || chain == nullptr ||
-          chain->state != DependencyState::kReleasing) {
-        return false;
-      }
-      txn->preconditions.push_back({key, waiting.mod_revision});
-      txn->preconditions.push_back({job_key, 0});
-      txn->preconditions.push_back({final_key, 0});
-      txn->mutations.push_back({job_key, Released(waiting, op)});
-      break;
-    case WriteKind::kCancelWaiting:
-      if (!waits || chain == nullptr ||
-          chain->state != DependencyState::kCancelling) {
-        return false;
-      }
-      txn->preconditions.push_back({key, waiting.mod_revision});
-      txn->preconditions.push_back({job_key, 0});
-      txn->mutations.push_back(
-          {final_key,
-           TerminalRecord{TerminalState::kAborted, waiting.spec->tasks, 0}});
-      break;
-    case WriteKind::kTidyWaiting: {
-      if (waits) return false;
-      txn->preconditions.push_back({key, waiting.mod_revision});
-      const JobRecord* job = catalog_.FindJob(op.name);
-      if (job != nullptr) {
-        // What is still to be written back goes first; see
-        // OnReconciliationWritten.
-        if (catalog_.pending_writes().contains(job_key)) return false;
-        txn->preconditions.push_back({job_key, job->mod_revision});
-      } else {
-        txn->mutations.push_back(
-            {final_key, TerminalRecord{catalog_.FindTerminalState(op.name),
-                                       waiting.spec->tasks, 0}});
-      }
-      break;
+    if (!steps_in_flight_.insert(id).second) continue;
+    if (releases) {
+      writes_.Enqueue(std::make_unique<ReleaseDependentOperation>(
+          context_, *this, id, now + context_.wall_minus_steady));
+    } else {
+      writes_.Enqueue(
+          std::make_unique<CancelDependentOperation>(context_, *this, id));
     }
-    default:
-      return false;
   }
-  txn->mutations.push_back({key, {}});
-  return true;
 }
 
-void DependencyCoordinator::OnDependencyStepWritten(const WriteOp& op, uint64_t revision,
-                                     Time now) {
-  const std::string& id = op.name;
-  dependency_steps_.erase(id);
-  const auto it = catalog_.waiting().find(id);
-  if (revision > 0 && it != catalog_.waiting().end()) {
-    const WaitingRecord waiting = it->second;
-    if (op.kind == WriteKind::kRelease) {
-      catalog_.Put(keys::Of(keys::kJob, id), Released(waiting, op), revision);
-    } else if (op.kind == WriteKind::kCancelWaiting) {
-      catalog_.RememberTerminalState(
-          id, {TerminalState::kAborted, waiting.spec->tasks, 0});
-    }
-    catalog_.Erase(WaitingKey(id), revision);
-  }
+void DependencyCoordinator::OnWaitingRecordWritten(const std::string& id,
+                                                   Time now) {
+  steps_in_flight_.erase(id);
   SettleDependentJob(id, now);
   QueueDependencySteps(now);
 }
 
+void DependencyCoordinator::DeleteObsoleteWaitingRecord(const std::string& id) {
+  writes_.Enqueue(
+      std::make_unique<DeleteObsoleteWaitingOperation>(context_, *this, id),
+      WritePriority::kBackground);
+}
+
 // By the records as they are known now, whoever wrote them.
-void DependencyCoordinator::SettleDependentJob(const std::string& id, Time now) {
+void DependencyCoordinator::SettleDependentJob(const std::string& id,
+                                               Time now) {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (catalog_.FindJob(id) != nullptr) {
     job_lifecycle_.OnJobRecord(id, now);
   } else if (end != TerminalState::kNone) {
     if (dependency_graph_.Find(id) != nullptr) {
       context_.Log("job " + id + " waited for others, " +
-          (end == TerminalState::kDone ? "done" : "cancelled"));
+                   (end == TerminalState::kDone ? "done" : "cancelled"));
       dependency_graph_.Remove(id);
       actions_.push_back(JobTerminated{id, end});
     }
@@ -243,7 +187,7 @@
     dependency_graph_.PutBackDue(id);
   }
   if (catalog_.waiting().contains(id) && catalog_.FindWaiting(id) == nullptr) {
-    writes_.Queue({WriteKind::kTidyWaiting, id}, /*lazy=*/true);
+    DeleteObsoleteWaitingRecord(id);
   }
 }
 
@@ -292,7 +236,8 @@
     if (it == cluster_.jobs().end()) return false;
     const Job& job = *it->second;
     return job.unplaced() == 0 &&
-           job.queued_since() + run_times_.RunSeconds(job.spec()) < now + boot_seconds;
+           job.queued_since() + run_times_.RunSeconds(job.spec()) <
+               now + boot_seconds;
   };
   std::set<std::string> counted;
   for (const auto& [id, job] : cluster_.jobs()) {
--- a/core/dependencies/dependency_coordinator.h
+++ b/core/dependencies/dependency_coordinator.h
@@ -50,8 +50,12 @@
   // The answer to ReadTerminalState; what was found has been taken into the
   // catalog.
   void OnTerminalStateRead(const std::string& id, Time now);
-  bool BuildDependencyStep(const WriteOp& op, CompareAndSwap* txn) const;
-  void OnDependencyStepWritten(const WriteOp& op, uint64_t revision, Time now);
+  // An operation on the job's waiting record is completed, and the catalog
+  // holds the outcome. Called by the operations.
+  void OnWaitingRecordWritten(const std::string& id, Time now);
+  // Asks for the deletion of an older copy of a waiting record whose job has
+  // been released or has ended.
+  void DeleteObsoleteWaitingRecord(const std::string& id);
   // Which jobs wait for which others, for people; a line each, not all of many.
   std::vector<std::string> WaitingLines() const;
 
@@ -79,7 +83,7 @@
   RunTimeEstimates& run_times_;
   JobLifecycle& job_lifecycle_;
   DependencyGraph dependency_graph_;
-  std::set<std::string> dependency_steps_;  // with a write in flight
+  std::set<std::string> steps_in_flight_;  // jobs with a write in flight
   std::unordered_map<std::string, TerminalStateRead> terminal_state_reads_;
   int terminal_state_reads_in_flight_ = 0;
 };
--- a/core/job_lifecycle/job_lifecycle.cc
+++ b/core/job_lifecycle/job_lifecycle.cc
@@ -6,10 +6,22 @@
 
 #include "core/command_dispatch/command_dispatcher.h"
 #include "core/dependencies/dependency_coordinator.h"
+#include "core/job_lifecycle/job_record_operations.h"
 
 namespace oxbow {
 
-JobLifecycle::JobLifecycle(LeaderContext& context, const Modules& modules) : context_(context), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), tiers_(context.tiers), fragmentation_(context.fragmentation), queue_ranking_(context.queue_ranking), dispatcher_(modules.dispatcher), dependencies_(modules.dependencies) {}
+JobLifecycle::JobLifecycle(LeaderContext& context, const Modules& modules)
+    : context_(context),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      tiers_(context.tiers),
+      fragmentation_(context.fragmentation),
+      queue_ranking_(context.queue_ranking),
+      dispatcher_(modules.dispatcher),
+      dependencies_(modules.dependencies),
+      consistency_gate_(modules.consistency_gate) {}
 
 void JobLifecycle::AddJob(const JobRecord& record, Time now) {
   const int team = cluster_.FindQuota(record.spec->team);
@@ -88,11 +100,12 @@
 void JobLifecycle::FinishJob(Job& job, TerminalState state) {
   job.Change(state == TerminalState::kDone ? JobState::kRecordingDone
                                            : JobState::kRecordingAbort);
-  writes_.Queue({WriteKind::kFinish, job.id(), state, {}});
+  writes_.Enqueue(std::make_unique<FinishJobOperation>(
+      context_, consistency_gate_, *this, job.id(), state));
 }
 
-void JobLifecycle::OnTerminalStateRecorded(const std::string& id, TerminalState state,
-                                     Time now) {
+void JobLifecycle::OnTerminalStateRecorded(const std::string& id,
+                                           TerminalState state, Time now) {
   dependencies_.OnTerminalStateKnown(id, state, now);
   const auto it = cluster_.jobs().find(id);
   if (it == cluster_.jobs().end()) return;
@@ -101,8 +114,9 @@
   job.Change(state == TerminalState::kDone ? JobState::kDone
                                            : JobState::kAborted);
   job.ended = now;
-  context_.Log("job " + id + (state == TerminalState::kDone ? " done" : " cancelled") +
-      ", recorded");
+  context_.Log("job " + id +
+               (state == TerminalState::kDone ? " done" : " cancelled") +
+               ", recorded");
   // That it is cancelled is told once nothing is left of it (Done, kRetire).
   if (state == TerminalState::kDone)
     actions_.push_back(JobTerminated{id, state});
@@ -119,8 +133,10 @@
   if (!job.ended_by_record() || job.holding() > 0) return;
   // A machine not heard yet may hold tasks that a former leader has started.
   if (!cluster_.AllMachinesAccountedFor()) return;
-  writes_.Queue({WriteKind::kRetire, job.id(), TerminalState::kNone, {}},
-                /*lazy=*/job.state() == JobState::kDone);
+  writes_.Enqueue(std::make_unique<RetireJobOperation>(
+                      context_, consistency_gate_, job.id()),
+                  job.state() == JobState::kDone ? WritePriority::kBackground
+                                                 : WritePriority::kUrgent);
 }
 
 bool JobLifecycle::CancellationStands(const Job& job) const {
--- a/core/job_lifecycle/job_lifecycle.h
+++ b/core/job_lifecycle/job_lifecycle.h
@@ -18,6 +18,7 @@
 
 class CommandDispatcher;
 class DependencyCoordinator;
+class ReadConsistencyGate;
 
 class JobLifecycle {
  public:
@@ -25,6 +26,7 @@
   struct Modules {
     CommandDispatcher& dispatcher;
     DependencyCoordinator& dependencies;
+    ReadConsistencyGate& consistency_gate;
   };
   JobLifecycle(LeaderContext& context, const Modules& modules);
 
@@ -41,7 +43,6 @@
   bool Cancel(const std::string& id, Time now);
 
  private:
-
   LeaderContext& context_;
   Catalog& catalog_;
   ClusterState& cluster_;
@@ -52,6 +53,7 @@
   QueueRanking& queue_ranking_;
   CommandDispatcher& dispatcher_;
   DependencyCoordinator& dependencies_;
+  ReadConsistencyGate& consistency_gate_;
 };
 
 }  // namespace oxbow
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -66,14 +66,7 @@
                run_times_,
                [this](Time at) { scheduler_.ScheduleIfNeeded(at); },
                NumberSource(TermOf(catalog.epoch(), revision))},
-      store_operations_(context_,
-                        {consistency_gate_, dependencies_, job_lifecycle_,
-                         rollout_manager_, reconciler_, autoscaler_,
-                         [this](const std::string& name, Time at) {
-                           OnOperatorRecord(name, at);
-                         }}),
-      writes_(settings, LeadershipPreconditions(catalog, revision),
-              store_operations_, actions_),
+      writes_(settings, LeadershipPreconditions(catalog, revision), actions_),
       cluster_(settings, FirstToken(context_.term), tuning.recovery_checks > 0,
                *this),
       liveness_(settings, tuning, context_.timeouts, cluster_.machines(), now,
@@ -85,7 +78,7 @@
       machine_health_(context_),
       dispatcher_(context_, {maintenance_}),
       dependencies_(context_, {job_lifecycle_}),
-      job_lifecycle_(context_, {dispatcher_, dependencies_}),
+      job_lifecycle_(context_, {dispatcher_, dependencies_, consistency_gate_}),
       rollout_manager_(context_,
                        {machine_health_, dispatcher_, job_lifecycle_}),
       maintenance_(context_, {dispatcher_, rollout_manager_}),
@@ -186,11 +179,11 @@
                            const std::vector<std::string>& failed, Time now) {
   switch (outcome) {
     case WriteOutcome::kApplied:
-      consistency_gate_.Applied(id);
+      consistency_gate_.OnApplied(id);
       break;
     case WriteOutcome::kNotExecuted:
     case WriteOutcome::kRefused:
-      consistency_gate_.Refused(id);
+      consistency_gate_.OnRejected(id);
       break;
     case WriteOutcome::kConflict: {
       std::set<std::string> differing;
@@ -198,11 +191,11 @@
         if (!key.starts_with(keys::kJob)) continue;
         differing.insert(key.substr(keys::kJob.size()));
       }
-      consistency_gate_.Refused(id, differing);
+      consistency_gate_.OnRejected(id, differing);
       break;
     }
     case WriteOutcome::kUnknown:
-      consistency_gate_.Unanswered(id);
+      consistency_gate_.OnUnanswered(id);
       break;
   }
   if (!writes_.OnAnswer(id, outcome, revision, failed, now)) {
@@ -214,7 +207,8 @@
   for (const Action& action : actions_) {
     const auto* txn = std::get_if<CompareAndSwap>(&action);
     // From here on it may be carried out.
-    if (txn != nullptr) consistency_gate_.Left(txn->id, TerminalStatesIn(*txn));
+    if (txn != nullptr)
+      consistency_gate_.OnSent(txn->id, TerminalStatesIn(*txn));
   }
   return std::exchange(actions_, {});
 }
@@ -269,8 +263,8 @@
     alarms.push_back(std::to_string(context_.catalog.pending_writes().size()) +
                      " records are still to be written back");
   }
-  if (writes_.set_aside() > 0) {
-    alarms.push_back(std::to_string(writes_.set_aside()) +
+  if (writes_.refused_for_size() > 0) {
+    alarms.push_back(std::to_string(writes_.refused_for_size()) +
                      " writes are larger than the state service takes");
   }
   if (!context_.catalog.epoch().whole) {
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -26,7 +26,7 @@
 #include "core/reconciliation/reconciler.h"
 #include "core/rollout/rollout_manager.h"
 #include "core/scheduler/scheduler.h"
-#include "core/store_writes/store_operations.h"
+#include "core/store_writes/write_queue.h"
 #include "core/worker_sessions/machine_health.h"
 #include "core/worker_sessions/machine_lifecycle.h"
 #include "core/worker_sessions/worker_sessions.h"
@@ -84,7 +84,7 @@
   void OnRolloutRecord(const std::string& id, Time now) {
     rollout_manager_.OnRolloutRecord(id, now);
   }
-  // A record of the operators has changed, or one of this leader's own stands.
+  // A record of the operators has changed.
   void OnOperatorRecord(const std::string& name, Time now);
   // The tiers in force, at the beginning and whenever they change. Running
   // work moves to its new tier as it is.
@@ -231,7 +231,6 @@
   std::vector<Action> actions_;
   LeaderContext context_;
   ReadConsistencyGate consistency_gate_;
-  StoreOperations store_operations_;
   WriteQueue writes_;
   ClusterState cluster_;
   LivenessMonitor liveness_;
--- a/core/read_consistency/read_consistency_gate.cc
+++ b/core/read_consistency/read_consistency_gate.cc
@@ -11,14 +11,14 @@
 
 using State = ReadConsistencyGate::State;
 
-constexpr std::array kChanges = {
+constexpr std::array kTransitions = {
     std::pair{State::kClear, State::kSent},
     std::pair{State::kSent, State::kClear},
-    std::pair{State::kSent, State::kLoose},
-    std::pair{State::kLoose, State::kSentAgain},
-    std::pair{State::kLoose, State::kClear},
-    std::pair{State::kSentAgain, State::kLoose},
-    std::pair{State::kSentAgain, State::kClear},
+    std::pair{State::kSent, State::kOutcomeUnknown},
+    std::pair{State::kOutcomeUnknown, State::kSentWhileUnknown},
+    std::pair{State::kOutcomeUnknown, State::kClear},
+    std::pair{State::kSentWhileUnknown, State::kOutcomeUnknown},
+    std::pair{State::kSentWhileUnknown, State::kClear},
 };
 
 }  // namespace
@@ -51,90 +51,95 @@
 }
 
 void ReadConsistencyGate::Change(const std::string& job, Event event) {
-  Write& write = writes_[job];
-  const bool loose =
-      write.state == State::kLoose || write.state == State::kSentAgain;
+  PendingWrite& write = pending_[job];
+  const bool outcome_unknown = write.state == State::kOutcomeUnknown ||
+                               write.state == State::kSentWhileUnknown;
   State next = State::kClear;
   switch (event) {
-    case Event::kLeaves:
-      next = loose ? State::kSentAgain : State::kSent;
+    case Event::kSent:
+      next = outcome_unknown ? State::kSentWhileUnknown : State::kSent;
       break;
-    case Event::kRefused:
-      // This one was not carried out; an earlier one may still be.
-      next = loose ? State::kLoose : State::kClear;
+    case Event::kRejected:
+      // This one was not applied; an earlier one may still be.
+      next = outcome_unknown ? State::kOutcomeUnknown : State::kClear;
       break;
     case Event::kUnanswered:
-      next = State::kLoose;
+      next = State::kOutcomeUnknown;
       break;
-    case Event::kStands:
+    case Event::kConfirmed:
       break;
   }
-  CheckedChange(write.state, next, kChanges, "answer gate");
-  if (next == State::kClear) writes_.erase(job);
+  CheckedChange(write.state, next, kTransitions, "read consistency gate");
+  if (next == State::kClear) pending_.erase(job);
 }
 
-void ReadConsistencyGate::Left(uint64_t txn,
-                               const std::vector<TerminalStateWrite>& ends) {
-  Unanswered(txn_);
-  txn_ = txn;
-  for (const TerminalStateWrite& end : ends) {
-    // What was put back and is asked for again stands twice in a transaction.
-    const bool twice = std::any_of(
-        under_way_.begin(), under_way_.end(),
-        [&](const TerminalStateWrite& e) { return e.job == end.job; });
+void ReadConsistencyGate::OnSent(
+    uint64_t txn, const std::vector<TerminalStateWrite>& writes) {
+  OnUnanswered(last_sent_txn_);
+  last_sent_txn_ = txn;
+  for (const TerminalStateWrite& write : writes) {
+    // What was requeued and asked for again is twice in a transaction.
+    const bool twice = std::any_of(in_flight_.begin(), in_flight_.end(),
+                                   [&](const TerminalStateWrite& other) {
+                                     return other.job == write.job;
+                                   });
     if (twice) continue;
-    const auto earlier = writes_.find(end.job);
-    if (earlier != writes_.end() &&
-        earlier->second.mod_revision != end.mod_revision) {
-      Change(end.job, Event::kStands);  // void: the record has changed since
+    const auto earlier = pending_.find(write.job);
+    if (earlier != pending_.end() &&
+        earlier->second.mod_revision != write.mod_revision) {
+      // The record has changed since: the earlier write can't be applied.
+      Change(write.job, Event::kConfirmed);
     }
-    Change(end.job, Event::kLeaves);
-    writes_.at(end.job).mod_revision = end.mod_revision;
-    under_way_.push_back(end);
+    Change(write.job, Event::kSent);
+    pending_.at(write.job).mod_revision = write.mod_revision;
+    in_flight_.push_back(write);
   }
 }
 
-std::vector<TerminalStateWrite> ReadConsistencyGate::Take(uint64_t txn) {
-  return txn == txn_ ? std::exchange(under_way_, {})
-                     : std::vector<TerminalStateWrite>{};
+std::vector<TerminalStateWrite> ReadConsistencyGate::TakeInFlight(
+    uint64_t txn) {
+  if (txn != last_sent_txn_) return {};
+  return std::exchange(in_flight_, {});
 }
 
-void ReadConsistencyGate::Applied(uint64_t txn) {
-  for (const TerminalStateWrite& end : Take(txn))
-    Change(end.job, Event::kStands);
+void ReadConsistencyGate::OnApplied(uint64_t txn) {
+  for (const TerminalStateWrite& write : TakeInFlight(txn)) {
+    Change(write.job, Event::kConfirmed);
+  }
 }
 
-void ReadConsistencyGate::Refused(uint64_t txn,
-                                  const std::set<std::string>& differing) {
-  for (const TerminalStateWrite& end : Take(txn)) {
-    // What is not as it is known here has to be read.
-    Change(end.job,
-           differing.contains(end.job) ? Event::kUnanswered : Event::kRefused);
+void ReadConsistencyGate::OnRejected(uint64_t txn,
+                                     const std::set<std::string>& differing) {
+  for (const TerminalStateWrite& write : TakeInFlight(txn)) {
+    Change(write.job, differing.contains(write.job) ? Event::kUnanswered
+                                                    : Event::kRejected);
   }
 }
 
-void ReadConsistencyGate::Unanswered(uint64_t txn) {
-  for (const TerminalStateWrite& end : Take(txn))
-    Change(end.job, Event::kUnanswered);
+void ReadConsistencyGate::OnUnanswered(uint64_t txn) {
+  for (const TerminalStateWrite& write : TakeInFlight(txn)) {
+    Change(write.job, Event::kUnanswered);
+  }
 }
 
-void ReadConsistencyGate::Stands(const std::string& job) {
-  // The answer to one that is under way does not matter any more.
-  std::erase_if(under_way_,
-                [&](const TerminalStateWrite& e) { return e.job == job; });
-  if (writes_.contains(job)) Change(job, Event::kStands);
+void ReadConsistencyGate::OnConfirmed(const std::string& job) {
+  // The answer to one that is in flight does not matter any more.
+  std::erase_if(in_flight_, [&](const TerminalStateWrite& write) {
+    return write.job == job;
+  });
+  if (pending_.contains(job)) Change(job, Event::kConfirmed);
 }
 
 bool ReadConsistencyGate::InDoubt(const std::string& job,
                                   uint64_t mod_revision) const {
-  const auto it = writes_.find(job);
-  return it != writes_.end() && it->second.mod_revision == mod_revision;
+  const auto it = pending_.find(job);
+  return it != pending_.end() && it->second.mod_revision == mod_revision;
 }
 
 ReadConsistencyGate::State ReadConsistencyGate::StateOf(
     const std::string& job) const {
-  const auto it = writes_.find(job);
-  return it == writes_.end() ? State::kClear : it->second.state;
+  const auto it = pending_.find(job);
+  return it == pending_.end() ? State::kClear : it->second.state;
 }
 
 }  // namespace oxbow
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -1,6 +1,7 @@
 #include "core/rebalancing/rebalancing_manager.h"
 
 #include <algorithm>
+#include <memory>
 #include <utility>
 
 #include "core/command_dispatch/command_dispatcher.h"
@@ -21,6 +22,50 @@
 // About how long a fragmented machine takes to empty by itself.
 constexpr double kHorizonLeases = 3;
 
+// Records the claim of a move before anything is moved.
+class RecordMoveClaimOperation : public StoreOperation {
+ public:
+  RecordMoveClaimOperation(LeaderContext& context,
+                           RebalancingManager& rebalancing, std::string name,
+                           OperatorRecord record)
+      : StoreOperation(std::move(name)),
+        context_(context),
+        rebalancing_(rebalancing),
+        record_(std::move(record)) {}
+
+  std::string_view kind() const override { return "record move"; }
+  // What is wanted may change while the store does not answer.
+  bool ReplacesQueued() const override { return true; }
+
+  BuildResult Build(CompareAndSwap* txn) const override {
+    const auto& recorded = context_.catalog.operators();
+    const auto it = recorded.find(name());
+    const bool known = it != recorded.end();
+    if (known && it->second.version >= record_.version) {
+      return BuildResult::kNothingToDo;
+    }
+    const std::string key = keys::Of(keys::kOperator, name());
+    txn->preconditions.push_back({key, known ? it->second.mod_revision : 0});
+    txn->mutations.push_back({key, record_});
+    return BuildResult::kAdded;
+  }
+
+  void OnRecorded(uint64_t revision, Time now) override {
+    if (revision > 0) {
+      context_.catalog.Put(keys::Of(keys::kOperator, name()), record_,
+                           revision);
+    }
+    rebalancing_.OnMoveRecord(name(), now);
+    context_.cluster.MarkChanged();
+    context_.schedule_if_needed(now);
+  }
+
+ private:
+  LeaderContext& context_;
+  RebalancingManager& rebalancing_;
+  const OperatorRecord record_;
+};
+
 }  // namespace
 
 
@@ -257,16 +302,15 @@
     for (const MoveClaim& claim : claims) {
       const std::string name = std::string(kPrefix) + claim.id;
       const auto known = catalog_.operators().find(name);
-      auto record = std::make_shared<OperatorRecord>();
-      record->kind = "move";
-      record->text = move_codec_.write(claim);
-      record->version =
+      OperatorRecord record;
+      record.kind = "move";
+      record.text = move_codec_.write(claim);
+      record.version =
           known == catalog_.operators().end() ? 1 : known->second.version + 1;
-      record->author = settings_.node;
-      record->changed_wall = now + context_.wall_minus_steady;
-      WriteOp op{WriteKind::kOperator, name};
-      op.record = std::move(record);
-      writes_.Queue(std::move(op));
+      record.author = settings_.node;
+      record.changed_wall = now + context_.wall_minus_steady;
+      writes_.Enqueue(std::make_unique<RecordMoveClaimOperation>(
+          context_, *this, name, std::move(record)));
     }
   }
 }
--- a/core/reconciliation/reconciler.cc
+++ b/core/reconciliation/reconciler.cc
@@ -5,27 +5,9 @@
 
 #include "core/dependencies/dependency_coordinator.h"
 #include "core/job_lifecycle/job_lifecycle.h"
+#include "core/reconciliation/reconciliation_operations.h"
 
 namespace oxbow {
-namespace {
-
-// A job that is remembered alive, and whose end has been read since, goes back
-// as one that has ended.
-Record PendingRecord(const Catalog& catalog, const WriteOp& op) {
-  Record record = catalog.RecordOf(op.name);
-  auto* job = std::get_if<JobRecord>(&record);
-  if (job != nullptr && job->terminal_state == TerminalState::kNone) {
-    job->terminal_state =
-        catalog.FindTerminalState(op.name.substr(keys::kJob.size()));
-  }
-  if (job != nullptr && job->terminal_state != TerminalState::kNone) {
-    *job = TerminatedRecord(*job, job->terminal_state, op.compact);
-  }
-  return record;
-}
-
-}  // namespace
-
 Reconciler::Reconciler(LeaderContext& context, const Modules& modules)
     : context_(context),
       settings_(context.settings),
@@ -151,107 +133,28 @@
     reconciliation_queue_ = ReconciliationOrder();
   size_t queued = 0;
   while (!reconciliation_queue_.empty() && queued < batch) {
-    writes_.Queue({WriteKind::kReconcileRecord, reconciliation_queue_.back()},
-                  /*lazy=*/true);
+    writes_.Enqueue(std::make_unique<ReconcileRecordOperation>(
+                        context_, dependencies_, reconciliation_queue_.back()),
+                    WritePriority::kBackground);
     reconciliation_queue_.pop_back();
     ++queued;
   }
   while (reconciliation_queue_.empty() &&
          !unrecorded_terminal_states_.empty() && queued < batch) {
     auto& [id, state] = unrecorded_terminal_states_.back();
-    writes_.Queue({WriteKind::kReconcileTerminalState, id, state},
-                  /*lazy=*/true);
+    writes_.Enqueue(
+        std::make_unique<ReconcileTerminalStateOperation>(context_, id, state),
+        WritePriority::kBackground);
     unrecorded_terminal_states_.pop_back();
     ++queued;
   }
   if (queued == 0 && terminal_states_compared_ &&
       catalog_.pending_writes().empty() && writes_.waiting() == 0) {
-    writes_.Queue({WriteKind::kCompleteReconciliation, "epoch"}, /*lazy=*/true);
+    writes_.Enqueue(
+        std::make_unique<CompleteReconciliationOperation>(context_, *this),
+        WritePriority::kBackground);
   }
   writes_.Flush(now);
 }
 
-bool Reconciler::BuildReconciliationWrite(const WriteOp& op,
-                                          CompareAndSwap* txn) const {
-  switch (op.kind) {
-    case WriteKind::kReconcileRecord: {
-      if (!catalog_.pending_writes().contains(op.name)) return false;
-      // Something newer goes into this very transaction, and would be undone.
-      if (std::any_of(txn->mutations.begin(), txn->mutations.end(),
-                      [&](const Mutation& mutation) {
-                        return mutation.key == op.name;
-                      })) {
-        return false;
-      }
-      const Record record = PendingRecord(catalog_, op);
-      const uint64_t there = std::visit(
-          [](const auto& r) -> uint64_t {
-            if constexpr (requires { r.mod_revision; }) {
-              return r.mod_revision;
-            } else {
-              return 0;
-            }
-          },
-          record);
-      if (std::holds_alternative<std::monostate>(record)) return false;
-      txn->preconditions.push_back({op.name, there});
-      // Carried out late, after the job has ended and moved, it would let it
-      // live again.
-      const auto* job = std::get_if<JobRecord>(&record);
-      if (job != nullptr && job->terminal_state == TerminalState::kNone) {
-        txn->preconditions.push_back(
-            {keys::Of(keys::kTerminal, op.name.substr(keys::kJob.size())), 0});
-      }
-      // Likewise, after the job was released or cancelled, it would wait again.
-      if (std::holds_alternative<WaitingRecord>(record)) {
-        const std::string id = op.name.substr(keys::kWaiting.size());
-        if (catalog_.FindWaiting(id) == nullptr) return false;
-        txn->preconditions.push_back({keys::Of(keys::kJob, id), 0});
-        txn->preconditions.push_back({keys::Of(keys::kTerminal, id), 0});
-      }
-      txn->mutations.push_back({op.name, record});
-      return true;
-    }
-    case WriteKind::kReconcileTerminalState: {
-      const TerminalRecord known = catalog_.FindTerminalRecord(op.name);
-      txn->mutations.push_back(
-          {keys::Of(keys::kTerminal, op.name),
-           TerminalRecord{op.terminal_state, known.tasks, 0}});
-      return true;
-    }
-    case WriteKind::kCompleteReconciliation: {
-      StoreEpoch epoch = catalog_.epoch();
-      if (epoch.rebuilt) return false;
-      txn->preconditions.push_back(
-          {std::string(keys::kEpoch), epoch.mod_revision});
-      epoch.rebuilt = true;
-      epoch.whole = retained_records_complete_;
-      txn->mutations.push_back({std::string(keys::kEpoch), epoch});
-      return true;
-    }
-    default:
-      return false;
-  }
-}
-
-void Reconciler::OnReconciliationWritten(const WriteOp& op, uint64_t revision) {
-  if (revision == 0) return;
-  if (op.kind == WriteKind::kReconcileRecord) {
-    catalog_.Put(op.name, PendingRecord(catalog_, op), revision);
-    if (op.name.starts_with(keys::kJob)) {
-      const std::string id = op.name.substr(keys::kJob.size());
-      if (catalog_.waiting().contains(id)) {
-        writes_.Queue({WriteKind::kTidyWaiting, id}, /*lazy=*/true);
-      }
-    }
-  } else if (op.kind == WriteKind::kCompleteReconciliation) {
-    StoreEpoch epoch = catalog_.epoch();
-    epoch.rebuilt = true;
-    epoch.whole = retained_records_complete_;
-    catalog_.Put(std::string(keys::kEpoch), epoch, revision);
-    context_.Log(
-        "everything that is remembered stands in the state service again");
-  }
-}
-
 }  // namespace oxbow
--- a/core/reconciliation/reconciler.h
+++ b/core/reconciliation/reconciler.h
@@ -41,8 +41,9 @@
   // `whole`: everybody who may have accepted a job was there to tell.
   void OnUnrecordedTerminalStates(
       std::vector<std::pair<std::string, TerminalState>> ends, bool whole);
-  bool BuildReconciliationWrite(const WriteOp& op, CompareAndSwap* txn) const;
-  void OnReconciliationWritten(const WriteOp& op, uint64_t revision);
+  // Whether every controller that may have accepted a job has contributed what
+  // it remembers.
+  bool retained_records_complete() const { return retained_records_complete_; }
 
  private:
   // Owed keys, the most urgent last.
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -18,6 +18,39 @@
   return kNames[static_cast<size_t>(step)];
 }
 
+// Records a step of a rollout, and what it does to the jobs.
+class RolloutStepOperation : public StoreOperation {
+ public:
+  RolloutStepOperation(RolloutManager& rollout_manager, RolloutStepWrite step)
+      : StoreOperation(step.name),
+        rollout_manager_(rollout_manager),
+        step_(std::move(step)) {}
+
+  std::string_view kind() const override { return "record rollout step"; }
+  // The next step may change while the store does not answer.
+  bool ReplacesQueued() const override { return true; }
+
+  BuildResult Build(CompareAndSwap* txn) const override {
+    return rollout_manager_.BuildRolloutOp(Step(), txn)
+               ? BuildResult::kAdded
+               : BuildResult::kNothingToDo;
+  }
+
+  void OnRecorded(uint64_t revision, Time now) override {
+    rollout_manager_.RolloutOpDone(Step(), revision, now);
+  }
+
+ private:
+  RolloutStepWrite Step() const {
+    RolloutStepWrite step = step_;
+    step.compact = compact();
+    return step;
+  }
+
+  RolloutManager& rollout_manager_;
+  const RolloutStepWrite step_;
+};
+
 }  // namespace
 
 
@@ -71,10 +104,9 @@
   } else if (in_rollout_.contains(record.spec->from) ||
              in_rollout_.contains(record.spec->to)) {
     // Two were declared for one job on two controllers at the same time.
-    WriteOp op{WriteKind::kRollout, id};
-    op.step = RolloutStep::kFailed;
-    op.reason = "one of its jobs is part of another roll-out";
-    writes_.Queue(std::move(op));
+    QueueStep({id, RolloutStep::kFailed,
+               "one of its jobs is part of another roll-out",
+               RolloutRequest::kNone});
   } else if (!Ended(record.step)) {
     rollouts_.emplace(id, Rollout(record, now));
     in_rollout_[record.spec->from] = id;
@@ -137,13 +169,7 @@
     const uint32_t new_before = rollout.MostOfNew();
     const RolloutPlan plan = rollout.Review(ViewOf(rollout, now), now);
     if (plan.next) {
-      writes_.Queue({WriteKind::kRollout,
-                     id,
-                     TerminalState::kNone,
-                     {},
-                     *plan.next,
-                     plan.reason,
-                     rollout.record().request});
+      QueueStep({id, *plan.next, plan.reason, rollout.record().request});
     }
     for (const TaskAttemptKey& key : plan.stop) {
       const auto job = cluster_.jobs().find(key.job_id);
@@ -228,7 +254,11 @@
   }
 }
 
-RolloutRecord RolloutManager::AfterOp(const RolloutRecord& record, const WriteOp& op) {
+void RolloutManager::QueueStep(RolloutStepWrite step) {
+  writes_.Enqueue(std::make_unique<RolloutStepOperation>(*this, std::move(step)));
+}
+
+RolloutRecord RolloutManager::AfterOp(const RolloutRecord& record, const RolloutStepWrite& op) {
   RolloutRecord next = record;
   if (op.step == RolloutStep::kPaused) next.paused_in = next.step;
   next.step = op.step;
@@ -252,7 +282,7 @@
 // The end of a rollout and of the job that it replaces, or takes back, stand
 // in one transaction: the declaration was made by the user of both, and nobody
 // is told of one without the other.
-bool RolloutManager::BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const {
+bool RolloutManager::BuildRolloutOp(const RolloutStepWrite& op, CompareAndSwap* txn) const {
   const auto known = catalog_.rollouts().find(op.name);
   if (known == catalog_.rollouts().end() || known->second.step == op.step) {
     return false;
@@ -280,7 +310,7 @@
   return true;
 }
 
-void RolloutManager::RolloutOpDone(const WriteOp& op, uint64_t revision, Time now) {
+void RolloutManager::RolloutOpDone(const RolloutStepWrite& op, uint64_t revision, Time now) {
   const auto it = rollouts_.find(op.name);
   if (revision > 0) {
     const auto known = catalog_.rollouts().find(op.name);
--- a/core/rollout/rollout_manager.h
+++ b/core/rollout/rollout_manager.h
@@ -21,6 +21,17 @@
 class CommandDispatcher;
 class JobLifecycle;
 
+// A step of a rollout that is to be recorded.
+struct RolloutStepWrite {
+  std::string name;  // the rollout's id
+  RolloutStep step = RolloutStep::kDeclared;
+  std::string reason = {};
+  // The request that the step fulfils.
+  RolloutRequest request = RolloutRequest::kNone;
+  // Refused for its size: the record leaves out what can be spared.
+  bool compact = false;
+};
+
 class RolloutManager {
  public:
   // The modules that it calls.
@@ -49,16 +60,17 @@
   const Rollout* FindRollout(const std::string& id) const;
   void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
                 const CheckOutcome& outcome, Time now);
-  bool BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const;
-  void RolloutOpDone(const WriteOp& op, uint64_t revision, Time now);
+  bool BuildRolloutOp(const RolloutStepWrite& op, CompareAndSwap* txn) const;
+  void RolloutOpDone(const RolloutStepWrite& op, uint64_t revision, Time now);
 
  private:
+  void QueueStep(RolloutStepWrite step);
   RolloutView ViewOf(const Rollout& rollout, Time now) const;
   // Sets the pace of all checks and returns how many may begin now.
   int ChecksAllowed(Time now);
   void BeginChecks(Time now);
   // The record once the op's step stands.
-  static RolloutRecord AfterOp(const RolloutRecord& record, const WriteOp& op);
+  static RolloutRecord AfterOp(const RolloutRecord& record, const RolloutStepWrite& op);
 
   LeaderContext& context_;
   const Settings& settings_;
--- a/core/store_writes/write_queue.cc
+++ b/core/store_writes/write_queue.cc
@@ -1,7 +1,9 @@
 #include "core/store_writes/write_queue.h"
 
 #include <algorithm>
+#include <array>
 #include <utility>
+#include <variant>
 
 #include "core/model/state_machine.h"
 
@@ -10,132 +12,177 @@
 
 using enum WritePhase;
 
-constexpr std::array kChanges = {
-    std::pair{kIdle, kWriting},     std::pair{kWriting, kIdle},
-    std::pair{kWriting, kDoubtful}, std::pair{kDoubtful, kFencing},
-    std::pair{kFencing, kDoubtful}, std::pair{kFencing, kReading},
-    std::pair{kWriting, kReading},  std::pair{kReading, kIdle},
+constexpr std::array kTransitions = {
+    std::pair{kIdle, kWriting},           std::pair{kWriting, kIdle},
+    std::pair{kWriting, kOutcomeUnknown}, std::pair{kOutcomeUnknown, kFencing},
+    std::pair{kFencing, kOutcomeUnknown}, std::pair{kFencing, kReading},
+    std::pair{kWriting, kReading},        std::pair{kReading, kIdle},
 };
 
-size_t Weight(const CompareAndSwap& txn) {
-  // Only specs are of any size; their variable parts decide.
-  const auto weight_of = [](const JobSpec& spec) {
-    size_t weight = spec.image.size() * 2;
-    if (spec.types) {
-      for (const std::string& t : *spec.types) weight += t.size() + 4;
+// The store's protocol: preconditions per transaction, for each mutation.
+constexpr size_t kPreconditionsPerMutation = 4;
+// Encoded size of a transaction: the store takes 64 KiB.
+constexpr size_t kMaxTransactionBytes = 48 * 1024;
+// Of a record's fields whose lengths are bounded, with its precondition.
+constexpr size_t kBytesPerMutation = 512;
+// Free text may double when it is escaped.
+constexpr size_t kBytesPerCharacter = 2;
+// Quotes, a comma and a space in a list.
+constexpr size_t kBytesPerListEntry = 4;
+// Before the next attempt when the store did not execute a transaction, in
+// heartbeat intervals.
+constexpr double kPauseHeartbeats = 0.1;
+
+// Estimates of encoded sizes; only the parts of variable length count.
+size_t VariableBytes(const JobSpec& spec) {
+  size_t bytes = spec.image.size() * kBytesPerCharacter;
+  if (spec.types) {
+    for (const std::string& type : *spec.types) {
+      bytes += type.size() + kBytesPerListEntry;
     }
-    for (const std::string& id : spec.dependencies) weight += id.size() + 4;
-    return weight;
-  };
+  }
+  for (const std::string& id : spec.dependencies) {
+    bytes += id.size() + kBytesPerListEntry;
+  }
+  return bytes;
+}
+
+size_t VariableBytes(const RolloutRecord& rollout) {
+  const auto& check = rollout.spec->check;
+  return kBytesPerCharacter *
+         (check.verdict.size() + check.path.size() + rollout.reason.size());
+}
+
+size_t VariableBytes(const OperatorRecord& record) {
+  return kBytesPerCharacter *
+         (record.text.size() + record.author.size() + record.note.size());
+}
+
+size_t VariableBytes(const Record& record) {
+  if (const auto* rollout = std::get_if<RolloutRecord>(&record)) {
+    return VariableBytes(*rollout);
+  }
+  if (const auto* operator_record = std::get_if<OperatorRecord>(&record)) {
+    return VariableBytes(*operator_record);
+  }
+  if (const auto* job = std::get_if<JobRecord>(&record)) {
+    return VariableBytes(*job->spec);
+  }
+  if (const auto* waiting = std::get_if<WaitingRecord>(&record)) {
+    return VariableBytes(*waiting->spec);
+  }
+  return 0;
+}
+
+size_t EstimatedBytes(const CompareAndSwap& txn) {
   size_t bytes = 0;
-  for (const Mutation& change : txn.mutations) {
-    bytes += 512;
-    if (const auto* rollout = std::get_if<RolloutRecord>(&change.record)) {
-      bytes += 2 * (rollout->spec->check.verdict.size() +
-                    rollout->spec->check.path.size() + rollout->reason.size());
-    }
-    if (const auto* word = std::get_if<OperatorRecord>(&change.record)) {
-      bytes +=
-          2 * (word->text.size() + word->author.size() + word->note.size());
-    }
-    if (const auto* job = std::get_if<JobRecord>(&change.record)) {
-      bytes += weight_of(*job->spec);
-    }
-    if (const auto* waiting = std::get_if<WaitingRecord>(&change.record)) {
-      bytes += weight_of(*waiting->spec);
-    }
+  for (const Mutation& mutation : txn.mutations) {
+    bytes += kBytesPerMutation + VariableBytes(mutation.record);
   }
   return bytes;
 }
 
-constexpr size_t kMaxWeight = 48 * 1024;  // of the 64 KiB of a transaction
+bool Contains(const std::vector<std::string>& keys, const std::string& key) {
+  return std::find(keys.begin(), keys.end(), key) != keys.end();
+}
+
+bool IsSameChange(const StoreOperation& one, const StoreOperation& other) {
+  return one.kind() == other.kind() && one.name() == other.name();
+}
 
 }  // namespace
 
-void WriteQueue::Change(WriteEvent event) {
-  switch (event) {
-    case WriteEvent::kSent:
-      return CheckedChange(phase_, kWriting, kChanges, "writes");
-    case WriteEvent::kOutcomeUnknown:
-    case WriteEvent::kFenceFailed:
-      return CheckedChange(phase_, kDoubtful, kChanges, "writes");
-    case WriteEvent::kFenceSent:
-      return CheckedChange(phase_, kFencing, kChanges, "writes");
-    case WriteEvent::kFixed:
-      return CheckedChange(phase_, kReading, kChanges, "writes");
-    case WriteEvent::kAnswered:
-    case WriteEvent::kRead:
-      return CheckedChange(phase_, kIdle, kChanges, "writes");
-  }
+WriteQueue::WriteQueue(const Settings& settings,
+                       std::vector<Precondition> leadership_preconditions,
+                       std::vector<Action>& actions)
+    : settings_(settings),
+      leadership_preconditions_(std::move(leadership_preconditions)),
+      actions_(actions) {}
+
+void WriteQueue::ChangePhase(WritePhase next) {
+  CheckedChange(phase_, next, kTransitions, "write queue");
 }
 
-void WriteQueue::Queue(WriteOp op, bool lazy) {
-  const auto same = [&](const WriteOp& o) {
-    return o.kind == op.kind && o.name == op.name;
+void WriteQueue::Enqueue(Operation operation, WritePriority priority) {
+  const auto is_same = [&](const Operation& other) {
+    return IsSameChange(*other, *operation);
   };
-  // What a rollout or a subsystem wants may change while the key-value store is
-  // out.
-  const bool renews =
-      op.kind == WriteKind::kRollout || op.kind == WriteKind::kOperator;
-  // In either: what was put back waits among the urgent ones.
-  for (std::deque<WriteOp>* queue : {&urgent_, &lazy_}) {
-    const auto waits = std::find_if(queue->begin(), queue->end(), same);
-    if (waits == queue->end()) continue;
-    if (renews) *waits = std::move(op);
+  // In either queue: what was requeued waits among the urgent ones.
+  for (std::deque<Operation>* queue : {&urgent_, &background_}) {
+    const auto queued = std::find_if(queue->begin(), queue->end(), is_same);
+    if (queued == queue->end()) continue;
+    if (operation->ReplacesQueued()) *queued = std::move(operation);
     return;
   }
-  const auto aside = std::find_if(aside_.begin(), aside_.end(),
-                                  [&](const Aside& a) { return same(a.op); });
-  if (aside != aside_.end()) {
-    if (!renews) return;
-    aside_.erase(aside);
+  const auto refused = std::find_if(
+      refused_.begin(), refused_.end(),
+      [&](const RefusedOperation& entry) { return is_same(entry.operation); });
+  if (refused != refused_.end()) {
+    if (!operation->ReplacesQueued()) return;
+    refused_.erase(refused);
   }
-  if (std::any_of(in_flight_.begin(), in_flight_.end(), same)) return;
-  (lazy ? lazy_ : urgent_).push_back(std::move(op));
+  if (std::any_of(in_flight_.begin(), in_flight_.end(), is_same)) return;
+  std::deque<Operation>& queue =
+      priority == WritePriority::kUrgent ? urgent_ : background_;
+  queue.push_back(std::move(operation));
 }
 
 bool WriteQueue::Fits(const CompareAndSwap& txn) const {
-  // "Four times that many conditions", as the protocol says.
-  constexpr size_t kConditionsEach = 4;
-  const auto limit = static_cast<size_t>(settings_.store.txn_ops);
-  const size_t always = leadership_preconditions_.size() + 1;  // the fence
-  return txn.mutations.size() <= limit &&
-         txn.preconditions.size() + always <= kConditionsEach * limit &&
-         Weight(txn) <= kMaxWeight;
+  const auto max_mutations = static_cast<size_t>(settings_.store.txn_ops);
+  // The leadership and the fence are added by Send.
+  const size_t preconditions =
+      txn.preconditions.size() + leadership_preconditions_.size() + 1;
+  return txn.mutations.size() <= max_mutations &&
+         preconditions <= kPreconditionsPerMutation * max_mutations &&
+         EstimatedBytes(txn) <= kMaxTransactionBytes;
 }
 
 void WriteQueue::Flush(Time now) {
   if (now < not_before_) return;
-  if (phase_ == kDoubtful) SendFence();
+  if (phase_ == kOutcomeUnknown) SendFence();
   if (phase_ != kIdle) return;
-  TakeUpAside(now);
+  RetryRefused(now);
+  CompareAndSwap txn = TakeBatch(now);
+  if (in_flight_.empty()) return;
+  NoteInFlightKeys(txn);
+  ChangePhase(kWriting);
+  Send(std::move(txn));
+}
+
+CompareAndSwap WriteQueue::TakeBatch(Time now) {
   CompareAndSwap txn;
-  const auto limit = static_cast<size_t>(settings_.store.txn_ops);
-  for (std::deque<WriteOp>* queue : {&urgent_, &lazy_}) {
+  const auto max_mutations = static_cast<size_t>(settings_.store.txn_ops);
+  for (std::deque<Operation>* queue : {&urgent_, &background_}) {
     while (!queue->empty()) {
       CompareAndSwap longer = txn;
-      const WriteOp& op = queue->front();
-      if (!owner_.Build(op, &longer)) {
-        const WriteOp done = op;
+      if (queue->front()->Build(&longer) == BuildResult::kNothingToDo) {
+        const Operation done = std::move(queue->front());
         queue->pop_front();
-        owner_.Done(done, 0, now);
+        done->OnRecorded(0, now);
         continue;
       }
+      // One that is larger than the limits goes alone rather than never.
       if (!in_flight_.empty() &&
-          (in_flight_.size() >= most_ops_ || !Fits(longer))) {
+          (in_flight_.size() >= max_operations_ || !Fits(longer))) {
         break;
       }
       txn = std::move(longer);
-      in_flight_.push_back(op);
+      in_flight_.push_back(std::move(queue->front()));
       queue->pop_front();
     }
-    if (txn.mutations.size() >= limit || in_flight_.size() >= most_ops_) break;
+    if (txn.mutations.size() >= max_mutations ||
+        in_flight_.size() >= max_operations_) {
+      break;
+    }
   }
-  if (in_flight_.empty()) return;
+  return txn;
+}
+
+void WriteQueue::NoteInFlightKeys(const CompareAndSwap& txn) {
   in_flight_keys_.clear();
-  for (const Mutation& change : txn.mutations) {
-    if (change.key.starts_with(keys::kLive)) {
-      in_flight_keys_.push_back(change.key);
+  for (const Mutation& mutation : txn.mutations) {
+    if (mutation.key.starts_with(keys::kLive)) {
+      in_flight_keys_.push_back(mutation.key);
     }
   }
   in_flight_creates_ =
@@ -143,12 +190,10 @@
                   [](const Precondition& precondition) {
                     return precondition.mod_revision == 0;
                   });
-  Change(WriteEvent::kSent);
-  Send(std::move(txn));
 }
 
 void WriteQueue::Send(CompareAndSwap txn) {
-  txn.id = ++id_;
+  txn.id = ++request_id_;
   txn.preconditions.push_back({FenceKey(), 0});
   txn.preconditions.insert(txn.preconditions.end(),
                            leadership_preconditions_.begin(),
@@ -156,139 +201,153 @@
   actions_.push_back(std::move(txn));
 }
 
-// Without it, a record that was written anew, acted upon and deleted is there
-// again once the first write is carried out (`late-write-rental`).
+// Without it, a record that was written anew, acted upon and deleted would
+// exist again once the first, unanswered write is applied (late-write-rental).
 void WriteQueue::SendFence() {
   CompareAndSwap txn;
-  txn.mutations.push_back({FenceKey(), WriteFence{fence_}});
-  Change(WriteEvent::kFenceSent);
+  txn.mutations.push_back({FenceKey(), WriteFence{fence_number_}});
+  ChangePhase(kFencing);
   Send(std::move(txn));
 }
 
-bool WriteQueue::OnFenceAnswer(WriteOutcome outcome,
-                               const std::vector<std::string>& failed,
-                               Time now) {
-  if (outcome == WriteOutcome::kApplied || FenceStands(failed)) {
-    ++fence_;
-    Change(WriteEvent::kFixed);
-    ReadInFlight();
-    return true;
-  }
-  Change(WriteEvent::kFenceFailed);
-  if (outcome != WriteOutcome::kUnknown) PauseFrom(now);
-  Flush(now);
-  return true;
-}
-
 void WriteQueue::ReadInFlight() {
-  actions_.push_back(ReadKeys{++id_, in_flight_keys_});
+  actions_.push_back(ReadKeys{++request_id_, in_flight_keys_});
 }
 
 bool WriteQueue::LeadershipLost(const std::vector<std::string>& failed) const {
   return std::any_of(leadership_preconditions_.begin(),
                      leadership_preconditions_.end(),
                      [&](const Precondition& precondition) {
-                       return std::find(failed.begin(), failed.end(),
-                                        precondition.key) != failed.end();
+                       return Contains(failed, precondition.key);
                      });
 }
 
-bool WriteQueue::FenceStands(const std::vector<std::string>& failed) const {
-  return std::find(failed.begin(), failed.end(), FenceKey()) != failed.end();
+bool WriteQueue::FenceExists(const std::vector<std::string>& failed) const {
+  return Contains(failed, FenceKey());
 }
 
 std::string WriteQueue::FenceKey() const {
   return keys::Of(
       keys::kFence,
       std::to_string(leadership_preconditions_.front().mod_revision) + "/" +
-          std::to_string(fence_));
+          std::to_string(fence_number_));
 }
 
 void WriteQueue::PauseFrom(Time now) {
-  constexpr double kPause = 0.1;  // of a heartbeat interval
-  not_before_ = now + kPause * settings_.workers.heartbeat_interval_seconds;
+  not_before_ =
+      now + kPauseHeartbeats * settings_.workers.heartbeat_interval_seconds;
 }
 
-void WriteQueue::PutBack() {
+void WriteQueue::RequeueInFlight() {
   for (auto it = in_flight_.rbegin(); it != in_flight_.rend(); ++it) {
     urgent_.push_front(std::move(*it));
   }
   in_flight_.clear();
 }
 
-void WriteQueue::Split(Time now) {
+void WriteQueue::OnRefusedForSize(Time now) {
   if (in_flight_.size() > 1) {
-    most_ops_ = in_flight_.size() / 2;
-    PutBack();
+    max_operations_ = in_flight_.size() / 2;
+    RequeueInFlight();
     return;
   }
-  most_ops_ = SIZE_MAX;
-  WriteOp op = std::move(in_flight_.front());
+  max_operations_ = SIZE_MAX;
+  Operation operation = std::move(in_flight_.front());
   in_flight_.clear();
-  if (!op.compact) {
-    op.compact = true;
-    urgent_.push_front(std::move(op));
+  if (!operation->compact()) {
+    operation->UseCompactForm();
+    urgent_.push_front(std::move(operation));
     return;
   }
-  actions_.push_back(LogEvent{"the state service does not take a write about " +
-                              op.name + ": too large"});
-  aside_.push_back({now + settings_.workers.lease_seconds, std::move(op)});
+  actions_.push_back(LogEvent{
+      "store refuses a record as too large",
+      {{"operation", operation->kind()}, {"name", operation->name()}}});
+  refused_.push_back(
+      {now + settings_.workers.lease_seconds, std::move(operation)});
 }
 
-void WriteQueue::TakeUpAside(Time now) {
-  while (!aside_.empty() && aside_.front().until <= now) {
-    lazy_.push_back(std::move(aside_.front().op));
-    aside_.pop_front();
+void WriteQueue::RetryRefused(Time now) {
+  while (!refused_.empty() && refused_.front().retry_at <= now) {
+    background_.push_back(std::move(refused_.front().operation));
+    refused_.pop_front();
   }
 }
 
 bool WriteQueue::OnAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
                           const std::vector<std::string>& failed, Time now) {
-  if (id != id_ || (phase_ != kWriting && phase_ != kFencing)) return true;
-  if (outcome == WriteOutcome::kConflict && LeadershipLost(failed))
+  const bool expected =
+      id == request_id_ && (phase_ == kWriting || phase_ == kFencing);
+  if (!expected) return true;
+  if (outcome == WriteOutcome::kConflict && LeadershipLost(failed)) {
     return false;
-  if (phase_ == kFencing) return OnFenceAnswer(outcome, failed, now);
+  }
+  if (phase_ == kFencing) {
+    OnFenceAnswer(outcome, failed, now);
+  } else {
+    OnTransactionAnswer(outcome, revision, failed, now);
+  }
+  return true;
+}
+
+void WriteQueue::OnFenceAnswer(WriteOutcome outcome,
+                               const std::vector<std::string>& failed,
+                               Time now) {
+  if (outcome == WriteOutcome::kApplied || FenceExists(failed)) {
+    ++fence_number_;
+    ChangePhase(kReading);
+    ReadInFlight();
+    return;
+  }
+  ChangePhase(kOutcomeUnknown);
+  if (outcome != WriteOutcome::kUnknown) PauseFrom(now);
+  Flush(now);
+}
+
+void WriteQueue::OnTransactionAnswer(WriteOutcome outcome, uint64_t revision,
+                                     const std::vector<std::string>& failed,
+                                     Time now) {
   switch (outcome) {
-    case WriteOutcome::kApplied: {
-      Change(WriteEvent::kAnswered);
-      const std::vector<WriteOp> done = std::exchange(in_flight_, {});
-      for (const WriteOp& op : done) owner_.Done(op, revision, now);
+    case WriteOutcome::kApplied:
+      CompleteInFlight(revision, now);
       break;
-    }
     case WriteOutcome::kNotExecuted:
-      Change(WriteEvent::kAnswered);
+      ChangePhase(kIdle);
       PauseFrom(now);
-      PutBack();
+      RequeueInFlight();
       break;
     case WriteOutcome::kRefused:
-      Change(WriteEvent::kAnswered);
-      Split(now);
+      ChangePhase(kIdle);
+      OnRefusedForSize(now);
       break;
     case WriteOutcome::kConflict:
-      if (FenceStands(failed)) ++fence_;
-      Change(WriteEvent::kFixed);
+      if (FenceExists(failed)) ++fence_number_;
+      ChangePhase(kReading);
       ReadInFlight();
       break;
     case WriteOutcome::kUnknown:
-      // It may have been applied, or may yet be. What rests on stamps alone is
-      // refused by them after whatever is written next.
-      Change(in_flight_creates_ ? WriteEvent::kOutcomeUnknown
-                                : WriteEvent::kFixed);
+      // It may have been applied, or may be later. One that rests on mod
+      // revisions alone fails after whatever is written next.
+      ChangePhase(in_flight_creates_ ? kOutcomeUnknown : kReading);
       if (!in_flight_creates_) ReadInFlight();
       break;
   }
   Flush(now);
-  return true;
 }
 
-void WriteQueue::OnRead(uint64_t id, bool ok, Time now) {
-  if (id != id_ || phase_ != kReading) return;
-  if (!ok) {
+void WriteQueue::CompleteInFlight(uint64_t revision, Time now) {
+  ChangePhase(kIdle);
+  const std::vector<Operation> done = std::exchange(in_flight_, {});
+  for (const Operation& operation : done) operation->OnRecorded(revision, now);
+}
+
+void WriteQueue::OnRead(uint64_t id, bool succeeded, Time now) {
+  if (id != request_id_ || phase_ != kReading) return;
+  if (!succeeded) {
     ReadInFlight();
     return;
   }
-  Change(WriteEvent::kRead);
-  PutBack();
+  ChangePhase(kIdle);
+  RequeueInFlight();
   Flush(now);
 }
 
--- a/core/worker_sessions/machine_lifecycle.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -10,6 +10,7 @@
 #include "core/rollout/rollout_manager.h"
 #include "core/worker_sessions/machine_health.h"
 #include "core/worker_sessions/machine_limits.h"
+#include "core/worker_sessions/machine_record_operations.h"
 #include "core/worker_sessions/worker_sessions.h"
 
 namespace oxbow {
@@ -216,8 +217,8 @@
     context_.Log("machine " + host + " deleted, confirmed by the cloud");
     LogLostTasks(*machine, "deleted");
     cluster_.MarkDeleted(*machine);
-    writes_.Queue({WriteKind::kMachineForget, host, TerminalState::kNone, {}},
-                  /*lazy=*/true);
+    writes_.Enqueue(std::make_unique<ForgetMachineOperation>(context_, host),
+                    WritePriority::kBackground);
   }
   if (ok) {
     cluster_.MarkChanged();
--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -11,6 +11,7 @@
 #include "core/reconciliation/reconciler.h"
 #include "core/worker_sessions/machine_lifecycle.h"
 #include "core/worker_sessions/machine_limits.h"
+#include "core/worker_sessions/machine_record_operations.h"
 
 namespace oxbow {
 namespace {
@@ -117,8 +118,8 @@
     machine->stranger = false;
   if (!machine->recorded_up && machine->state() == MachineState::kUp &&
       !machine->stranger) {
-    writes_.Queue(
-        {WriteKind::kMachineUp, heartbeat.host, TerminalState::kNone, {}});
+    writes_.Enqueue(
+        std::make_unique<RecordMachineOperation>(context_, heartbeat.host));
     writes_.Flush(now);
   }
   return *machine;
--- a/tests/read_consistency_gate_test.cc
+++ b/tests/read_consistency_gate_test.cc
@@ -28,45 +28,45 @@
 
 TEST(ReadConsistencyGate, AConflictOverAnotherKeyIsARefusal) {
   ReadConsistencyGate gate;
-  gate.Left(1, End(7));
+  gate.OnSent(1, End(7));
   EXPECT_TRUE(gate.InDoubt(kId, 7));
-  gate.Refused(1, {"job-000002"});
+  gate.OnRejected(1, {"job-000002"});
   EXPECT_EQ(gate.StateOf(kId), State::kClear);
-  gate.Left(2, End(7));
-  gate.Refused(2, {kId});
+  gate.OnSent(2, End(7));
+  gate.OnRejected(2, {kId});
   EXPECT_TRUE(gate.InDoubt(kId, 7));
   EXPECT_FALSE(gate.InDoubt(kId, 8)) << "the record has been read since";
 }
 
 TEST(ReadConsistencyGate, ARefusalLeavesAnEarlierOneLoose) {
   ReadConsistencyGate gate;
-  gate.Left(1, End(7));
-  gate.Unanswered(1);
-  EXPECT_EQ(gate.StateOf(kId), State::kLoose);
-  gate.Left(2, End(7));
-  EXPECT_EQ(gate.StateOf(kId), State::kSentAgain);
-  gate.Refused(2);
+  gate.OnSent(1, End(7));
+  gate.OnUnanswered(1);
+  EXPECT_EQ(gate.StateOf(kId), State::kOutcomeUnknown);
+  gate.OnSent(2, End(7));
+  EXPECT_EQ(gate.StateOf(kId), State::kSentWhileUnknown);
+  gate.OnRejected(2);
   EXPECT_TRUE(gate.InDoubt(kId, 7));
-  gate.Left(3, End(7));
-  gate.Applied(3);
+  gate.OnSent(3, End(7));
+  gate.OnApplied(3);
   EXPECT_EQ(gate.StateOf(kId), State::kClear);
 }
 
 // Seen in an outage storm: a move that was put back was asked for again.
 TEST(ReadConsistencyGate, AJobMayStandTwiceInATransaction) {
   ReadConsistencyGate gate;
-  gate.Left(1, {{kId, 7}, {kId, 7}});
+  gate.OnSent(1, {{kId, 7}, {kId, 7}});
   EXPECT_EQ(gate.StateOf(kId), State::kSent);
-  gate.Unanswered(1);
-  EXPECT_EQ(gate.StateOf(kId), State::kLoose);
+  gate.OnUnanswered(1);
+  EXPECT_EQ(gate.StateOf(kId), State::kOutcomeUnknown);
 }
 
 TEST(ReadConsistencyGate, WhatStandsOnAnotherStampIsVoid) {
   ReadConsistencyGate gate;
-  gate.Left(1, End(7));
-  gate.Unanswered(1);
-  gate.Left(2, End(9));
-  gate.Refused(2);
+  gate.OnSent(1, End(7));
+  gate.OnUnanswered(1);
+  gate.OnSent(2, End(9));
+  gate.OnRejected(2);
   EXPECT_EQ(gate.StateOf(kId), State::kClear);
 }
 
@@ -175,7 +175,7 @@
     n->knows_job = m.exists;
     n->knows_end = n->knows_end || m.ended;
     n->mod_revision = m.mod_revision;
-    if (n->knows_end) n->gate.Stands(kId);
+    if (n->knows_end) n->gate.OnConfirmed(kId);
   }
 
   // A user submits: answered, lost, or to be carried out late.
@@ -229,7 +229,7 @@
         n.must_read) {
       return;
     }
-    n.gate.Left(++n.txn, End(n.mod_revision));
+    n.gate.OnSent(++n.txn, End(n.mod_revision));
     const std::pair write{n.mod_revision, n.leadership_preconditions};
     n.answer_due = true;
     if (m.refusals > 0) {
@@ -237,7 +237,7 @@
       --refused.refusals;
       Model::ControllerNode& r = refused.nodes[i];
       r.answer_due = false;
-      r.gate.Refused(r.txn);
+      r.gate.OnRejected(r.txn);
       Add(refused);
     }
     if (m.lost > 0 && !m.late) {
@@ -259,7 +259,7 @@
   static void GiveUp(Model::ControllerNode* n) {
     n->answer_due = false;
     n->must_read = true;
-    n->gate.Unanswered(n->txn);
+    n->gate.OnUnanswered(n->txn);
   }
 
   void Answer(Model m, size_t i) {
@@ -267,10 +267,10 @@
     if (!n.answer_due) return;
     n.answer_due = false;
     if (std::exchange(n.carried_out, false)) {
-      n.gate.Applied(n.txn);
+      n.gate.OnApplied(n.txn);
       See(m, &n);
     } else {
-      n.gate.Refused(n.txn, {kId});
+      n.gate.OnRejected(n.txn, {kId});
       n.must_read = true;
     }
     Add(m);
@@ -282,7 +282,7 @@
     if (!n.must_read) return;
     n.must_read = false;
     See(m, &n);
-    if (without_ == Without::kDoubtAfterRead) n.gate.Stands(kId);
+    if (without_ == Without::kDoubtAfterRead) n.gate.OnConfirmed(kId);
     Add(m);
   }
 
--- a/tests/write_queue_test.cc
+++ b/tests/write_queue_test.cc
@@ -6,36 +6,54 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <memory>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 namespace oxbow {
 namespace {
 
-class Writes : public testing::Test, public WriteQueue::Owner {
+class Writes : public testing::Test {
  public:
   Writes() { settings_.store.txn_ops = 4; }
 
-  bool Build(const WriteOp& op, CompareAndSwap* txn) const override {
-    if (already_so_.contains(op.name)) return false;
+  // Changes keys of a machine, as many as the test wants.
+  class Operation : public StoreOperation {
+   public:
+    Operation(Writes& test, std::string name)
+        : StoreOperation(std::move(name)), test_(test) {}
+    std::string_view kind() const override { return "test"; }
+    BuildResult Build(CompareAndSwap* txn) const override {
+      return test_.Build(name(), txn);
+    }
+    void OnRecorded(uint64_t revision, Time /*now*/) override {
+      test_.done_.emplace_back(name(), revision);
+    }
+
+   private:
+    Writes& test_;
+  };
+
+  BuildResult Build(const std::string& name, CompareAndSwap* txn) const {
+    if (already_so_.contains(name)) return BuildResult::kNothingToDo;
     for (int i = 0; i < conditions_each_; ++i) {
-      txn->preconditions.push_back({keys::Of(keys::kMachine, op.name), 0});
+      txn->preconditions.push_back({keys::Of(keys::kMachine, name), 0});
     }
     if (creates_) {
-      txn->preconditions.push_back(
-          {keys::Of(keys::kMachine, op.name + "0"), 0});
+      txn->preconditions.push_back({keys::Of(keys::kMachine, name + "0"), 0});
     }
     for (int i = 0; i < changes_each_; ++i) {
       txn->mutations.push_back(
-          {keys::Of(keys::kMachine, op.name + std::to_string(i)), {}});
+          {keys::Of(keys::kMachine, name + std::to_string(i)), {}});
     }
-    return true;
-  }
-  void Done(const WriteOp& op, uint64_t revision, Time) override {
-    done_.emplace_back(op.name, revision);
+    return BuildResult::kAdded;
   }
 
-  void Ask(const std::string& name, bool lazy = false) {
-    queue_.Queue({WriteKind::kMachineUp, name}, lazy);
+  void Ask(const std::string& name,
+           WritePriority priority = WritePriority::kUrgent) {
+    queue_.Enqueue(std::make_unique<Operation>(*this, name), priority);
   }
   template <typename What>
   What Last() const {
@@ -50,8 +68,7 @@
   int conditions_each_ = 0;
   bool creates_ = false;
   std::vector<std::pair<std::string, uint64_t>> done_;
-  WriteQueue queue_{
-      settings_, {{std::string(keys::kLeader), 77}}, *this, actions_};
+  WriteQueue queue_{settings_, {{std::string(keys::kLeader), 77}}, actions_};
 };
 
 TEST_F(Writes, EachTransactionIsConditionedOnTheLeaderKey) {
@@ -175,7 +192,7 @@
 
 TEST_F(Writes, GoInPiecesThatFitTheUrgentFirst) {
   changes_each_ = 2;
-  Ask("lazy", /*lazy=*/true);
+  Ask("lazy", WritePriority::kBackground);
   for (const char* name : {"a", "b", "c"}) Ask(name);
   Ask("a");  // waits already
   EXPECT_EQ(queue_.waiting(), 4U);
@@ -196,11 +213,11 @@
 
 // A lazy one that was put back waits among the urgent ones.
 TEST_F(Writes, WhatWaitsIsNotQueuedASecondTime) {
-  Ask("a", /*lazy=*/true);
+  Ask("a", WritePriority::kBackground);
   queue_.Flush(0);
   EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
                               WriteOutcome::kNotExecuted, 0, {}, 0));
-  Ask("a", /*lazy=*/true);
+  Ask("a", WritePriority::kBackground);
   EXPECT_EQ(queue_.waiting(), 1U);
 }
 
@@ -222,7 +239,7 @@
         1));
   }
   EXPECT_EQ(done_.size(), 3U);
-  EXPECT_EQ(queue_.set_aside(), 1U);
+  EXPECT_EQ(queue_.refused_for_size(), 1U);
   Ask("large");  // waits already
   queue_.Flush(2);
   EXPECT_EQ(queue_.phase(), WritePhase::kIdle);
