--- a/app/recovery_collection.cc
+++ b/app/recovery_collection.cc
@@ -163,17 +163,17 @@
     }
     if (!page.more || page.items.empty()) break;
   }
-  std::vector<std::pair<std::string, TerminalState>> pending_writes;
+  std::vector<UnrecordedTerminalState> unrecorded;
   catalog_.ended().ForEachMissing(there, [&](const auto& id, auto state) {
     // One that is still live here moves there by itself.
-    if (catalog_.FindJob(id) == nullptr) pending_writes.emplace_back(id, state);
+    if (catalog_.FindJob(id) == nullptr) unrecorded.push_back({id, state});
   });
   // The leader may not have taken office yet.
   bool told = false;
   while (!told && collected_term_ == term) {
     callbacks_.tell(term, [&](Leader& leader) {
       told = true;
-      leader.OnUnrecordedTerminalStates(std::move(pending_writes), whole);
+      leader.OnUnrecordedTerminalStates(std::move(unrecorded), whole);
     });
     co_await loop_.Sleep(kRoundPause *
                          settings_.workers.heartbeat_interval_seconds);
--- a/core/autoscaler/autoscaler.cc
+++ b/core/autoscaler/autoscaler.cc
@@ -156,7 +156,7 @@
   if (!accounted || !input.demand.empty()) cluster_.NoteDemand(now);
   const double hold =
       tuning_.idle_return_leases * settings_.workers.lease_seconds;
-  Resources soon = dependencies_.NextSteps(now);
+  Resources soon = dependencies_.ResourcesOfNextSteps(now);
   for (auto& machine : cluster_.machines()) {
     if (cluster_.last_demand() == now || now - context_.started < hold) break;
     if (machine->state() == MachineState::kUp &&
--- a/core/catalog/catalog.cc
+++ b/core/catalog/catalog.cc
@@ -57,7 +57,7 @@
   if (pending_writes_.empty()) return;
   const std::string key = keys::Of(keys::kWaiting, id);
   if (pending_writes_.erase(key) == 0) return;
-  // What the key-value store holds of it the leader deletes.
+  // The store's copy, if there is one, is deleted by the leader.
   if (ModRevisionOf(key) == 0) Remove(key);
 }
 
@@ -102,8 +102,8 @@
     if (job->terminal_state == TerminalState::kDone) {
       RememberTerminalState(id, TerminalStateOf(*job));
     }
-    // An end that was read may have been told, so it is never set aside for a
-    // live record that looks newer: the service has gone back since that one.
+    // A terminal state that was read may have been answered to a user, so it
+    // beats a live record that looks newer: the store has gone back since then.
     const auto live = jobs_.find(id);
     if (live != jobs_.end() &&
         live->second.terminal_state == TerminalState::kNone) {
@@ -112,7 +112,7 @@
     }
   }
   if (known >= mod_revision) return false;
-  // The watch has passed this revision and the key is not there: it has been
+  // The watch has passed this revision and the key is absent: it has been
   // deleted since, and this value comes from an older read.
   if (known == 0 && mod_revision <= watched_revision_) return false;
   Store(key, record, mod_revision);
@@ -146,7 +146,7 @@
   return true;
 }
 
-// What is remembered against what the key-value store is seen to hold.
+// The remembered record against the one that was seen in the store.
 bool Catalog::PutOverPending(const std::string& key, const Record& record,
                              uint64_t mod_revision) {
   const Version there{
@@ -158,12 +158,11 @@
   };
   const Version mine = pending_writes_.at(key);
   const bool mine_ended = ended(RecordOf(key));
-  // An end beats everything; else the later of the two.
+  // A terminal state beats everything; else the later of the two.
   const bool keep = mine_ended != ended(record) ? mine_ended : mine > there;
   if (keep) {
-    SetModRevision(
-        key,
-        mod_revision);  // what the write that replaces it is conditioned on
+    // What the write that replaces it is conditioned on.
+    SetModRevision(key, mod_revision);
     return false;
   }
   pending_writes_.erase(key);
@@ -174,7 +173,7 @@
 void Catalog::Rebase() {
   VisitKinds(*this, [this](auto& map, std::string_view prefix) {
     for (auto& [name, record] : map) {
-      // What was owed already keeps the version that it is remembered by.
+      // What was pending already keeps its remembered version.
       pending_writes_.try_emplace(keys::Of(prefix, name),
                                   Version{epoch_.number, record.mod_revision});
       record.mod_revision = 0;
@@ -184,7 +183,7 @@
   watched_revision_ = 0;
 }
 
-std::pair<std::string, uint64_t> Catalog::Guard() const {
+EpochGuard Catalog::Guard() const {
   if (epoch_.number == 0) return {std::string(keys::kEpoch), 0};
   return {keys::Of(keys::kEpochMark, epoch_.id), opened()};
 }
@@ -208,7 +207,7 @@
     return false;
   }
   if (std::holds_alternative<WaitingRecord>(record)) {
-    // What was released or has ended since does not wait again.
+    // A job that was released or has ended since does not wait again.
     const std::string waits = key.substr(keys::kWaiting.size());
     if (FindJob(waits) != nullptr ||
         FindTerminalState(waits) != TerminalState::kNone) {
@@ -216,24 +215,25 @@
     }
   }
   const Record mine = RecordOf(key);
-  uint64_t there = 0;  // what the key-value store holds of it
+  uint64_t store_mod_revision = 0;
   if (!std::holds_alternative<std::monostate>(mine)) {
     const auto* my_job = std::get_if<JobRecord>(&mine);
     const bool my_end =
         my_job != nullptr && my_job->terminal_state != TerminalState::kNone;
     const bool their_end =
         job != nullptr && job->terminal_state != TerminalState::kNone;
-    // Operators' records count their own versions, which no epoch resets.
-    const auto* my_word = std::get_if<OperatorRecord>(&mine);
-    const auto* their_word = std::get_if<OperatorRecord>(&record);
-    if (my_word != nullptr && their_word != nullptr) {
-      if (my_word->version >= their_word->version) return false;
+    // Operators' records have versions of their own, which no epoch resets.
+    const auto* my_operator_record = std::get_if<OperatorRecord>(&mine);
+    const auto* their_operator_record = std::get_if<OperatorRecord>(&record);
+    if (my_operator_record != nullptr && their_operator_record != nullptr) {
+      if (my_operator_record->version >= their_operator_record->version)
+        return false;
     } else if (my_end != their_end ? my_end : VersionOf(key) >= version) {
       return false;
     }
-    there = ModRevisionOf(key);
+    store_mod_revision = ModRevisionOf(key);
   }
-  Store(key, record, there);
+  Store(key, record, store_mod_revision);
   pending_writes_[key] = version;
   return true;
 }
@@ -301,8 +301,8 @@
     const uint64_t known = ModRevisionOf(key);
     if (known == 0 || known > mod_revision) return false;
   }
-  // A cancelled job's record goes once nothing is left of its tasks. From then
-  // on it may be told as cancelled; see FindTerminalState.
+  // A cancelled job's record is deleted once nothing is left of its tasks. From
+  // then on its user may be answered; see FindTerminalState.
   if (key.starts_with(keys::kJob)) {
     const std::string id = key.substr(keys::kJob.size());
     const JobRecord* job = FindJob(id);
--- a/core/dependencies/dependency_coordinator.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -10,15 +10,39 @@
 namespace oxbow {
 namespace {
 
-// Needed jobs looked at in each round of planning.
-constexpr size_t kNeedsAtOnce = 256;
-// Reads of an end under way at once.
-constexpr int kEndReadsAtOnce = 4;
-// Estimates are often wrong by half.
-constexpr double kPathMargin = 1.5;
-// From a job's end to the next one's start, in report intervals: its last
-// report, the record, the release, the order.
-constexpr double kStepReports = 2;
+// Jobs that others depend on, looked at in each round of polling.
+constexpr size_t kDependenciesPerPoll = 256;
+// Reads of terminal states in flight at once.
+constexpr int kMaxTerminalStateReads = 4;
+// Users' estimates of run times are often wrong by half.
+constexpr double kCriticalPathMargin = 1.5;
+// From the end of a job to the start of the next one, in heartbeat intervals:
+// its last heartbeat, the record, the release, the command.
+constexpr double kStepHeartbeats = 2;
+// Longest pause between two reads of one terminal state, in worker leases.
+constexpr double kMaxReadPauseLeases = 3;
+// Of what is shown to operators.
+constexpr size_t kMaxWaitingLines = 20;
+constexpr size_t kMaxDependenciesPerLine = 5;
+
+std::string WaitingLine(const std::string& id, const DependentJob& job) {
+  if (job.state == DependencyState::kReleasing)
+    return id + " is being released";
+  if (job.state == DependencyState::kCancelling) {
+    return id + " is being cancelled";
+  }
+  std::string line = id + " waits for";
+  size_t named = 0;
+  for (const std::string& dependency : job.unfinished_dependencies) {
+    if (named++ == kMaxDependenciesPerLine) break;
+    line += " " + dependency;
+  }
+  const size_t total = job.unfinished_dependencies.size();
+  if (total > kMaxDependenciesPerLine) {
+    line += " and " + std::to_string(total - kMaxDependenciesPerLine) + " more";
+  }
+  return line;
+}
 
 }  // namespace
 
@@ -39,14 +63,14 @@
     const std::string& id) const {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (end != TerminalState::kNone) return end;
-  // A recorded cancellation decides, long before its user can be told.
+  // A recorded cancellation decides, long before its user gets an answer.
   const JobRecord* job = catalog_.FindJob(id);
   return job == nullptr ? TerminalState::kNone : job->terminal_state;
 }
 
 double DependencyCoordinator::CriticalPathSeconds(const JobSpec& spec) const {
-  return kPathMargin * run_times_.RunSeconds(spec) +
-         kStepReports * settings_.workers.heartbeat_interval_seconds;
+  return kCriticalPathMargin * run_times_.RunSeconds(spec) +
+         kStepHeartbeats * settings_.workers.heartbeat_interval_seconds;
 }
 
 DueTimes DependencyCoordinator::DueTimesOf(const JobSpec& spec,
@@ -65,36 +89,37 @@
   const WaitingRecord& record = it->second;
   const Time submitted =
       std::min(now, record.submitted_wall - context_.wall_minus_steady);
-  dependency_graph_.Add(
-      record.spec, submitted,
-      [this](const std::string& need) { return TerminalStateOf(need); });
-  for (const std::string& need : record.spec->dependencies)
-    RequestTerminalState(need, now);
+  dependency_graph_.Add(record.spec, submitted,
+                        [this](const std::string& dependency) {
+                          return TerminalStateOf(dependency);
+                        });
+  for (const std::string& dependency : record.spec->dependencies)
+    RequestTerminalState(dependency, now);
   cluster_.NoteDemand(now);
   UpdateInherited();
   QueueDependencySteps(now);
   writes_.Flush(now);
 }
 
-// A job that is neither live here, nor waiting, nor known to have ended. That
+// A job that is neither live here, nor waiting, nor recorded as ended. That
 // it is missing proves nothing: only a record found counts.
-void DependencyCoordinator::RequestTerminalState(const std::string& need,
+void DependencyCoordinator::RequestTerminalState(const std::string& dependency,
                                                  Time now) {
-  if (TerminalStateOf(need) != TerminalState::kNone ||
-      catalog_.FindJob(need) != nullptr ||
-      catalog_.FindWaiting(need) != nullptr) {
-    terminal_state_reads_.erase(need);
+  if (TerminalStateOf(dependency) != TerminalState::kNone ||
+      catalog_.FindJob(dependency) != nullptr ||
+      catalog_.FindWaiting(dependency) != nullptr) {
+    terminal_state_reads_.erase(dependency);
     return;
   }
-  if (terminal_state_reads_in_flight_ >= kEndReadsAtOnce) return;
-  TerminalStateRead& read = terminal_state_reads_[need];
-  if (now < read.next) return;
-  read.pause =
-      std::clamp(2 * read.pause, settings_.workers.heartbeat_interval_seconds,
-                 3 * settings_.workers.lease_seconds);
-  read.next = now + read.pause;
+  if (terminal_state_reads_in_flight_ >= kMaxTerminalStateReads) return;
+  TerminalStateRead& read = terminal_state_reads_[dependency];
+  if (read.not_before && now < *read.not_before) return;
+  read.pause_seconds = std::clamp(
+      2 * read.pause_seconds, settings_.workers.heartbeat_interval_seconds,
+      kMaxReadPauseLeases * settings_.workers.lease_seconds);
+  read.not_before = now + read.pause_seconds;
   ++terminal_state_reads_in_flight_;
-  actions_.push_back(ReadTerminalState{need});
+  actions_.push_back(ReadTerminalState{dependency});
 }
 
 void DependencyCoordinator::OnTerminalStateRead(const std::string& id,
@@ -109,35 +134,37 @@
   if (end == TerminalState::kNone) return;
   terminal_state_reads_.erase(id);
   if (dependency_graph_.empty()) return;
-  dependency_graph_.OnEnd(id, end);
+  dependency_graph_.OnTerminalState(id, end);
   UpdateInherited();
   QueueDependencySteps(now);
 }
 
 void DependencyCoordinator::PollDependencies(Time now) {
-  for (const std::string& need :
-       dependency_graph_.NextDependencies(kNeedsAtOnce)) {
-    const TerminalState end = TerminalStateOf(need);
+  for (const std::string& dependency :
+       dependency_graph_.NextDependencies(kDependenciesPerPoll)) {
+    const TerminalState end = TerminalStateOf(dependency);
     if (end != TerminalState::kNone) {
-      OnTerminalStateKnown(need, end, now);
+      OnTerminalStateKnown(dependency, end, now);
     } else {
-      RequestTerminalState(need, now);
+      RequestTerminalState(dependency, now);
     }
   }
   QueueDependencySteps(now);
 }
 
-// No more than half of a transaction at a time, so that the cancellation of a
-// long chain leaves room for the ends of other jobs.
+// At most half of a transaction at a time, so that the cancellation of many
+// dependent jobs does not delay the terminal states of others.
 void DependencyCoordinator::QueueDependencySteps(Time now) {
   const size_t most =
       std::max<size_t>(1, static_cast<size_t>(settings_.store.txn_ops) / 2);
   while (steps_in_flight_.size() < most) {
-    const std::string id = dependency_graph_.TakeDue();
-    if (id.empty()) return;
+    const std::optional<std::string> due = dependency_graph_.TakeDue();
+    if (!due) return;
+    const std::string& id = *due;
     const bool releases =
         dependency_graph_.Find(id)->state == DependencyState::kReleasing;
-    // The wish of a user while the release was under way waits for its outcome.
+    // A cancellation that was asked for while the release was in flight waits
+    // for its outcome.
     if (!steps_in_flight_.insert(id).second) continue;
     if (releases) {
       writes_.Enqueue(std::make_unique<ReleaseDependentOperation>(
@@ -162,7 +189,7 @@
       WritePriority::kBackground);
 }
 
-// By the records as they are known now, whoever wrote them.
+// By the records as they are now, whoever wrote them.
 void DependencyCoordinator::SettleDependentJob(const std::string& id,
                                                Time now) {
   const TerminalState end = catalog_.FindTerminalState(id);
@@ -170,20 +197,23 @@
     job_lifecycle_.OnJobRecord(id, now);
   } else if (end != TerminalState::kNone) {
     if (dependency_graph_.Find(id) != nullptr) {
-      context_.Log("job " + id + " waited for others, " +
-                   (end == TerminalState::kDone ? "done" : "cancelled"));
+      context_.Log(
+          "waiting job ended",
+          {{"job", id},
+           {"state", end == TerminalState::kDone ? "done" : "cancelled"}});
       dependency_graph_.Remove(id);
       actions_.push_back(JobTerminated{id, end});
     }
     OnTerminalStateKnown(id, end, now);
   } else if (!catalog_.waiting().contains(id)) {
     // Neither of the two that it could have become was found; it is asked about
-    // as long as others need it.
+    // as long as others depend on it.
     dependency_graph_.Remove(id);
     if (dependency_graph_.DependentsOf(id) != nullptr)
       RequestTerminalState(id, now);
-  } else if (const DependentJob* chain = dependency_graph_.Find(id);
-             chain != nullptr && chain->state != DependencyState::kWaiting) {
+  } else if (const DependentJob* dependent = dependency_graph_.Find(id);
+             dependent != nullptr &&
+             dependent->state != DependencyState::kWaiting) {
     dependency_graph_.PutBackDue(id);
   }
   if (catalog_.waiting().contains(id) && catalog_.FindWaiting(id) == nullptr) {
@@ -191,12 +221,10 @@
   }
 }
 
-// A waiting job has become an ordinary one. True: its user cancelled it while
-// the release was under way.
 bool DependencyCoordinator::StopWaiting(const std::string& id) {
-  const DependentJob* chain = dependency_graph_.Find(id);
-  if (chain == nullptr) return false;
-  const bool cancelled = chain->state == DependencyState::kCancelling;
+  const DependentJob* dependent = dependency_graph_.Find(id);
+  if (dependent == nullptr) return false;
+  const bool cancelled = dependent->state == DependencyState::kCancelling;
   dependency_graph_.Remove(id);
   return cancelled;
 }
@@ -205,7 +233,7 @@
   if (catalog_.FindWaiting(id) == nullptr) return false;
   if (dependency_graph_.Find(id) == nullptr) OnWaitingRecord(id, now);
   if (!dependency_graph_.Cancel(id)) return false;
-  context_.Log("cancel " + id + ", which waits for others: asked by its user");
+  context_.Log("cancellation of waiting job requested", {{"job", id}});
   UpdateInherited();
   QueueDependencySteps(now);
   writes_.Flush(now);
@@ -214,7 +242,7 @@
 
 // Costs no more than the jobs whose inheritance has changed.
 void DependencyCoordinator::UpdateInherited() {
-  for (const std::string& id : dependency_graph_.TakeChanged()) {
+  for (const std::string& id : dependency_graph_.TakeChangedInheritance()) {
     const auto it = cluster_.jobs().find(id);
     if (it == cluster_.jobs().end()) continue;
     it->second->inherit(dependency_graph_.InheritedBy(id));
@@ -222,22 +250,12 @@
   }
 }
 
-// What the next steps of chains will need at once, when all that they wait for
-// is about to be done.
-Resources DependencyCoordinator::NextSteps(Time now) const {
+Resources DependencyCoordinator::ResourcesOfNextSteps(Time now) const {
   Resources soon;
   if (dependency_graph_.empty()) return soon;
-  double boot_seconds = 0;
-  for (const auto& [name, type] : cluster_.types()) {
-    boot_seconds = std::max(boot_seconds, type.boot_seconds);
-  }
+  const double boot_seconds = LongestBootSeconds();
   const auto ends_soon = [&](const std::string& id) {
-    const auto it = cluster_.jobs().find(id);
-    if (it == cluster_.jobs().end()) return false;
-    const Job& job = *it->second;
-    return job.unplaced() == 0 &&
-           job.queued_since() + run_times_.RunSeconds(job.spec()) <
-               now + boot_seconds;
+    return EndsWithin(id, boot_seconds, now);
   };
   std::set<std::string> counted;
   for (const auto& [id, job] : cluster_.jobs()) {
@@ -247,7 +265,8 @@
     for (const std::string& dependent : *dependents) {
       const DependentJob& next = *dependency_graph_.Find(dependent);
       if (counted.contains(dependent) ||
-          !std::all_of(next.open.begin(), next.open.end(), ends_soon)) {
+          !std::all_of(next.unfinished_dependencies.begin(),
+                       next.unfinished_dependencies.end(), ends_soon)) {
         continue;
       }
       counted.insert(dependent);
@@ -257,29 +276,30 @@
   return soon;
 }
 
+double DependencyCoordinator::LongestBootSeconds() const {
+  double boot_seconds = 0;
+  for (const auto& [name, type] : cluster_.types()) {
+    boot_seconds = std::max(boot_seconds, type.boot_seconds);
+  }
+  return boot_seconds;
+}
+
+bool DependencyCoordinator::EndsWithin(const std::string& id, double seconds,
+                                       Time now) const {
+  const auto it = cluster_.jobs().find(id);
+  if (it == cluster_.jobs().end()) return false;
+  const Job& job = *it->second;
+  return job.unplaced() == 0 &&
+         job.queued_since() + run_times_.RunSeconds(job.spec()) < now + seconds;
+}
+
 std::vector<std::string> DependencyCoordinator::WaitingLines() const {
-  constexpr size_t kMostLines = 20;
-  constexpr size_t kMostNeeds = 5;
   std::vector<std::string> lines;
   if (dependency_graph_.empty()) return lines;
   lines.push_back(std::to_string(dependency_graph_.size()) +
                   " jobs wait for others");
-  for (const std::string& id : dependency_graph_.Some(kMostLines)) {
-    const DependentJob& job = *dependency_graph_.Find(id);
-    std::string line = id + " waits for";
-    size_t named = 0;
-    for (const std::string& need : job.open) {
-      if (named++ == kMostNeeds) break;
-      line += " " + need;
-    }
-    if (job.open.size() > kMostNeeds) {
-      line += " and " + std::to_string(job.open.size() - kMostNeeds) + " more";
-    }
-    if (job.state == DependencyState::kReleasing)
-      line = id + " is being released";
-    if (job.state == DependencyState::kCancelling)
-      line = id + " is being cancelled";
-    lines.push_back(std::move(line));
+  for (const std::string& id : dependency_graph_.SampleOf(kMaxWaitingLines)) {
+    lines.push_back(WaitingLine(id, *dependency_graph_.Find(id)));
   }
   return lines;
 }
--- a/core/dependencies/dependency_coordinator.h
+++ b/core/dependencies/dependency_coordinator.h
@@ -4,14 +4,10 @@
 // one is carried out, and a late one fails.
 #pragma once
 
-#include <cstdint>
-#include <map>
-#include <memory>
 #include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "core/dependencies/dependency_graph.h"
@@ -21,6 +17,8 @@
 
 class JobLifecycle;
 
+// Called by the leader and its modules. Implements the estimates that the graph
+// asks for.
 class DependencyCoordinator : private DependencyGraph::Estimates {
  public:
   // The modules that it calls.
@@ -31,14 +29,18 @@
 
   // A job that waits for others is recorded.
   void OnWaitingRecord(const std::string& id, Time now);
+  // The job's terminal state is recorded, as far as this controller knows.
   void OnTerminalStateKnown(const std::string& id, TerminalState end, Time now);
-  // Whether jobs that others wait for have ended past every event.
+  // Looks for jobs that others depend on and that have ended unnoticed.
   void PollDependencies(Time now);
+  // A waiting job has become an ordinary one. True: its user has cancelled it
+  // while the release was in flight.
   bool StopWaiting(const std::string& id);
+  // Its user cancels a waiting job. False: it does not wait.
   bool CancelWaiting(const std::string& id, Time now);
-  // What the next steps will need at once, when all that they wait for is about
-  // to be done.
-  Resources NextSteps(Time now) const;
+  // What waiting jobs will need within the time in which a machine boots: those
+  // whose dependencies are all about to end.
+  Resources ResourcesOfNextSteps(Time now) const;
   // What the job inherits from those that depend on it.
   Inherited InheritedBy(const std::string& id) {
     return dependency_graph_.InheritedBy(id);
@@ -61,17 +63,22 @@
 
  private:
   struct TerminalStateRead {
-    Time next = -1e18;
-    double pause = 0;
+    std::optional<Time> not_before;
+    double pause_seconds = 0;
   };
   // How the job is recorded to have ended, as far as is known here.
   TerminalState TerminalStateOf(const std::string& id) const;
   double CriticalPathSeconds(const JobSpec& spec) const override;
   DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const override;
-  void RequestTerminalState(const std::string& need, Time now);
+  // Asks for a read of how the job ended, unless that is known or the job is
+  // live or waits itself.
+  void RequestTerminalState(const std::string& dependency, Time now);
   void QueueDependencySteps(Time now);
   void SettleDependentJob(const std::string& id, Time now);
   void UpdateInherited();
+  double LongestBootSeconds() const;
+  // Whether the job is expected to end within this time.
+  bool EndsWithin(const std::string& id, double seconds, Time now) const;
 
   LeaderContext& context_;
   const Settings& settings_;
--- a/core/dependencies/dependency_graph.cc
+++ b/core/dependencies/dependency_graph.cc
@@ -10,12 +10,12 @@
 
 using enum DependencyState;
 
-constexpr std::array kChanges = {
+constexpr std::array kTransitions = {
     std::pair{kWaiting, kReleasing},
     std::pair{kWaiting, kCancelling},
-    // Only by its user: all that it needs are done for good.
+    // Only by its user: done dependencies stay done.
     std::pair{kReleasing, kCancelling},
-    // Another leader's write may have moved the record, or a late one.
+    // The write of an earlier leader, or a late one, may have moved the record.
     std::pair{kWaiting, kGone},
     std::pair{kReleasing, kGone},
     std::pair{kCancelling, kGone},
@@ -25,20 +25,20 @@
 
 bool DependencyGraph::Change(DependentJob& job, DependencyEvent event) {
   switch (event) {
-    case DependencyEvent::kAllDone:
+    case DependencyEvent::kDependenciesDone:
       if (job.state != kWaiting) return false;
-      CheckedChange(job.state, kReleasing, kChanges, "chain");
+      CheckedChange(job.state, kReleasing, kTransitions, "dependent job");
       return true;
-    case DependencyEvent::kNeedCancelled:
+    case DependencyEvent::kDependencyCancelled:
       if (job.state != kWaiting) return false;
-      CheckedChange(job.state, kCancelling, kChanges, "chain");
+      CheckedChange(job.state, kCancelling, kTransitions, "dependent job");
       return true;
-    case DependencyEvent::kUserCancels:
+    case DependencyEvent::kCancelledByUser:
       if (job.state != kWaiting && job.state != kReleasing) return false;
-      CheckedChange(job.state, kCancelling, kChanges, "chain");
+      CheckedChange(job.state, kCancelling, kTransitions, "dependent job");
       return true;
-    case DependencyEvent::kMoved:
-      CheckedChange(job.state, kGone, kChanges, "chain");
+    case DependencyEvent::kRecordMoved:
+      CheckedChange(job.state, kGone, kTransitions, "dependent job");
       return true;
   }
   return false;
@@ -52,21 +52,24 @@
   job.spec = spec;
   job.submitted = submitted;
   bool cancelled = false;
-  for (const std::string& need : spec->dependencies) {
-    const TerminalState end = end_of(need);
+  for (const std::string& dependency : spec->dependencies) {
+    const TerminalState end = end_of(dependency);
     if (end == TerminalState::kDone) continue;
     cancelled = cancelled || end == TerminalState::kAborted;
-    job.open.insert(need);
-    dependents_[need].insert(spec->id);
-    Invalidate(need);
+    job.unfinished_dependencies.insert(dependency);
+    dependents_[dependency].insert(spec->id);
+    Invalidate(dependency);
   }
-  const bool due = cancelled ? Change(job, DependencyEvent::kNeedCancelled)
-                   : job.open.empty() ? Change(job, DependencyEvent::kAllDone)
-                                      : false;
+  const bool due = cancelled
+                       ? Change(job, DependencyEvent::kDependencyCancelled)
+                   : job.unfinished_dependencies.empty()
+                       ? Change(job, DependencyEvent::kDependenciesDone)
+                       : false;
   if (due) due_.push_back(spec->id);
 }
 
-void DependencyGraph::OnEnd(const std::string& id, TerminalState end) {
+void DependencyGraph::OnTerminalState(const std::string& id,
+                                      TerminalState end) {
   const auto it = dependents_.find(id);
   if (it == dependents_.end() || end == TerminalState::kNone) return;
   // A cancelled one stays named: its dependents leave one by one.
@@ -76,11 +79,12 @@
   for (const std::string& dependent : dependents) {
     DependentJob& job = jobs_.at(dependent);
     if (end == TerminalState::kDone) {
-      job.open.erase(id);
-      if (job.open.empty() && Change(job, DependencyEvent::kAllDone)) {
+      job.unfinished_dependencies.erase(id);
+      if (job.unfinished_dependencies.empty() &&
+          Change(job, DependencyEvent::kDependenciesDone)) {
         due_.push_back(dependent);
       }
-    } else if (Change(job, DependencyEvent::kNeedCancelled)) {
+    } else if (Change(job, DependencyEvent::kDependencyCancelled)) {
       due_.push_back(dependent);
     }
   }
@@ -90,22 +94,23 @@
 bool DependencyGraph::Cancel(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return false;
-  if (Change(it->second, DependencyEvent::kUserCancels)) due_.push_back(id);
+  if (Change(it->second, DependencyEvent::kCancelledByUser)) due_.push_back(id);
   return true;
 }
 
 void DependencyGraph::Remove(const std::string& id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  Change(it->second, DependencyEvent::kMoved);
-  const std::set<std::string> open = std::move(it->second.open);
+  Change(it->second, DependencyEvent::kRecordMoved);
+  const std::set<std::string> unfinished =
+      std::move(it->second.unfinished_dependencies);
   jobs_.erase(it);
-  for (const std::string& need : open) {
-    const auto named = dependents_.find(need);
+  for (const std::string& dependency : unfinished) {
+    const auto named = dependents_.find(dependency);
     if (named == dependents_.end()) continue;
     named->second.erase(id);
     if (named->second.empty()) dependents_.erase(named);
-    Invalidate(need);
+    Invalidate(dependency);
   }
 }
 
@@ -114,7 +119,7 @@
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> DependencyGraph::Some(size_t most) const {
+std::vector<std::string> DependencyGraph::SampleOf(size_t most) const {
   std::vector<std::string> some;
   for (const auto& [id, job] : jobs_) {
     if (some.size() >= most) break;
@@ -123,14 +128,14 @@
   return some;
 }
 
-std::string DependencyGraph::TakeDue() {
+std::optional<std::string> DependencyGraph::TakeDue() {
   while (!due_.empty()) {
     std::string id = std::move(due_.front());
     due_.pop_front();
     const DependentJob* job = Find(id);
     if (job != nullptr && job->state != kWaiting) return id;
   }
-  return {};
+  return std::nullopt;
 }
 
 void DependencyGraph::PutBackDue(const std::string& id) { due_.push_back(id); }
@@ -143,11 +148,11 @@
 
 std::vector<std::string> DependencyGraph::NextDependencies(size_t most) {
   std::vector<std::string> next;
-  auto it = dependents_.upper_bound(last_need_);
+  auto it = dependents_.upper_bound(last_dependency_);
   for (; it != dependents_.end() && next.size() < most; ++it) {
     next.push_back(it->first);
   }
-  last_need_ = it == dependents_.end() ? std::string() : next.back();
+  last_dependency_ = it == dependents_.end() ? std::string() : next.back();
   return next;
 }
 
@@ -157,17 +162,17 @@
   while (!changed.empty()) {
     const std::string job = std::move(changed.back());
     changed.pop_back();
-    // Without an entry of its own, what it needs has none either.
+    // Where a job has no entry, its dependencies have none either.
     if (inherited_.erase(job) == 0) continue;
     changed_.insert(job);
     const auto it = jobs_.find(job);
     if (it == jobs_.end()) continue;
-    changed.insert(changed.end(), it->second.open.begin(),
-                   it->second.open.end());
+    changed.insert(changed.end(), it->second.unfinished_dependencies.begin(),
+                   it->second.unfinished_dependencies.end());
   }
 }
 
-std::vector<std::string> DependencyGraph::TakeChanged() {
+std::vector<std::string> DependencyGraph::TakeChangedInheritance() {
   std::vector<std::string> taken(changed_.begin(), changed_.end());
   changed_.clear();
   return taken;
@@ -194,7 +199,7 @@
   return all;
 }
 
-// Those that need it first, without recursion: a chain may be long.
+// Dependents first, without recursion: a chain of jobs may be long.
 Inherited DependencyGraph::InheritedBy(const std::string& id) {
   if (DependentsOf(id) == nullptr) return {};
   std::vector<std::string> stack = {id};
@@ -208,7 +213,7 @@
     if (opened.insert(job).second) {
       if (const auto* dependents = DependentsOf(job)) {
         for (const std::string& dependent : *dependents) {
-          // One that is open already would need itself.
+          // One that is opened already would depend on itself.
           if (!inherited_.contains(dependent) && !opened.contains(dependent)) {
             stack.push_back(dependent);
           }
--- a/core/job_lifecycle/job_lifecycle.cc
+++ b/core/job_lifecycle/job_lifecycle.cc
@@ -1,7 +1,7 @@
 #include "core/job_lifecycle/job_lifecycle.h"
 
 #include <algorithm>
-#include <cmath>
+#include <memory>
 #include <utility>
 
 #include "core/command_dispatch/command_dispatcher.h"
@@ -38,7 +38,8 @@
   if (record.terminal_state == TerminalState::kAborted) {
     job->Change(JobState::kAborted);
   }
-  // What is written back gets a new stamp, but is as old as it was.
+  // A record that was written back has a new mod revision, but is as old as it
+  // was.
   job->from_before = record.mod_revision <= context_.revision;
   job->tier = tiers_.Classify(job->spec());
   job->inherit(dependencies_.InheritedBy(job->id()));
@@ -62,7 +63,7 @@
   const auto it = cluster_.jobs().find(id);
   if (it == cluster_.jobs().end()) {
     AddJob(*record, now);
-    // Not sent from here: this may follow from a write that is being built.
+    // No flush here: this may be called while a transaction is being built.
     const auto added = cluster_.jobs().find(id);
     if (cancelled && added->second->live()) {
       FinishJob(*added->second, TerminalState::kAborted);
@@ -84,19 +85,20 @@
   }
   Job& job = *it->second;
   if (job.live()) {
-    context_.Log("cancel " + id + ": asked by its user");
+    context_.Log("job cancellation requested", {{"job", id}});
     FinishJob(job, TerminalState::kAborted);
     writes_.Flush(now);
   } else if (job.state() == JobState::kDone) {
     actions_.push_back(JobTerminated{id, TerminalState::kDone});
-  } else if (CancellationStands(job)) {
+  } else if (CancellationCompleted(job)) {
     actions_.push_back(JobTerminated{id, TerminalState::kAborted});
   }
   return true;
 }
 
-// The record comes first. Nobody is told, and no task stopped, before it
-// stands: a leader that crashes in between must not leave a half-ended job.
+// The record comes first. No user gets an answer, and no task is stopped,
+// before it is written: a leader that crashes in between must not leave a job
+// that has ended in part.
 void JobLifecycle::FinishJob(Job& job, TerminalState state) {
   job.Change(state == TerminalState::kDone ? JobState::kRecordingDone
                                            : JobState::kRecordingAbort);
@@ -114,10 +116,12 @@
   job.Change(state == TerminalState::kDone ? JobState::kDone
                                            : JobState::kAborted);
   job.ended = now;
-  context_.Log("job " + id +
-               (state == TerminalState::kDone ? " done" : " cancelled") +
-               ", recorded");
-  // That it is cancelled is told once nothing is left of it (Done, kRetire).
+  context_.Log(
+      "job ended",
+      {{"job", id},
+       {"state", state == TerminalState::kDone ? "done" : "cancelled"}});
+  // A cancellation is answered once nothing is left of the job; see
+  // RetireJobOperation.
   if (state == TerminalState::kDone)
     actions_.push_back(JobTerminated{id, state});
   dispatcher_.StopJob(job, now);
@@ -126,12 +130,13 @@
   cluster_.MarkChanged();
 }
 
-// The record moves to the terminal states once no task of the job can be on any
-// machine: until then a new leader needs what its tasks hold. The user of a
-// cancelled job waits for that.
+// The record moves to the terminal records once no task of the job can be on
+// any machine: until then a new leader needs to know what its tasks occupy. The
+// user of a cancelled job waits for that.
 void JobLifecycle::RetireIfClear(Job& job) {
   if (!job.ended_by_record() || job.holding() > 0) return;
-  // A machine not heard yet may hold tasks that a former leader has started.
+  // A machine that has sent no heartbeat yet may run tasks that a former leader
+  // has started.
   if (!cluster_.AllMachinesAccountedFor()) return;
   writes_.Enqueue(std::make_unique<RetireJobOperation>(
                       context_, consistency_gate_, job.id()),
@@ -139,7 +144,7 @@
                                                  : WritePriority::kUrgent);
 }
 
-bool JobLifecycle::CancellationStands(const Job& job) const {
+bool JobLifecycle::CancellationCompleted(const Job& job) const {
   return job.state() == JobState::kAborted &&
          catalog_.FindTerminalState(job.id()) == TerminalState::kAborted;
 }
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -2,44 +2,55 @@
 
 #include <algorithm>
 #include <cmath>
+#include <tuple>
 #include <utility>
 
 namespace oxbow {
 namespace {
 
-// How long a job shapes the measure of fragmentation after it was asked for, in
-// worker leases: some waves of work, not the whole day.
-constexpr double kMixLeases = 15;
+// Of the log line for operators; independent of the lease.
+constexpr double kFragmentationLogSeconds = 60;
 
-// The changes that end a job: its end is recorded, or moves to the final keys.
+// The mutations that end a job: its terminal state is recorded, or its record
+// moves to the terminal records.
 std::vector<TerminalStateWrite> TerminalStatesIn(const CompareAndSwap& txn) {
-  std::vector<TerminalStateWrite> ends;
-  for (const Mutation& change : txn.mutations) {
-    if (!change.key.starts_with(keys::kJob)) continue;
-    const auto* job = std::get_if<JobRecord>(&change.record);
+  std::vector<TerminalStateWrite> writes;
+  for (const Mutation& mutation : txn.mutations) {
+    if (!mutation.key.starts_with(keys::kJob)) continue;
+    const auto* job = std::get_if<JobRecord>(&mutation.record);
     if (job != nullptr && job->terminal_state == TerminalState::kNone) continue;
     uint64_t mod_revision = 0;
     for (const Precondition& precondition : txn.preconditions) {
-      if (precondition.key == change.key)
-        mod_revision = precondition.mod_revision;
+      if (precondition.key != mutation.key) continue;
+      mod_revision = precondition.mod_revision;
     }
-    ends.push_back({change.key.substr(keys::kJob.size()), mod_revision});
+    writes.push_back({mutation.key.substr(keys::kJob.size()), mod_revision});
   }
-  return ends;
-}
-
-// The leader key has to be the one that this leadership rests on.
-std::vector<Precondition> LeadershipPreconditions(const Catalog& catalog,
-                                                  uint64_t revision) {
-  std::vector<Precondition> preconditions{
-      {std::string(keys::kLeader), revision}};
-  // Without it, a write that is applied after the store has stepped back could
-  // find the leader key at the same revision by chance.
-  if (catalog.epoch().number > 0) {
-    auto [key, mod_revision] = catalog.Guard();
-    preconditions.push_back({std::move(key), mod_revision});
+  return writes;
+}
+
+// The jobs among the keys whose preconditions did not hold.
+std::set<std::string> JobsIn(const std::vector<std::string>& failed) {
+  std::set<std::string> jobs;
+  for (const std::string& key : failed) {
+    if (!key.starts_with(keys::kJob)) continue;
+    jobs.insert(key.substr(keys::kJob.size()));
   }
-  return preconditions;
+  return jobs;
+}
+
+// The oldest first.
+std::vector<std::string> RolloutsByRevision(const Catalog& catalog) {
+  std::vector<std::string> ids;
+  for (const auto& [id, record] : catalog.rollouts()) ids.push_back(id);
+  std::sort(ids.begin(), ids.end(),
+            [&](const std::string& one, const std::string& other) {
+              const uint64_t revision = catalog.rollouts().at(one).mod_revision;
+              const uint64_t other_revision =
+                  catalog.rollouts().at(other).mod_revision;
+              return std::tie(revision, one) < std::tie(other_revision, other);
+            });
+  return ids;
 }
 
 }  // namespace
@@ -48,100 +59,52 @@
                uint64_t revision, Time now, double wall_minus_steady,
                uint64_t seed,
                const std::optional<std::set<std::string>>& delegates)
-    : context_{settings,
-               tuning,
-               revision,
-               TermOf(catalog.epoch(), revision),
-               now,
-               wall_minus_steady,
-               SilenceTimeouts::From(settings.workers, tuning),
-               catalog,
-               cluster_,
-               writes_,
-               actions_,
-               tiers_,
-               liveness_,
-               fragmentation_,
-               queue_ranking_,
-               run_times_,
-               [this](Time at) { scheduler_.ScheduleIfNeeded(at); },
-               NumberSource(TermOf(catalog.epoch(), revision))},
-      writes_(settings, LeadershipPreconditions(catalog, revision), actions_),
-      cluster_(settings, FirstToken(context_.term), tuning.recovery_checks > 0,
-               *this),
-      liveness_(settings, tuning, context_.timeouts, cluster_.machines(), now,
-                seed, actions_),
-      fragmentation_(kMixLeases * settings.workers.lease_seconds,
-                     settings.workers.heartbeat_interval_seconds),
-      tiers_(settings, tuning.tiers > 0),
-      queue_ranking_(settings, tuning),
-      machine_health_(context_),
-      dispatcher_(context_, {maintenance_}),
-      dependencies_(context_, {job_lifecycle_}),
-      job_lifecycle_(context_, {dispatcher_, dependencies_, consistency_gate_}),
-      rollout_manager_(context_,
-                       {machine_health_, dispatcher_, job_lifecycle_}),
-      maintenance_(context_, {dispatcher_, rollout_manager_}),
-      tier_manager_(context_, {rollout_manager_}),
-      reconciler_(context_, {dependencies_, job_lifecycle_}),
-      machine_lifecycle_(context_, {machine_health_, dispatcher_,
-                                    rollout_manager_, reconciler_}),
-      worker_sessions_(context_,
-                       {dispatcher_, job_lifecycle_, maintenance_, reconciler_,
-                        machine_lifecycle_},
-                       delegates),
-      rebalancing_(context_, {machine_health_, dispatcher_, rollout_manager_}),
-      autoscaler_(context_, {machine_health_, dependencies_, rollout_manager_,
-                             maintenance_, tier_manager_, machine_lifecycle_}),
-      scheduler_(context_,
-                 {machine_health_, dispatcher_, rollout_manager_, maintenance_,
-                  tier_manager_, rebalancing_},
-                 seed) {
+    : modules_(settings, tuning, catalog, revision, now, wall_minus_steady,
+               seed, delegates) {
   TakeUpRecords(now);
 }
 
 void Leader::TakeUpRecords(Time now) {
-  const Catalog& catalog = context_.catalog;
+  const Catalog& catalog = modules_.context.catalog;
   for (const auto& [host, record] : catalog.machines()) {
-    Machine& machine = cluster_.AddMachine(host, record);
+    Machine& machine = modules_.cluster.AddMachine(host, record);
     machine.incarnation.Change(IncarnationEvent::kFailover, 0, now);
     machine.recorded_up = !record.endpoint.empty();
-    machine.requested_at =
-        std::min(now, record.requested_wall - context_.wall_minus_steady);
-    if (machine.recorded_up) actions_.push_back(Probe{host, machine.endpoint});
+    machine.requested_at = std::min(
+        now, record.requested_wall - modules_.context.wall_minus_steady);
+    if (machine.recorded_up)
+      modules_.actions.push_back(Probe{host, machine.endpoint});
   }
   for (const auto& [id, record] : catalog.jobs()) {
-    job_lifecycle_.AddJob(record, now);
+    modules_.job_lifecycle.AddJob(record, now);
   }
   std::vector<std::string> waiting;
   for (const auto& [id, record] : catalog.waiting()) waiting.push_back(id);
-  for (const std::string& id : waiting) dependencies_.OnWaitingRecord(id, now);
+  for (const std::string& id : waiting)
+    modules_.dependencies.OnWaitingRecord(id, now);
   for (const auto& [name, record] : catalog.scale_outs()) {
-    autoscaler_.Restore(name, record);
-  }
-  std::vector<std::pair<uint64_t, std::string>> rollouts;
-  for (const auto& [id, record] : catalog.rollouts()) {
-    rollouts.emplace_back(record.mod_revision, id);
+    modules_.autoscaler.Restore(name, record);
   }
-  std::sort(rollouts.begin(), rollouts.end());
-  for (const auto& [mod_revision, id] : rollouts) {
-    rollout_manager_.OnRolloutRecord(id, now);
+  for (const std::string& id : RolloutsByRevision(catalog)) {
+    modules_.rollout_manager.OnRolloutRecord(id, now);
   }
-  context_.Log("leading under revision " + std::to_string(context_.revision) +
-               ": " + std::to_string(cluster_.jobs().size()) + " jobs, " +
-               std::to_string(cluster_.machines().size()) + " machines, " +
-               std::to_string(autoscaler_.open_scale_outs()) +
-               " open scale-outs");
+  modules_.context.Log(
+      "leadership begins",
+      {{"revision", modules_.context.revision},
+       {"jobs", modules_.cluster.jobs().size()},
+       {"machines", modules_.cluster.machines().size()},
+       {"open_scale_outs", modules_.autoscaler.open_scale_outs()}});
 }
 
 void Leader::OnOperatorRecord(const std::string& name, Time now) {
-  rebalancing_.OnMoveRecord(name, now);
-  cluster_.MarkChanged();
-  scheduler_.ScheduleIfNeeded(now);
+  modules_.rebalancing.OnMoveRecord(name, now);
+  modules_.cluster.MarkChanged();
+  modules_.scheduler.ScheduleIfNeeded(now);
 }
 
 HeartbeatResponse Leader::OnHeartbeat(const Heartbeat& heartbeat, Time now) {
-  HeartbeatResponse response = worker_sessions_.OnHeartbeat(heartbeat, now);
+  HeartbeatResponse response =
+      modules_.worker_sessions.OnHeartbeat(heartbeat, now);
   if (!response.refused) Settle(now);
   return response;
 }
@@ -149,209 +112,326 @@
 void Leader::OnCommandResponse(const std::string& host, uint64_t batch,
                                CommandOutcome outcome,
                                const Heartbeat* heartbeat, Time now) {
-  Machine* machine = cluster_.FindMachine(host);
+  Machine* machine = modules_.cluster.FindMachine(host);
   if (machine == nullptr) return;
-  dispatcher_.OnCommandResponse(*machine, batch, outcome, now);
+  modules_.dispatcher.OnCommandResponse(*machine, batch, outcome, now);
   if (heartbeat != nullptr) {
-    worker_sessions_.ApplyHeartbeat(*machine, *heartbeat,
-                                    /*by_heartbeat=*/false, now);
+    modules_.worker_sessions.ApplyHeartbeat(*machine, *heartbeat,
+                                            /*by_heartbeat=*/false, now);
   }
-  dispatcher_.DispatchCommands(*machine, now);
+  modules_.dispatcher.DispatchCommands(*machine, now);
   Settle(now);
 }
 
 void Leader::OnProbeAnswer(const Heartbeat& heartbeat, Time now) {
-  if (worker_sessions_.OnProbeAnswer(heartbeat, now)) Settle(now);
+  if (modules_.worker_sessions.OnProbeAnswer(heartbeat, now)) Settle(now);
 }
 
 void Leader::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
-  if (!liveness_.OnReach(round, std::move(answers), now)) {
-    context_.resigned = true;
+  if (!modules_.liveness.OnReach(round, std::move(answers), now)) {
+    modules_.context.resigned = true;
   }
 }
 
 void Leader::OnTransferAccepted() {
-  context_.resigned = true;
-  liveness_.OnTransferAccepted();
+  modules_.context.resigned = true;
+  modules_.liveness.OnTransferAccepted();
 }
 
 void Leader::OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
                            const std::vector<std::string>& failed, Time now) {
   switch (outcome) {
     case WriteOutcome::kApplied:
-      consistency_gate_.OnApplied(id);
+      modules_.consistency_gate.OnApplied(id);
       break;
     case WriteOutcome::kNotExecuted:
     case WriteOutcome::kRefused:
-      consistency_gate_.OnRejected(id);
+      modules_.consistency_gate.OnRejected(id);
       break;
-    case WriteOutcome::kConflict: {
-      std::set<std::string> differing;
-      for (const std::string& key : failed) {
-        if (!key.starts_with(keys::kJob)) continue;
-        differing.insert(key.substr(keys::kJob.size()));
-      }
-      consistency_gate_.OnRejected(id, differing);
+    case WriteOutcome::kConflict:
+      modules_.consistency_gate.OnRejected(id, JobsIn(failed));
       break;
-    }
     case WriteOutcome::kUnknown:
-      consistency_gate_.OnUnanswered(id);
+      modules_.consistency_gate.OnUnanswered(id);
       break;
   }
-  if (!writes_.OnAnswer(id, outcome, revision, failed, now)) {
-    context_.GiveUp("the leader key has changed");
+  if (!modules_.writes.OnAnswer(id, outcome, revision, failed, now)) {
+    modules_.context.GiveUp("the leader key has changed");
   }
 }
 
 std::vector<Action> Leader::TakeActions() {
-  for (const Action& action : actions_) {
+  for (const Action& action : modules_.actions) {
     const auto* txn = std::get_if<CompareAndSwap>(&action);
-    // From here on it may be carried out.
+    // From here on it may be applied.
     if (txn != nullptr)
-      consistency_gate_.OnSent(txn->id, TerminalStatesIn(*txn));
+      modules_.consistency_gate.OnSent(txn->id, TerminalStatesIn(*txn));
   }
-  return std::exchange(actions_, {});
+  return std::exchange(modules_.actions, {});
 }
 
 JobObservation Leader::View(const std::string& id, JobView* out) const {
-  const auto it = cluster_.jobs().find(id);
-  const DependentJob* chain = dependencies_.Find(id);
-  if (it == cluster_.jobs().end() && chain != nullptr &&
-      context_.catalog.FindWaiting(id) != nullptr) {
+  const auto it = modules_.cluster.jobs().find(id);
+  if (it != modules_.cluster.jobs().end()) return ViewOfJob(*it->second, out);
+  const DependentJob* dependent = modules_.dependencies.Find(id);
+  if (dependent != nullptr &&
+      modules_.context.catalog.FindWaiting(id) != nullptr) {
     *out = {"pending", 0, 0};
-    // The write that ends it may have left, and been read elsewhere.
-    return chain->state == DependencyState::kCancelling
+    // The write that ends it may have been sent, and been read elsewhere.
+    return dependent->state == DependencyState::kCancelling
                ? JobObservation::kInDoubt
                : JobObservation::kLive;
   }
-  if (it == cluster_.jobs().end()) {
-    return reconciler_.ViewOrphanedTasks(id, out) ? JobObservation::kUnrecorded
-                                                  : JobObservation::kUnseen;
-  }
-  const Job& job = *it->second;
-  out->done = job.done();
-  out->running = job.running();
+  const UnrecordedJobView unrecorded =
+      modules_.reconciler.ViewOrphanedTasks(id);
+  *out = unrecorded.view;
+  return unrecorded.has_orphaned_tasks ? JobObservation::kUnrecorded
+                                       : JobObservation::kUnseen;
+}
+
+JobObservation Leader::ViewOfJob(const Job& job, JobView* out) const {
   if (job.state() == JobState::kDone) {
-    out->status = "done";
-    out->done = job.size();
-    out->running = 0;
+    *out = {"done", job.size(), 0};
     return JobObservation::kEnded;
   }
-  if (job_lifecycle_.CancellationStands(job)) {
+  out->done = job.done();
+  out->running = job.running();
+  if (modules_.job_lifecycle.CancellationCompleted(job)) {
     out->status = "aborted";
     return JobObservation::kEnded;
   }
   out->status = job.running() > 0 ? "running" : "pending";
-  // Another controller may have read the end by now, and told it: see
-  // went-back-done-told-elsewhere.txt.
-  const JobRecord* record = context_.catalog.FindJob(id);
+  // Another controller may have read the terminal state by now, and answered
+  // with it: see went-back-done-told-elsewhere.txt.
+  const JobRecord* record = modules_.context.catalog.FindJob(job.id());
   const uint64_t mod_revision = record == nullptr ? 0 : record->mod_revision;
-  return consistency_gate_.InDoubt(id, mod_revision) ? JobObservation::kInDoubt
-                                                     : JobObservation::kLive;
+  return modules_.consistency_gate.InDoubt(job.id(), mod_revision)
+             ? JobObservation::kInDoubt
+             : JobObservation::kLive;
 }
 
 std::vector<std::string> Leader::Alarms() const {
-  std::vector<std::string> alarms = liveness_.Alarms();
+  std::vector<std::string> alarms = modules_.liveness.Alarms();
   int orphaned_tasks = 0;
-  for (const auto& machine : cluster_.machines())
+  for (const auto& machine : modules_.cluster.machines())
     orphaned_tasks += machine->orphaned_tasks;
   if (orphaned_tasks > 0) {
     alarms.push_back(std::to_string(orphaned_tasks) +
                      " tasks run whose jobs have no record");
   }
-  if (!context_.catalog.pending_writes().empty()) {
-    alarms.push_back(std::to_string(context_.catalog.pending_writes().size()) +
-                     " records are still to be written back");
+  if (!modules_.context.catalog.pending_writes().empty()) {
+    alarms.push_back(
+        std::to_string(modules_.context.catalog.pending_writes().size()) +
+        " records are still to be written back");
   }
-  if (writes_.refused_for_size() > 0) {
-    alarms.push_back(std::to_string(writes_.refused_for_size()) +
-                     " writes are larger than the state service takes");
+  if (modules_.writes.refused_for_size() > 0) {
+    alarms.push_back(std::to_string(modules_.writes.refused_for_size()) +
+                     " records are larger than the store accepts");
   }
-  if (!context_.catalog.epoch().whole) {
+  if (!modules_.context.catalog.epoch().whole) {
     alarms.push_back(
-        "jobs may have been lost with the state service's data: whoever misses "
-        "one submits it again");
+        "jobs may have been lost with the store's data: submit again what is "
+        "missing");
   }
   return alarms;
 }
 
 void Leader::LogFragmentation(Time now) {
-  if (context_.tuning.fragmentation_weight <= 0 ||
+  if (modules_.context.tuning.fragmentation_weight <= 0 ||
       now < next_fragmentation_log_) {
     return;
   }
-  constexpr double kEvery = 60;  // s: for people, whatever the lease
-  next_fragmentation_log_ = now + kEvery;
-  const Rebalancer* rebalancer = rebalancing_.rebalancer();
-  const FragmentationCount n = CountFragmentation();
-  if (n.accelerators <= 0) return;
-  const auto whole = [](double x) {
-    return std::to_string(static_cast<int64_t>(std::llround(x)));
+  next_fragmentation_log_ = now + kFragmentationLogSeconds;
+  const Rebalancer* rebalancer = modules_.rebalancing.rebalancer();
+  const FragmentationCount count =
+      modules_.fragmentation.Count(modules_.cluster.machines());
+  if (count.accelerators <= 0) return;
+  const auto rounded = [](double accelerators) {
+    return static_cast<int64_t>(std::llround(accelerators));
   };
-  context_.Log("fragmentation: of " + whole(n.accelerators) + " accelerators " +
-               whole(n.free) + " free, " + whole(n.useless) +
-               " of these of no use to what is asked " + "for; " +
-               std::to_string(n.whole) + " machines whole, " +
-               std::to_string(n.fragmented) + " fragmented" +
-               (rebalancer != nullptr
-                    ? "; moves settled " +
-                          std::to_string(rebalancer->settled()) +
-                          ", given up " + std::to_string(rebalancer->given_up())
-                    : ""));
+  LogFields fields = {{"accelerators", rounded(count.accelerators)},
+                      {"free", rounded(count.free)},
+                      {"useless", rounded(count.useless)},
+                      {"whole_machines", count.whole},
+                      {"fragmented_machines", count.fragmented}};
+  if (rebalancer != nullptr) {
+    fields.emplace_back("moves_settled", rebalancer->settled());
+    fields.emplace_back("moves_abandoned", rebalancer->given_up());
+  }
+  modules_.context.Log("fragmentation of accelerators", std::move(fields));
 }
 
 void Leader::Tick(Time now, bool by_lease) {
-  liveness_.Count(now);
-  worker_sessions_.BeginTick();
-  for (const auto& machine : cluster_.machines()) {
+  modules_.liveness.Count(now);
+  modules_.worker_sessions.BeginTick();
+  for (const auto& machine : modules_.cluster.machines()) {
     if (machine->state() == MachineState::kGone) continue;
-    if (by_lease) worker_sessions_.ExpireIfOver(*machine, now);
-    machine_lifecycle_.TickMachine(*machine, now);
+    if (by_lease) modules_.worker_sessions.ExpireIfOver(*machine, now);
+    modules_.machine_lifecycle.TickMachine(*machine, now);
   }
-  worker_sessions_.EndTick(now);
-  liveness_.Ask(now);
-  autoscaler_.TickRequests(now);
-  rollout_manager_.TickRollouts(now);
-  rebalancing_.TickMoves(scheduler_.large_waiting(), now);
-  reconciler_.TickReconciliation(now);
-  autoscaler_.ForgetRefusals(now);
-  if (autoscaler_.IsDue(now)) TickSlowly(now);
+  modules_.worker_sessions.EndTick(now);
+  modules_.liveness.Ask(now);
+  modules_.autoscaler.TickRequests(now);
+  modules_.rollout_manager.TickRollouts(now);
+  modules_.rebalancing.TickMoves(modules_.scheduler.large_waiting(), now);
+  modules_.reconciler.TickReconciliation(now);
+  modules_.autoscaler.ForgetRefusals(now);
+  if (modules_.autoscaler.IsDue(now)) TickSlowly(now);
   Settle(now);
 }
 
 void Leader::TickSlowly(Time now) {
-  tier_manager_.SurveyTiers();
-  dependencies_.PollDependencies(now);
-  autoscaler_.RunAutoscaler(now);
-  autoscaler_.SetNextRun(now +
-                         context_.settings.workers.heartbeat_interval_seconds);
-  maintenance_.TickCalendar(now);
-  for (const auto& [id, job] : cluster_.jobs()) {
-    job_lifecycle_.RetireIfClear(*job);
+  modules_.tier_manager.SurveyTiers();
+  modules_.dependencies.PollDependencies(now);
+  modules_.autoscaler.RunAutoscaler(now);
+  modules_.autoscaler.SetNextRun(
+      now + modules_.context.settings.workers.heartbeat_interval_seconds);
+  modules_.maintenance.TickCalendar(now);
+  for (const auto& [id, job] : modules_.cluster.jobs()) {
+    modules_.job_lifecycle.RetireIfClear(*job);
   }
   LogFragmentation(now);
-  // Jobs whose back-off is over, expired reservations, machines that are no
-  // longer suspect.
-  cluster_.MarkChanged();
+  // For jobs whose back-off is over, expired reservations and machines that are
+  // no longer suspect.
+  modules_.cluster.MarkChanged();
 }
 
 void Leader::Settle(Time now) {
-  scheduler_.ScheduleIfNeeded(now);
-  writes_.Flush(now);
+  modules_.scheduler.ScheduleIfNeeded(now);
+  modules_.writes.Flush(now);
+}
+
+void Leader::OnTypes(const std::vector<MachineType>& types) {
+  modules_.cluster.SetMachineTypes(types);
+}
+
+void Leader::UseTiers(std::shared_ptr<const TierSet> set) {
+  modules_.tier_manager.UseTiers(std::move(set));
+}
+
+void Leader::UseMoves(const MoveCodec& codec, Time now) {
+  modules_.rebalancing.UseMoves(codec, now);
+}
+
+void Leader::OnJobRecord(const std::string& id, Time now) {
+  modules_.job_lifecycle.OnJobRecord(id, now);
+}
+
+void Leader::OnWaitingRecord(const std::string& id, Time now) {
+  modules_.dependencies.OnWaitingRecord(id, now);
+}
+
+void Leader::OnRolloutRecord(const std::string& id, Time now) {
+  modules_.rollout_manager.OnRolloutRecord(id, now);
+}
+
+void Leader::OnBooking(const MaintenanceWindow& booking, uint64_t version,
+                       Time now) {
+  modules_.maintenance.OnBooking(booking, version, now);
+}
+
+void Leader::OnBookingWithdrawn(const std::string& id, uint64_t version,
+                                Time now) {
+  modules_.maintenance.OnBookingWithdrawn(id, version, now);
+}
+
+void Leader::OnReadAnswer(uint64_t id, bool succeeded, Time now) {
+  modules_.writes.OnRead(id, succeeded, now);
 }
 
-void Leader::OnCapacityCharged(const Job& job, const Resources& need) {
-  tiers_.Hold(job.tier, need);
+void Leader::OnTerminalStateRead(const std::string& id, Time now) {
+  modules_.dependencies.OnTerminalStateRead(id, now);
 }
 
-void Leader::OnCapacityReleased(const Job& job, const Resources& need) {
-  tiers_.Release(job.tier, need);
+void Leader::OnUnrecordedTerminalStates(
+    std::vector<UnrecordedTerminalState> states, bool complete) {
+  modules_.reconciler.OnUnrecordedTerminalStates(std::move(states), complete);
 }
 
-void Leader::OnAttemptStopping(const TaskAttempt& attempt) {
-  rollout_manager_.OnAttemptStopping(attempt);
+void Leader::OnHealth(const std::string& rollout, const TaskAttemptKey& key,
+                      const CheckOutcome& outcome, Time now) {
+  modules_.rollout_manager.OnHealth(rollout, key, outcome, now);
 }
 
-void Leader::OnAttemptRemoved(Job& job) { job_lifecycle_.RetireIfClear(job); }
+void Leader::OnScaleOutResponse(const std::string& name,
+                                ScaleOutOutcome outcome,
+                                const std::vector<std::string>& hosts,
+                                Time now) {
+  modules_.autoscaler.OnScaleOutResponse(name, outcome, hosts, now);
+}
+
+void Leader::OnDeleteAnswer(const std::vector<std::string>& hosts,
+                            bool succeeded, Time now) {
+  modules_.machine_lifecycle.OnDeleteAnswer(hosts, succeeded, now);
+}
+
+void Leader::OnMachineList(const std::vector<ListedMachine>& list, Time asked,
+                           Time now) {
+  modules_.machine_lifecycle.OnMachineList(list, asked, now);
+}
+
+void Leader::OnTransferRejected(const std::string& why, Time now) {
+  modules_.liveness.OnTransferRejected(why, now);
+}
+
+bool Leader::OnDelegationAsked(const std::string& peer,
+                               const std::string& process_incarnation,
+                               double age, Time now) {
+  return modules_.worker_sessions.OnDelegationAsked(peer, process_incarnation,
+                                                    age, now);
+}
+
+void Leader::OnLeaseYielded(const std::string& peer,
+                            const std::string& process_incarnation, double age,
+                            double renewed_ago, Time sent, Time now) {
+  modules_.worker_sessions.delegated_leases().LeaseYielded(
+      peer, process_incarnation, age, renewed_ago, sent, now);
+}
+
+void Leader::OnDelegatesRead(const std::set<std::string>& recorded, Time sent,
+                             Time now) {
+  modules_.worker_sessions.delegated_leases().RecordsRead(recorded, sent, now);
+}
+
+bool Leader::Cancel(const std::string& id, Time now) {
+  return modules_.job_lifecycle.Cancel(id, now);
+}
+
+void Leader::OnClocks(const WallReading& reading, Time confirmed, Time now) {
+  modules_.maintenance.OnClocks(reading, confirmed, now);
+}
+
+bool Leader::AllAccounted() const {
+  return modules_.cluster.AllMachinesAccountedFor();
+}
+
+bool Leader::ZoneSettled(const std::string& zone, Time now) const {
+  return modules_.worker_sessions.ZoneSettled(zone, now);
+}
+
+std::optional<AdmissionDecision> Leader::CalendarAdmission(
+    const std::string& id, Time now) const {
+  return modules_.maintenance.CalendarAdmission(id, now);
+}
+
+std::vector<std::string> Leader::WaitingLines() const {
+  return modules_.dependencies.WaitingLines();
+}
+
+const Rollout* Leader::FindRollout(const std::string& id) const {
+  return modules_.rollout_manager.FindRollout(id);
+}
+
+const HeartbeatsReceived& Leader::heartbeats_received() const {
+  return modules_.liveness.heartbeats_received();
+}
+
+const ClusterState::Machines& Leader::machines() const {
+  return modules_.cluster.machines();
+}
+
+const Rebalancer* Leader::rebalancer() const {
+  return modules_.rebalancing.rebalancer();
+}
 
 }  // namespace oxbow
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -1,7 +1,7 @@
-// Leads the cluster: events and the time go in, actions come out. Composes the
-// modules and passes events to them; decides nothing itself. One exists
-// per leadership; a new leader starts with a new one, so nothing that an
-// earlier one believed can leak in.
+// Leads the cluster: events and the time go in, actions come out. Passes events
+// to the modules (leader_modules.h) and decides nothing itself. There is one
+// per leadership, so no state of an earlier leadership can leak into a later
+// one.
 #pragma once
 
 #include <cstdint>
@@ -9,249 +9,140 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include "core/autoscaler/autoscaler.h"
-#include "core/cluster_state/cluster_state.h"
-#include "core/command_dispatch/command_dispatcher.h"
-#include "core/dependencies/dependency_coordinator.h"
-#include "core/job_lifecycle/job_lifecycle.h"
-#include "core/leader_context/actions.h"
-#include "core/leader_context/leader_context.h"
-#include "core/maintenance/maintenance_manager.h"
-#include "core/priority_tiers/tier_manager.h"
-#include "core/read_consistency/read_consistency_gate.h"
-#include "core/rebalancing/rebalancing_manager.h"
-#include "core/reconciliation/reconciler.h"
-#include "core/rollout/rollout_manager.h"
-#include "core/scheduler/scheduler.h"
-#include "core/store_writes/write_queue.h"
-#include "core/worker_sessions/machine_health.h"
-#include "core/worker_sessions/machine_lifecycle.h"
-#include "core/worker_sessions/worker_sessions.h"
+#include "core/leader/leader_modules.h"
 
 namespace oxbow {
 
-class Leader : private ClusterState::Observer {
+// Called by the shell, from one thread. Times are of the steady clock, s.
+class Leader {
  public:
-  // `revision`: of the leader key, in the catalog's epoch. `delegates`: who may
-  // hold a right to keep the workers of its zone (DelegatedLeases).
+  // `revision`: of the leader key, in the catalog's epoch. `delegates`: the
+  // controllers that may hold a delegated lease (DelegatedLeases). `settings`,
+  // `tuning` and `catalog` must outlive the leader.
   Leader(const Settings& settings, const Tuning& tuning, Catalog& catalog,
          uint64_t revision, Time now, double wall_minus_steady, uint64_t seed,
          const std::optional<std::set<std::string>>& delegates = {});
 
-  // --- events
-  void OnTypes(const std::vector<MachineType>& types) {
-    cluster_.SetMachineTypes(types);
-  }
-  void OnJobRecord(const std::string& id, Time now) {
-    job_lifecycle_.OnJobRecord(id, now);
-  }
-  // A job that waits for others is recorded.
-  void OnWaitingRecord(const std::string& id, Time now) {
-    dependencies_.OnWaitingRecord(id, now);
-  }
-  // The answer to ReadTerminalState; what was found has been taken into the
-  // catalog.
-  void OnTerminalStateRead(const std::string& id, Time now) {
-    dependencies_.OnTerminalStateRead(id, now);
-  }
+  // --- configuration
+  void OnTypes(const std::vector<MachineType>& types);
+  // The tiers in force, at the beginning and whenever they change. Running
+  // tasks change their tier with their job.
+  void UseTiers(std::shared_ptr<const TierSet> set);
+  // Lets replicas be moved, as far as the operators' settings allow. Takes up
+  // the claims that a former leader has recorded; before the first Tick.
+  void UseMoves(const MoveCodec& codec, Time now);
+  void set_log_detail(bool on) { modules_.context.log_detail = on; }
+
+  // --- events: records that are new or have changed in the catalog
+  void OnJobRecord(const std::string& id, Time now);
+  void OnWaitingRecord(const std::string& id, Time now);
+  void OnRolloutRecord(const std::string& id, Time now);
+  void OnOperatorRecord(const std::string& name, Time now);
+  void OnBooking(const MaintenanceWindow& booking, uint64_t version, Time now);
+  void OnBookingWithdrawn(const std::string& id, uint64_t version, Time now);
+
+  // --- events: answers of the store
+  void OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
+                     const std::vector<std::string>& failed, Time now);
+  // To ReadKeys; the catalog holds what was read.
+  void OnReadAnswer(uint64_t id, bool succeeded, Time now);
+  // To ReadTerminalState; likewise.
+  void OnTerminalStateRead(const std::string& id, Time now);
+  // Job ends that the store has lost. `complete`: every controller that may
+  // have accepted a job has contributed what it remembers.
+  void OnUnrecordedTerminalStates(std::vector<UnrecordedTerminalState> states,
+                                  bool complete);
+
+  // --- events: workers and the cloud
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, Time now);
   void OnCommandResponse(const std::string& host, uint64_t batch,
                          CommandOutcome outcome, const Heartbeat* heartbeat,
                          Time now);
   void OnProbeAnswer(const Heartbeat& heartbeat, Time now);
-  void OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
-                     const std::vector<std::string>& failed, Time now);
-  // The keys asked for by ReadKeys; the catalog has been brought up to date.
-  void OnReadAnswer(uint64_t id, bool ok, Time now) {
-    writes_.OnRead(id, ok, now);
-  }
+  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
+                const CheckOutcome& outcome, Time now);
   void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
-                          const std::vector<std::string>& hosts, Time now) {
-    autoscaler_.OnScaleOutResponse(name, outcome, hosts, now);
-  }
-  void OnDeleteAnswer(const std::vector<std::string>& hosts, bool ok,
-                      Time now) {
-    machine_lifecycle_.OnDeleteAnswer(hosts, ok, now);
-  }
-  // A whole listing of the cloud's machines, asked for at `asked`.
+                          const std::vector<std::string>& hosts, Time now);
+  void OnDeleteAnswer(const std::vector<std::string>& hosts, bool succeeded,
+                      Time now);
+  // A complete listing of the cloud's machines, asked for at `asked`.
   void OnMachineList(const std::vector<ListedMachine>& list, Time asked,
-                     Time now) {
-    machine_lifecycle_.OnMachineList(list, asked, now);
-  }
-  void OnRolloutRecord(const std::string& id, Time now) {
-    rollout_manager_.OnRolloutRecord(id, now);
-  }
-  // A record of the operators has changed.
-  void OnOperatorRecord(const std::string& name, Time now);
-  // The tiers in force, at the beginning and whenever they change. Running
-  // work moves to its new tier as it is.
-  void UseTiers(std::shared_ptr<const TierSet> set) {
-    tier_manager_.UseTiers(std::move(set));
-  }
-  // A look at the clocks, before every other event and later than the message
-  // it brings, and when all live records had last been read.
-  void OnClocks(const WallReading& reading, Time confirmed, Time now) {
-    maintenance_.OnClocks(reading, confirmed, now);
-  }
-  void OnBooking(const MaintenanceWindow& booking, uint64_t version, Time now) {
-    maintenance_.OnBooking(booking, version, now);
-  }
-  void OnBookingWithdrawn(const std::string& id, uint64_t version, Time now) {
-    maintenance_.OnBookingWithdrawn(id, version, now);
-  }
-  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                const CheckOutcome& outcome, Time now) {
-    rollout_manager_.OnHealth(rollout, key, outcome, now);
-  }
-  // What each controller reaches, this one's answer first.
+                     Time now);
+
+  // --- events: other controllers
+  // Which machines each controller reaches, this one's answer first.
   void OnReach(uint64_t round, std::vector<Reach> answers, Time now);
-  // The other has agreed to lead: no more commands, this leadership ends.
+  // Another controller has agreed to lead: this leadership ends.
   void OnTransferAccepted();
-  // It did not, or too many leadership transfers were lately.
-  void OnTransferRejected(const std::string& why, Time now) {
-    liveness_.OnTransferRejected(why, now);
-  }
-  // A controller asks for the right to keep the workers of its zone, should it
-  // be cut off. `life`, `age`: of its process, s.
+  // It has not, or there were too many leadership transfers lately.
+  void OnTransferRejected(const std::string& why, Time now);
+  // A controller asks for a delegated lease for the workers of its zone.
+  // `age`: of its process, s. Returns whether it gets one.
   bool OnDelegationAsked(const std::string& peer,
                          const std::string& process_incarnation, double age,
-                         Time now) {
-    return worker_sessions_.OnDelegationAsked(peer, process_incarnation, age,
-                                              now);
-  }
-  // One that was asked at `sent` stands back. Ages as of its answer, s;
-  // `renewed_ago` is negative if it never kept.
+                         Time now);
+  // A controller that was asked at `sent` yields its delegated lease. Ages as
+  // of its answer, s; `renewed_ago` is negative if it has never renewed.
   void OnLeaseYielded(const std::string& peer,
                       const std::string& process_incarnation, double age,
-                      double renewed_ago, Time sent, Time now) {
-    worker_sessions_.delegated_leases().LeaseYielded(
-        peer, process_incarnation, age, renewed_ago, sent, now);
-  }
+                      double renewed_ago, Time sent, Time now);
   void OnDelegatesRead(const std::set<std::string>& recorded, Time sent,
-                       Time now) {
-    worker_sessions_.delegated_leases().RecordsRead(recorded, sent, now);
-  }
-  // Whether nothing is in a zone that must be gone before a right to keep its
-  // workers could run out.
-  bool ZoneSettled(const std::string& zone, Time now) const {
-    return worker_sessions_.ZoneSettled(zone, now);
-  }
-  // Asks for the job to be cancelled; a JobTerminated follows. False: unknown
+                       Time now);
+
+  // --- events: users and time
+  // Asks for the job to be cancelled; a JobTerminated follows. False: no such
   // job.
-  bool Cancel(const std::string& id, Time now) {
-    return job_lifecycle_.Cancel(id, now);
-  }
-  // How jobs ended that the key-value store does not hold any more.
-  // `whole`: everybody who may have accepted a job was there to tell.
-  void OnUnrecordedTerminalStates(
-      std::vector<std::pair<std::string, TerminalState>> ends, bool whole) {
-    reconciler_.OnUnrecordedTerminalStates(std::move(ends), whole);
-  }
-  // `by_lease`: the right to lead rests on the lease of the key at this moment.
-  // While it rests on promises somebody who does not know of them may keep
-  // workers alive, so no incarnation is taken for over.
+  bool Cancel(const std::string& id, Time now);
+  // The clocks, read before every other event and after the message that it
+  // brings, and when all live records had last been read.
+  void OnClocks(const WallReading& reading, Time confirmed, Time now);
+  // `by_lease`: the right to lead rests on the lease of the leader key. While
+  // it rests on promises of others instead, somebody who does not know of them
+  // may keep workers alive, so no worker incarnation is taken to be over.
   void Tick(Time now, bool by_lease = true);
-  // Runs a placement pass now if anything has changed since the last.
-  void ScheduleIfNeeded(Time now) { scheduler_.ScheduleIfNeeded(now); }
-
+  // What the shell is to do; each is returned once.
   std::vector<Action> TakeActions();
 
-  // Lets replicas be moved, as far as the operators' settings do. Takes up the
-  // claims that a former leader has recorded; before the first Tick.
-  void UseMoves(const MoveCodec& codec, Time now) {
-    rebalancing_.UseMoves(codec, now);
-  }
-
-  // Whether details are logged.
-  void set_log_detail(bool on) { context_.log_detail = on; }
-
-  // --- questions
-  // Which leadership this is. Unlike the leader key's revision it never comes
-  // again, even if the key-value store has lost data.
-  uint64_t revision() const { return context_.term; }
-  // `out` is set unless the job is unseen.
+  // --- queries
+  // The number of this leadership. Unlike the leader key's revision it never
+  // occurs again, even if the key-value store has lost data.
+  uint64_t revision() const { return modules_.context.term; }
+  // Fills in `out` unless the job is unseen.
   JobObservation View(const std::string& id, JobView* out) const;
-  bool AllAccounted() const { return cluster_.AllMachinesAccountedFor(); }
-  const Rollout* FindRollout(const std::string& id) const {
-    return rollout_manager_.FindRollout(id);
-  }
-  const TierPolicy& tiers() const { return tiers_; }
-  // Whether the calendar holds the job back, why and until when; nothing if the
-  // job is not known.
+  // Whether every machine has shown what runs on it.
+  bool AllAccounted() const;
+  // Whether nothing is in a zone that must be gone before a delegated lease for
+  // its workers could expire.
+  bool ZoneSettled(const std::string& zone, Time now) const;
+  // Whether maintenance windows delay the job, why and until when; empty for an
+  // unknown job.
   std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
-                                                     Time now) const {
-    return maintenance_.CalendarAdmission(id, now);
-  }
-  const MaintenanceCalendar& calendar() const {
-    return maintenance_.calendar();
-  }
-  LeaderHealthState leader_health() const { return liveness_.leader_health(); }
-  const HeartbeatsReceived& heartbeats_received() const {
-    return liveness_.heartbeats_received();
-  }
-  // What the leader keeps from doing at this moment, for whoever asks; a line
-  // each.
+                                                     Time now) const;
+  // Conditions that operators should know of; a line each.
   std::vector<std::string> Alarms() const;
-  // Which jobs wait for which others, for people; a line each, not all of many.
-  std::vector<std::string> WaitingLines() const {
-    return dependencies_.WaitingLines();
-  }
-  const std::unordered_map<std::string, std::unique_ptr<Job>>& jobs() const {
-    return cluster_.jobs();
-  }
-  const std::vector<std::unique_ptr<Machine>>& machines() const {
-    return cluster_.machines();
-  }
-  // Moves of replicas, where the operators have them turned on; null if not.
-  const Rebalancer* rebalancer() const { return rebalancing_.rebalancer(); }
-  // Fragmentation of accelerators, over all machines.
-  FragmentationCount CountFragmentation() const {
-    return fragmentation_.Count(cluster_.machines());
-  }
+  // Which jobs wait for which others; a line each, limited in number.
+  std::vector<std::string> WaitingLines() const;
+  const Rollout* FindRollout(const std::string& id) const;
+  const TierPolicy& tiers() const { return modules_.tiers; }
+  const HeartbeatsReceived& heartbeats_received() const;
+  const ClusterState::Jobs& jobs() const { return modules_.cluster.jobs(); }
+  const ClusterState::Machines& machines() const;
+  // Null unless the operators' settings allow replicas to be moved.
+  const Rebalancer* rebalancer() const;
 
  private:
+  JobObservation ViewOfJob(const Job& job, JobView* out) const;
   // Takes up what earlier leaders have recorded.
   void TakeUpRecords(Time now);
   // The part of a tick that is due once per heartbeat interval.
   void TickSlowly(Time now);
-  // After every event: starts and writes what it has made possible.
+  // After an event: starts tasks and writes records as it has made possible.
   void Settle(Time now);
-  // Once a minute, where the operators have the packing turned on.
   void LogFragmentation(Time now);
 
-  // ClusterState::Observer
-  void OnCapacityCharged(const Job& job, const Resources& need) override;
-  void OnCapacityReleased(const Job& job, const Resources& need) override;
-  void OnAttemptStopping(const TaskAttempt& attempt) override;
-  void OnAttemptRemoved(Job& job) override;
-
-  std::vector<Action> actions_;
-  LeaderContext context_;
-  ReadConsistencyGate consistency_gate_;
-  WriteQueue writes_;
-  ClusterState cluster_;
-  LivenessMonitor liveness_;
-  FragmentationIndex fragmentation_;
-  TierPolicy tiers_;
-  QueueRanking queue_ranking_;
-  RunTimeEstimates run_times_;
-
-  MachineHealth machine_health_;
-  CommandDispatcher dispatcher_;
-  DependencyCoordinator dependencies_;
-  JobLifecycle job_lifecycle_;
-  RolloutManager rollout_manager_;
-  MaintenanceManager maintenance_;
-  TierManager tier_manager_;
-  Reconciler reconciler_;
-  MachineLifecycle machine_lifecycle_;
-  WorkerSessions worker_sessions_;
-  RebalancingManager rebalancing_;
-  Autoscaler autoscaler_;
-  Scheduler scheduler_;
+  LeaderModules modules_;
   Time next_fragmentation_log_ = 0;
 };
 
--- /dev/null
+++ b/core/leader/leader_modules.cc
@@ -0,0 +1,97 @@
+#include "core/leader/leader_modules.h"
+
+#include <utility>
+
+namespace oxbow {
+namespace {
+
+// How long a job counts in the measure of fragmentation after it was submitted,
+// in worker leases: some waves of work, not the whole day.
+constexpr double kMixLeases = 15;
+
+// The leader key has to be the one under which this leader was elected.
+std::vector<Precondition> LeadershipPreconditions(const Catalog& catalog,
+                                                  uint64_t revision) {
+  std::vector<Precondition> preconditions{
+      {std::string(keys::kLeader), revision}};
+  // Without it, a write that is applied after the store has gone back to an
+  // older state could find the leader key at the same revision by chance.
+  if (catalog.epoch().number > 0) {
+    auto [key, mod_revision] = catalog.Guard();
+    preconditions.push_back({std::move(key), mod_revision});
+  }
+  return preconditions;
+}
+
+}  // namespace
+
+LeaderModules::LeaderModules(
+    const Settings& settings, const Tuning& tuning, Catalog& catalog,
+    uint64_t revision, Time now, double wall_minus_steady, uint64_t seed,
+    const std::optional<std::set<std::string>>& delegates)
+    : context{settings,
+              tuning,
+              revision,
+              TermOf(catalog.epoch(), revision),
+              now,
+              wall_minus_steady,
+              SilenceTimeouts::From(settings.workers, tuning),
+              catalog,
+              cluster,
+              writes,
+              actions,
+              tiers,
+              liveness,
+              fragmentation,
+              queue_ranking,
+              run_times,
+              [this](Time at) { scheduler.ScheduleIfNeeded(at); },
+              NumberSource(TermOf(catalog.epoch(), revision))},
+      writes(settings, LeadershipPreconditions(catalog, revision), actions),
+      cluster(settings, FirstToken(context.term), tuning.recovery_checks > 0,
+              *this),
+      liveness(settings, tuning, context.timeouts, cluster.machines(), now,
+               seed, actions),
+      fragmentation(kMixLeases * settings.workers.lease_seconds,
+                    settings.workers.heartbeat_interval_seconds),
+      tiers(settings, tuning.tiers > 0),
+      queue_ranking(settings, tuning),
+      machine_health(context),
+      dispatcher(context, {maintenance}),
+      dependencies(context, {job_lifecycle}),
+      job_lifecycle(context, {dispatcher, dependencies, consistency_gate}),
+      rollout_manager(context, {machine_health, dispatcher, job_lifecycle}),
+      maintenance(context, {dispatcher, rollout_manager}),
+      tier_manager(context, {rollout_manager}),
+      reconciler(context, {dependencies, job_lifecycle}),
+      machine_lifecycle(
+          context, {machine_health, dispatcher, rollout_manager, reconciler}),
+      worker_sessions(context,
+                      {dispatcher, job_lifecycle, maintenance, reconciler,
+                       machine_lifecycle},
+                      delegates),
+      rebalancing(context, {machine_health, dispatcher, rollout_manager}),
+      autoscaler(context, {machine_health, dependencies, rollout_manager,
+                           maintenance, tier_manager, machine_lifecycle}),
+      scheduler(context,
+                {machine_health, dispatcher, rollout_manager, maintenance,
+                 tier_manager, rebalancing},
+                seed) {}
+
+void LeaderModules::OnCapacityCharged(const Job& job, const Resources& need) {
+  tiers.Hold(job.tier, need);
+}
+
+void LeaderModules::OnCapacityReleased(const Job& job, const Resources& need) {
+  tiers.Release(job.tier, need);
+}
+
+void LeaderModules::OnAttemptStopping(const TaskAttempt& attempt) {
+  rollout_manager.OnAttemptStopping(attempt);
+}
+
+void LeaderModules::OnAttemptRemoved(Job& job) {
+  job_lifecycle.RetireIfClear(job);
+}
+
+}  // namespace oxbow
--- a/core/leader_context/actions.h
+++ b/core/leader_context/actions.h
@@ -1,5 +1,5 @@
 // What the leader's core asks of the shell, and what the shell answers: plain
-// data, so that clients need not know the core that decides.
+// data, so that the shell's clients do not depend on the core that decides.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,8 @@
 
 // --- actions
 
-struct SendCommands {  // POST to the worker's command path
+// Send a batch of commands to a worker.
+struct SendCommands {
   std::string host;
   std::string endpoint;
   uint64_t batch = 0;
@@ -28,51 +29,61 @@
   std::vector<WorkerCommand> commands;
 };
 
-struct Probe {  // ask the worker for a heartbeat
+// Ask a worker for a heartbeat.
+struct Probe {
   std::string host;
   std::string endpoint;
 };
 
+// What has to hold for a CompareAndSwap to be applied.
 struct Precondition {
   std::string key;
-  uint64_t mod_revision = 0;
+  uint64_t mod_revision = 0;  // 0: the key does not exist
 };
 
+// A key that a CompareAndSwap writes or deletes.
 struct Mutation {
   std::string key;
   Record record;  // monostate deletes
 };
 
+// Write all mutations if all preconditions hold, else none. Answered by
+// Leader::OnWriteAnswer under the same id.
 struct CompareAndSwap {
   uint64_t id = 0;
   std::vector<Precondition> preconditions;
   std::vector<Mutation> mutations;
 };
 
+// Read these keys into the catalog. Answered by Leader::OnReadAnswer.
 struct ReadKeys {
   uint64_t id = 0;
   std::vector<std::string> keys;
 };
 
+// Request machines of the cloud. Repeated under the same name, the request
+// grants the same machines.
 struct RequestScaleOut {
   std::string name;
   ScaleOutRecord scale_out;
 };
 
+// Delete machines of the cloud.
 struct DeleteMachines {
   std::vector<std::string> hosts;
 };
 
-struct JobTerminated {  // recorded: whoever waits for it can be answered
+// The job's terminal state is recorded: users that wait for it can be answered.
+struct JobTerminated {
   std::string id;
   TerminalState state = TerminalState::kNone;
 };
 
-// Ask an instance of a rollout whether it is well.
+// Run the health check of a rollout on one of its replicas.
 struct CheckInstance {
   std::string rollout;
   TaskAttemptKey key;
-  std::string endpoint;  // of its machine's worker: the address counts
+  std::string endpoint;  // of its machine's worker; its address is used
   std::shared_ptr<const RolloutSpec> spec;
 };
 
@@ -84,34 +95,35 @@
   std::vector<std::string> endpoints;  // of the same
 };
 
-// Ask another controller to take over; if it agrees, this one steps down.
+// Ask another controller to lead; if it agrees, this one steps down.
 struct OfferLeadershipTransfer {
   std::string to;
   std::string why;
 };
 
-// Ask these controllers not to keep the workers of their zone for a moment.
+// Ask these controllers to yield their delegated leases for a moment.
 struct RequestLeaseYield {
   std::vector<std::string> peers;
 };
 
-// Read again whose right to keep a zone's workers is recorded.
+// Read again which controllers have a recorded delegated lease.
 struct ReadDelegates {};
 
-// A task runs whose job is not known here: read how it stands.
+// A task runs whose job is unknown here: read the job's record.
 struct RequestJobRecord {
   std::string id;
 };
 
-// Another job waits for this one, and nobody here knows how it stands: read its
-// waiting record, its live one and its end, in this order.
+// Another job depends on this one, which is unknown here: read its waiting
+// record, its live record and its terminal record, in this order.
 struct ReadTerminalState {
   std::string id;
 };
 
+// Step down as the leader.
 struct Resign {
   std::string reason;
-  bool unfit = false;  // others should go first
+  bool unfit = false;  // other controllers should be elected first
 };
 
 using Action =
@@ -122,32 +134,38 @@
 
 // --- answers
 
+// Of a CompareAndSwap.
 enum class WriteOutcome {
   kApplied,
-  kConflict,
-  kNotExecuted,
-  kRefused,  // larger than the key-value store takes; nothing was changed
-  kUnknown,
+  kConflict,     // some preconditions did not hold; nothing was changed
+  kNotExecuted,  // it never will be
+  kRefused,      // larger than the store accepts; nothing was changed
+  kUnknown,      // may have been applied, or may be later
 };
+// Of a batch of commands.
 enum class CommandOutcome { kExecuted, kRefused, kNotSent, kUnknown };
+// Of a request for machines.
 enum class ScaleOutOutcome { kGranted, kNoCapacity, kTryLater, kRejected };
 
+// The answer to a worker's heartbeat.
 struct HeartbeatResponse {
   // Not to be answered: the heartbeat is a copy or so old that its worker does
   // not wait any more.
   bool refused = false;
-  // Not to be answered: its machine's lease is let run out.
+  // Not to be answered: its machine's lease is allowed to expire.
   bool withheld = false;
   uint64_t token = 0;
   std::vector<WorkerCommand> commands;
 };
 
+// A live job as the leader sees it.
 struct JobView {
   std::string_view status;
-  uint32_t done = 0;
-  uint32_t running = 0;
+  uint32_t done = 0;     // tasks
+  uint32_t running = 0;  // tasks
 };
 
+// An entry of the cloud's list of machines.
 struct ListedMachine {
   std::string host;
   std::string endpoint;
--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -1,5 +1,5 @@
-// What every module of one leadership works with: its settings, its number, the
-// state that all of them read, and the ways out of the core. One exists per
+// What every module of one leadership works with: its settings, its term, the
+// state that all of them read, and the output of the core. One exists per
 // leadership and lives as long as the leader. Modules hold references to what
 // they need of it.
 #pragma once
@@ -26,16 +26,18 @@
 
 namespace oxbow {
 
+// Owned by LeaderModules.
 struct LeaderContext {
   const Settings& settings;
   const Tuning& tuning;
 
-  // Of the leader key; and the number of this leadership, the upper part of its
-  // fencing tokens, which never comes again even if the store has lost data.
+  // The revision of the leader key; and the term of this leadership, the upper
+  // part of its fencing tokens, which never occurs again even if the store has
+  // lost data.
   const uint64_t revision;
   const uint64_t term;
   const Time started;
-  // To turn a time of the steady clock into one of the wall clock, s.
+  // Added to a time of the steady clock, gives that of the wall clock, s.
   const double wall_minus_steady;
   const SilenceTimeouts timeouts;
 
--- a/core/leader_context/run_time_estimates.h
+++ b/core/leader_context/run_time_estimates.h
@@ -1,5 +1,5 @@
-// How long tasks of a class run: as estimated by their users until enough of
-// them have been seen to run, as observed from then on.
+// How long tasks of a class run: as their users estimate until enough tasks
+// have been observed, as observed from then on.
 #pragma once
 
 #include <algorithm>
@@ -10,6 +10,7 @@
 
 namespace oxbow {
 
+// Owned by LeaderModules; every module may read it.
 class RunTimeEstimates {
  public:
   // A task of the class has run to its end.
--- a/core/reconciliation/reconciler.cc
+++ b/core/reconciliation/reconciler.cc
@@ -1,6 +1,7 @@
 #include "core/reconciliation/reconciler.h"
 
 #include <algorithm>
+#include <memory>
 #include <utility>
 
 #include "core/dependencies/dependency_coordinator.h"
@@ -8,6 +9,28 @@
 #include "core/reconciliation/reconciliation_operations.h"
 
 namespace oxbow {
+namespace {
+
+// The order in which records are written back. Machines come first: a leader
+// that is elected meanwhile has to know which ones to ask. Then live services,
+// then the other jobs that users wait for.
+enum class Urgency { kMachine, kProductionJob, kOtherJob, kOther };
+
+Urgency UrgencyOf(const Catalog& catalog, const std::string& key) {
+  if (key.starts_with(keys::kMachine)) return Urgency::kMachine;
+  if (!key.starts_with(keys::kJob)) return Urgency::kOther;
+  const JobRecord* job = catalog.FindJob(key.substr(keys::kJob.size()));
+  return job != nullptr && job->spec->priority == Priority::kProduction
+             ? Urgency::kProductionJob
+             : Urgency::kOtherJob;
+}
+
+bool HasEnded(const Job& job) {
+  return job.state() == JobState::kDone || job.state() == JobState::kAborted;
+}
+
+}  // namespace
+
 Reconciler::Reconciler(LeaderContext& context, const Modules& modules)
     : context_(context),
       settings_(context.settings),
@@ -19,142 +42,158 @@
       dependencies_(modules.dependencies),
       job_lifecycle_(modules.job_lifecycle) {}
 
-// A task that runs without a record: either its job has ended, which is known
-// or can be read, or its record is lost, and killing it would be the loss of
-// the work as well.
+// Either the task's job has ended, which is known or can be read, or its record
+// is lost. In the latter case stopping it would lose the work as well.
 bool Reconciler::MayStopUnknownTask(const TaskAttempt& attempt, Time now) {
   if (!RecoveryEnabled() ||
       catalog_.FindTerminalState(attempt.job_id) != TerminalState::kNone) {
     return true;
   }
-  const auto [asked, first] = asked_jobs_.try_emplace(attempt.job_id, now);
-  if (first || now >= asked->second) {
-    asked->second = now + settings_.workers.lease_seconds;
+  const auto [next, first] =
+      next_record_request_.try_emplace(attempt.job_id, now);
+  if (first || now >= next->second) {
+    next->second = now + settings_.workers.lease_seconds;
     actions_.push_back(RequestJobRecord{attempt.job_id});
   }
   return false;
 }
 
-bool Reconciler::ViewOrphanedTasks(const std::string& id, JobView* out) const {
-  bool there = false;
-  out->done = 0;
-  out->running = 0;
+UnrecordedJobView Reconciler::ViewOrphanedTasks(
+    const std::string& job_id) const {
+  UnrecordedJobView unrecorded;
   for (const auto& machine : cluster_.machines()) {
     if (machine->orphaned_tasks == 0) continue;
-    for (auto r = machine->task_attempts.lower_bound({id, 0, 0});
-         r != machine->task_attempts.end() && r->first.job_id == id; ++r) {
-      there = there || cluster_.IsOrphaned(r->second);
-      out->running += r->second.phase == TaskPhase::kRunning;
+    for (auto it = machine->task_attempts.lower_bound({job_id, 0, 0});
+         it != machine->task_attempts.end() && it->first.job_id == job_id;
+         ++it) {
+      const TaskAttempt& attempt = it->second;
+      if (cluster_.IsOrphaned(attempt)) unrecorded.has_orphaned_tasks = true;
+      if (attempt.phase == TaskPhase::kRunning) ++unrecorded.view.running;
     }
   }
-  out->status = out->running > 0 ? "running" : "pending";
-  return there;
+  unrecorded.view.status = unrecorded.view.running > 0 ? "running" : "pending";
+  return unrecorded;
 }
 
-// Machines first: a leader that takes over has to know where to look. Then
-// live services, then all else that users wait for.
-std::vector<std::string> Reconciler::ReconciliationOrder() const {
-  const auto rank = [this](const std::string& key) {
-    if (key.starts_with(keys::kMachine)) return 0;
-    if (!key.starts_with(keys::kJob)) return 3;
-    const JobRecord* job = catalog_.FindJob(key.substr(keys::kJob.size()));
-    return job != nullptr && job->spec->priority == Priority::kProduction ? 1
-                                                                          : 2;
+std::vector<std::string> Reconciler::PendingKeysByUrgency() const {
+  struct RankedKey {
+    Urgency urgency;
+    std::string key;
+    auto operator<=>(const RankedKey&) const = default;
   };
-  std::vector<std::pair<int, std::string>> ranked;
+  std::vector<RankedKey> ranked;
   for (const auto& [key, version] : catalog_.pending_writes()) {
-    ranked.emplace_back(rank(key), key);
+    ranked.push_back({UrgencyOf(catalog_, key), key});
   }
   std::sort(ranked.rbegin(), ranked.rend());
-  std::vector<std::string> order;
-  order.reserve(ranked.size());
-  for (auto& [r, key] : ranked) order.push_back(std::move(key));
-  return order;
+  std::vector<std::string> keys_by_urgency;
+  keys_by_urgency.reserve(ranked.size());
+  for (RankedKey& entry : ranked) {
+    keys_by_urgency.push_back(std::move(entry.key));
+  }
+  return keys_by_urgency;
 }
 
 void Reconciler::OnUnrecordedTerminalStates(
-    std::vector<std::pair<std::string, TerminalState>> ends, bool whole) {
-  unrecorded_terminal_states_ = std::move(ends);
+    std::vector<UnrecordedTerminalState> states, bool complete) {
+  unrecorded_terminal_states_ = std::move(states);
   terminal_states_compared_ = true;
-  retained_records_complete_ = whole;
+  retained_records_complete_ = complete;
 }
 
 void Reconciler::TickReconciliation(Time now) {
-  // The picture against the records, once a lease: a record that came past
-  // every event (its hint lost, its job taken in while this leader took office)
-  // runs all the same, an end that was read on the side ends its job, and a job
-  // whose record is gone is asked about. Each of these would stay as it is for
-  // ever, and a cancellation of the last be refused for as long. Stands for all
-  // of them among those that are asked about.
-  const auto [next, first] = asked_jobs_.try_emplace("", now);
-  if (now >= next->second) {
-    next->second = now + settings_.workers.lease_seconds;
-    std::vector<std::string> news;
-    for (const auto& [id, record] : catalog_.jobs()) {
-      const auto it = cluster_.jobs().find(id);
-      if (it == cluster_.jobs().end() ||
-          (record.terminal_state != TerminalState::kNone &&
-           it->second->state() != JobState::kDone &&
-           it->second->state() != JobState::kAborted)) {
-        news.push_back(id);
-      }
-    }
-    for (const std::string& id : news) job_lifecycle_.OnJobRecord(id, now);
-    std::vector<std::string> waiting;
-    for (const auto& [id, record] : catalog_.waiting()) {
-      if (dependencies_.Find(id) == nullptr) waiting.push_back(id);
-    }
-    for (const std::string& id : waiting)
-      dependencies_.OnWaitingRecord(id, now);
-    std::vector<std::pair<std::string, TerminalState>> ended;
-    for (const auto& [id, job] : cluster_.jobs()) {
-      if (job->state() == JobState::kDone ||
-          job->state() == JobState::kAborted ||
-          catalog_.FindJob(id) != nullptr) {
-        continue;
-      }
-      const TerminalState end = catalog_.FindTerminalState(id);
-      if (end != TerminalState::kNone) {
-        ended.emplace_back(id, end);
-      } else if (RecoveryEnabled()) {
-        actions_.push_back(RequestJobRecord{id});
-      }
-    }
-    for (const auto& [id, end] : ended)
-      job_lifecycle_.OnTerminalStateRecorded(id, end, now);
-  }
-  // After the rebuild nothing is owed, but by one that had no part in it and
-  // leads before it has handed in what it remembers.
+  CompareWithRecords(now);
+  // After the rebuild nothing is pending, except on a leader that had no part
+  // in it and was elected before it has contributed what it remembers.
   if (catalog_.epoch().rebuilt && catalog_.pending_writes().empty()) return;
-  // What is going on comes first; this fills the rest of the transactions.
+  // Current writes come first; these fill the rest of the transactions.
   const auto batch = static_cast<size_t>(settings_.store.txn_ops);
   if (writes_.waiting() >= batch) return;
-  if (reconciliation_queue_.empty())
-    reconciliation_queue_ = ReconciliationOrder();
+  size_t queued = QueuePendingRecords(batch);
+  queued += QueueTerminalStates(batch - queued);
+  if (queued == 0 && terminal_states_compared_ &&
+      catalog_.pending_writes().empty() && writes_.waiting() == 0) {
+    writes_.Enqueue(
+        std::make_unique<CompleteReconciliationOperation>(context_, *this),
+        WritePriority::kBackground);
+  }
+  writes_.Flush(now);
+}
+
+// A record may escape every event: its notification was lost, its job was
+// accepted while this leader was being elected, or a terminal state was read on
+// the side. Without this comparison the job would stay as it is for ever, and a
+// cancellation of it would be refused for as long.
+void Reconciler::CompareWithRecords(Time now) {
+  if (next_comparison_ && now < *next_comparison_) return;
+  next_comparison_ = now + settings_.workers.lease_seconds;
+  TakeUpMissedJobRecords(now);
+  TakeUpMissedWaitingRecords(now);
+  ResolveJobsWithoutRecord(now);
+}
+
+void Reconciler::TakeUpMissedJobRecords(Time now) {
+  std::vector<std::string> missed;
+  for (const auto& [id, record] : catalog_.jobs()) {
+    const auto it = cluster_.jobs().find(id);
+    if (it == cluster_.jobs().end() ||
+        (record.terminal_state != TerminalState::kNone &&
+         !HasEnded(*it->second))) {
+      missed.push_back(id);
+    }
+  }
+  for (const std::string& id : missed) job_lifecycle_.OnJobRecord(id, now);
+}
+
+void Reconciler::TakeUpMissedWaitingRecords(Time now) {
+  std::vector<std::string> missed;
+  for (const auto& [id, record] : catalog_.waiting()) {
+    if (dependencies_.Find(id) == nullptr) missed.push_back(id);
+  }
+  for (const std::string& id : missed) dependencies_.OnWaitingRecord(id, now);
+}
+
+void Reconciler::ResolveJobsWithoutRecord(Time now) {
+  std::vector<UnrecordedTerminalState> ended;
+  for (const auto& [id, job] : cluster_.jobs()) {
+    if (HasEnded(*job) || catalog_.FindJob(id) != nullptr) continue;
+    const TerminalState state = catalog_.FindTerminalState(id);
+    if (state != TerminalState::kNone) {
+      ended.push_back({id, state});
+    } else if (RecoveryEnabled()) {
+      actions_.push_back(RequestJobRecord{id});
+    }
+  }
+  for (const UnrecordedTerminalState& job : ended) {
+    job_lifecycle_.OnTerminalStateRecorded(job.job_id, job.state, now);
+  }
+}
+
+size_t Reconciler::QueuePendingRecords(size_t max_operations) {
+  if (pending_keys_.empty()) pending_keys_ = PendingKeysByUrgency();
   size_t queued = 0;
-  while (!reconciliation_queue_.empty() && queued < batch) {
+  while (!pending_keys_.empty() && queued < max_operations) {
     writes_.Enqueue(std::make_unique<ReconcileRecordOperation>(
-                        context_, dependencies_, reconciliation_queue_.back()),
+                        context_, dependencies_, pending_keys_.back()),
                     WritePriority::kBackground);
-    reconciliation_queue_.pop_back();
+    pending_keys_.pop_back();
     ++queued;
   }
-  while (reconciliation_queue_.empty() &&
-         !unrecorded_terminal_states_.empty() && queued < batch) {
-    auto& [id, state] = unrecorded_terminal_states_.back();
-    writes_.Enqueue(
-        std::make_unique<ReconcileTerminalStateOperation>(context_, id, state),
-        WritePriority::kBackground);
+  return queued;
+}
+
+size_t Reconciler::QueueTerminalStates(size_t max_operations) {
+  size_t queued = 0;
+  while (pending_keys_.empty() && !unrecorded_terminal_states_.empty() &&
+         queued < max_operations) {
+    const UnrecordedTerminalState& job = unrecorded_terminal_states_.back();
+    writes_.Enqueue(std::make_unique<ReconcileTerminalStateOperation>(
+                        context_, job.job_id, job.state),
+                    WritePriority::kBackground);
     unrecorded_terminal_states_.pop_back();
     ++queued;
   }
-  if (queued == 0 && terminal_states_compared_ &&
-      catalog_.pending_writes().empty() && writes_.waiting() == 0) {
-    writes_.Enqueue(
-        std::make_unique<CompleteReconciliationOperation>(context_, *this),
-        WritePriority::kBackground);
-  }
-  writes_.Flush(now);
+  return queued;
 }
 
 }  // namespace oxbow
--- a/tests/dependency_graph_memory.cc
+++ b/tests/dependency_graph_memory.cc
@@ -1,14 +1,14 @@
 // What 20,000 waiting jobs and 1,000,000 terminal states take of a controller's
 // memory: the catalog's records, the graph, the index of ends. Built by hand,
-// without the sanitizers: the figures stand in docs/chains.md.
+// without the sanitizers: the figures stand in docs/graph.md.
 
 #include <malloc.h>
 
 #include <cstdio>
 #include <string>
 
-#include "core/dependencies/dependency_graph.h"
 #include "core/catalog/catalog.h"
+#include "core/dependencies/dependency_graph.h"
 
 namespace {
 
@@ -59,14 +59,14 @@
   std::printf("%d waiting records: %.1f MiB\n", kWaiting, Mib() - before);
   before = Mib();
   const Estimates estimates;
-  DependencyGraph chains(estimates);
+  DependencyGraph graph(estimates);
   for (const auto& [id, record] : catalog.waiting()) {
-    chains.Add(record.spec, 0,
-               [](const std::string&) { return TerminalState::kNone; });
+    graph.Add(record.spec, 0,
+              [](const std::string&) { return TerminalState::kNone; });
   }
   std::printf("graph of them, at the leader: %.1f MiB\n", Mib() - before);
   before = Mib();
-  chains.InheritedBy(IdOf(1'999'999));
+  graph.InheritedBy(IdOf(1'999'999));
   std::printf("what they inherit: %.1f MiB\n", Mib() - before);
   return 0;
 }
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,6 +1,6 @@
-// The code of core/chains: what jobs inherit, every order of events of three
-// jobs under two leaders, and random graphs under failing leaders and late
-// writes, with an account of its own (Sim::CheckChainStart,
+// The code of core/dependencies: what jobs inherit, every order of events of
+// three jobs under two leaders, and random graphs under failing leaders and
+// late writes, with an account of its own (Sim::CheckChainStart,
 // CheckOrphanedTasks).
 
 #include "core/dependencies/dependency_graph.h"
@@ -49,45 +49,45 @@
 };
 
 TEST(DependencyGraph, InheritAlongTheLongestPathThatIsLeft) {
-  DependencyGraph chains(kEstimates);
+  DependencyGraph graph(kEstimates);
   // a and b before c, c before d, a before d too.
-  chains.Add(SpecOf("c", {"a", "b"}), 0, kNobodyEnded);
-  EXPECT_EQ(chains.InheritedBy("a").priority, Priority::kLow);
+  graph.Add(SpecOf("c", {"a", "b"}), 0, kNobodyEnded);
+  EXPECT_EQ(graph.InheritedBy("a").priority, Priority::kLow);
   const auto last = SpecOf("d", {"c", "a"});
   last->priority = Priority::kHigh;
   last->deadline_seconds = 100;
-  chains.Add(last, 50, kNobodyEnded);
-  const std::vector<std::string> changed = chains.TakeChanged();
+  graph.Add(last, 50, kNobodyEnded);
+  const std::vector<std::string> changed = graph.TakeChangedInheritance();
   EXPECT_EQ(std::set<std::string>(changed.begin(), changed.end()),
             (std::set<std::string>{"a", "b", "c"}));
-  EXPECT_EQ(chains.InheritedBy("b").priority, Priority::kHigh);
-  EXPECT_EQ(chains.InheritedBy("c").due.first, 140);
-  EXPECT_EQ(chains.InheritedBy("a").due.first, 130);
-  EXPECT_EQ(chains.InheritedBy("b").due.last, 180);
-  chains.Remove("d");
-  EXPECT_EQ(chains.InheritedBy("a").priority, Priority::kLow);
+  EXPECT_EQ(graph.InheritedBy("b").priority, Priority::kHigh);
+  EXPECT_EQ(graph.InheritedBy("c").due.first, 140);
+  EXPECT_EQ(graph.InheritedBy("a").due.first, 130);
+  EXPECT_EQ(graph.InheritedBy("b").due.last, 180);
+  graph.Remove("d");
+  EXPECT_EQ(graph.InheritedBy("a").priority, Priority::kLow);
 }
 
 TEST(DependencyGraph, AWalkEndsEvenInACircleAndInALongChain) {
-  DependencyGraph chains(kEstimates);
-  chains.Add(SpecOf("x", {"y"}), 0, kNobodyEnded);
-  chains.Add(SpecOf("y", {"x"}), 0, kNobodyEnded);
-  EXPECT_EQ(chains.InheritedBy("x").priority, Priority::kLow);
+  DependencyGraph graph(kEstimates);
+  graph.Add(SpecOf("x", {"y"}), 0, kNobodyEnded);
+  graph.Add(SpecOf("y", {"x"}), 0, kNobodyEnded);
+  EXPECT_EQ(graph.InheritedBy("x").priority, Priority::kLow);
   constexpr int kLength = 20'000;
   for (int i = 1; i < kLength; ++i) {
     const auto spec =
         SpecOf(fmt::format("job-{:06}", i), {fmt::format("job-{:06}", i - 1)});
     spec->deadline_seconds = 1e6;
-    chains.Add(spec, 0, kNobodyEnded);
+    graph.Add(spec, 0, kNobodyEnded);
   }
-  EXPECT_EQ(chains.InheritedBy("job-000000").due.first,
+  EXPECT_EQ(graph.InheritedBy("job-000000").due.first,
             1e6 - 10.0 * (kLength - 1));
   // Each of the chain goes with the one before it.
-  chains.OnEnd("job-000000", TerminalState::kAborted);
+  graph.OnTerminalState("job-000000", TerminalState::kAborted);
   int gone = 0;
-  for (std::string id = chains.TakeDue(); !id.empty(); id = chains.TakeDue()) {
-    chains.Remove(id);
-    chains.OnEnd(id, TerminalState::kAborted);
+  for (auto id = graph.TakeDue(); id; id = graph.TakeDue()) {
+    graph.Remove(*id);
+    graph.OnTerminalState(*id, TerminalState::kAborted);
     ++gone;
   }
   EXPECT_EQ(gone, kLength - 1);
@@ -117,7 +117,7 @@
   std::array<int, 3> mod_revision{};
   std::array<bool, 3> user_cancelled{};
   uint64_t leader = 1;
-  DependencyGraph chains{kEstimates};
+  DependencyGraph graph{kEstimates};
   std::optional<Txn> write;
   std::optional<Txn> late;
   bool lost_one = false;
@@ -135,20 +135,20 @@
       if (rec[job] != Rec::kWaiting) continue;
       std::vector<std::string> dependencies;
       for (const int need : needs[job]) dependencies.push_back(Id(need));
-      chains.Add(SpecOf(Id(job), dependencies), 0,
-                 [this](const std::string& id) {
-                   return TerminalStateOf(id[0] - '0');
-                 });
+      graph.Add(SpecOf(Id(job), dependencies), 0,
+                [this](const std::string& id) {
+                  return TerminalStateOf(id[0] - '0');
+                });
     }
     Next();
   }
   void Next() {
     if (write) return;
-    const std::string id = chains.TakeDue();
-    if (id.empty()) return;
-    const int job = id[0] - '0';
+    const std::optional<std::string> id = graph.TakeDue();
+    if (!id) return;
+    const int job = id->at(0) - '0';
     write = Txn{job,
-                chains.Find(id)->state == DependencyState::kReleasing
+                graph.Find(*id)->state == DependencyState::kReleasing
                     ? Rec::kLive
                     : Rec::kAborted,
                 leader, mod_revision[job]};
@@ -173,15 +173,15 @@
   // The leader learns how a record stands: its own write's answer or its read.
   void Settle(int job) {
     if (rec[job] == Rec::kWaiting) {
-      chains.PutBackDue(Id(job));
+      graph.PutBackDue(Id(job));
     } else {
-      const DependentJob* chain = chains.Find(Id(job));
-      const bool request = chain != nullptr &&
-                           chain->state == DependencyState::kCancelling &&
+      const DependentJob* dependent = graph.Find(Id(job));
+      const bool request = dependent != nullptr &&
+                           dependent->state == DependencyState::kCancelling &&
                            rec[job] == Rec::kLive;
-      chains.Remove(Id(job));
+      graph.Remove(Id(job));
       if (request) Set(job, Rec::kAborted);
-      chains.OnEnd(Id(job), TerminalStateOf(job));
+      graph.OnTerminalState(Id(job), TerminalStateOf(job));
     }
     Next();
   }
@@ -189,11 +189,12 @@
     std::string key =
         fmt::format("{}{}{}|", lost_one, leader, write.has_value());
     for (int job = 0; job < 3; ++job) {
-      const DependentJob* chain = chains.Find(Id(job));
-      key += fmt::format("{}{}{}{}.{} ", static_cast<char>(rec[job]),
-                         mod_revision[job], user_cancelled[job],
-                         chain ? static_cast<int>(chain->state) : -1,
-                         chain ? chain->open.size() : 0);
+      const DependentJob* dependent = graph.Find(Id(job));
+      key += fmt::format(
+          "{}{}{}{}.{} ", static_cast<char>(rec[job]), mod_revision[job],
+          user_cancelled[job],
+          dependent ? static_cast<int>(dependent->state) : -1,
+          dependent ? dependent->unfinished_dependencies.size() : 0);
     }
     for (const auto& txn : {write, late}) {
       if (txn) {
@@ -229,7 +230,7 @@
       if (from.rec[job] == Rec::kLive) {
         visit([job](Simulation& w) {
           w.Set(job, Rec::kDone);
-          w.chains.OnEnd(Simulation::Id(job), TerminalState::kDone);
+          w.graph.OnTerminalState(Simulation::Id(job), TerminalState::kDone);
           w.Next();
         });
       }
@@ -238,9 +239,10 @@
           w.user_cancelled[job] = true;
           if (w.rec[job] == Rec::kLive) {
             w.Set(job, Rec::kAborted);
-            w.chains.OnEnd(Simulation::Id(job), TerminalState::kAborted);
+            w.graph.OnTerminalState(Simulation::Id(job),
+                                    TerminalState::kAborted);
           } else {
-            w.chains.Cancel(Simulation::Id(job));
+            w.graph.Cancel(Simulation::Id(job));
           }
           w.Next();
         });
@@ -295,7 +297,7 @@
         for (int job = 0; job < 3; ++job) {
           if (w.rec[job] == Rec::kWaiting) w.user_cancelled[job] = false;
         }
-        w.chains = DependencyGraph(kEstimates);
+        w.graph = DependencyGraph(kEstimates);
         w.TakeUp();
       });
     }
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -274,8 +274,8 @@
 TEST_F(Remembering, TheGuardsOfTwoEpochsNeverMeet) {
   const auto before = catalog_.Guard();
   OpenEpoch(catalog_, 2, 5);
-  EXPECT_EQ(catalog_.Guard().second, before.second);
-  EXPECT_NE(catalog_.Guard().first, before.first);
+  EXPECT_EQ(catalog_.Guard().mod_revision, before.mod_revision);
+  EXPECT_NE(catalog_.Guard().key, before.key);
 }
 
 // --- ends
