--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -32,7 +32,7 @@
   ReadBookings();
   if (leader_ && now_ >= stalled_until_) {
     PublishMaintenanceWindows();
-    LookAtClocks();
+    PublishClocks();
   }
   std::vector<Later> due;
   std::erase_if(later_, [&](Later& l) {
@@ -45,18 +45,18 @@
   for (Later& l : due) l.what();
   if (tuning.rollouts_at_once > 0) Watch();
   if (tuning.tiers > 0) FollowTiers();
-  AskForZones();
+  RequestDelegations();
   for (auto& [host, worker] : workers_) AdvanceWorker(worker);
   if (leader_ && now_ >= stalled_until_) {
     leader_->Tick(now_, !by_promises);
     ExecuteActions();
   }
   RecordIncarnations();
-  if (!controllers_.empty()) WatchReach();
+  if (!controllers_.empty()) TrackReachability();
   if (troubles.Happens(troubles.odd_requests * kStepSeconds)) RequestOddly();
-  NoteCancelled();
-  NoteTold();
-  NoteRoom();
+  RecordCancellations();
+  CheckStatusNeverGoesBack();
+  RecordFreeCapacity();
   CheckRules();
   CheckAnswers();
   CheckIndices();
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -1,6 +1,6 @@
-// Stand-ins for the key-value store, the cloud and the workers, in virtual
-// time, round the real core. They follow the protocol, not the core's
-// expectations, and note every broken rule.
+// Fakes of the key-value store, the cloud and the workers that drive the real
+// core in virtual time. They follow the protocol, not the core's expectations,
+// and record every violated rule.
 #pragma once
 
 #include <deque>
@@ -53,7 +53,7 @@
   uint64_t incarnation = 1;
   uint64_t seq = 0;
   uint64_t token = 0;
-  Time lease_from = 0;  // when the last answered report was sent
+  Time lease_from = 0;  // when the last answered heartbeat was sent
   Time next_heartbeat = 0;
   Time waits_until = 0;           // for the answer to its heartbeat
   uint64_t seen_incarnation = 0;  // by this leader; 0: none
@@ -164,9 +164,9 @@
   double rent_seconds = 0.2;  // until the cloud answers
   bool state_down = false;
   size_t state_takes = SIZE_MAX;  // changes in a transaction; more: refused
-  bool by_promises = false;       // what the right to lead rests on
+  bool by_promises = false;       // leader leases rest on peers' promises
   // With random faults: without a leader in an outage, the other controllers
-  // answer whatever worker reaches them, without orders and knowing nothing.
+  // answer any worker that reaches them, without commands.
   bool delegated = false;
   std::optional<RandomFaults> faults;
   std::optional<LateWrites> late_writes;
@@ -180,7 +180,7 @@
                  const std::string& zone, bool spot);
   SimWorker& worker(const std::string& host) { return workers_.at(host); }
   void SetFate(const std::string& host, Fate fate, double late_seconds);
-  // A leader takes office, the one before is gone.
+  // Starts a leader; the one before is gone.
   void Lead() { Lead(leading_); }
   void Lead(const std::string& name);
   // The other controllers, beside "a". Without them nobody can be asked.
@@ -209,13 +209,13 @@
   // could lead reached four machines and more, and leadership transfers were
   // left.
   double unfit_for() const { return now_ - fit_at_; }
-  // The leader stops without a word.
+  // The leader's process crashes.
   void Crash() { leader_.reset(); }
   // The leader's process gets no processor time; it answers nothing, notices
   // nothing, and finds later what has arrived meanwhile.
   void Stall(double seconds) { stalled_until_ = now_ + seconds; }
-  // A report that comes once more, to whoever leads by then; nobody waits for
-  // the answer.
+  // Delivers a heartbeat once more, to the leader of that moment; nobody waits
+  // for the answer.
   void Copy(const Heartbeat& heartbeat, double after);
   void NoteWithheld(const SimWorker& worker);
   // A copy of the heartbeat reaches the next leader just as it begins.
@@ -224,14 +224,14 @@
   const Heartbeat& LastHeartbeat(const std::string& host) {
     return sent_.at(host);
   }
-  // Tasks started where no answer has arrived since this leader has seen a
-  // incarnation of the worker end.
+  // Tasks started on workers that have received no answer since this leader
+  // observed the end of an incarnation of theirs.
   int starts_on_deaf() const { return starts_on_deaf_; }
   // Dead machines on which the leader still counts tasks, so many s after they
   // died, it took office, and it heard the last that was news of them.
   std::vector<std::string> HeldByTheDead(double bound) const;
-  // What the leader takes for gone although it is there: an account of each
-  // worker's tasks against the leader's picture of machines that it has heard.
+  // Tasks that run on workers but are missing from the leader's state of
+  // machines that have sent a heartbeat.
   std::vector<std::string> WronglyGone() const;
   std::map<std::string, SimWorker>& workers() { return workers_; }
   void Submit(const JobSpec& spec);
@@ -245,16 +245,16 @@
   // ended.
   void RequestOddly();
   void Run(double seconds);
-  // For how long a task of the job has run nowhere although a machine that
-  // fits had room for it and its team was under its limit, by the account of
-  // the machines' own tasks (a gang: all its tasks). The job that waited
-  // longest: "".
+  // For how long a task of the job (of a gang: all its tasks) has run nowhere
+  // although a matching machine had free capacity and its team was below its
+  // quota, computed from the machines' own tasks. Empty id: the job that waited
+  // longest.
   double WaitedWithRoom(const std::string& id) const;
   // Tasks that the leader counts as present where there is none.
   std::vector<std::string> Phantoms() const;
 
-  // The record of the tiers, as operators leave it in the key-value store;
-  // absent: there is none.
+  // The record of the priority tiers, as operators write it to the key-value
+  // store; absent: there is none.
   struct TiersRecord {
     std::string text;
     bool withdrawn = false;
@@ -280,8 +280,8 @@
   bool rebuilding() const { return now_ < rebuilt_at_; }
   // True time, s since 1970.
   double true_wall() const { return now_ + kEpochOffset; }
-  // An account of its own of starts that must not be, by true time: why the
-  // task must not start at this moment, or nothing.
+  // Why a task must not start at this moment of true time; empty: it may. Set
+  // by tests, independent of the core.
   std::function<std::string(const JobSpec& spec, double wall)> forbidden;
 
   std::map<std::string, Illness> illness;  // by job
@@ -328,29 +328,29 @@
   };
   struct StoredJob {
     JobSpec spec;
-    // Since when its user may have been told that it is cancelled, by whoever
-    // answers for the leader or after it.
-    std::optional<Time> told;
-    bool nothing_left = false;  // by its record
-    std::string end;            // as its user was told; empty: none yet
-    Time room_since = 1e18;     // that a task of it could have run
-    // Since when the user of one that it needs, directly or through others, was
-    // told that that one is cancelled.
-    std::optional<Time> told_before;
+    // Since when some controller may have answered its user that it is
+    // cancelled.
+    std::optional<Time> cancelled_seen_at;
+    bool recorded_as_aborted = false;
+    std::string end;             // the terminal status its user has seen
+    Time capacity_since = 1e18;  // a task of it could have run
+    // Since when the user of a direct or indirect dependency has seen that the
+    // dependency is cancelled.
+    std::optional<Time> dependency_cancelled_at;
     Time submitted = 0;
   };
 
   void Step();
   void ExecuteActions();
-  void Do(const SendCommands& commands);
-  void DoWithFaults(const SendCommands& commands);
+  void DeliverCommands(const SendCommands& commands);
+  void DeliverCommandsWithFaults(const SendCommands& commands);
   void SendHeartbeatWithFaults(SimWorker& worker);
   void AcceptReply(SimWorker& worker, const HeartbeatResponse& reply,
                    uint64_t incarnation, Time sent);
-  // Controllers in zones ask for the right to keep their workers.
-  void AskForZones();
-  // Whether a controller inside answers a worker that nobody else hears.
-  bool KeptInZone(const SimWorker& worker);
+  // Controllers in zones request delegated leases for their workers.
+  void RequestDelegations();
+  // Whether a controller of its zone renews the worker's lease by delegation.
+  bool RenewedInZone(const SimWorker& worker);
   std::set<std::string> RecordedDelegates() const;
   // Runs on the leader once it has the processor, if it still leads then.
   void OnLeader(uint64_t revision, std::function<void()> what);
@@ -365,49 +365,49 @@
   // Revision of the change; 0 with the failed keys when a condition fails.
   uint64_t Apply(const CompareAndSwap& txn, std::vector<std::string>* failed);
   void CheckChange(const Mutation& change);
-  void CheckSettled(const CompareAndSwap& txn);
+  void CheckScaleOutRecorded(const CompareAndSwap& txn);
   uint64_t ApplyLate(const CompareAndSwap& txn);
-  void Rent(const RequestScaleOut& rent);
+  void ScaleOut(const RequestScaleOut& rent);
   void After(double seconds, std::function<void()> what);
-  // Brings what has changed in the key-value store to the leader.
+  // Delivers changes of the key-value store to the leader.
   void Watch();
   void ReadBookings();
   void PublishMaintenanceWindows();
-  void LookAtClocks();
+  void PublishClocks();
   void Check(const CheckInstance& check);
   // Whether the machine answers a probe of that controller.
   bool Reaches(const SimController& controller, const SimWorker& worker) const;
-  void WatchReach();
+  void TrackReachability();
   void AnswerReach(const AskReach& ask);
   void AnswerTransferOffer(const OfferLeadershipTransfer& offer);
-  // The one that goes for the free key first.
+  // Elects the controller that acquires the leader key first.
   void Succeed(const std::string& name);
   SimController& LeaderNode() { return controllers_[leading_]; }
   // Every controller that reaches the key-value store follows the record.
   void FollowTiers();
-  bool Well(const SimTask& task) const;
-  void NoteCancelled();
-  // What a node tells that reads the records.
+  bool IsHealthy(const SimTask& task) const;
+  void RecordCancellations();
+  // The status that a controller answers by the records alone.
   std::string RecordedStatus(const std::string& id) const;
-  // Users look at all nodes after every step: no answer is older than what the
-  // leader has told.
-  void NoteTold();
-  void NoteRoom();
-  bool HasRoom(const StoredJob& job,
-               const std::map<std::string, Resources>& teams) const;
-  // How many tasks of the job the sound machines of a zone have room for.
-  uint32_t RoomIn(const JobSpec& spec, const std::string& zone) const;
+  // Users poll all controllers after every step: no answer is older than what
+  // the leader has answered before.
+  void CheckStatusNeverGoesBack();
+  void RecordFreeCapacity();
+  bool HasCapacityFor(const StoredJob& job,
+                      const std::map<std::string, Resources>& teams) const;
+  // How many tasks of the job fit on the sound machines of a zone.
+  uint32_t FreeCapacityIn(const JobSpec& spec, const std::string& zone) const;
   void EndTask(const SimTask& task);
   void CheckRules();
   void CheckAnswers();
-  // An account of its own of jobs that wait for others.
+  // Dependencies are done before a job starts.
   void CheckChainStart(const JobSpec& spec);
   void CheckOrphanedTasks();
-  // What the leader has seen of the workers' sessions.
+  // Which worker incarnations the leader has observed.
   void RecordIncarnations();
-  // The leader's indices against a fresh count of what they stand for.
+  // Compares the leader's indices with a full recount.
   void CheckIndices();
-  void Break(const std::string& what);
+  void RecordViolation(const std::string& what);
 
   Time now_ = 100;
   Time stalled_until_ = 0;
@@ -415,8 +415,9 @@
   uint64_t revision_ = 10;
   uint64_t epoch_ = 0;
   bool records_lost_ = false;
-  bool remembers_ = false;  // the next leader, what the last one knew
-  std::vector<std::pair<std::string, uint64_t>> news_;  // key, revision
+  bool next_leader_keeps_catalog_ = false;  // after the loss of all records
+  std::vector<std::pair<std::string, uint64_t>>
+      unwatched_changes_;  // key, revision
   Catalog catalog_;
   std::unique_ptr<Leader> leader_;
   std::string leading_ = "a";
@@ -428,18 +429,18 @@
   std::map<std::string, SimBooking> bookings_;
   std::map<std::string, BookingView> booking_views_;  // by controller
   Time rebuilt_at_ = 0;
-  std::map<std::string, uint64_t> bookings_told_;  // to the leader, versions
-  std::vector<Time> transferred_at_;               // within a lease
+  std::map<std::string, uint64_t> published_window_versions_;  // to the leader
+  std::vector<Time> transferred_at_;                           // within a lease
   Time fit_at_ = 100;
   std::map<std::string, SimWorker> workers_;
   std::map<std::string, std::pair<Fate, double>> fates_;
-  std::map<std::string, std::vector<std::string>> rented_;
+  std::map<std::string, std::vector<std::string>> scaled_out_hosts_;
   std::map<std::string, StoredJob> jobs_;
   std::map<std::string, std::set<uint32_t>> completed_;
-  std::map<std::string, TerminalState> told_;
+  std::map<std::string, TerminalState> reported_terminal_states_;
   std::set<std::string> cancel_asked_;
-  // Jobs whose end any other controller may have read in the key-value store
-  // and told, while the leader has not told it yet.
+  // Jobs whose terminal state other controllers may already answer, while the
+  // leader has not answered it yet.
   std::set<std::string> ends_elsewhere_;
   std::set<std::string> cancel_at_end_;
   std::vector<Heartbeat> kept_;            // for the next leader
@@ -449,7 +450,7 @@
   int next_host_ = 1000;
   int starts_ = 0;
   int transactions_ = 0;
-  Time room_noted_ = 0;
+  Time capacity_recorded_at_ = 0;
   int late_writes_tried_ = 0;
   std::vector<std::string> late_changes_;  // keys
   int deletions_ = 0;
--- a/tests/simulation/actions.cc
+++ b/tests/simulation/actions.cc
@@ -21,7 +21,7 @@
     const uint64_t leader = leader_->revision();
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendCommands>(&action)) {
-        Do(*send);
+        DeliverCommands(*send);
       } else if (const auto* probe = std::get_if<Probe>(&action);
                  probe != nullptr && faults) {
         const std::optional<double> there = faults->Travel();
@@ -71,13 +71,13 @@
       } else if (const auto* check = std::get_if<CheckInstance>(&action)) {
         Check(*check);
       } else if (const auto* rent = std::get_if<RequestScaleOut>(&action)) {
-        Rent(*rent);
+        ScaleOut(*rent);
       } else if (const auto* gone = std::get_if<DeleteMachines>(&action)) {
         After(0.2, [this, leader, hosts = gone->hosts] {
           for (const std::string& host : hosts) {
             const auto it = workers_.find(host);
-            // Asked once a heartbeat, and twice the probes' time for the
-            // answer.
+            // The leader probes once per heartbeat interval and waits for
+            // twice the probe timeout.
             if (it != workers_.end() && !it->second.notice &&
                 CountOn(host) > 0 &&
                 now_ - it->second.reachable_from >
--- a/tests/simulation/capacity.cc
+++ b/tests/simulation/capacity.cc
@@ -1,5 +1,5 @@
-// An account of its own of how long a job has waited although the machines had
-// free capacity for it.
+// How long a job has waited although the machines had free capacity for it,
+// computed from the machines' own tasks.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -9,7 +9,8 @@
 
 namespace oxbow::test {
 
-uint32_t Sim::RoomIn(const JobSpec& spec, const std::string& zone) const {
+uint32_t Sim::FreeCapacityIn(const JobSpec& spec,
+                             const std::string& zone) const {
   uint32_t tasks = 0;
   for (const auto& [host, worker] : workers_) {
     if (worker.zone != zone || !worker.Sound(now_) ||
@@ -30,11 +31,11 @@
   return tasks;
 }
 
-bool Sim::HasRoom(const StoredJob& job,
-                  const std::map<std::string, Resources>& teams) const {
+bool Sim::HasCapacityFor(const StoredJob& job,
+                         const std::map<std::string, Resources>& teams) const {
   const JobSpec& spec = job.spec;
   const bool gang = spec.kind == JobKind::kGang;
-  std::set<std::string> zones;  // in which tasks of it are
+  std::set<std::string> zones;  // with tasks of this job
   uint32_t there = 0;
   for (const auto& [host, worker] : workers_) {
     for (const auto& [name, status] : worker.tasks) {
@@ -66,18 +67,18 @@
   uint32_t room = 0;
   for (const std::string& zone : all) {
     if (spec.one_zone && !zones.empty() && !zones.contains(zone)) continue;
-    const uint32_t here = RoomIn(spec, zone);
+    const uint32_t here = FreeCapacityIn(spec, zone);
     if (spec.one_zone && here >= wanted) return true;
     room += spec.one_zone ? 0 : here;
   }
-  // What may go to each zone is not counted here.
+  // The bound of a spread job on each zone is not modelled here.
   return room >= wanted && !spec.spread;
 }
 
-void Sim::NoteRoom() {
+void Sim::RecordFreeCapacity() {
   constexpr double kEvery = 0.5;
-  if (now_ < room_noted_ + kEvery) return;
-  room_noted_ = now_;
+  if (now_ < capacity_recorded_at_ + kEvery) return;
+  capacity_recorded_at_ = now_;
   std::map<std::string, Resources> teams;
   for (const auto& [host, worker] : workers_) {
     for (const auto& [name, status] : worker.tasks) {
@@ -89,10 +90,10 @@
   for (auto& [id, job] : jobs_) {
     const bool waits = store_.contains(keys::Of(keys::kWaiting, id));
     if (waits || !job.end.empty() || cancel_asked_.contains(id) ||
-        !HasRoom(job, teams)) {
-      job.room_since = now_;
+        !HasCapacityFor(job, teams)) {
+      job.capacity_since = now_;
     } else {
-      job.room_since = std::min(job.room_since, now_);
+      job.capacity_since = std::min(job.capacity_since, now_);
     }
   }
 }
@@ -101,7 +102,7 @@
   double longest = 0;
   for (const auto& [name, job] : jobs_) {
     if (id.empty() || id == name) {
-      longest = std::max(longest, now_ - job.room_since);
+      longest = std::max(longest, now_ - job.capacity_since);
     }
   }
   return longest;
--- a/tests/simulation/cloud.cc
+++ b/tests/simulation/cloud.cc
@@ -6,11 +6,11 @@
 
 namespace oxbow::test {
 
-void Sim::Rent(const RequestScaleOut& rent) {
+void Sim::ScaleOut(const RequestScaleOut& rent) {
   const std::string name = rent.name;
   const uint64_t leader = leader_->revision();
   After(rent_seconds, [this, name, rent, leader] {
-    auto& hosts = rented_[name];
+    auto& hosts = scaled_out_hosts_[name];
     if (hosts.empty()) {
       int room = rent.scale_out.count;
       const auto limit = capacity.find(rent.scale_out.type);
--- a/tests/simulation/controllers.cc
+++ b/tests/simulation/controllers.cc
@@ -14,7 +14,7 @@
 
 namespace oxbow::test {
 
-void Sim::AskForZones() {
+void Sim::RequestDelegations() {
   for (auto& [name, controller] : controllers_) {
     if (controller.zone.empty() || controller.gone) continue;
     if (!controller.lease) {
@@ -43,7 +43,7 @@
   }
 }
 
-bool Sim::KeptInZone(const SimWorker& worker) {
+bool Sim::RenewedInZone(const SimWorker& worker) {
   for (auto& [name, controller] : controllers_) {
     if (name != leading_ && !controller.gone && controller.refused &&
         controller.zone == worker.zone && controller.lease &&
@@ -79,9 +79,9 @@
   }
   LeaderRecord record{name, std::to_string(revision_), 0};
   store_[std::string(keys::kLeader)] = {record, ++revision_};
-  news_.clear();
-  // A new process reads everything afresh.
-  const bool rebuilds = std::exchange(remembers_, false);
+  unwatched_changes_.clear();
+  // A new process reads all records again.
+  const bool rebuilds = std::exchange(next_leader_keeps_catalog_, false);
   if (!rebuilds) catalog_ = Catalog();
   for (const auto& [key, value] : store_) {
     if (old_version && key.starts_with(keys::kWaiting)) continue;
@@ -99,10 +99,10 @@
   if (rebuilds) leader_->OnUnrecordedTerminalStates({}, /*whole=*/true);
   FollowTiers();
   leader_->UseTiers(tiers_in_force_[leading_].set());
-  bookings_told_.clear();
+  published_window_versions_.clear();
   ReadBookings();
   PublishMaintenanceWindows();
-  LookAtClocks();
+  PublishClocks();
   leader_->UseMoves(wire::kMoveCodec, now_);
   std::vector<MachineType> all;
   for (const auto& [name, type] : types) all.push_back(type);
@@ -112,8 +112,8 @@
     Copy(heartbeat, 0);
 }
 
-// As the shell does before every event.
-void Sim::LookAtClocks() {
+// The shell does the same before every event.
+void Sim::PublishClocks() {
   double off = 0;
   const auto it = controllers_.find(leading_);
   if (it != controllers_.end()) off = it->second.wall_off;
@@ -127,7 +127,7 @@
          now_ >= worker.up_at && controller.Sends(worker.host);
 }
 
-void Sim::WatchReach() {
+void Sim::TrackReachability() {
   for (auto& [host, w] : workers_) {
     const bool reached = std::any_of(
         controllers_.begin(), controllers_.end(), [&, &worker = w](auto& c) {
@@ -160,7 +160,7 @@
   if (!unfit) fit_at_ = now_;
 }
 
-// Every controller asks at the same time and waits as long.
+// All controllers probe at the same time, with the same timeout.
 void Sim::AnswerReach(const AskReach& ask) {
   constexpr double kWait = 0.6;
   const uint64_t revision = leader_->revision();
@@ -223,8 +223,8 @@
 }
 
 void Sim::Succeed(const std::string& name) {
-  // The one that has agreed goes at once. If it is gone, or nobody was asked,
-  // another one does after half of the leader's lease.
+  // The controller that accepted the transfer becomes leader at once. Without
+  // one, another controller does after half of the leader's lease.
   const bool there = !name.empty() && !controllers_[name].gone;
   const double wait =
       there ? 0.1
--- a/tests/simulation/indices.cc
+++ b/tests/simulation/indices.cc
@@ -1,4 +1,4 @@
-// The leader's indices and attempts, against a fresh count.
+// The leader's indices and task attempts, compared with a full recount.
 #include <algorithm>
 #include <array>
 #include <map>
@@ -17,7 +17,7 @@
     const auto it = workers_.find(m->host());
     for (const auto& [key, attempt] : m->task_attempts) {
       const std::string name = AttemptName(key.job_id, key.task, key.attempt);
-      // A start that is under way may not be there yet.
+      // A start in flight may not have reached its worker yet.
       if (attempt.holds && attempt.start_progress == StartProgress::kSettled &&
           (it == workers_.end() || !it->second.tasks.contains(name))) {
         wrong.push_back("not there: " + name + " on " + m->host());
@@ -58,13 +58,13 @@
     if (!same(used, m->used) || !same(leaving, m->leaving) ||
         !same(staying, m->staying) || !same(lasting, m->lasting) ||
         !std::equal(used_by.begin(), used_by.end(), m->used_by.begin(), same)) {
-      Break("sums of " + m->host());
+      RecordViolation("sums of " + m->host());
     }
   }
   for (size_t place = 0; place < by_tier.size(); ++place) {
     if (!same(by_tier[place],
               leader_->tiers().held(static_cast<uint8_t>(place)))) {
-      Break("what tier " + std::to_string(place) + " holds");
+      RecordViolation("what tier " + std::to_string(place) + " holds");
     }
   }
   for (const auto& [id, job] : leader_->jobs()) {
@@ -79,7 +79,7 @@
                             a.second.holding == b.second.holding &&
                             a.second.listed == b.second.listed;
                    });
-    if (!equal) Break("presence of " + id);
+    if (!equal) RecordViolation("presence of " + id);
   }
 }
 
@@ -87,7 +87,7 @@
   std::vector<std::string> wrong;
   if (!leader_) return wrong;
   for (const auto& m : leader_->machines()) {
-    // Until a machine has been heard, nothing is taken for gone from it.
+    // Before its first heartbeat no attempt of a machine is removed.
     if (m->recorded_up && !m->reported) continue;
     const auto it = workers_.find(m->host());
     if (it == workers_.end() || it->second.dead) continue;
--- a/tests/simulation/network.cc
+++ b/tests/simulation/network.cc
@@ -24,7 +24,7 @@
 void Sim::SendHeartbeat(SimWorker& worker) {
   worker.next_heartbeat = now_ + settings.workers.heartbeat_interval_seconds;
   if (faults) return SendHeartbeatWithFaults(worker);
-  // One report in flight.
+  // At most one heartbeat is in flight.
   if (now_ < worker.waits_until) {
     worker.next_heartbeat = worker.waits_until;
     return;
@@ -34,7 +34,7 @@
     return;
   }
   if (!worker.by_way.empty() && controllers_[worker.by_way].gone) {
-    // Refused; so is the next one that it tries, perhaps.
+    // The connection is refused; the next one may be refused as well.
     worker.by_way.clear();
     worker.waits_until = now_ + 2 * kRetryPauseSeconds;
     return;
@@ -44,7 +44,7 @@
   if (worker.copy_after > 0) Copy(heartbeat, worker.copy_after);
   if (troubles.Happens(troubles.heartbeats_for_next)) KeepForNext(heartbeat);
   if (worker.heartbeats_cut || !leader_ || !LeaderNode().Hears(worker.host)) {
-    if (KeptInZone(worker)) worker.lease_from = now_;
+    if (RenewedInZone(worker)) worker.lease_from = now_;
     return;
   }
   const Time sent = now_;
@@ -62,18 +62,18 @@
     return;
   }
   if (reply.refused) {
-    Break("refused a report that is waited for: " + worker.host);
+    RecordViolation("refused a report that is waited for: " + worker.host);
     worker.waits_until = now_ + kRetryPauseSeconds;
     return;
   }
   AcceptReply(worker, reply, incarnation, sent);
 }
 
-// Only one that has heard nothing of this leader is left without an answer, and
-// once its lease has ended.
+// A leader may withhold answers only from a worker that has received none of
+// its answers, and only to let that worker's lease expire.
 void Sim::NoteWithheld(const SimWorker& worker) {
   if (leader_ && worker.heard_from == leader_->revision()) {
-    Break("answers withheld from one that hears: " + worker.host);
+    RecordViolation("answers withheld from one that hears: " + worker.host);
   }
 }
 
@@ -124,7 +124,8 @@
   what(it->second);
 }
 
-// One report in flight; an answer is good for 4 s after its heartbeat was sent.
+// At most one heartbeat is in flight; its answer is valid for 4 s after the
+// heartbeat was sent.
 void Sim::SendHeartbeatWithFaults(SimWorker& sim_worker) {
   constexpr double kHeartbeatLifetimeSeconds = 4.0;
   if (now_ < sim_worker.waits_until) {
@@ -148,7 +149,7 @@
   }
   if (sim_worker.heartbeats_cut || !there ||
       !LeaderNode().Hears(sim_worker.host)) {
-    if (KeptInZone(sim_worker)) {
+    if (RenewedInZone(sim_worker)) {
       sim_worker.waits_until = 0;
       sim_worker.lease_from = now_;
     }
@@ -161,33 +162,34 @@
       TrailReply(now_, heartbeat.host, reply);
       if (!back) return;
       After(*back, [this, heartbeat, number, reply, sent] {
-        OnWorker(heartbeat.host, [this, heartbeat, number, reply,
-                                  sent](SimWorker& worker) {
-          if (worker.heartbeats != number ||
-              now_ > sent + kHeartbeatLifetimeSeconds) {
-            return;
-          }
-          worker.waits_until = 0;
-          if (reply.withheld) {
-            NoteWithheld(worker);
-            worker.waits_until = now_ + kRetryPauseSeconds;
-            return;
-          }
-          if (reply.refused) {
-            if (worker.incarnation == heartbeat.incarnation) {
-              Break("refused a report that is waited for: " + worker.host);
-            }
-            worker.waits_until = now_ + kRetryPauseSeconds;
-            return;
-          }
-          AcceptReply(worker, reply, heartbeat.incarnation, sent);
-        });
+        OnWorker(heartbeat.host,
+                 [this, heartbeat, number, reply, sent](SimWorker& worker) {
+                   if (worker.heartbeats != number ||
+                       now_ > sent + kHeartbeatLifetimeSeconds) {
+                     return;
+                   }
+                   worker.waits_until = 0;
+                   if (reply.withheld) {
+                     NoteWithheld(worker);
+                     worker.waits_until = now_ + kRetryPauseSeconds;
+                     return;
+                   }
+                   if (reply.refused) {
+                     if (worker.incarnation == heartbeat.incarnation) {
+                       RecordViolation("refused a report that is waited for: " +
+                                       worker.host);
+                     }
+                     worker.waits_until = now_ + kRetryPauseSeconds;
+                     return;
+                   }
+                   AcceptReply(worker, reply, heartbeat.incarnation, sent);
+                 });
       });
     });
   });
 }
 
-void Sim::DoWithFaults(const SendCommands& commands) {
+void Sim::DeliverCommandsWithFaults(const SendCommands& commands) {
   constexpr double kTimeout = 1.5;
   const uint64_t revision = leader_->revision();
   auto answered = std::make_shared<bool>(false);
@@ -229,8 +231,8 @@
   });
 }
 
-void Sim::Do(const SendCommands& commands) {
-  if (faults) return DoWithFaults(commands);
+void Sim::DeliverCommands(const SendCommands& commands) {
+  if (faults) return DeliverCommandsWithFaults(commands);
   auto [fate, late] = fates_.contains(commands.host)
                           ? fates_[commands.host]
                           : std::pair{Fate::kNormal, 0.0};
--- a/tests/simulation/operators.cc
+++ b/tests/simulation/operators.cc
@@ -23,7 +23,7 @@
     store_.erase(key);
     ++revision_;
   }
-  news_.emplace_back(key, revision_);
+  unwatched_changes_.emplace_back(key, revision_);
 }
 
 void Sim::FollowTiers() {
@@ -82,7 +82,7 @@
 
 void Sim::PublishMaintenanceWindows() {
   for (const auto& [id, b] : booking_views_[leading_].bookings) {
-    uint64_t& told = bookings_told_[id];
+    uint64_t& told = published_window_versions_[id];
     if (told >= b.version) continue;
     told = b.version;
     if (b.withdrawn) {
--- a/tests/simulation/rules.cc
+++ b/tests/simulation/rules.cc
@@ -9,7 +9,8 @@
 
 namespace oxbow::test {
 
-// What has moved to the ended ones never lives again, and an end never changes.
+// A record that moved to the terminal records never becomes live again, and a
+// terminal state never changes.
 void Sim::CheckChange(const Mutation& change) {
   const bool deletes = std::holds_alternative<std::monostate>(change.record);
   const auto ended = [&](std::string_view live, std::string_view end) {
@@ -20,7 +21,7 @@
       ended(keys::kWaiting, keys::kTerminal) ||
       ended(keys::kWaiting, keys::kJob) ||
       ended(keys::kRollout, keys::kRolloutEnd)) {
-    Break("lives again: " + change.key);
+    RecordViolation("lives again: " + change.key);
   }
   if (!change.key.starts_with(keys::kTerminal)) return;
   const auto known = store_.find(change.key);
@@ -28,22 +29,23 @@
   if (known != store_.end() &&
       (next == nullptr ||
        std::get<TerminalRecord>(known->second.first).state != next->state)) {
-    Break("went_back: " + change.key);
+    RecordViolation("went_back: " + change.key);
   }
 }
 
-// Who leads next knows of a rental's machines by its record, or by theirs.
-void Sim::CheckSettled(const CompareAndSwap& txn) {
+// The next leader finds the machines of a scale-out by the record of the
+// scale-out or by the records of the machines.
+void Sim::CheckScaleOutRecorded(const CompareAndSwap& txn) {
   for (const Mutation& change : txn.mutations) {
     if (!std::holds_alternative<std::monostate>(change.record) ||
         !change.key.starts_with(keys::kScaleOut)) {
       continue;
     }
     for (const std::string& host :
-         rented_[change.key.substr(keys::kScaleOut.size())]) {
+         scaled_out_hosts_[change.key.substr(keys::kScaleOut.size())]) {
       if (workers_.contains(host) &&
           !store_.contains(keys::Of(keys::kMachine, host))) {
-        Break("rented and not recorded: " + host);
+        RecordViolation("rented and not recorded: " + host);
       }
     }
   }
@@ -53,31 +55,32 @@
   for (const std::string& need : spec.dependencies) {
     if (completed_[need].size() != jobs_.at(need).spec.tasks ||
         RecordedAs(need) != "done") {
-      Break("too_early: " + spec.id + " before " + need);
+      RecordViolation("too_early: " + spec.id + " before " + need);
     }
   }
 }
 
-// Whom its user was told to be cancelled takes all along that need it.
+// Once a user has seen a job as cancelled, its dependents end as well.
 void Sim::CheckOrphanedTasks() {
   for (const auto& [id, job] : jobs_) {
     if (job.spec.dependencies.empty()) continue;
     for (const std::string& need : job.spec.dependencies) {
       StoredJob& before = jobs_.at(need);
       StoredJob& after = jobs_.at(id);
-      if (before.told &&
-          (!after.told_before || *before.told < *after.told_before)) {
-        after.told_before = before.told;
+      if (before.cancelled_seen_at &&
+          (!after.dependency_cancelled_at ||
+           *before.cancelled_seen_at < *after.dependency_cancelled_at)) {
+        after.dependency_cancelled_at = before.cancelled_seen_at;
       }
-      if (before.told_before && !after.told_before) {
-        after.told_before = before.told_before;
+      if (before.dependency_cancelled_at && !after.dependency_cancelled_at) {
+        after.dependency_cancelled_at = before.dependency_cancelled_at;
       }
     }
     const bool over =
-        job.told_before &&
-        now_ > *job.told_before + settings.workers.cancel_seconds &&
+        job.dependency_cancelled_at &&
+        now_ > *job.dependency_cancelled_at + settings.workers.cancel_seconds &&
         now_ > job.submitted + settings.workers.cancel_seconds;
-    if (over && RecordedAs(id) != "aborted") Break("orphaned: " + id);
+    if (over && RecordedAs(id) != "aborted") RecordViolation("orphaned: " + id);
   }
 }
 
@@ -90,40 +93,42 @@
       if (status.phase == TaskPhase::kExited) continue;
       const StoredJob& job = jobs_.at(status.job);
       if (IsPresent(status)) teams[job.spec.team] += job.spec.need;
-      if (job.told && now_ > *job.told + settings.workers.cancel_seconds) {
-        Break("ran_cancelled: " + name);
+      if (job.cancelled_seen_at &&
+          now_ > *job.cancelled_seen_at + settings.workers.cancel_seconds) {
+        RecordViolation("ran_cancelled: " + name);
       }
-      // What any controller takes for the proof that it may tell.
-      if (job.nothing_left) Break("retired too early: " + name);
+      // Every controller answers "aborted" by this record.
+      if (job.recorded_as_aborted)
+        RecordViolation("retired too early: " + name);
     }
   }
-  // Held from the declaration to the recorded end.
+  // The floor holds from the declaration of a rollout to its terminal record.
   const auto live = store_.lower_bound(std::string(keys::kRollout));
   const bool watched =
       live != store_.end() && live->first.starts_with(keys::kRollout);
   if (watched && floor > 0 && CountWell() < floor) {
-    Break("floor: " + std::to_string(CountWell()) + " are well at " +
-          std::to_string(now_));
+    RecordViolation("floor: " + std::to_string(CountWell()) + " are well at " +
+                    std::to_string(now_));
   }
   for (const TeamQuota& team : settings.teams) {
     const Resources used = teams[team.name];
     if ((team.cpus_max > 0 && used.cpus > team.cpus_max + 1e-6) ||
         (team.gpus_max > 0 && used.gpus > team.gpus_max + 1e-6)) {
-      Break("quota: " + team.name);
+      RecordViolation("quota: " + team.name);
     }
   }
 }
 
-void Sim::Break(const std::string& what) { broken_.push_back(what); }
+void Sim::RecordViolation(const std::string& what) { broken_.push_back(what); }
 
-// Whoever reads the key-value store tells an end as soon as it stands there;
-// from then on the leader must not tell anything older by its own picture.
+// Any controller answers with a terminal state as soon as it is recorded; from
+// then on the leader must not answer with an older state.
 void Sim::CheckAnswers() {
   if (!leader_ || now_ < stalled_until_) return;
   for (auto it = ends_elsewhere_.begin(); it != ends_elsewhere_.end();) {
     const std::string status = JobStatus(*it);
     if (status == "pending" || status == "running") {
-      Break("went_back: " + *it + " is " + status + " to the leader");
+      RecordViolation("went_back: " + *it + " is " + status + " to the leader");
     }
     const bool told = status == "done" || status == "aborted";
     it = told ? ends_elsewhere_.erase(it) : std::next(it);
--- a/tests/simulation/store.cc
+++ b/tests/simulation/store.cc
@@ -32,10 +32,10 @@
 void Sim::LoseRecords() {
   leader_.reset();
   store_.clear();
-  news_.clear();
+  unwatched_changes_.clear();
   records_lost_ = true;
   OpenEpoch();
-  remembers_ = true;
+  next_leader_keeps_catalog_ = true;
 }
 
 void Sim::Declare(const RolloutSpec& spec) {
@@ -43,7 +43,7 @@
   record.spec = std::make_shared<RolloutSpec>(spec);
   const std::string key = keys::Of(keys::kRollout, spec.id);
   store_[key] = {record, ++revision_};
-  news_.emplace_back(key, revision_);
+  unwatched_changes_.emplace_back(key, revision_);
 }
 
 void Sim::RequestRollout(const std::string& id, RolloutRequest request) {
@@ -52,7 +52,7 @@
   if (it == store_.end()) return;
   std::get<RolloutRecord>(it->second.first).request = request;
   it->second.second = ++revision_;
-  news_.emplace_back(key, revision_);
+  unwatched_changes_.emplace_back(key, revision_);
 }
 
 std::optional<RolloutRecord> Sim::RolloutOf(const std::string& id) const {
@@ -65,7 +65,7 @@
 
 void Sim::Watch() {
   if (!leader_ || state_down || now_ < stalled_until_) return;
-  const auto news = std::exchange(news_, {});
+  const auto news = std::exchange(unwatched_changes_, {});
   for (const auto& [key, revision] : news) {
     const auto it = store_.find(key);
     if (it == store_.end()) {
@@ -113,33 +113,33 @@
   ++revision_;
   for (const Mutation& change : txn.mutations) {
     if (const auto* job = std::get_if<JobRecord>(&change.record)) {
-      TerminalState& told = told_[job->spec->id];
+      TerminalState& told = reported_terminal_states_[job->spec->id];
       if (told != TerminalState::kNone && told != job->terminal_state) {
-        Break("went_back: " + job->spec->id);
+        RecordViolation("went_back: " + job->spec->id);
       }
       told = job->terminal_state;
       if (told == TerminalState::kDone) ends_elsewhere_.insert(job->spec->id);
       if (told == TerminalState::kDone &&
           completed_[job->spec->id].size() != job->spec->tasks) {
-        Break("not_done: " + job->spec->id);
+        RecordViolation("not_done: " + job->spec->id);
       }
     }
-    // From here on any controller tells the job's user that it is cancelled.
+    // From here on any controller answers that the job is aborted.
     const auto* end = std::get_if<TerminalRecord>(&change.record);
     if (end != nullptr && end->state == TerminalState::kAborted) {
       const std::string id = change.key.substr(keys::kTerminal.size());
-      jobs_.at(id).nothing_left = true;
+      jobs_.at(id).recorded_as_aborted = true;
       ends_elsewhere_.insert(id);
     }
     CheckChange(change);
-    news_.emplace_back(change.key, revision_);
+    unwatched_changes_.emplace_back(change.key, revision_);
     if (std::holds_alternative<std::monostate>(change.record)) {
       store_.erase(change.key);
     } else {
       store_[change.key] = {change.record, revision_};
     }
   }
-  CheckSettled(txn);
+  CheckScaleOutRecorded(txn);
   return revision_;
 }
 
--- a/tests/simulation/users.cc
+++ b/tests/simulation/users.cc
@@ -20,7 +20,7 @@
     const WaitingRecord record{std::make_shared<JobSpec>(spec),
                                now_ + kEpochOffset, 0};
     store_[waiting] = {record, ++revision_};
-    news_.emplace_back(waiting, revision_);
+    unwatched_changes_.emplace_back(waiting, revision_);
     if (old_version) return;
     catalog_.Put(waiting, record, revision_);
     if (leader_) {
@@ -33,7 +33,7 @@
   const JobRecord record{std::make_shared<JobSpec>(spec), now_ + kEpochOffset,
                          TerminalState::kNone, 0};
   store_[key] = {record, ++revision_};
-  news_.emplace_back(key, revision_);
+  unwatched_changes_.emplace_back(key, revision_);
   catalog_.Put(key, record, revision_);
   if (leader_) {
     leader_->OnJobRecord(spec.id, now_);
@@ -90,29 +90,32 @@
   }
 }
 
-void Sim::NoteCancelled() {
+void Sim::RecordCancellations() {
   for (const std::string& id : cancel_asked_) {
     StoredJob& job = jobs_.at(id);
-    if (!job.told && JobStatus(id) == "aborted") job.told = now_;
+    if (!job.cancelled_seen_at && JobStatus(id) == "aborted")
+      job.cancelled_seen_at = now_;
   }
 }
 
-// Not checked: that a leader tells no less than the records say of a write of
-// its own whose answer was lost. The core does not decide that.
-void Sim::NoteTold() {
+// Not checked: that a leader's answer is as new as its own write whose answer
+// was lost. The core does not decide that.
+void Sim::CheckStatusNeverGoesBack() {
   for (auto& [id, job] : jobs_) {
     std::vector<std::string> answers;
     const bool leader_answers = leader_ && now_ >= stalled_until_;
-    // A leader that knows nothing of a job reads the records.
+    // A leader without an observation of a job reads the records.
     std::string told = leader_answers ? JobStatus(id) : "unknown";
     TrailStatus(now_, id, told);
     if (told != "unknown") answers.push_back(told);
     if (!state_down && !records_lost_) answers.push_back(RecordedStatus(id));
     for (const std::string& status : answers) {
       if (!job.end.empty() && status != job.end) {
-        Break("went_back: " + id + " was " + job.end + ", then " + status);
+        RecordViolation("went_back: " + id + " was " + job.end + ", then " +
+                        status);
       }
-      if (status == "unknown" && !records_lost_) Break("forgotten: " + id);
+      if (status == "unknown" && !records_lost_)
+        RecordViolation("forgotten: " + id);
     }
     if (told == "done" || told == "aborted") job.end = std::move(told);
   }
--- a/tests/simulation/workers.cc
+++ b/tests/simulation/workers.cc
@@ -22,7 +22,7 @@
   workers_[host] = worker;
 }
 
-bool Sim::Well(const SimTask& task) const {
+bool Sim::IsHealthy(const SimTask& task) const {
   if (task.phase != TaskPhase::kRunning) return false;
   const auto it = illness.find(task.job);
   if (it == illness.end()) return true;
@@ -39,7 +39,7 @@
     if (worker.dead || worker.Hangs(now_)) continue;
     for (const auto& [name, status] : worker.tasks) {
       n += std::count(floor_jobs.begin(), floor_jobs.end(), status.job) > 0 &&
-           Well(status);
+           IsHealthy(status);
     }
   }
   return n;
@@ -59,7 +59,7 @@
         unchecked_zones.contains(worker.zone)) {
       continue;
     }
-    const bool well = Well(it->second);
+    const bool well = IsHealthy(it->second);
     const auto ill = illness.find(check.key.job_id);
     const bool mute = ill != illness.end() && ill->second.mute && !well;
     if (it->second.phase != TaskPhase::kRunning || mute) break;
@@ -79,7 +79,7 @@
     SimWorker& worker = it->second;
     const uint64_t seen = m->incarnation.number();
     if (worker.seen_incarnation != 0 && seen > worker.seen_incarnation) {
-      // The first may have been over before this leader heard of it.
+      // The first may have expired before this leader's first heartbeat.
       worker.unproven = worker.risen;
       worker.risen = true;
     }
@@ -89,8 +89,8 @@
 
 void Sim::AdvanceWorker(SimWorker& worker) {
   if (worker.dead || now_ < worker.up_at) return;
-  // Holds for a hung machine too: what it finds first when it goes on is that
-  // its lease has ended.
+  // This applies to a hung machine too: when it resumes, it first finds that
+  // its lease has expired.
   if (now_ - worker.lease_from > settings.workers.lease_seconds) {
     worker.tasks.clear();
     ++worker.incarnation;
@@ -235,17 +235,20 @@
   if (!used.FitsIn(type.total)) {
     task.phase = TaskPhase::kExited;
     task.reason = ExitReason::kNoRoom;
-    Break("refused: " + command.job_id + " does not fit on " + worker.host);
+    RecordViolation("refused: " + command.job_id + " does not fit on " +
+                    worker.host);
   } else {
     ++starts_;
     CheckChainStart(spec);
     starts_on_deaf_ += worker.unproven;
-    if (jobs_.at(command.job_id).told) {
-      Break("started after its cancellation was told: " + command.job_id);
+    if (jobs_.at(command.job_id).cancelled_seen_at) {
+      RecordViolation("started after its cancellation was told: " +
+                      command.job_id);
     }
     if (forbidden) {
       const std::string why = forbidden(spec, true_wall());
-      if (!why.empty()) Break("heavy start: " + command.job_id + " " + why);
+      if (!why.empty())
+        RecordViolation("heavy start: " + command.job_id + " " + why);
     }
     const double fetch = worker.images.contains(spec.image)
                              ? 0
@@ -253,7 +256,7 @@
     task.ready_at = now_ + fetch;
     if (!spec.AllowsType(worker.type) || !spec.AllowsZone(worker.zone) ||
         (worker.spot && !spec.spot)) {
-      Break("wrong_place: " + command.job_id + " on " + worker.host);
+      RecordViolation("wrong_place: " + command.job_id + " on " + worker.host);
     }
     std::map<std::string, uint32_t> zones;
     ++zones[worker.zone];
@@ -264,17 +267,17 @@
           continue;
         ++zones[other.zone];
         if (mate.task == command.task) {
-          Break("ran_twice: " + n + " on " + host + " while it starts on " +
-                worker.host);
+          RecordViolation("ran_twice: " + n + " on " + host +
+                          " while it starts on " + worker.host);
         }
       }
     }
     if (spec.one_zone && zones.size() > 1) {
-      Break("wrong_place: " + command.job_id + " in two zones");
+      RecordViolation("wrong_place: " + command.job_id + " in two zones");
     }
     if (spec.spread && zones[worker.zone] > (spec.tasks + 1) / 2) {
-      Break("wrong_place: too much of " + command.job_id + " in " +
-            worker.zone);
+      RecordViolation("wrong_place: too much of " + command.job_id + " in " +
+                      worker.zone);
     }
   }
   worker.tasks[AttemptName(command.job_id, command.task, command.attempt)] =
