--- a/core/scheduler/preemption_planner.cc
+++ b/core/scheduler/preemption_planner.cc
@@ -1,6 +1,7 @@
 #include "core/scheduler/preemption_planner.h"
 
 #include <algorithm>
+#include <tuple>
 #include <utility>
 
 #include "core/command_dispatch/command_dispatcher.h"
@@ -23,6 +24,11 @@
       dispatcher_(modules.dispatcher),
       rollout_manager_(modules.rollout_manager) {}
 
+bool PreemptionPlanner::Victim::operator<(const Victim& other) const {
+  return std::tuple(cost, machine->index(), key) <
+         std::tuple(other.cost, other.machine->index(), other.key);
+}
+
 bool PreemptionPlanner::MayPreempt(const Job& job, const TaskAttempt& victim,
                                    Time now) const {
   if (victim.job == nullptr || victim.job == &job ||
--- a/core/scheduler/preemption_planner.h
+++ b/core/scheduler/preemption_planner.h
@@ -42,12 +42,14 @@
   void PreemptWithinQuota(Job& job, uint32_t tasks, Time now);
 
  private:
-  // A task that may be stopped. Ordered by cost, the cheapest first.
+  // A task that may be stopped.
   struct Victim {
     double cost = 0;
     Machine* machine = nullptr;
     TaskAttemptKey key;
-    auto operator<=>(const Victim&) const = default;
+    // The cheapest first; of equal cost, in the order of the machines, so that
+    // the choice does not depend on where objects are in memory.
+    bool operator<(const Victim& other) const;
   };
   // How a team uses its quota, as far as it matters for preemption within it.
   struct TeamUsage {
