--- a/core/autoscaler/capacity_planning.cc
+++ b/core/autoscaler/capacity_planning.cc
@@ -1,101 +1,147 @@
 #include "core/autoscaler/capacity_planning.h"
 
 #include <algorithm>
-#include <cmath>
-
-#include "core/placement/placement.h"
+#include <optional>
+#include <utility>
 
 namespace oxbow {
 namespace {
 
-int TasksThatFit(const Resources& need, const Resources& room) {
-  return static_cast<int>(need.TimesIn(room, kMaxTasks));
+// A machine is paid for whole, yet what one job leaves free is used by the next
+// ones: the share that the tasks take counts, and this much of the rest.
+constexpr double kUnusedShareWeight = 0.15;
+// For each machine planned in a zone already: keeps zones balanced, so that the
+// loss of one takes less.
+constexpr double kZoneBalanceWeight = 0.02;
+// Work without accelerators avoids machines that have them.
+constexpr double kUnusedAcceleratorFactor = 1.5;
+
+int TasksThatFit(const Resources& need, const Resources& capacity) {
+  return static_cast<int>(need.TimesIn(capacity, kMaxTasks));
 }
 
-bool KindAllowed(const JobSpec& spec, const MachinePool& kind) {
-  return spec.AllowsType(kind.type) && spec.AllowsZone(kind.zone) &&
-         (!kind.spot || spec.spot);
+bool PoolAllowed(const JobSpec& spec, const MachinePool& pool) {
+  return spec.AllowsType(pool.type) && spec.AllowsZone(pool.zone) &&
+         (!pool.spot || spec.spot);
 }
 
 // How many more tasks of the job the zone may take.
-int ZoneLimit(const JobSpec& spec, const ZoneSpread& where,
+int ZoneLimit(const JobSpec& spec, const ZoneSpread& zones,
               const std::string& zone) {
-  if (spec.one_zone && where.total() != where.InZone(zone)) return 0;
-  if (spec.spread) return SpreadLimit(spec.tasks) - where.InZone(zone);
+  if (spec.one_zone && zones.total() != zones.InZone(zone)) return 0;
+  if (spec.spread) return SpreadLimit(spec.tasks) - zones.InZone(zone);
   return static_cast<int>(kMaxTasks);
 }
 
-}  // namespace
+// One job's demand, as far as it is not packed yet.
+struct RemainingDemand {
+  const JobSpec& spec;
+  ZoneSpread zones;
+  int tasks = 0;
+};
 
-std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input) {
-  std::map<MachinePool, int> rent;
-  std::map<std::string, int> new_in_zone;
-  std::vector<PoolCapacity> rooms = input.rooms;
-  int asked = 0;
-  for (const PoolDemand& demand : input.demand) {
-    const JobSpec& spec = *demand.spec;
-    ZoneSpread where{demand.per_zone};
-    int left = demand.tasks;
-    const auto fill = [&](PoolCapacity& room) {
-      if (left <= 0 || !KindAllowed(spec, room.kind)) return 0;
-      const int n = std::min({left, TasksThatFit(spec.need, room.free),
-                              ZoneLimit(spec, where, room.kind.zone)});
-      if (n <= 0) return 0;
-      room.free -= spec.need * n;
-      where.Add(room.kind.zone, n);
-      left -= n;
-      return n;
-    };
-    for (PoolCapacity& room : rooms) fill(room);
-    while (left > 0 && asked < input.most_machines) {
-      // The kind with the least price for each task it would take.
-      const MachineType* best_type = nullptr;
-      MachinePool best;
-      double best_cost = 0;
-      for (const auto& [name, type] : *input.types) {
-        const int fit = TasksThatFit(spec.need, type.total);
-        if (fit == 0) continue;
-        for (const std::string& zone : type.zones) {
-          for (const bool spot : {true, false}) {
-            const MachinePool kind{name, zone, spot};
-            if (!KindAllowed(spec, kind) || input.refused.contains(kind)) {
-              continue;
-            }
-            const int n = std::min(fit, ZoneLimit(spec, where, zone));
-            if (n <= 0) continue;
-            const double price = spot ? type.spot_price : type.price;
-            // A machine is bought whole, yet what one job leaves free the
-            // next ones use: count the share that the tasks take, and a
-            // little for the rest.
-            const double share =
-                std::min(1.0, static_cast<double>(std::min(n, left)) / fit);
-            constexpr double kRest = 0.15;
-            double cost =
-                price * (share + kRest * (1 - share)) / std::min(n, left);
-            // Zones in balance, so that the loss of one takes less.
-            constexpr double kBalance = 0.02;
-            cost *= 1 + kBalance * new_in_zone[zone];
-            if (spec.need.gpus <= 0 && type.total.gpus > 0) {
-              constexpr double kAccelerator = 1.5;
-              cost *= kAccelerator;
-            }
-            if (best_type == nullptr || cost < best_cost) {
-              best_type = &type;
-              best = kind;
-              best_cost = cost;
-            }
-          }
+struct PoolOffer {
+  MachinePool pool;
+  const MachineType* type = nullptr;
+  double cost_per_task = 0;
+};
+
+class ScaleOutPlanner {
+ public:
+  explicit ScaleOutPlanner(const AutoscalerInput& input)
+      : input_(input), capacity_(input.capacity) {}
+
+  void Add(const PoolDemand& demand);
+  std::map<MachinePool, int> TakePlan() { return std::move(plan_); }
+
+ private:
+  // Packs tasks into the capacity; returns how many.
+  static int Pack(RemainingDemand& demand, PoolCapacity& capacity);
+  std::optional<PoolOffer> CheapestPool(const RemainingDemand& demand);
+  // Nothing: the pool can't take any task of the demand.
+  std::optional<PoolOffer> OfferOf(const RemainingDemand& demand,
+                                   const MachineType& type, MachinePool pool);
+
+  const AutoscalerInput& input_;
+  std::vector<PoolCapacity> capacity_;
+  std::map<MachinePool, int> plan_;
+  std::map<std::string, int> new_machines_in_zone_;
+  int new_machines_ = 0;
+};
+
+int ScaleOutPlanner::Pack(RemainingDemand& demand, PoolCapacity& capacity) {
+  const JobSpec& spec = demand.spec;
+  if (demand.tasks <= 0 || !PoolAllowed(spec, capacity.pool)) return 0;
+  const int packed =
+      std::min({demand.tasks, TasksThatFit(spec.need, capacity.free),
+                ZoneLimit(spec, demand.zones, capacity.pool.zone)});
+  if (packed <= 0) return 0;
+  capacity.free -= spec.need * packed;
+  demand.zones.Add(capacity.pool.zone, packed);
+  demand.tasks -= packed;
+  return packed;
+}
+
+std::optional<PoolOffer> ScaleOutPlanner::OfferOf(const RemainingDemand& demand,
+                                                  const MachineType& type,
+                                                  MachinePool pool) {
+  const JobSpec& spec = demand.spec;
+  if (!PoolAllowed(spec, pool) || input_.refused.contains(pool)) {
+    return std::nullopt;
+  }
+  const int fit = TasksThatFit(spec.need, type.total);
+  const int allowed = std::min(fit, ZoneLimit(spec, demand.zones, pool.zone));
+  if (allowed <= 0) return std::nullopt;
+  const int tasks = std::min(allowed, demand.tasks);
+  const double price = pool.spot ? type.spot_price : type.price;
+  const double share = std::min(1.0, static_cast<double>(tasks) / fit);
+  double cost = price * (share + kUnusedShareWeight * (1 - share)) / tasks;
+  cost *= 1 + kZoneBalanceWeight * new_machines_in_zone_[pool.zone];
+  if (spec.need.gpus <= 0 && type.total.gpus > 0) {
+    cost *= kUnusedAcceleratorFactor;
+  }
+  return PoolOffer{std::move(pool), &type, cost};
+}
+
+std::optional<PoolOffer> ScaleOutPlanner::CheapestPool(
+    const RemainingDemand& demand) {
+  std::optional<PoolOffer> cheapest;
+  for (const auto& [name, type] : *input_.types) {
+    if (TasksThatFit(demand.spec.need, type.total) == 0) continue;
+    for (const std::string& zone : type.zones) {
+      for (const bool spot : {true, false}) {
+        std::optional<PoolOffer> offer =
+            OfferOf(demand, type, {name, zone, spot});
+        if (!offer) continue;
+        if (!cheapest || offer->cost_per_task < cheapest->cost_per_task) {
+          cheapest = std::move(offer);
         }
       }
-      if (best_type == nullptr) break;
-      rooms.push_back({best, best_type->total});
-      ++rent[best];
-      ++new_in_zone[best.zone];
-      ++asked;
-      if (fill(rooms.back()) == 0) break;
     }
   }
-  return rent;
+  return cheapest;
+}
+
+void ScaleOutPlanner::Add(const PoolDemand& demand) {
+  RemainingDemand remaining{*demand.spec, demand.zones, demand.tasks};
+  for (PoolCapacity& capacity : capacity_) Pack(remaining, capacity);
+  while (remaining.tasks > 0 && new_machines_ < input_.max_new_machines) {
+    const std::optional<PoolOffer> offer = CheapestPool(remaining);
+    if (!offer) return;
+    capacity_.push_back({offer->pool, offer->type->total});
+    ++plan_[offer->pool];
+    ++new_machines_in_zone_[offer->pool.zone];
+    ++new_machines_;
+    if (Pack(remaining, capacity_.back()) == 0) return;
+  }
+}
+
+}  // namespace
+
+std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input) {
+  ScaleOutPlanner planner(input);
+  for (const PoolDemand& demand : input.demand) planner.Add(demand);
+  return planner.TakePlan();
 }
 
 }  // namespace oxbow
--- a/core/autoscaler/capacity_planning.h
+++ b/core/autoscaler/capacity_planning.h
@@ -1,17 +1,22 @@
-// What to rent and what to return.
+// Capacity planning: how many machines of which pool to request so that tasks
+// without a place get one. A pure function of its input; knows nothing of the
+// cloud, of time or of requests under way.
 #pragma once
 
 #include <compare>
 #include <map>
+#include <set>
 #include <string>
 #include <vector>
 
 #include "core/model/job.h"
 #include "core/model/machine.h"
+#include "core/placement/placement.h"
 
 namespace oxbow {
 
-// One kind of machine the cloud can be asked for.
+// Machines that the cloud treats alike: one request asks for machines of one
+// pool.
 struct MachinePool {
   std::string type;
   std::string zone;
@@ -19,9 +24,9 @@
   auto operator<=>(const MachinePool&) const = default;
 };
 
-// Room that exists or is on its way.
+// Free capacity of one machine that is up, booting or requested.
 struct PoolCapacity {
-  MachinePool kind;
+  MachinePool pool;
   Resources free;
 };
 
@@ -29,21 +34,22 @@
 struct PoolDemand {
   const JobSpec* spec = nullptr;
   int tasks = 0;
-  // Tasks of the job per zone, for `spread` and `one_zone`.
-  std::vector<std::pair<std::string, int>> per_zone;
+  // Where the job's placed tasks are, for `spread` and `one_zone`.
+  ZoneSpread zones = {};
 };
 
+// What a plan is made of. `types` and the specs must outlive the call.
 struct AutoscalerInput {
   const std::map<std::string, MachineType>* types = nullptr;
-  std::vector<PoolCapacity> rooms;
-  std::vector<PoolDemand> demand;  // in the order of placement
-  // Kinds the cloud has just refused.
-  std::map<MachinePool, bool> refused;
-  int most_machines = 0;  // how many to ask for at once
+  std::vector<PoolCapacity> capacity;  // filled in this order
+  std::vector<PoolDemand> demand;      // in the order of placement
+  std::set<MachinePool> refused;       // pools without machines at present
+  int max_new_machines = 0;            // of all pools together
 };
 
-// Packs the demand into the room there is; what is left is packed into new
-// machines of the kind that costs least for it. Returns how many of each.
+// Packs the demand into the capacity that exists; what is left is packed into
+// new machines of the pool that costs least for it. Returns the number of
+// machines to request of each pool; no pool is listed with zero.
 std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input);
 
 }  // namespace oxbow
--- a/core/autoscaler/quiescence.h
+++ b/core/autoscaler/quiescence.h
@@ -1,5 +1,5 @@
-// When and where replicas may be packed closer: no demand for a while, and no
-// machine that accelerator work could still use.
+// When and where replicas may be consolidated: after a while without demand,
+// and on no machine that accelerator work could still use.
 #pragma once
 
 #include "core/cluster_state/cluster_state.h"
@@ -8,15 +8,15 @@
 
 namespace oxbow {
 
-// No job has come or waited for so long that capacity kept for the next one
-// costs more than it saves.
+// Whether no job has arrived or waited for so long that idle capacity costs
+// more than the time it would save the next job.
 inline bool IsQuiescent(const ClusterState& cluster, const Settings& settings,
                         const Tuning& tuning, Time now) {
   return now - cluster.last_demand() >
          tuning.idle_return_leases * settings.workers.lease_seconds;
 }
 
-// Whether replicas may be gathered on the machine while the cluster is
+// Whether replicas may be consolidated on the machine while the cluster is
 // quiescent.
 inline bool IsConsolidationTarget(const ClusterState& cluster,
                                   const Machine& machine) {
--- a/core/priority_tiers/tier_manager.cc
+++ b/core/priority_tiers/tier_manager.cc
@@ -110,13 +110,13 @@
     if (job->live() && job->unplaced() > 0) last = std::max(last, job->tier);
   }
   std::map<std::string, Resources> kept;
-  for (PoolCapacity& room : input.rooms) {
-    const auto [it, first] = kept.try_emplace(room.kind.zone);
-    if (first) it->second = tiers_.KeptAgainst(last, room.kind.zone);
-    const Resources aside =
-        Smaller(Larger(it->second, {}), Larger(room.free, {}));
-    room.free -= aside;
-    it->second -= aside;
+  for (PoolCapacity& capacity : input.capacity) {
+    const auto [it, first] = kept.try_emplace(capacity.pool.zone);
+    if (first) it->second = tiers_.KeptAgainst(last, capacity.pool.zone);
+    const Resources reserved =
+        Smaller(Larger(it->second, {}), Larger(capacity.free, {}));
+    capacity.free -= reserved;
+    it->second -= reserved;
   }
 }
 
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -80,7 +80,7 @@
   EXPECT_THROW(job.Change(JobState::kAccepted), IllegalTransition);
 }
 
-TEST(Provision, FillsExistingRoomFirstAndPrefersTheCheapKind) {
+TEST(CapacityPlanning, FillsExistingCapacityThenRequestsTheCheapestPool) {
   std::map<std::string, MachineType> types;
   types["small"] = {"small", {4, 0, 16}, 10, 1, 1.0, 0.4, 5, {"a"}};
   types["gpu"] = {"gpu", {4, 4, 16}, 10, 1, 9.0, 3.0, 5, {"a"}};
@@ -89,13 +89,13 @@
   spec.need = {1, 0, 1};
   AutoscalerInput input;
   input.types = &types;
-  input.rooms = {{{"small", "a", false}, {2, 0, 16}}};
+  input.capacity = {{{"small", "a", false}, {2, 0, 16}}};
   input.demand = {{&spec, 6, {}}};
-  input.most_machines = 10;
-  const auto rent = PlanScaleOut(input);
-  ASSERT_EQ(rent.size(), 1U);
-  EXPECT_EQ(rent.begin()->first, (MachinePool{"small", "a", false}));
-  EXPECT_EQ(rent.begin()->second, 1);
+  input.max_new_machines = 10;
+  const auto plan = PlanScaleOut(input);
+  ASSERT_EQ(plan.size(), 1U);
+  EXPECT_EQ(plan.begin()->first, (MachinePool{"small", "a", false}));
+  EXPECT_EQ(plan.begin()->second, 1);
 }
 
 }  // namespace
