--- a/clients/health.cc
+++ b/clients/health.cc
@@ -30,7 +30,7 @@
     const CheckInstance& check) {
   if (expressions_.size() > kMaxExpressions) expressions_.clear();
   Entry& entry = expressions_[check.rollout];
-  const std::string& text = check.spec->check.verdict;
+  const std::string& text = check.spec->check.expression;
   if (!entry.expression || entry.text != text) {
     entry = {text, std::make_unique<health_expression::HealthExpression>(text)};
   }
--- a/core/rollout/rollout.cc
+++ b/core/rollout/rollout.cc
@@ -1,6 +1,7 @@
 #include "core/rollout/rollout.h"
 
 #include <algorithm>
+#include <array>
 #include <utility>
 
 #include "core/model/state_machine.h"
@@ -27,6 +28,46 @@
     std::pair{kRollingBack, kPaused},  std::pair{kRollingBack, kFailed},
 };
 
+// The order in which replicas are stopped: first those that serve nobody, then
+// those that have to move anyway.
+enum class StopRank : uint8_t { kUnhealthy, kOnLeavingMachine, kHealthy };
+
+uint32_t Difference(uint32_t value, uint32_t less) {
+  return value > less ? value - less : 0;
+}
+
+// How many replicas may exist while new ones replace old ones.
+RolloutReplicaLimits LimitsWhileAdvancing(const RolloutSpec& spec,
+                                          const RolloutObservation& observation,
+                                          const RolloutCounts& counts) {
+  const uint32_t from_tasks = observation.from_tasks;
+  const uint32_t to_tasks = observation.to_tasks;
+  const uint32_t total = from_tasks + spec.surge;
+  // Without a surge the first capacity comes from an old replica.
+  const uint32_t ahead = spec.surge == 0 ? 1 : 0;
+  const uint32_t replaced =
+      to_tasks == 0 ? 0
+                    : static_cast<uint32_t>(static_cast<uint64_t>(from_tasks) *
+                                            counts.new_baked / to_tasks);
+  const bool all_baked = counts.new_baked >= to_tasks;
+  const uint32_t wanted_old =
+      all_baked ? 0 : Difference(from_tasks, replaced + ahead);
+  const uint32_t floor_old = Difference(spec.floor, counts.new_baked);
+  const uint32_t max_old =
+      std::min(std::max(wanted_old, floor_old), from_tasks);
+  const uint32_t step_size = std::max(1U, spec.surge);
+  const uint32_t max_new = std::min({to_tasks, counts.new_baked + step_size,
+                                     Difference(total, counts.old_present)});
+  RolloutReplicaLimits limits;
+  // An old replica that was lost is started again only where no new one has its
+  // place.
+  limits.max_old = std::min(
+      max_old, std::max(floor_old, Difference(total, counts.new_present)));
+  // What exists already stays; the limit is for what starts.
+  limits.max_new = std::max(max_new, counts.new_present);
+  return limits;
+}
+
 }  // namespace
 
 Rollout::Rollout(const RolloutRecord& record, Time now)
@@ -36,370 +77,272 @@
   if (record.mod_revision <= record_.mod_revision) return;
   RolloutStep step = record_.step;
   if (record.step != step) {
-    CheckedChange(step, record.step, kChanges, "roll-out");
+    CheckedChange(step, record.step, kChanges, "rollout");
     step_since_ = now;
   }
   record_ = record;
 }
 
-double Rollout::Interval() const {
-  return std::max(spec().check.interval_seconds, pace_seconds_);
-}
-
-void Rollout::ChangeHealth(Instance& instance, Health next, Time now) {
-  if (instance.health == next) return;
-  instance.health = next;
-  if (next == Health::kHealthy) instance.healthy_since = now;
+CheckPolicy Rollout::Policy() const {
+  return {spec(), std::max(spec().check.interval_seconds, pace_seconds_)};
 }
 
 void Rollout::OnCheck(const TaskAttemptKey& key, const CheckOutcome& outcome,
                       Time now) {
-  const auto it = instances_.find(key);
-  if (it == instances_.end()) return;
-  Instance& instance = it->second;
-  instance.checking = false;
-  instance.answered = outcome.answered;
-  instance.next_check = now + Interval();
-  if (outcome.good) {
-    // Baking is without a gap: one that flaps never counts for the floor.
-    if (instance.bad > 0) instance.healthy_since = now;
-    ++instance.good;
-    instance.bad = 0;
-    instance.proven = false;
-    instance.last_good = now;
-    if (Baked(instance, now)) instance.relapses = 0;
-    (instance.view.is_new ? new_latency_ : old_latency_)
-        .Add(outcome.latency_seconds);
-    if (instance.good >= spec().check.good_in_row) {
-      ChangeHealth(instance, Health::kHealthy, now);
-    }
-    return;
-  }
-  if (instance.good > 0 && outcome.answered) ++instance.relapses;
-  instance.good = 0;
-  if (instance.bad++ == 0) instance.first_bad = now;
-  // Silence proves nothing against the build unless its machine is heard in
-  // the middle of it: behind a cut all is silent, and when the cut ends the
-  // machine is heard a moment before the next check passes.
-  if (outcome.answered || instance.heard_at_start > instance.first_bad)
-    instance.proven = true;
-  // One that has never passed gets the time to start.
-  const bool starting = instance.health == Health::kUnknown &&
-                        now - instance.seen_running < spec().start_seconds;
-  if (instance.bad >= spec().check.bad_in_row && instance.proven && !starting) {
-    ChangeHealth(instance, Health::kFailing, now);
-  }
+  const auto it = replicas_.find(key);
+  if (it == replicas_.end()) return;
+  ReplicaHealth& replica = it->second;
+  replica.OnCheck(outcome, Policy(), now);
+  if (!outcome.good) return;
+  LatencyHistogram& latencies =
+      replica.observed().is_new ? latencies_.new_build : latencies_.old_build;
+  latencies.Add(outcome.latency_seconds);
 }
 
-std::vector<TaskAttemptKey> Rollout::TakeDue(size_t most, Time now) {
+std::vector<TaskAttemptKey> Rollout::TakeDueChecks(size_t most, Time now) {
   std::vector<TaskAttemptKey> due;
-  for (auto& [key, i] : instances_) {
+  for (auto& [key, replica] : replicas_) {
     if (due.size() >= most) break;
-    if (!i.view.running || i.checking || now < i.next_check) continue;
-    i.checking = true;
-    i.heard_at_start = i.view.last_heard;
+    if (!replica.IsDue(now)) continue;
+    replica.BeginCheck();
     due.push_back(key);
   }
   return due;
 }
 
-void Rollout::Take(const RolloutView& view, Time now) {
-  std::map<TaskAttemptKey, Instance> next;
-  for (const InstanceView& seen : view.instances) {
-    const auto it = instances_.find(seen.key);
-    Instance instance =
-        it == instances_.end() ? Instance{} : std::move(it->second);
-    instance.view = seen;
-    if (seen.running && instance.seen_running < 0) {
-      instance.seen_running = now;
-      instance.next_check = now;
-    }
-    next.emplace(seen.key, std::move(instance));
+void Rollout::UpdateReplicas(const RolloutObservation& observation, Time now) {
+  ReplicaHealthMap next;
+  for (const ReplicaObservation& observed : observation.replicas) {
+    const auto it = replicas_.find(observed.key);
+    ReplicaHealth replica =
+        it == replicas_.end() ? ReplicaHealth{} : std::move(it->second);
+    replica.Observe(observed, now);
+    next.emplace(observed.key, std::move(replica));
   }
-  instances_ = std::move(next);
+  replicas_ = std::move(next);
 }
 
-bool Rollout::Healthy(const Instance& instance, Time now) const {
-  const HealthCheck& check = spec().check;
-  const double fresh = 2 * (Interval() + check.timeout_seconds);
-  return instance.view.running && !instance.view.stopping &&
-         instance.health == Health::kHealthy && instance.bad == 0 &&
-         now - instance.last_good <= fresh;
-}
-
-bool Rollout::Baked(const Instance& instance, Time now) const {
-  return Healthy(instance, now) &&
-         now - instance.healthy_since >= spec().bake_seconds;
-}
-
-// A check that passes now and fails two minutes later: a new instance carries
-// the floor only once it has baked.
-bool Rollout::Counts(const Instance& instance, Time now) const {
-  return instance.view.is_new ? Baked(instance, now) : Healthy(instance, now);
-}
-
-uint32_t Rollout::Counted(Time now) const {
+uint32_t Rollout::FloorCount(Time now) const {
+  const CheckPolicy policy = Policy();
   return static_cast<uint32_t>(
-      std::count_if(instances_.begin(), instances_.end(),
-                    [&](const auto& e) { return Counts(e.second, now); }));
+      std::count_if(replicas_.begin(), replicas_.end(), [&](const auto& entry) {
+        return entry.second.CountsForFloor(policy, now);
+      }));
 }
 
 RolloutCounts Rollout::Count(Time now) const {
-  RolloutCounts out;
-  for (const auto& [key, i] : instances_) {
-    const bool healthy = Healthy(i, now);
-    ++(i.view.is_new ? out.new_there : out.old_there);
-    (i.view.is_new ? out.new_healthy : out.old_healthy) += healthy;
-    out.old_running += !i.view.is_new && i.view.running && !i.view.stopping;
-    out.new_baked += i.view.is_new && Baked(i, now);
+  const CheckPolicy policy = Policy();
+  RolloutCounts counts;
+  for (const auto& [key, replica] : replicas_) {
+    const ReplicaObservation& observed = replica.observed();
+    const bool healthy = replica.Healthy(policy, now);
+    if (observed.is_new) {
+      ++counts.new_present;
+      if (healthy) ++counts.new_healthy;
+      if (replica.Baked(policy, now)) ++counts.new_baked;
+    } else {
+      ++counts.old_present;
+      if (healthy) ++counts.old_healthy;
+      if (observed.running && !observed.stopping) ++counts.old_running;
+    }
   }
-  return out;
+  return counts;
 }
 
 bool Rollout::MayStop(const TaskAttemptKey& key, Time now) const {
-  const auto it = instances_.find(key);
-  // Not looked at yet, or not of this rollout's picture: no.
-  if (it == instances_.end()) return false;
-  const Instance& instance = it->second;
-  if (instance.health == Health::kFailing) return true;
-  if (!instance.view.running && !instance.view.stopping && instance.view.is_new)
-    return true;
-  uint32_t counted = Counted(now);
-  // A build that is being taken back carries nothing that an old instance is
-  // needed for: while it still passed here and there, old ones have been let
-  // go from a machine that was being drained, and it failed a moment later.
-  if (step() == kRollingBack && !instance.view.is_new) {
-    counted -= Count(now).new_baked;
+  const auto it = replicas_.find(key);
+  if (it == replicas_.end()) return false;  // not reviewed yet
+  const ReplicaHealth& replica = it->second;
+  const ReplicaObservation& observed = replica.observed();
+  if (replica.failing()) return true;
+  if (!observed.running && !observed.stopping && observed.is_new) return true;
+  uint32_t count = FloorCount(now);
+  // In a rollback new replicas stand in for no old one: the build may still
+  // pass a check here and there, and fail a moment after old replicas have been
+  // stopped because of it.
+  if (step() == kRollingBack && !observed.is_new) {
+    count -= Count(now).new_baked;
   }
-  return counted >= spec().floor + (Counts(instance, now) ? 1 : 0);
+  return count >=
+         spec().floor + (replica.CountsForFloor(Policy(), now) ? 1 : 0);
 }
 
 void Rollout::NoteStopping(const TaskAttemptKey& key) {
-  const auto it = instances_.find(key);
-  if (it != instances_.end()) it->second.view.stopping = true;
+  const auto it = replicas_.find(key);
+  if (it != replicas_.end()) it->second.NoteStopping();
 }
 
-bool Rollout::AllSeen() const {
-  return std::all_of(instances_.begin(), instances_.end(), [](const auto& e) {
-    const Instance& instance = e.second;
-    return !instance.view.running || instance.view.stopping ||
-           instance.good > 0 || instance.bad > 0;
+bool Rollout::AllChecked() const {
+  return std::all_of(replicas_.begin(), replicas_.end(), [](const auto& entry) {
+    const ReplicaHealth& replica = entry.second;
+    return !replica.observed().running || replica.observed().stopping ||
+           replica.checked();
   });
 }
 
-Rollout::HealthExpression Rollout::Judge(Time now) const {
-  constexpr uint64_t kEnough = 100;
-  constexpr double kQuantile = 0.9;
-  HealthExpression out;
-  bool witness = false;  // somebody passes, or answers at least
-  for (const auto& [key, i] : instances_) {
-    witness = witness || Healthy(i, now);
-  }
-  for (const auto& [key, i] : instances_) {
-    if (!i.view.is_new || i.health != Health::kFailing || i.view.stopping) {
-      continue;
-    }
-    // A machine that is silent is no fault of the build.
-    if (!i.view.heard) continue;
-    out.fails = true;
-    out.why = "task " + std::to_string(key.task) + " of " + key.job_id +
-              (i.answered ? " fails its check" : " does not answer its check");
-    // The old ones fail the same check beside it: the network or the check.
-    const uint32_t as_many = std::max(1U, spec().check.bad_in_row - 1);
-    for (const auto& [other_key, other] : instances_) {
-      if (!other.view.is_new && other.view.running && !other.view.stopping &&
-          other.view.zone == i.view.zone && other.bad >= as_many) {
-        out.pause = true;
-        out.why += ", and so does the old task " +
-                   std::to_string(other_key.task) + " in " + i.view.zone;
-        return out;
-      }
-    }
-    if (!witness && !i.answered) {
-      out.pause = true;
-      out.why += ", and nothing else passes it either";
-      return out;
-    }
-    return out;
-  }
-  // One that passes and fails in turn holds everything up.
-  constexpr uint32_t kRelapses = 3;
-  for (const auto& [key, i] : instances_) {
-    if (i.view.is_new && i.view.running && !i.view.stopping && i.view.heard &&
-        i.relapses >= kRelapses) {
-      out.fails = true;
-      out.why = "task " + std::to_string(key.task) + " of " + key.job_id +
-                " does not stay healthy";
-      return out;
-    }
-  }
-  const double slow = spec().check.slow_ratio;
-  if (slow > 0 && old_latency_.count() >= kEnough &&
-      new_latency_.count() >= kEnough &&
-      new_latency_.Quantile(kQuantile) >
-          slow * old_latency_.Quantile(kQuantile)) {
-    out.fails = true;
-    out.why = "the new instances answer too slowly";
-  }
-  return out;
+std::optional<Rollout::StepChange> Rollout::StepOfRollback(
+    const RolloutObservation& observation, Time now) const {
+  const RolloutCounts counts = Count(now);
+  // Where the check itself is at fault, the old replicas may never pass it:
+  // then it is enough that they have run for the time that a start takes.
+  const bool restored = counts.old_healthy >= observation.from_tasks ||
+                        (counts.old_running >= observation.from_tasks &&
+                         now - step_since_ > spec().start_seconds);
+  if (counts.new_present > 0 || !restored) return std::nullopt;
+  return StepChange{kRolledBack, record_.reason};
 }
 
-// The step that should be recorded now, if it is another.
-RolloutPlan Rollout::Next(const RolloutView& view, Time now) const {
-  RolloutPlan plan;
-  const auto go = [&](RolloutStep next, std::string why) {
-    plan.next = next;
-    plan.reason = std::move(why);
-    return plan;
-  };
-  const RolloutStep at = step();
-  // What its user has done to the jobs comes first.
-  if (!view.from_live) {
-    return go(kFailed,
-              spec().from + " has ended; the new job runs unrestricted");
-  }
-  const RolloutCounts counts = Count(now);
-  const bool to_gone = view.to_known && !view.to_live;
-  if (at == kDeclared && !view.to_known) {
-    if (record_.request == RolloutRequest::kAbort) {
-      return go(kRolledBack, "aborted by its user before the new job came");
-    }
-    return plan;
-  }
-  if (at == kRollingBack) {
-    // Where the check itself is at fault, the old ones may never pass it.
-    const bool back = counts.old_healthy >= view.from_tasks ||
-                      (counts.old_running >= view.from_tasks &&
-                       now - step_since_ > spec().start_seconds);
-    if (counts.new_there == 0 && back) return go(kRolledBack, record_.reason);
-    return plan;
+std::optional<Rollout::StepChange> Rollout::StepOnRequest(
+    const RolloutObservation& observation) const {
+  if (observation.to_known && !observation.to_live) {
+    return StepChange{kRollingBack, spec().to + " was ended by its user"};
   }
-  if (to_gone) {
-    return go(kRollingBack, spec().to + " was ended by its user");
+  switch (record_.request) {
+    case RolloutRequest::kAbort:
+      return StepChange{kRollingBack, "aborted by its user"};
+    case RolloutRequest::kResume:
+      if (step() != kPaused) return std::nullopt;
+      return StepChange{record_.paused_in, "resumed by its user"};
+    case RolloutRequest::kPause:
+      if (step() == kPaused) return std::nullopt;
+      return StepChange{kPaused, "paused by its user"};
+    case RolloutRequest::kNone:
+      break;
   }
-  if (record_.request == RolloutRequest::kAbort) {
-    return go(kRollingBack, "aborted by its user");
+  return std::nullopt;
+}
+
+Rollout::StepChange Rollout::FirstStep(
+    const RolloutObservation& observation) const {
+  if (observation.to_tasks < spec().floor) {
+    return {kRollingBack, spec().to + " has fewer replicas than the floor"};
   }
-  if (at == kPaused) {
-    if (record_.request == RolloutRequest::kResume) {
-      return go(record_.paused_in, "resumed by its user");
-    }
-    return plan;
+  return {kAdvancing, {}};
+}
+
+std::optional<Rollout::StepChange> Rollout::StepByHealth(
+    const RolloutObservation& observation, Time now) const {
+  BuildAssessment assessment =
+      AssessBuild(replicas_, latencies_, Policy(), now);
+  if (assessment.verdict == BuildVerdict::kUnclear) {
+    return StepChange{kPaused, std::move(assessment.reason)};
   }
-  if (record_.request == RolloutRequest::kPause) {
-    return go(kPaused, "paused by its user");
+  if (assessment.verdict == BuildVerdict::kBad) {
+    return StepChange{kRollingBack, std::move(assessment.reason)};
   }
-  if (at == kDeclared) {
-    if (view.to_tasks < spec().floor) {
-      return go(kRollingBack, spec().to + " has fewer replicas than the floor");
-    }
-    return go(kAdvancing, {});
+  if (!AllChecked()) return std::nullopt;
+  const RolloutCounts counts = Count(now);
+  const bool all_healthy = counts.new_healthy >= observation.to_tasks;
+  const bool replaced =
+      counts.new_baked >= observation.to_tasks && counts.old_present == 0;
+  if (step() == kAdvancing && all_healthy) return StepChange{kBaking, {}};
+  if (step() == kBaking && !all_healthy) return StepChange{kAdvancing, {}};
+  if (step() == kBaking && replaced) return StepChange{kWatching, {}};
+  if (step() == kWatching && all_healthy &&
+      now - step_since_ >= spec().watch_seconds) {
+    return StepChange{kDone, {}};
   }
-  const HealthExpression verdict = Judge(now);
-  if (verdict.fails) {
-    return go(verdict.pause ? kPaused : kRollingBack, verdict.why);
+  return std::nullopt;
+}
+
+// What the user has done to the jobs comes first, then the user's request, then
+// what the checks show.
+std::optional<Rollout::StepChange> Rollout::NextStep(
+    const RolloutObservation& observation, Time now) const {
+  if (!observation.from_live) {
+    return StepChange{
+        kFailed, spec().from + " has ended; the new job runs unrestricted"};
   }
-  if (!AllSeen()) return plan;
-  const bool all_healthy = counts.new_healthy >= view.to_tasks;
-  if (at == kAdvancing && all_healthy) return go(kBaking, {});
-  if (at == kBaking && !all_healthy) return go(kAdvancing, {});
-  if (at == kBaking && counts.new_baked >= view.to_tasks &&
-      counts.old_there == 0) {
-    return go(kWatching, {});
+  if (step() == kDeclared && !observation.to_known) {
+    if (record_.request != RolloutRequest::kAbort) return std::nullopt;
+    return StepChange{kRolledBack,
+                      "aborted by its user before the new job came"};
   }
-  if (at == kWatching && all_healthy &&
-      now - step_since_ >= spec().watch_seconds) {
-    return go(kDone, {});
+  if (step() == kRollingBack) return StepOfRollback(observation, now);
+  if (std::optional<StepChange> change = StepOnRequest(observation)) {
+    return change;
   }
-  return plan;
+  if (step() == kPaused) return std::nullopt;
+  if (step() == kDeclared) return FirstStep(observation);
+  return StepByHealth(observation, now);
 }
 
-void Rollout::Limit(const RolloutView& view, Time now) {
+RolloutReplicaLimits Rollout::LimitsNow(const RolloutObservation& observation,
+                                        Time now) const {
   const RolloutCounts counts = Count(now);
-  const uint32_t total = view.from_tasks + spec().surge;
-  const auto less = [](uint32_t a, uint32_t b) { return a > b ? a - b : 0; };
-  const bool frozen = step() == kPaused || !AllSeen();
-  if (step() == kDeclared) {
-    most_new_ = 0;
-    most_old_ = view.from_tasks;
-  } else if (step() == kRollingBack) {
-    most_new_ = 0;
-    most_old_ = std::min(view.from_tasks, less(total, counts.new_there));
-  } else if (frozen) {
-    // What is lost meanwhile may come back, nothing beyond it.
-    if (!limited_) {
-      most_new_ = counts.new_there;
-      most_old_ =
-          std::max(counts.old_there,
-                   std::min(view.from_tasks, less(total, counts.new_there)));
-    }
-  } else if (step() == kWatching) {
-    most_new_ = view.to_tasks;
-    most_old_ = 0;
-  } else {
-    // Without a surge the first room comes from an old one.
-    const uint32_t lead = spec().surge == 0 ? 1 : 0;
-    const uint32_t replaced =
-        view.to_tasks == 0
-            ? 0
-            : static_cast<uint32_t>(static_cast<uint64_t>(view.from_tasks) *
-                                    counts.new_baked / view.to_tasks);
-    const bool whole = counts.new_baked >= view.to_tasks;
-    uint32_t old = whole ? 0 : less(view.from_tasks, replaced + lead);
-    const uint32_t needed = less(spec().floor, counts.new_baked);
-    old = std::min(std::max(old, needed), view.from_tasks);
-    // One that was lost comes back only where no new one has its place.
-    most_old_ = std::min(old, std::max(needed, less(total, counts.new_there)));
-    const uint32_t step_size = std::max(1U, spec().surge);
-    most_new_ = std::min({view.to_tasks, counts.new_baked + step_size,
-                          less(total, counts.old_there)});
-    // What is there already stays; only what comes is held to the limit.
-    most_new_ = std::max(most_new_, counts.new_there);
+  const uint32_t from_tasks = observation.from_tasks;
+  const uint32_t old_beside_new = std::min(
+      from_tasks, Difference(from_tasks + spec().surge, counts.new_present));
+  if (step() == kDeclared) return {0, from_tasks};
+  if (step() == kRollingBack) return {0, old_beside_new};
+  if (step() == kPaused || !AllChecked()) {
+    // What is lost meanwhile may start again, nothing beyond it.
+    if (limits_) return *limits_;
+    return {counts.new_present, std::max(counts.old_present, old_beside_new)};
   }
-  limited_ = true;
+  if (step() == kWatching) return {observation.to_tasks, 0};
+  return LimitsWhileAdvancing(spec(), observation, counts);
 }
 
-std::vector<TaskAttemptKey> Rollout::Victims(Time now) const {
-  std::vector<TaskAttemptKey> out;
-  if (step() == kPaused || step() == kDeclared) return out;
-  const bool back = step() == kRollingBack;
-  const uint32_t there = static_cast<uint32_t>(
-      std::count_if(instances_.begin(), instances_.end(), [&](const auto& e) {
-        return e.second.view.is_new == back && !e.second.view.stopping;
-      }));
-  const uint32_t most = back ? 0 : most_old_;
-  if (there <= most) return out;
-  if (!back && !AllSeen()) return out;
-  uint32_t excess = there - most;
-  // First those that do nobody any good, then those that must move anyway.
-  std::vector<std::pair<int, TaskAttemptKey>> order;
-  for (const auto& [key, i] : instances_) {
-    if (i.view.is_new != back || i.view.stopping) continue;
-    const int rank = !Healthy(i, now) ? 0 : i.view.leaving ? 1 : 2;
-    order.emplace_back(rank, key);
+std::vector<TaskAttemptKey> Rollout::StopOrder(bool is_new, Time now) const {
+  struct Candidate {
+    StopRank rank;
+    TaskAttemptKey key;
+    auto operator<=>(const Candidate&) const = default;
+  };
+  const CheckPolicy policy = Policy();
+  std::vector<Candidate> candidates;
+  for (const auto& [key, replica] : replicas_) {
+    const ReplicaObservation& observed = replica.observed();
+    if (observed.is_new != is_new || observed.stopping) continue;
+    const StopRank rank = !replica.Healthy(policy, now) ? StopRank::kUnhealthy
+                          : observed.machine_leaves
+                              ? StopRank::kOnLeavingMachine
+                              : StopRank::kHealthy;
+    candidates.push_back({rank, key});
+  }
+  std::sort(candidates.begin(), candidates.end());
+  std::vector<TaskAttemptKey> keys;
+  for (Candidate& candidate : candidates) {
+    keys.push_back(std::move(candidate.key));
   }
-  std::sort(order.begin(), order.end());
-  uint32_t counted = Counted(now);
-  for (const auto& [rank, key] : order) {
+  return keys;
+}
+
+std::vector<TaskAttemptKey> Rollout::ReplicasToStop(Time now) const {
+  if (step() == kPaused || step() == kDeclared) return {};
+  const bool rolling_back = step() == kRollingBack;
+  const std::vector<TaskAttemptKey> candidates = StopOrder(rolling_back, now);
+  const auto present = static_cast<uint32_t>(candidates.size());
+  const uint32_t most = rolling_back ? 0 : MaxOldReplicas();
+  if (present <= most) return {};
+  if (!rolling_back && !AllChecked()) return {};
+  uint32_t excess = present - most;
+  uint32_t floor_count = FloorCount(now);
+  std::vector<TaskAttemptKey> stop;
+  for (const TaskAttemptKey& key : candidates) {
     if (excess == 0) break;
-    const Instance& instance = instances_.at(key);
-    const bool carries = Counts(instance, now);
-    const bool useless =
-        instance.health == Health::kFailing || !instance.view.running;
-    if (!useless && counted < spec().floor + (carries ? 1 : 0)) continue;
-    counted -= carries;
+    const ReplicaHealth& replica = replicas_.at(key);
+    const uint32_t counted = replica.CountsForFloor(Policy(), now) ? 1 : 0;
+    const bool useless = replica.failing() || !replica.observed().running;
+    if (!useless && floor_count < spec().floor + counted) continue;
+    floor_count -= counted;
     --excess;
-    out.push_back(key);
+    stop.push_back(key);
   }
-  return out;
+  return stop;
 }
 
-RolloutPlan Rollout::Review(const RolloutView& view, Time now) {
-  Take(view, now);
-  RolloutPlan plan = Next(view, now);
-  Limit(view, now);
+RolloutPlan Rollout::Review(const RolloutObservation& observation, Time now) {
+  UpdateReplicas(observation, now);
+  RolloutPlan plan;
+  if (std::optional<StepChange> change = NextStep(observation, now)) {
+    plan.next = change->next;
+    plan.reason = std::move(change->reason);
+  }
+  limits_ = LimitsNow(observation, now);
   // A step that is not recorded yet has not begun.
-  if (!plan.next) plan.stop = Victims(now);
+  if (!plan.next) plan.stop = ReplicasToStop(now);
   for (const TaskAttemptKey& key : plan.stop) NoteStopping(key);
   return plan;
 }
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -1,6 +1,7 @@
 #include "core/rollout/rollout_manager.h"
 
 #include <algorithm>
+#include <array>
 #include <memory>
 #include <utility>
 
@@ -18,10 +19,33 @@
   return kNames[static_cast<size_t>(step)];
 }
 
-}  // namespace
+// Rollouts are reviewed so often within a heartbeat interval.
+constexpr double kReviewsPerHeartbeat = 4;
+// Processor time of one check, s: twice what was measured.
+constexpr double kCheckCostSeconds = 1e-4;
+// Bytes of the reason that a compact record keeps.
+constexpr size_t kMaxCompactReason = 64;
 
+// The job whose end the end of a rollout brings with it; null: neither's.
+const std::string* JobEndedBy(RolloutStep step, const RolloutSpec& spec) {
+  if (step == RolloutStep::kDone) return &spec.from;
+  if (step == RolloutStep::kRolledBack) return &spec.to;
+  return nullptr;
+}
 
-RolloutManager::RolloutManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), tuning_(context.tuning), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), machine_health_(modules.machine_health), dispatcher_(modules.dispatcher), job_lifecycle_(modules.job_lifecycle) {}
+}  // namespace
+
+RolloutManager::RolloutManager(LeaderContext& context, const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      tuning_(context.tuning),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      machine_health_(modules.machine_health),
+      dispatcher_(modules.dispatcher),
+      job_lifecycle_(modules.job_lifecycle) {}
 
 const Rollout* RolloutManager::FindRollout(const std::string& id) const {
   const auto it = rollouts_.find(id);
@@ -37,21 +61,22 @@
 uint32_t RolloutManager::StartableTasks(const Job& job) const {
   const Rollout* rollout = RolloutOf(job);
   if (rollout == nullptr) return job.unplaced();
-  const uint32_t most = rollout->spec().to == job.id() ? rollout->MostOfNew()
-                                                       : rollout->MostOfOld();
+  const uint32_t most = rollout->spec().to == job.id()
+                            ? rollout->MaxNewReplicas()
+                            : rollout->MaxOldReplicas();
   const uint32_t left = most > job.placed() ? most - job.placed() : 0;
   return std::min(job.unplaced(), left);
 }
 
-bool RolloutManager::DisruptionAllowed(const TaskAttemptKey& key, const Job& job,
-                               Time now) const {
+bool RolloutManager::DisruptionAllowed(const TaskAttemptKey& key,
+                                       const Job& job, Time now) const {
   const Rollout* rollout = RolloutOf(job);
   return rollout == nullptr || !job.live() || rollout->MayStop(key, now);
 }
 
-// A controller that has just accepted a job tells the leader of it ahead of the
-// watch. The rollout that was declared before the job comes by the watch, so
-// until that has caught up the job could start whole.
+// A controller that has just accepted a job notifies the leader ahead of the
+// watch. The rollout that was declared before the job arrives by the watch
+// only: until the watch has caught up, the job could start unrestricted.
 bool RolloutManager::MayBeRestricted(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
@@ -62,217 +87,245 @@
 }
 
 void RolloutManager::OnRolloutRecord(const std::string& id, Time now) {
-  const auto known = catalog_.rollouts().find(id);
-  if (known == catalog_.rollouts().end()) return;
-  const RolloutRecord& record = known->second;
+  const auto entry = catalog_.rollouts().find(id);
+  if (entry == catalog_.rollouts().end()) return;
+  const RolloutRecord& record = entry->second;
+  const RolloutSpec& spec = *record.spec;
   const auto it = rollouts_.find(id);
   if (it != rollouts_.end()) {
     it->second.OnRecord(record, now);
-  } else if (in_rollout_.contains(record.spec->from) ||
-             in_rollout_.contains(record.spec->to)) {
+  } else if (in_rollout_.contains(spec.from) || in_rollout_.contains(spec.to)) {
     // Two were declared for one job on two controllers at the same time.
     WriteOp op{WriteKind::kRollout, id};
     op.step = RolloutStep::kFailed;
     op.reason = "one of its jobs is part of another roll-out";
     writes_.Queue(std::move(op));
   } else if (!Ended(record.step)) {
-    rollouts_.emplace(id, Rollout(record, now));
-    in_rollout_[record.spec->from] = id;
-    in_rollout_[record.spec->to] = id;
-    context_.Log("roll-out " + id + ": " + record.spec->from + " to " + record.spec->to +
-        ", " + std::string(NameOf(record.step)));
+    AddRollout(id, record, now);
   }
   cluster_.MarkChanged();
 }
 
-void RolloutManager::OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                      const CheckOutcome& outcome, Time now) {
+void RolloutManager::AddRollout(const std::string& id,
+                                const RolloutRecord& record, Time now) {
+  const RolloutSpec& spec = *record.spec;
+  rollouts_.emplace(id, Rollout(record, now));
+  in_rollout_[spec.from] = id;
+  in_rollout_[spec.to] = id;
+  context_.Log("tracking rollout", {{"rollout", id},
+                                    {"from", spec.from},
+                                    {"to", spec.to},
+                                    {"step", NameOf(record.step)}});
+}
+
+void RolloutManager::OnHealth(const std::string& rollout,
+                              const TaskAttemptKey& key,
+                              const CheckOutcome& outcome, Time now) {
   --checks_in_flight_;
   const auto it = rollouts_.find(rollout);
   if (it != rollouts_.end()) it->second.OnCheck(key, outcome, now);
 }
 
-RolloutView RolloutManager::ViewOf(const Rollout& rollout, Time now) const {
-  RolloutView view;
+RolloutObservation RolloutManager::Observe(const Rollout& rollout,
+                                           Time now) const {
+  RolloutObservation observation;
   const RolloutSpec& spec = rollout.spec();
-  for (const bool is_new : {false, true}) {
-    const std::string& id = is_new ? spec.to : spec.from;
-    const auto it = cluster_.jobs().find(id);
-    const bool ended = catalog_.FindTerminalState(id) != TerminalState::kNone;
-    if (it == cluster_.jobs().end()) {
-      if (is_new) view.to_known = ended;
+  if (const Job* from = cluster_.FindJob(spec.from)) {
+    observation.from_live = from->live();
+    observation.from_tasks = from->size();
+    ObserveReplicas(*from, false, now, observation.replicas);
+  }
+  if (const Job* to = cluster_.FindJob(spec.to)) {
+    observation.to_known = true;
+    observation.to_live = to->live();
+    observation.to_tasks = to->size();
+    ObserveReplicas(*to, true, now, observation.replicas);
+  } else {
+    observation.to_known =
+        catalog_.FindTerminalState(spec.to) != TerminalState::kNone;
+  }
+  return observation;
+}
+
+void RolloutManager::ObserveReplicas(
+    const Job& job, bool is_new, Time now,
+    std::vector<ReplicaObservation>& replicas) const {
+  for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
+    const TaskAttempt& attempt = machine->task_attempts.at(key);
+    if (attempt.phase == TaskPhase::kExited ||
+        !cluster_.IsCurrent(*machine, attempt)) {
       continue;
     }
-    const Job& job = *it->second;
-    (is_new ? view.to_live : view.from_live) = job.live();
-    (is_new ? view.to_tasks : view.from_tasks) = job.size();
-    if (is_new) view.to_known = true;
-    for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
-      const TaskAttempt& attempt = machine->task_attempts.at(key);
-      if (attempt.phase == TaskPhase::kExited ||
-          !cluster_.IsCurrent(*machine, attempt))
-        continue;
-      InstanceView seen;
-      seen.key = key;
-      seen.is_new = is_new;
-      seen.running = attempt.phase == TaskPhase::kRunning;
-      seen.stopping = attempt.stopping;
-      seen.heard = !machine_health_.Suspect(*machine, now);
-      seen.last_heard = machine->last_heard;
-      seen.leaving = machine->state() != MachineState::kUp;
-      seen.zone = machine->zone;
-      view.instances.push_back(std::move(seen));
-    }
+    ReplicaObservation observed;
+    observed.key = key;
+    observed.is_new = is_new;
+    observed.running = attempt.phase == TaskPhase::kRunning;
+    observed.stopping = attempt.stopping;
+    observed.reachable = !machine_health_.Suspect(*machine, now);
+    observed.last_heartbeat = machine->last_heard;
+    observed.machine_leaves = machine->state() != MachineState::kUp;
+    observed.zone = machine->zone;
+    replicas.push_back(std::move(observed));
   }
-  return view;
 }
 
 void RolloutManager::TickRollouts(Time now) {
-  if (rollouts_.empty() || now < next_rollouts_) return;
-  next_rollouts_ = now + settings_.workers.heartbeat_interval_seconds / 4;
-  // A picture with holes would take unheard instances for missing ones.
+  if (rollouts_.empty() || now < next_review_) return;
+  next_review_ =
+      now + settings_.workers.heartbeat_interval_seconds / kReviewsPerHeartbeat;
+  // Before that, replicas on machines without a heartbeat would count as
+  // missing.
   if (!cluster_.AllMachinesAccountedFor()) return;
-  for (auto& [id, rollout] : rollouts_) {
-    const uint32_t old_before = rollout.MostOfOld();
-    const uint32_t new_before = rollout.MostOfNew();
-    const RolloutPlan plan = rollout.Review(ViewOf(rollout, now), now);
-    if (plan.next) {
-      writes_.Queue({WriteKind::kRollout,
-                     id,
-                     TerminalState::kNone,
-                     {},
-                     *plan.next,
-                     plan.reason,
-                     rollout.record().request});
-    }
-    for (const TaskAttemptKey& key : plan.stop) {
-      const auto job = cluster_.jobs().find(key.job_id);
-      if (job == cluster_.jobs().end()) continue;
-      const int32_t index = job->second->task(key.task).machine;
-      if (index < 0) continue;
-      Machine& machine = cluster_.machine(index);
-      const auto it = machine.task_attempts.find(key);
-      if (it == machine.task_attempts.end() || it->second.stopping) continue;
-      context_.LogDetail([&, &name = id] {
-        return "roll-out " + name + " stops " + key.job_id + "/" +
-               std::to_string(key.task) + " on " + machine.host();
-      });
-      dispatcher_.QueueStop(machine, it->second, 0, now);
-    }
-    if (rollout.MostOfOld() != old_before ||
-        rollout.MostOfNew() != new_before) {
-      cluster_.MarkChanged();
-      cluster_.MarkUrgentChange();
-    }
-  }
+  for (auto& [id, rollout] : rollouts_) ReviewRollout(id, rollout, now);
   BeginChecks(now);
 }
 
+void RolloutManager::ReviewRollout(const std::string& id, Rollout& rollout,
+                                   Time now) {
+  const uint32_t old_before = rollout.MaxOldReplicas();
+  const uint32_t new_before = rollout.MaxNewReplicas();
+  const RolloutPlan plan = rollout.Review(Observe(rollout, now), now);
+  if (plan.next) {
+    WriteOp op{WriteKind::kRollout, id};
+    op.step = *plan.next;
+    op.reason = plan.reason;
+    op.request = rollout.record().request;
+    writes_.Queue(std::move(op));
+  }
+  for (const TaskAttemptKey& key : plan.stop) StopReplica(id, key, now);
+  if (rollout.MaxOldReplicas() != old_before ||
+      rollout.MaxNewReplicas() != new_before) {
+    cluster_.MarkChanged();
+    cluster_.MarkUrgentChange();
+  }
+}
+
+void RolloutManager::StopReplica(const std::string& id,
+                                 const TaskAttemptKey& key, Time now) {
+  Machine* machine = MachineOf(key);
+  if (machine == nullptr) return;
+  const auto it = machine->task_attempts.find(key);
+  if (it == machine->task_attempts.end() || it->second.stopping) return;
+  context_.LogDetail([&] {
+    return LogEvent{"rollout stops a replica",
+                    {{"rollout", id},
+                     {"job", key.job_id},
+                     {"task", key.task},
+                     {"host", machine->host()}}};
+  });
+  dispatcher_.QueueStop(*machine, it->second, 0, now);
+}
+
+Machine* RolloutManager::MachineOf(const TaskAttemptKey& key) const {
+  const Job* job = cluster_.FindJob(key.job_id);
+  if (job == nullptr) return nullptr;
+  const int32_t index = job->task(key.task).machine;
+  return index < 0 ? nullptr : &cluster_.machine(index);
+}
+
 // A check costs the leader a connection and some processor time. Without a
-// bound, thousands of instances under check would take the time that its lease
-// and the workers' heartbeats need. What the bound leaves is spread evenly:
-// each instance is checked more seldom, and the belief in its health lasts
-// longer.
+// bound, thousands of replicas would take the time that the leader's lease and
+// the workers' heartbeats need. The bound is spread evenly: each replica is
+// checked more seldom, and the result of a check counts for longer.
 int RolloutManager::ChecksAllowed(Time now) {
-  constexpr double kCostSeconds =
-      1e-4;  // of one check: twice what was measured
   const double share = settings_.limits.cpu_share * tuning_.rollout_cpu_share;
   const int most =
       std::max(1, static_cast<int>(tuning_.rollout_check_share *
                                    settings_.limits.max_connections));
   if (share <= 0) return most - checks_in_flight_;
-  const double rate = share / kCostSeconds;
-  size_t instances = 0;
-  for (const auto& [id, rollout] : rollouts_) instances += rollout.instances();
+  const double checks_per_second = share / kCheckCostSeconds;
+  size_t replicas = 0;
+  for (const auto& [id, rollout] : rollouts_) replicas += rollout.replicas();
   for (auto& [id, rollout] : rollouts_) {
-    rollout.SetPace(static_cast<double>(instances) / rate);
+    rollout.SetPace(static_cast<double>(replicas) / checks_per_second);
   }
-  // A burst of as much as a tick brings, at least one.
+  // At most what half a heartbeat interval brings, and at least one.
   const double burst =
-      std::max(1.0, rate * settings_.workers.heartbeat_interval_seconds / 2);
-  checks_allowed_ = std::min(
-      burst, checks_allowed_ + rate * std::max(0.0, now - checks_counted_));
-  checks_counted_ = now;
-  return std::min(most - checks_in_flight_, static_cast<int>(checks_allowed_));
+      std::max(1.0, checks_per_second *
+                        settings_.workers.heartbeat_interval_seconds / 2);
+  check_budget_ = std::min(
+      burst, check_budget_ +
+                 checks_per_second * std::max(0.0, now - check_budget_at_));
+  check_budget_at_ = now;
+  return std::min(most - checks_in_flight_, static_cast<int>(check_budget_));
 }
 
 void RolloutManager::BeginChecks(Time now) {
-  int room = ChecksAllowed(now);
-  // Each rollout in turn gets the first pick, so that none starves.
-  std::vector<Rollout*> order;
-  for (auto& [id, rollout] : rollouts_) order.push_back(&rollout);
-  if (order.empty()) return;
+  int allowed = ChecksAllowed(now);
+  std::vector<Rollout*> rollouts;
+  for (auto& [id, rollout] : rollouts_) rollouts.push_back(&rollout);
+  if (rollouts.empty()) return;
+  // Each rollout in turn comes first, so that none starves.
   std::rotate(
-      order.begin(),
-      order.begin() + static_cast<long>(first_checked_++ % order.size()),
-      order.end());
-  for (Rollout* rollout : order) {
-    if (room <= 0) return;
+      rollouts.begin(),
+      rollouts.begin() + static_cast<long>(first_checked_++ % rollouts.size()),
+      rollouts.end());
+  for (Rollout* rollout : rollouts) {
+    if (allowed <= 0) return;
     for (const TaskAttemptKey& key :
-         rollout->TakeDue(static_cast<size_t>(room), now)) {
-      --room;
-      const auto job = cluster_.jobs().find(key.job_id);
-      const int32_t index = job == cluster_.jobs().end()
-                                ? -1
-                                : job->second->task(key.task).machine;
-      if (index < 0) {
-        rollout->OnCheck(key, {}, now);
-        continue;
-      }
-      ++checks_in_flight_;
-      checks_allowed_ -= 1;
-      actions_.push_back(CheckInstance{rollout->spec().id, key,
-                                       cluster_.machine(index).endpoint,
-                                       rollout->record().spec});
+         rollout->TakeDueChecks(static_cast<size_t>(allowed), now)) {
+      --allowed;
+      BeginCheck(*rollout, key, now);
     }
   }
 }
 
-RolloutRecord RolloutManager::AfterOp(const RolloutRecord& record, const WriteOp& op) {
+void RolloutManager::BeginCheck(Rollout& rollout, const TaskAttemptKey& key,
+                                Time now) {
+  const Machine* machine = MachineOf(key);
+  if (machine == nullptr) {
+    rollout.OnCheck(key, {}, now);
+    return;
+  }
+  ++checks_in_flight_;
+  check_budget_ -= 1;
+  actions_.push_back(CheckInstance{rollout.spec().id, key, machine->endpoint,
+                                   rollout.record().spec});
+}
+
+RolloutRecord RolloutManager::AfterOp(const RolloutRecord& record,
+                                      const WriteOp& op) {
   RolloutRecord next = record;
   if (op.step == RolloutStep::kPaused) next.paused_in = next.step;
   next.step = op.step;
   next.reason = op.reason;
   if (op.compact) {
-    constexpr size_t kMostReason = 64;
-    next.reason.resize(std::min(next.reason.size(), kMostReason));
+    next.reason.resize(std::min(next.reason.size(), kMaxCompactReason));
   }
-  // One that has ended checks nothing any more.
+  // One that has ended makes no checks any more.
   if (op.compact && Ended(op.step)) {
     auto spec = std::make_shared<RolloutSpec>(*record.spec);
     spec->check.path = HealthCheck().path;
-    spec->check.verdict = HealthCheck().verdict;
+    spec->check.expression = HealthCheck().expression;
     next.spec = std::move(spec);
   }
-  // A wish that came while the step was being written stands.
+  // A request that arrived while the step was being written is kept.
   if (next.request == op.request) next.request = RolloutRequest::kNone;
   return next;
 }
 
-// The end of a rollout and of the job that it replaces, or takes back, stand
-// in one transaction: the declaration was made by the user of both, and nobody
-// is told of one without the other.
-bool RolloutManager::BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const {
-  const auto known = catalog_.rollouts().find(op.name);
-  if (known == catalog_.rollouts().end() || known->second.step == op.step) {
+// The end of a rollout and of the job that it replaces, or takes back, are
+// written in one transaction: the user declared both together, and no status
+// shows one without the other.
+bool RolloutManager::BuildRolloutOp(const WriteOp& op,
+                                    CompareAndSwap* txn) const {
+  const auto entry = catalog_.rollouts().find(op.name);
+  if (entry == catalog_.rollouts().end() || entry->second.step == op.step) {
     return false;
   }
-  const RolloutRecord next = AfterOp(known->second, op);
+  const RolloutRecord next = AfterOp(entry->second, op);
   const std::string key = keys::Of(keys::kRollout, op.name);
-  txn->preconditions.push_back({key, known->second.mod_revision});
+  txn->preconditions.push_back({key, entry->second.mod_revision});
   if (!Ended(op.step)) {
     txn->mutations.push_back({key, next});
     return true;
   }
   txn->mutations.push_back({keys::Of(keys::kRolloutEnd, op.name), next});
   txn->mutations.push_back({key, {}});
-  const std::string* ends = op.step == RolloutStep::kDone ? &next.spec->from
-                            : op.step == RolloutStep::kRolledBack
-                                ? &next.spec->to
-                                : nullptr;
-  const JobRecord* job = ends ? catalog_.FindJob(*ends) : nullptr;
+  const std::string* ended_job = JobEndedBy(op.step, *next.spec);
+  const JobRecord* job = ended_job ? catalog_.FindJob(*ended_job) : nullptr;
   if (job != nullptr && job->terminal_state == TerminalState::kNone) {
-    const std::string job_key = keys::Of(keys::kJob, *ends);
+    const std::string job_key = keys::Of(keys::kJob, *ended_job);
     txn->preconditions.push_back({job_key, job->mod_revision});
     txn->mutations.push_back(
         {job_key, TerminatedRecord(*job, TerminalState::kAborted, op.compact)});
@@ -280,48 +333,53 @@
   return true;
 }
 
-void RolloutManager::RolloutOpDone(const WriteOp& op, uint64_t revision, Time now) {
+void RolloutManager::RolloutOpDone(const WriteOp& op, uint64_t revision,
+                                   Time now) {
   const auto it = rollouts_.find(op.name);
-  if (revision > 0) {
-    const auto known = catalog_.rollouts().find(op.name);
-    if (known != catalog_.rollouts().end()) {
-      const RolloutRecord next = AfterOp(known->second, op);
-      const std::string key = keys::Of(keys::kRollout, op.name);
-      if (Ended(op.step)) {
-        catalog_.Erase(key, revision);
-      } else {
-        catalog_.Put(key, next, revision);
-        OnRolloutRecord(op.name, now);
-      }
-    }
-  }
-  context_.Log("roll-out " + op.name + ": " + std::string(NameOf(op.step)) +
-      (op.reason.empty() ? "" : ", " + op.reason));
+  if (revision > 0) UpdateCatalog(op, revision, now);
+  LogFields fields = {{"rollout", op.name}, {"step", NameOf(op.step)}};
+  if (!op.reason.empty()) fields.emplace_back("reason", op.reason);
+  context_.Log("rollout step recorded", std::move(fields));
   if (!Ended(op.step) || it == rollouts_.end()) return;
-  const std::string from = it->second.spec().from;
-  const std::string to = it->second.spec().to;
+  const RolloutSpec spec = it->second.spec();
   rollouts_.erase(it);
-  in_rollout_.erase(from);
-  in_rollout_.erase(to);
-  const std::string& ends = op.step == RolloutStep::kDone ? from : to;
-  const auto job = cluster_.jobs().find(ends);
-  if (op.step != RolloutStep::kFailed && job != cluster_.jobs().end() &&
-      job->second->live()) {
-    if (revision > 0) {
-      if (const JobRecord* record = catalog_.FindJob(ends)) {
-        catalog_.Put(
-            keys::Of(keys::kJob, ends),
-            TerminatedRecord(*record, TerminalState::kAborted, op.compact),
-            revision);
-      }
-    }
-    job->second->Change(JobState::kRecordingAbort);
-    job_lifecycle_.OnTerminalStateRecorded(ends, TerminalState::kAborted, now);
+  in_rollout_.erase(spec.from);
+  in_rollout_.erase(spec.to);
+  if (const std::string* ended_job = JobEndedBy(op.step, spec)) {
+    EndJob(*ended_job, op, revision, now);
   }
   cluster_.MarkChanged();
   cluster_.MarkUrgentChange();
 }
 
+void RolloutManager::UpdateCatalog(const WriteOp& op, uint64_t revision,
+                                   Time now) {
+  const auto entry = catalog_.rollouts().find(op.name);
+  if (entry == catalog_.rollouts().end()) return;
+  const RolloutRecord next = AfterOp(entry->second, op);
+  const std::string key = keys::Of(keys::kRollout, op.name);
+  if (Ended(op.step)) {
+    catalog_.Erase(key, revision);
+  } else {
+    catalog_.Put(key, next, revision);
+    OnRolloutRecord(op.name, now);
+  }
+}
+
+void RolloutManager::EndJob(const std::string& id, const WriteOp& op,
+                            uint64_t revision, Time now) {
+  Job* job = cluster_.FindJob(id);
+  if (job == nullptr || !job->live()) return;
+  const JobRecord* record = catalog_.FindJob(id);
+  if (revision > 0 && record != nullptr) {
+    catalog_.Put(keys::Of(keys::kJob, id),
+                 TerminatedRecord(*record, TerminalState::kAborted, op.compact),
+                 revision);
+  }
+  job->Change(JobState::kRecordingAbort);
+  job_lifecycle_.OnTerminalStateRecorded(id, TerminalState::kAborted, now);
+}
+
 void RolloutManager::OnAttemptStopping(const TaskAttempt& attempt) {
   if (attempt.job == nullptr || in_rollout_.empty()) return;
   const auto it = in_rollout_.find(attempt.job_id);
--- a/core/rollout/rollout_manager.h
+++ b/core/rollout/rollout_manager.h
@@ -1,15 +1,12 @@
-// Rollouts under this leader: what they observe, which replicas they let start
-// and stop, and how their steps are recorded. Owns the running rollouts.
+// Rollouts under this leader: feeds each with observations and health checks,
+// lets its replicas start and stop within its limits, and has its steps
+// recorded. Owns the rollouts that have not ended.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <memory>
-#include <optional>
-#include <set>
 #include <string>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "core/leader_context/leader_context.h"
@@ -33,32 +30,53 @@
 
   // The rollout that the job is a part of; null for none.
   const Rollout* RolloutOf(const Job& job) const;
-  // Replicas that may be started beyond those placed.
+  // The job's unplaced tasks that may be started now.
   uint32_t StartableTasks(const Job& job) const;
-  // Whether a rollout's floor lets the task be stopped. Everything that stops
-  // tasks for another reason than their user's wish asks here.
+  // Whether a rollout's floor allows the task to be stopped. Asked before every
+  // stop that is not its user's cancellation.
   bool DisruptionAllowed(const TaskAttemptKey& key, const Job& job,
                          Time now) const;
-  // A rollout that restricts the job may have been recorded before it, and
-  // not be known here yet.
+  // Whether a rollout that restricts the job may have been recorded before it
+  // and not have reached this leader yet.
   bool MayBeRestricted(const Job& job) const;
+  // The rollout's record in the catalog is new or has changed.
   void OnRolloutRecord(const std::string& id, Time now);
+  // Reviews all rollouts and begins checks, a few times in each heartbeat
+  // interval.
   void TickRollouts(Time now);
   // A stop of the attempt has been decided.
   void OnAttemptStopping(const TaskAttempt& attempt);
+  // Null: no such rollout, or it has ended.
   const Rollout* FindRollout(const std::string& id) const;
+  // A check that this module began has ended.
   void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
                 const CheckOutcome& outcome, Time now);
+  // Adds the preconditions and mutations that record the op's step. False: it
+  // is recorded already, or its rollout is gone.
   bool BuildRolloutOp(const WriteOp& op, CompareAndSwap* txn) const;
+  // The op's step is in the store. `revision`: of the write; 0 if it is not
+  // known, when the catalog follows by the watch.
   void RolloutOpDone(const WriteOp& op, uint64_t revision, Time now);
 
  private:
-  RolloutView ViewOf(const Rollout& rollout, Time now) const;
+  void AddRollout(const std::string& id, const RolloutRecord& record, Time now);
+  RolloutObservation Observe(const Rollout& rollout, Time now) const;
+  void ObserveReplicas(const Job& job, bool is_new, Time now,
+                       std::vector<ReplicaObservation>& replicas) const;
+  void ReviewRollout(const std::string& id, Rollout& rollout, Time now);
+  void StopReplica(const std::string& id, const TaskAttemptKey& key, Time now);
+  // Where the task is placed; null: nowhere.
+  Machine* MachineOf(const TaskAttemptKey& key) const;
   // Sets the pace of all checks and returns how many may begin now.
   int ChecksAllowed(Time now);
   void BeginChecks(Time now);
-  // The record once the op's step stands.
+  void BeginCheck(Rollout& rollout, const TaskAttemptKey& key, Time now);
+  // The record once the op's step is recorded.
   static RolloutRecord AfterOp(const RolloutRecord& record, const WriteOp& op);
+  void UpdateCatalog(const WriteOp& op, uint64_t revision, Time now);
+  // The job has been ended together with its rollout.
+  void EndJob(const std::string& id, const WriteOp& op, uint64_t revision,
+              Time now);
 
   LeaderContext& context_;
   const Settings& settings_;
@@ -73,10 +91,10 @@
   std::map<std::string, Rollout> rollouts_;                  // by id
   std::unordered_map<std::string, std::string> in_rollout_;  // by job id
   int checks_in_flight_ = 0;
-  double checks_allowed_ = 0;  // by the processor's share, now
-  Time checks_counted_ = 0;
-  size_t first_checked_ = 0;
-  Time next_rollouts_ = 0;
+  double check_budget_ = 0;  // checks that the processor share allows
+  Time check_budget_at_ = 0;
+  size_t first_checked_ = 0;  // which rollout's checks come first, counted up
+  Time next_review_ = 0;
 };
 
 }  // namespace oxbow
--- a/core/store_writes/write_queue.cc
+++ b/core/store_writes/write_queue.cc
@@ -31,7 +31,7 @@
   for (const Mutation& change : txn.mutations) {
     bytes += 512;
     if (const auto* rollout = std::get_if<RolloutRecord>(&change.record)) {
-      bytes += 2 * (rollout->spec->check.verdict.size() +
+      bytes += 2 * (rollout->spec->check.expression.size() +
                     rollout->spec->check.path.size() + rollout->reason.size());
     }
     if (const auto* word = std::get_if<OperatorRecord>(&change.record)) {
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -192,7 +192,7 @@
     clients::HealthClient health(l);
     auto spec = std::make_shared<RolloutSpec>();
     spec->check.port = port;
-    spec->check.verdict = "status == 200 and count('/chargers') > 0";
+    spec->check.expression = "status == 200 and count('/chargers') > 0";
     constexpr int kChecks = 5000;
     const auto start = std::clock();
     for (int i = 0; i < kChecks; ++i) {
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -1,4 +1,5 @@
-// Rollouts under random trouble, the verdict's expressions, the latencies.
+// Rollouts under fault injection; single decisions of a rollout; health
+// expressions; latencies; declarations.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -32,6 +33,38 @@
     build_ = static_cast<Build>(seed % kBuilds);
     sim_.tuning.rollouts_at_once = 4;
     sim_.settings.teams.push_back({"t", 0, 0, 0, 0});
+    AddMachines();
+    sim_.Lead();
+    sim_.Run(2);
+    tasks_ = static_cast<uint32_t>(2 + seed % 4);
+    Submit("job-000001");
+    sim_.Run(4);
+    const RolloutSpec spec = RandomSpec();
+    sim_.floor = static_cast<int>(spec.floor);
+    sim_.floor_jobs = {spec.from, spec.to};
+    sim_.illness[spec.to] = IllnessOfBuild(spec);
+    sim_.Declare(spec);
+    Submit("job-000002");
+  }
+
+  // What went wrong; empty for nothing.
+  std::string Play(Tally* tally) {
+    constexpr double kStep = 0.05;
+    constexpr double kMost = 600;
+    for (double t = 0; t < kMost; t += kStep) {
+      const auto now = sim_.RolloutOf("ro-1");
+      if (now && Ended(now->step)) return Judge(*now, tally);
+      if (t < 60) Trouble(kStep);
+      if (sim_.leader() == nullptr && sim_.now() >= lead_at_) sim_.Lead();
+      sim_.state_down = sim_.now() < state_until_;
+      sim_.Run(kStep);
+      if (!sim_.broken().empty()) return sim_.broken().front();
+    }
+    return "never ended, " + sim_.RolloutOf("ro-1")->reason;
+  }
+
+ private:
+  void AddMachines() {
     MachineType type;
     type.name = "small";
     type.total = {4, 0, 64};
@@ -42,11 +75,9 @@
     for (int i = 1; i <= 4; ++i) {
       sim_.AddWorker(fmt::format("n-{}", i), "small", i % 2 ? "a" : "b", false);
     }
-    sim_.Lead();
-    sim_.Run(2);
-    tasks_ = static_cast<uint32_t>(2 + seed % 4);
-    Submit("job-000001");
-    sim_.Run(4);
+  }
+
+  RolloutSpec RandomSpec() {
     RolloutSpec spec;
     spec.id = "ro-1";
     spec.from = "job-000001";
@@ -58,46 +89,29 @@
     spec.watch_seconds = 5;
     spec.check.interval_seconds = 0.5;
     spec.check.timeout_seconds = 0.5;
-    sim_.floor = static_cast<int>(spec.floor);
-    sim_.floor_jobs = {spec.from, spec.to};
-    Illness ill;
-    ill.mute = build_ == Build::kMute;
+    return spec;
+  }
+
+  Illness IllnessOfBuild(const RolloutSpec& spec) {
+    Illness illness;
+    illness.mute = build_ == Build::kMute;
     switch (build_) {
       case Build::kGood:
         break;
       case Build::kBadAtOnce:
       case Build::kMute:
-        ill.sick_after = 0;
+        illness.sick_after = 0;
         break;
       case Build::kBadLater:
-        ill.sick_after = Between(1, spec.bake_seconds - 1);
+        illness.sick_after = Between(1, spec.bake_seconds - 1);
         break;
       case Build::kFlapping:
-        ill.flap_seconds = Between(0.8, 3);
+        illness.flap_seconds = Between(0.8, 3);
         break;
     }
-    sim_.illness[spec.to] = ill;
-    sim_.Declare(spec);
-    Submit("job-000002");
+    return illness;
   }
 
-  // What went wrong; empty for nothing.
-  std::string Play(Tally* tally) {
-    constexpr double kStep = 0.05;
-    constexpr double kMost = 600;
-    for (double t = 0; t < kMost; t += kStep) {
-      const auto now = sim_.RolloutOf("ro-1");
-      if (now && Ended(now->step)) return Judge(*now, tally);
-      if (t < 60) Trouble(kStep);
-      if (sim_.leader() == nullptr && sim_.now() >= lead_at_) sim_.Lead();
-      sim_.state_down = sim_.now() < state_until_;
-      sim_.Run(kStep);
-      if (!sim_.broken().empty()) return sim_.broken().front();
-    }
-    return "never ended, " + sim_.RolloutOf("ro-1")->reason;
-  }
-
- private:
   double Between(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
@@ -189,10 +203,10 @@
   EXPECT_EQ(tally.bad, kSeeds - kSeeds / kBuilds);
 }
 
-// Two old instances and one new, all on machines that are heard.
-class Picture {
+// Two old replicas and a new one, all on reachable machines.
+class RolloutFixture {
  public:
-  Picture() {
+  RolloutFixture() {
     spec.id = "ro-1";
     spec.from = "job-000001";
     spec.to = "job-000002";
@@ -214,127 +228,127 @@
     return {record, 100};
   }
   void Add(uint32_t task, bool is_new) {
-    InstanceView instance_view;
-    instance_view.key = {is_new ? spec.to : spec.from, task, 7};
-    instance_view.is_new = is_new;
-    instance_view.running = instance_view.heard = true;
-    instance_view.zone = "a";
-    view.instances.push_back(instance_view);
+    ReplicaObservation replica;
+    replica.key = {is_new ? spec.to : spec.from, task, 7};
+    replica.is_new = is_new;
+    replica.running = replica.reachable = true;
+    replica.zone = "a";
+    view.replicas.push_back(replica);
   }
   void AllGood(Rollout* rollout, Time now) const {
-    for (const InstanceView& instance_view : view.instances) {
-      rollout->OnCheck(instance_view.key, {true, true, 0.01}, now);
+    for (const ReplicaObservation& replica : view.replicas) {
+      rollout->OnCheck(replica.key, {true, true, 0.01}, now);
     }
   }
-  TaskAttemptKey Old() const { return view.instances[0].key; }
-  TaskAttemptKey New() const { return view.instances[2].key; }
+  TaskAttemptKey Old() const { return view.replicas[0].key; }
+  TaskAttemptKey New() const { return view.replicas[2].key; }
 
   RolloutSpec spec;
-  RolloutView view;
+  RolloutObservation view;
 };
 
 TEST(Rollouts, ANewLeaderStopsNothingThatItHasNotSeenWell) {
-  Picture p;
-  Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-  EXPECT_FALSE(rollout.MayStop(p.Old(), 100));
-  EXPECT_TRUE(rollout.Review(p.view, 100).stop.empty());
-  EXPECT_FALSE(rollout.MayStop(p.Old(), 100));
+  RolloutFixture fixture;
+  Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
+  EXPECT_FALSE(rollout.MayStop(fixture.Old(), 100));
+  EXPECT_TRUE(rollout.Review(fixture.view, 100).stop.empty());
+  EXPECT_FALSE(rollout.MayStop(fixture.Old(), 100));
 }
 
 TEST(Rollouts, HealthSeenLongAgoCarriesNoFloor) {
-  Picture p;
-  p.spec.floor = 1;
-  Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-  rollout.Review(p.view, 100);
-  p.AllGood(&rollout, 100);
-  EXPECT_TRUE(rollout.MayStop(p.Old(), 101));
-  EXPECT_FALSE(rollout.MayStop(p.Old(), 130));
+  RolloutFixture fixture;
+  fixture.spec.floor = 1;
+  Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
+  rollout.Review(fixture.view, 100);
+  fixture.AllGood(&rollout, 100);
+  EXPECT_TRUE(rollout.MayStop(fixture.Old(), 101));
+  EXPECT_FALSE(rollout.MayStop(fixture.Old(), 130));
 }
 
 TEST(Rollouts, ANewInstanceCarriesTheFloorOnceItHasBaked) {
-  Picture p;
-  Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-  rollout.Review(p.view, 100);
-  p.AllGood(&rollout, 100);
-  p.AllGood(&rollout, 105);
-  EXPECT_FALSE(rollout.MayStop(p.Old(), 105));
-  p.AllGood(&rollout, 110);
-  EXPECT_TRUE(rollout.MayStop(p.Old(), 110));
+  RolloutFixture fixture;
+  Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
+  rollout.Review(fixture.view, 100);
+  fixture.AllGood(&rollout, 100);
+  fixture.AllGood(&rollout, 105);
+  EXPECT_FALSE(rollout.MayStop(fixture.Old(), 105));
+  fixture.AllGood(&rollout, 110);
+  EXPECT_TRUE(rollout.MayStop(fixture.Old(), 110));
   // Only one of them: what is stopped carries nothing any more.
-  rollout.NoteStopping(p.Old());
-  EXPECT_FALSE(rollout.MayStop(p.view.instances[1].key, 110));
+  rollout.NoteStopping(fixture.Old());
+  EXPECT_FALSE(rollout.MayStop(fixture.view.replicas[1].key, 110));
   // A single bad answer begins the baking anew.
-  rollout.OnCheck(p.New(), {true, false, 0.01}, 111);
-  p.AllGood(&rollout, 112);
+  rollout.OnCheck(fixture.New(), {true, false, 0.01}, 111);
+  fixture.AllGood(&rollout, 112);
   EXPECT_EQ(rollout.Count(112).new_baked, 0U);
 }
 
 TEST(Rollouts, ABuildTakenBackCarriesNoOldInstance) {
-  Picture p;
-  p.Add(1, true);
-  Rollout rollout = p.Begin(RolloutStep::kRollingBack);
-  rollout.Review(p.view, 100);
-  p.AllGood(&rollout, 100);
-  p.AllGood(&rollout, 110);
+  RolloutFixture fixture;
+  fixture.Add(1, true);
+  Rollout rollout = fixture.Begin(RolloutStep::kRollingBack);
+  rollout.Review(fixture.view, 100);
+  fixture.AllGood(&rollout, 100);
+  fixture.AllGood(&rollout, 110);
   EXPECT_EQ(rollout.Count(110).new_baked, 2U);
-  EXPECT_FALSE(rollout.MayStop(p.Old(), 110));
-  EXPECT_TRUE(rollout.MayStop(p.New(), 110));
+  EXPECT_FALSE(rollout.MayStop(fixture.Old(), 110));
+  EXPECT_TRUE(rollout.MayStop(fixture.New(), 110));
 }
 
 TEST(Rollouts, OneThatNeverStaysHealthyGoesBack) {
-  Picture p;
-  Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-  RolloutPlan plan = rollout.Review(p.view, 99);
+  RolloutFixture fixture;
+  Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
+  RolloutPlan plan = rollout.Review(fixture.view, 99);
   Time now = 100;
   for (; now < 150 && !plan.next; ++now) {
-    p.AllGood(&rollout, now);
+    fixture.AllGood(&rollout, now);
     if (static_cast<int>(now) % 4 == 0) {
-      rollout.OnCheck(p.New(), {true, false, 0.01}, now);
+      rollout.OnCheck(fixture.New(), {true, false, 0.01}, now);
     }
-    plan = rollout.Review(p.view, now);
+    plan = rollout.Review(fixture.view, now);
   }
   EXPECT_EQ(plan.next, RolloutStep::kRollingBack);
   EXPECT_NE(plan.reason.find("does not stay healthy"), std::string::npos);
 }
 
 TEST(Rollouts, SilenceIsBlamedOnlyWhenTheMachineIsHeardInTheMiddleOfIt) {
-  Picture p;
-  Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-  RolloutPlan plan = rollout.Review(p.view, 100);
-  rollout.TakeDue(10, 100);
-  p.AllGood(&rollout, 100);
-  InstanceView& machine = p.view.instances[2];
+  RolloutFixture fixture;
+  Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
+  RolloutPlan plan = rollout.Review(fixture.view, 100);
+  rollout.TakeDueChecks(10, 100);
+  fixture.AllGood(&rollout, 100);
+  ReplicaObservation& machine = fixture.view.replicas[2];
   const auto silent_check = [&](Time start, Time end) {
-    rollout.Review(p.view, start);
-    rollout.TakeDue(10, start);
-    rollout.OnCheck(p.Old(), {true, true, 0.01}, end);
-    rollout.OnCheck(p.view.instances[1].key, {true, true, 0.01}, end);
-    rollout.OnCheck(p.New(), {}, end);
-    return rollout.Review(p.view, end).next;
+    rollout.Review(fixture.view, start);
+    rollout.TakeDueChecks(10, start);
+    rollout.OnCheck(fixture.Old(), {true, true, 0.01}, end);
+    rollout.OnCheck(fixture.view.replicas[1].key, {true, true, 0.01}, end);
+    rollout.OnCheck(fixture.New(), {}, end);
+    return rollout.Review(fixture.view, end).next;
   };
   // A cut: heard last before it began, and again a moment after it has ended,
   // before a check has passed.
-  machine.last_heard = 100.5;
+  machine.last_heartbeat = 100.5;
   EXPECT_FALSE(silent_check(101, 102));
   EXPECT_FALSE(silent_check(103, 104));
   EXPECT_FALSE(silent_check(105, 106));
-  machine.last_heard = 106.1;
-  EXPECT_FALSE(rollout.Review(p.view, 106.2).next);
+  machine.last_heartbeat = 106.1;
+  EXPECT_FALSE(rollout.Review(fixture.view, 106.2).next);
   // Heard, and silent again: that is the instance.
   EXPECT_EQ(silent_check(107, 108), RolloutStep::kRollingBack);
 }
 
 TEST(Rollouts, SlowerByMoreThanAllowedGoesBack) {
-  Picture p;
-  p.spec.check.slow_ratio = 3;
-  Rollout rollout = p.Begin(RolloutStep::kAdvancing);
-  rollout.Review(p.view, 100);
+  RolloutFixture fixture;
+  fixture.spec.check.slow_ratio = 3;
+  Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
+  rollout.Review(fixture.view, 100);
   for (int i = 0; i < 200; ++i) {
-    rollout.OnCheck(p.Old(), {true, true, 0.010}, 100 + i * 0.01);
-    rollout.OnCheck(p.view.instances[1].key, {true, true, 0.012}, 102);
-    rollout.OnCheck(p.New(), {true, true, 0.060}, 102);
+    rollout.OnCheck(fixture.Old(), {true, true, 0.010}, 100 + i * 0.01);
+    rollout.OnCheck(fixture.view.replicas[1].key, {true, true, 0.012}, 102);
+    rollout.OnCheck(fixture.New(), {true, true, 0.060}, 102);
   }
-  const RolloutPlan plan = rollout.Review(p.view, 102);
+  const RolloutPlan plan = rollout.Review(fixture.view, 102);
   EXPECT_EQ(plan.next, RolloutStep::kRollingBack);
   EXPECT_NE(plan.reason.find("slowly"), std::string::npos);
 }
@@ -401,20 +415,20 @@
 //   oxbow_tests --gtest_also_run_disabled_tests --gtest_filter='*Cost*'
 TEST(Rollouts, DISABLED_CostOfManyInstances) {
   for (const uint32_t count : {1000U, 4000U}) {
-    Picture p;
-    p.view.instances.clear();
-    p.view.from_tasks = p.view.to_tasks = count / 2;
-    p.spec.floor = count / 2;
-    for (uint32_t i = 0; i < count; ++i) p.Add(i / 2, i % 2 == 1);
-    Rollout rollout = p.Begin(RolloutStep::kAdvancing);
+    RolloutFixture fixture;
+    fixture.view.replicas.clear();
+    fixture.view.from_tasks = fixture.view.to_tasks = count / 2;
+    fixture.spec.floor = count / 2;
+    for (uint32_t i = 0; i < count; ++i) fixture.Add(i / 2, i % 2 == 1);
+    Rollout rollout = fixture.Begin(RolloutStep::kAdvancing);
     HealthExpression verdict("status == 200 and count('/chargers') > 0");
     const std::string body = R"({"chargers":[{"id":1},{"id":2}]})";
     constexpr int kSeconds = 20;
     const auto start = std::clock();
     for (int i = 0; i < kSeconds * 4; ++i) {
       const double now = 100 + i * 0.25;
-      rollout.Review(p.view, now);
-      for (const TaskAttemptKey& key : rollout.TakeDue(count, now)) {
+      rollout.Review(fixture.view, now);
+      for (const TaskAttemptKey& key : rollout.TakeDueChecks(count, now)) {
         const bool good =
             verdict.Judge({200, body, 1}) == HealthExpression::Result::kGood;
         rollout.OnCheck(key, {true, good, 0.001}, now);
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -94,7 +94,7 @@
   spec.check.timeout_seconds = 0.25;
   spec.check.good_in_row = 2;
   spec.check.bad_in_row = 4;
-  spec.check.verdict = "status == 200";
+  spec.check.expression = "status == 200";
   spec.check.slow_ratio = 1.5;
   RolloutRecord record;
   record.spec = std::make_shared<RolloutSpec>(spec);
--- a/wire/rollout_json.cc
+++ b/wire/rollout_json.cc
@@ -23,7 +23,7 @@
   read.AmountIfGiven("timeout_s", 0.01, &out->timeout_seconds);
   read.CountIfGiven("good_in_row", 1, 1000, &out->good_in_row);
   read.CountIfGiven("bad_in_row", 1, 1000, &out->bad_in_row);
-  read.StringIfGiven("verdict", &out->verdict);
+  read.StringIfGiven("verdict", &out->expression);
   read.AmountIfGiven("slow_ratio", 0, &out->slow_ratio);
   if (!read.error().empty()) return "check, " + read.error();
   const bool plain =
@@ -32,7 +32,7 @@
   if (out->path.front() != '/' || out->path.size() > kMostText || !plain) {
     return "check, field path";
   }
-  if (out->verdict.size() > kMostText) return "check, field verdict";
+  if (out->expression.size() > kMostText) return "check, field verdict";
   return {};
 }
 
@@ -96,7 +96,7 @@
   number("timeout_s", spec.check.timeout_seconds);
   count("good_in_row", spec.check.good_in_row);
   count("bad_in_row", spec.check.bad_in_row);
-  json::Field(writer, "verdict", spec.check.verdict);
+  json::Field(writer, "verdict", spec.check.expression);
   number("slow_ratio", spec.check.slow_ratio);
   writer.EndObject();
 }
@@ -110,7 +110,7 @@
     return "with a floor of all replicas and no surge nothing could ever move";
   }
   const std::string wrong =
-      health_expression::HealthExpression::WhatIsWrong(spec.check.verdict);
+      health_expression::HealthExpression::WhatIsWrong(spec.check.expression);
   if (!wrong.empty()) return "the verdict can't be used: " + wrong;
   return {};
 }
@@ -131,9 +131,9 @@
       writer.Key(key);
       writer.Uint(value);
     };
-    count("old", counts->old_there);
+    count("old", counts->old_present);
     count("old_healthy", counts->old_healthy);
-    count("new", counts->new_there);
+    count("new", counts->new_present);
     count("new_healthy", counts->new_healthy);
     count("new_baked", counts->new_baked);
   }
