--- a/core/rebalancing/rebalancer.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
+#include <utility>
 
 #include "core/model/state_machine.h"
 
@@ -19,13 +20,35 @@
 };
 
 // How long a state may last, in worker leases. Recording takes a round trip; a
-// claim that can't be used soon keeps room from others; a leg that was told to
-// stop is surely gone after one lease, unless it hangs in a zone that is cut.
+// claim that can't be used soon withholds capacity from others; a replica that
+// was stopped is surely gone after one lease, unless it hangs in a zone that is
+// partitioned.
 constexpr double kPlannedLeases = 0.5;
 constexpr double kClaimedLeases = 0.5;
 constexpr double kStoppingLeases = 2;
 constexpr double kStartedLeases = 1;  // beside the fetch
 
+// Nothing has been stopped yet, so nothing has to be made good.
+std::optional<GiveUpReason> ReasonBeforeStop(
+    const ReplicaMoveObservation& observation) {
+  if (!observation.demand_remains) return GiveUpReason::kNoDemand;
+  if (!observation.on_source || !observation.running_on_source) {
+    return GiveUpReason::kReplicaLeft;
+  }
+  if (!observation.target_usable) return GiveUpReason::kTargetUnusable;
+  return std::nullopt;
+}
+
+std::optional<GiveUpReason> ReasonWhileStopping(
+    const ReplicaMoveObservation& observation) {
+  if (observation.on_target) return std::nullopt;
+  if (!observation.on_source && !observation.has_unplaced_replica) {
+    return GiveUpReason::kPlacedElsewhere;
+  }
+  if (!observation.target_usable) return GiveUpReason::kTargetUnusable;
+  return std::nullopt;
+}
+
 }  // namespace
 
 std::string_view NameOf(ReplicaMoveState state) {
@@ -34,92 +57,107 @@
   return kNames[static_cast<size_t>(state)];
 }
 
-int MostDown(uint32_t tasks, double service_share) {
+std::string_view NameOf(GiveUpReason reason) {
+  constexpr std::array<std::string_view, 11> kNames = {
+      "none",
+      "claim of an earlier leader had ended",
+      "claim not recorded",
+      "service ended",
+      "timeout",
+      "no job waits for the capacity any more",
+      "replica left the source",
+      "target not usable",
+      "replica placed elsewhere",
+      "replica did not stop in time",
+      "replica lost on the target"};
+  return kNames[static_cast<size_t>(reason)];
+}
+
+int MaxStoppedReplicas(uint32_t tasks, double service_share) {
   if (tasks < 2) return 0;
   const int share = static_cast<int>(std::floor(tasks * service_share));
   return std::clamp(share, 1, static_cast<int>(tasks) - 1);
 }
 
 void Rebalancer::Change(Move& move, ReplicaMoveState next, Time now,
-                        std::string_view why) {
-  CheckedChange(move.state, next, kChanges, "move");
-  move.since = now;
-  if (next == kStopping) move.stopped = now;
-  move.why = why;
+                        GiveUpReason reason) {
+  CheckedChange(move.state, next, kChanges, "replica move");
+  move.state_since = now;
+  if (next == kStopping) move.stop_sent_at = now;
+  move.reason = reason;
   settled_ += next == kSettled;
   given_up_ += next == kGivenUp;
 }
 
-int Rebalancer::Down(const std::string& job) const {
+int Rebalancer::StoppedReplicas(const std::string& job) const {
   return static_cast<int>(
-      std::count_if(moves_.begin(), moves_.end(), [&](const auto& e) {
-        const Move& move = e.second;
+      std::count_if(moves_.begin(), moves_.end(), [&](const auto& entry) {
+        const Move& move = entry.second;
         return move.claim.job == job &&
                (move.state == kStopping || move.state == kStarted);
       }));
 }
 
-int Rebalancer::under_way() const {
-  return static_cast<int>(
-      std::count_if(moves_.begin(), moves_.end(),
-                    [](const auto& e) { return !Ended(e.second.state); }));
+int Rebalancer::in_progress() const {
+  return static_cast<int>(std::count_if(
+      moves_.begin(), moves_.end(),
+      [](const auto& entry) { return !Ended(entry.second.state); }));
 }
 
 void Rebalancer::Restore(const MoveClaim& claim, double wall_minus_steady,
                          Time now) {
   Move move;
   move.claim = claim;
-  move.until = claim.until_wall - wall_minus_steady;
-  move.cool = claim.cool_wall - wall_minus_steady;
-  // A record of a clock that is far off, or a bad one, binds nobody for long.
+  move.ends_at = claim.until_wall - wall_minus_steady;
+  move.cooled_off_at = claim.cool_wall - wall_minus_steady;
+  // Bounded, in case the record is wrong or was written by a clock that is off.
   const double longest = limits_.cool_leases * limits_.lease_seconds;
-  move.until = std::min(move.until, now + longest);
-  move.cool = std::min(move.cool, now + 2 * longest);
-  if (now >= move.cool) return;
-  move.state = now < move.until ? kStopping : kGivenUp;
-  if (move.state == kGivenUp) move.why = "of a former leader";
-  move.since = move.stopped = now;
+  move.ends_at = std::min(move.ends_at, now + longest);
+  move.cooled_off_at = std::min(move.cooled_off_at, now + 2 * longest);
+  if (now >= move.cooled_off_at) return;
+  move.state = now < move.ends_at ? kStopping : kGivenUp;
+  if (move.state == kGivenUp) move.reason = GiveUpReason::kEarlierLeader;
+  move.state_since = move.stop_sent_at = now;
   moves_[claim.id] = std::move(move);
 }
 
-bool Rebalancer::MayBegin(const std::string& job, uint32_t tasks,
-                          const std::string& team, const std::string& to,
-                          const std::string& zone, bool fetches,
-                          Time now) const {
-  const int most_down = MostDown(tasks, limits_.service_share);
-  if (most_down == 0 || under_way() >= limits_.at_once ||
+bool Rebalancer::MayBegin(const MoveRequest& request, Time now) const {
+  const int max_stopped =
+      MaxStoppedReplicas(request.tasks, limits_.service_share);
+  if (max_stopped == 0 || in_progress() >= limits_.at_once ||
       static_cast<int>(moves_.size()) >= limits_.budget) {
     return false;
   }
   int of_service = 0;
   int of_zone = 0;
   int of_team = 0;
-  for (const auto& [id, m] : moves_) {
-    // Hysteresis: neither a leg nor its sisters go to and fro, and a machine
-    // that was filled by a move is not drained by the next.
-    const bool same = m.claim.job == job;
-    if (same && Ended(m.state) && now < m.cool) return false;
-    if (m.claim.from == to && now < m.cool) return false;
-    if (Ended(m.state)) continue;
-    if (m.claim.to == to && fetches) return false;
-    of_service += same;
-    of_zone += m.zone == zone;
-    of_team += m.team == team;
+  for (const auto& [id, move] : moves_) {
+    // Hysteresis: replicas of a service do not move to and fro, and a machine
+    // that a move has freed is not the target of the next.
+    const bool same_service = move.claim.job == request.job;
+    const bool cooling = now < move.cooled_off_at;
+    if (same_service && Ended(move.state) && cooling) return false;
+    if (move.claim.from == request.to && cooling) return false;
+    if (Ended(move.state)) continue;
+    // One fetch at a time on the link of a target.
+    if (move.claim.to == request.to && request.fetch_seconds > 0) return false;
+    of_service += same_service;
+    of_zone += move.zone == request.zone;
+    of_team += move.team == request.team;
   }
-  const auto part = [&](double share) {
+  const auto share_of_moves = [&](double share) {
     return std::max(1, static_cast<int>(share * limits_.at_once));
   };
-  return of_service < most_down && of_zone < part(limits_.zone_share) &&
-         of_team < part(limits_.team_share);
+  return of_service < max_stopped &&
+         of_zone < share_of_moves(limits_.zone_share) &&
+         of_team < share_of_moves(limits_.team_share);
 }
 
 std::optional<MoveClaim> Rebalancer::Begin(MoveClaim claim,
-                                           const std::string& zone,
-                                           const std::string& team,
-                                           double fetch_seconds,
+                                           const MoveRequest& request,
                                            double wall_minus_steady, Time now) {
-  // Names are few and used again, so that the records stay few. One whose
-  // service has not cooled off yet is not free: that is the budget.
+  // Ids are few and used again, so that the records stay few. The id of a move
+  // whose service has not cooled off is not free: that is the budget.
   for (int i = 0; i < limits_.budget; ++i) {
     const std::string id = std::to_string(i);
     if (moves_.contains(id)) continue;
@@ -128,92 +166,98 @@
     const double longest =
         (kPlannedLeases + kClaimedLeases + kStoppingLeases + kStartedLeases) *
             lease +
-        2 * fetch_seconds;
-    move.until = now + longest;
-    move.cool = now + std::max(longest, limits_.cool_leases * lease);
+        2 * request.fetch_seconds;
+    move.ends_at = now + longest;
+    move.cooled_off_at = now + std::max(longest, limits_.cool_leases * lease);
     claim.id = id;
-    claim.until_wall = move.until + wall_minus_steady;
-    claim.cool_wall = move.cool + wall_minus_steady;
+    claim.until_wall = move.ends_at + wall_minus_steady;
+    claim.cool_wall = move.cooled_off_at + wall_minus_steady;
     move.claim = claim;
-    move.zone = zone;
-    move.team = team;
-    move.since = now;
+    move.zone = request.zone;
+    move.team = request.team;
+    move.state_since = now;
     return claim;
   }
   return std::nullopt;
 }
 
-void Rebalancer::Recorded(const std::string& id, Time now) {
+void Rebalancer::OnRecorded(const std::string& id, Time now) {
   const auto it = moves_.find(id);
   if (it != moves_.end() && it->second.state == kPlanned) {
     Change(it->second, kClaimed, now);
   }
 }
 
-void Rebalancer::Refused(const std::string& id, Time now) {
+void Rebalancer::OnRefused(const std::string& id, Time now) {
   const auto it = moves_.find(id);
   if (it != moves_.end() && it->second.state == kPlanned) {
-    Change(it->second, kGivenUp, now, "not recorded");
+    Change(it->second, kGivenUp, now, GiveUpReason::kNotRecorded);
   }
 }
 
+std::optional<GiveUpReason> Rebalancer::ReasonToGiveUp(
+    const Move& move, const ReplicaMoveObservation& observation,
+    Time now) const {
+  if (!observation.service_live) return GiveUpReason::kServiceEnded;
+  if (now > move.ends_at) return GiveUpReason::kTimeout;
+  const auto lasts_longer_than = [&](double leases) {
+    return now - move.state_since > leases * limits_.lease_seconds;
+  };
+  std::optional<GiveUpReason> reason;
+  switch (move.state) {
+    case kPlanned:
+    case kClaimed:
+      reason = ReasonBeforeStop(observation);
+      if (!reason && lasts_longer_than(move.state == kPlanned ? kPlannedLeases
+                                                              : kClaimedLeases))
+        reason = GiveUpReason::kTimeout;
+      return reason;
+    case kStopping:
+      reason = ReasonWhileStopping(observation);
+      if (!reason && !observation.on_target &&
+          lasts_longer_than(kStoppingLeases)) {
+        reason = GiveUpReason::kStopTimeout;
+      }
+      return reason;
+    case kStarted:
+      if (observation.running_on_target || observation.on_target) break;
+      return GiveUpReason::kLostOnTarget;
+    case kSettled:
+    case kGivenUp:
+      break;
+  }
+  return std::nullopt;
+}
+
 ReplicaMoveAction Rebalancer::Step(const std::string& id,
                                    const ReplicaMoveObservation& observation,
                                    Time now) {
   const auto it = moves_.find(id);
-  if (it == moves_.end() || Ended(it->second.state))
+  if (it == moves_.end() || Ended(it->second.state)) {
     return ReplicaMoveAction::kNone;
+  }
   Move& move = it->second;
-  const double lease = limits_.lease_seconds;
-  const auto give_up = [&](std::string_view why) {
-    Change(move, kGivenUp, now, why);
+  if (const auto reason = ReasonToGiveUp(move, observation, now)) {
+    Change(move, kGivenUp, now, *reason);
     return ReplicaMoveAction::kNone;
-  };
-  if (!observation.live) return give_up("the service ends");
-  if (now > move.until) return give_up("took too long");
-  // Before the stop nothing has been done that must be made good.
-  const bool before = move.state == kPlanned || move.state == kClaimed;
-  if (before) {
-    const double longest =
-        (move.state == kPlanned ? kPlannedLeases : kClaimedLeases) * lease;
-    if (!observation.wanted)
-      return give_up("nobody waits for the room any more");
-    if (!observation.on_source || !observation.runs)
-      return give_up("the leg has left");
-    if (!observation.target_good) return give_up("the target is not there");
-    if (now - move.since > longest) return give_up("took too long");
   }
   switch (move.state) {
-    case kPlanned:
-      return ReplicaMoveAction::kNone;
-    case kClaimed: {
-      // The floor, at the last moment: every other replica runs, but for those
-      // that a move has stopped, and these are not too many.
-      if (!observation.whole || !observation.allowed ||
-          !observation.source_good) {
-        return ReplicaMoveAction::kNone;
+    case kClaimed:
+      // The floor is checked at the last moment: every other replica runs, but
+      // for those that moves have stopped, and these are not too many.
+      if (!observation.others_running || !observation.stop_allowed ||
+          !observation.source_usable) {
+        break;
       }
       Change(move, kStopping, now);
       return ReplicaMoveAction::kStop;
-    }
     case kStopping:
-      if (observation.on_target) {
-        Change(move, kStarted, now);
-      } else if (!observation.on_source && !observation.wants) {
-        return give_up("placed elsewhere");
-      } else if (!observation.target_good) {
-        return give_up("the target is not there");
-      } else if (now - move.since > kStoppingLeases * lease) {
-        return give_up("the leg does not leave");
-      }
-      return ReplicaMoveAction::kNone;
+      if (observation.on_target) Change(move, kStarted, now);
+      break;
     case kStarted:
-      if (observation.runs_on_target) {
-        Change(move, kSettled, now);
-      } else if (!observation.on_target) {
-        return give_up("lost on the target");
-      }
-      return ReplicaMoveAction::kNone;
+      if (observation.running_on_target) Change(move, kSettled, now);
+      break;
+    case kPlanned:
     case kSettled:
     case kGivenUp:
       break;
@@ -221,22 +265,22 @@
   return ReplicaMoveAction::kNone;
 }
 
-bool Rebalancer::Drains(const std::string& host) const {
-  return std::any_of(moves_.begin(), moves_.end(), [&](const auto& e) {
-    return e.second.claim.from == host && !Ended(e.second.state);
+bool Rebalancer::IsSource(const std::string& host) const {
+  return std::any_of(moves_.begin(), moves_.end(), [&](const auto& entry) {
+    return entry.second.claim.from == host && !Ended(entry.second.state);
   });
 }
 
 const std::string* Rebalancer::TargetFor(const std::string& job) const {
-  for (const auto& [id, m] : moves_) {
-    if (m.claim.job == job && m.state == kStopping) return &m.claim.to;
+  for (const auto& [id, move] : moves_) {
+    if (move.claim.job == job && move.state == kStopping) return &move.claim.to;
   }
   return nullptr;
 }
 
-void Rebalancer::Forget(Time now) {
-  std::erase_if(moves_, [&](const auto& e) {
-    return Ended(e.second.state) && now >= e.second.cool;
+void Rebalancer::RemoveCooledOff(Time now) {
+  std::erase_if(moves_, [&](const auto& entry) {
+    return Ended(entry.second.state) && now >= entry.second.cooled_off_at;
   });
 }
 
--- a/core/rebalancing/rebalancer.h
+++ b/core/rebalancing/rebalancer.h
@@ -1,8 +1,8 @@
-// Moves of replicas, one by one: a leg is stopped on one machine so that its
-// room there becomes whole, and started on another that is claimed for it.
-// Knows how far each move is and what it may do next; stops and starts nothing
-// itself. The start is made as any other, once the old leg is surely gone, so
-// a move can lead to no second copy.
+// Replica moves: a replica is stopped on one machine, so that its capacity
+// there becomes part of a whole, and started on another that is claimed for it.
+// Records how far each move is and decides what it may do next; stops and
+// starts nothing itself. The start is made as any other, once the old attempt
+// is surely gone, so a move can't lead to a second copy.
 #pragma once
 
 #include <cstdint>
@@ -17,50 +17,68 @@
 
 enum class ReplicaMoveState : uint8_t {
   kPlanned,   // the claim is being recorded; nothing has been stopped
-  kClaimed,   // recorded: the room on the target is held
-  kStopping,  // the leg was told to stop, or a former leader may have told it
+  kClaimed,   // recorded: the capacity on the target is reserved
+  kStopping,  // a stop was sent, perhaps by an earlier leader
   kStarted,   // a replica of the service has been started on the target
   kSettled,   // and runs there
   kGivenUp,   // see the reason; what was stopped is placed as any other
 };
 std::string_view NameOf(ReplicaMoveState state);
+// Whether nothing follows the state.
 inline bool Ended(ReplicaMoveState state) {
   return state >= ReplicaMoveState::kSettled;
 }
 
-// What a successor must know of a move, as the key-value store holds it under
-// `move/ID`. Wall times in s: another leader's steady clock is another one.
+// Why a move was given up.
+enum class GiveUpReason : uint8_t {
+  kNone,
+  kEarlierLeader,  // its claim had ended when this leader began
+  kNotRecorded,
+  kServiceEnded,
+  kTimeout,
+  kNoDemand,  // no job waits for the capacity any more
+  kReplicaLeft,
+  kTargetUnusable,
+  kPlacedElsewhere,
+  kStopTimeout,
+  kLostOnTarget,
+};
+std::string_view NameOf(GiveUpReason reason);
+
+// What the next leader must know of a move, as the key-value store holds it
+// under `move/ID`. Wall times in s: the steady clocks of leaders differ.
 struct MoveClaim {
   std::string id;
   std::string job;  // a service
   uint32_t task = 0;
-  uint64_t attempt = 0;  // of the leg that is to be stopped
+  uint64_t attempt = 0;  // of the replica that is to be stopped
   std::string from;      // hosts
   std::string to;
-  std::string for_job;    // that waits for the room
+  std::string for_job;    // the job that waits for the capacity
   double until_wall = 0;  // the claim ends, whatever became of the move
   double cool_wall = 0;   // no move of the service begins before
 };
 
-// How things stand, as the leader sees them.
+// What the leader observes of a move.
 struct ReplicaMoveObservation {
-  bool live = false;       // the service, and nobody has asked for its end
-  bool on_source = false;  // the claimed attempt is, or may be, there
-  bool runs = false;       // there, and was not told to stop
-  bool on_target = false;  // a replica of the service was started there
-  bool runs_on_target = false;
-  bool wants = false;  // a replica of the service has no place
-  // Up, heard, takes commands, may carry one more, has the room.
-  bool target_good = false;
-  bool source_good = false;  // heard, and shows no token but the leader's
-  // Every other replica runs on a machine that is heard and shows the leader's
-  // token: no order of a former leader can stop a second one.
-  bool whole = false;
-  bool allowed = false;  // by rollouts' floors and the loss limiter
-  bool wanted = false;   // the large one still waits
+  bool service_live = false;       // and nobody has asked for its end
+  bool on_source = false;          // the claimed attempt is, or may be, there
+  bool running_on_source = false;  // and no stop was sent
+  bool on_target = false;          // a replica of the service was started there
+  bool running_on_target = false;
+  bool has_unplaced_replica = false;  // of the service
+  // Up, sends heartbeats, takes commands, may run one more, has the capacity.
+  bool target_usable = false;
+  // Sends heartbeats, and shows no fencing token but the leader's.
+  bool source_usable = false;
+  // Every other replica runs on a usable machine: no command of an earlier
+  // leader can stop a second one. Those that moves have stopped are excepted.
+  bool others_running = false;
+  bool stop_allowed = false;    // by rollouts' floors and the loss limiter
+  bool demand_remains = false;  // the large job still waits
 };
 
-// How a claim is written down and read; JSON is not the core's business.
+// How a claim is serialized: the core does not know the format.
 struct MoveCodec {
   std::string (*write)(const MoveClaim& claim) = nullptr;
   bool (*read)(const std::string& text, MoveClaim* out) = nullptr;
@@ -68,78 +86,90 @@
 
 enum class ReplicaMoveAction : uint8_t { kNone, kStop };
 
+// The operators' limits on moves.
 struct MoveLimits {
-  int at_once = 0;  // moves under way; 0: none at all
-  int budget = 0;   // moves begun within a cool-off
+  int at_once = 0;  // moves in progress; 0: none at all
+  int budget = 0;   // moves begun within a cooling-off period
   // Of a service's replicas, at once; one at least, never the last.
   double service_share = 0.125;
-  double zone_share = 0.5;  // of the moves under way, with the same target zone
-  double team_share = 0.5;  // and with the same team
+  double zone_share = 0.5;  // of the moves in progress, to the same zone
+  double team_share = 0.5;  // and of the same team
   double lease_seconds = 10;
   double heartbeat_interval_seconds = 1;
   double cool_leases = 6;
 };
 
+// A move that is asked for.
+struct MoveRequest {
+  std::string job;     // a service
+  uint32_t tasks = 0;  // of the service
+  std::string team;
+  std::string to;            // host
+  std::string zone;          // of the target
+  double fetch_seconds = 0;  // until the target has the image; 0: it has it
+};
+
 class Rebalancer {
  public:
   struct Move {
     MoveClaim claim;
     ReplicaMoveState state = ReplicaMoveState::kPlanned;
-    std::string_view why;  // it was given up
-    std::string zone;      // of the target
+    GiveUpReason reason = GiveUpReason::kNone;
+    std::string zone;  // of the target
     std::string team;
-    Time since = 0;    // of the state
-    Time stopped = 0;  // when the leg was told to stop
-    Time until = 0;    // it ends by then, whatever happens
-    Time cool = 0;
+    Time state_since = 0;
+    Time stop_sent_at = 0;
+    Time ends_at = 0;  // at the latest, whatever happens
+    Time cooled_off_at = 0;
   };
 
   explicit Rebalancer(const MoveLimits& limits) : limits_(limits) {}
 
-  // A claim that a former leader recorded. Its leg may have been told to stop,
-  // and may be told late: this one commands nothing, it holds the room for a
-  // replica that has no place, until the claim ends, and leaves the service
-  // alone until it has cooled off. `fetch_s` as in Begin.
+  // Takes up a claim that an earlier leader recorded. A stop may have been sent
+  // and may arrive late: this leader commands nothing. It reserves the capacity
+  // for a replica without a place until the claim ends, and moves no replica of
+  // the service until it has cooled off.
   void Restore(const MoveClaim& claim, double wall_minus_steady, Time now);
 
-  // Whether a move of this service's leg to that machine may begin. `fetches`:
-  // the target does not hold the weights; of those, one on a link.
-  bool MayBegin(const std::string& job, uint32_t tasks, const std::string& team,
-                const std::string& to, const std::string& zone, bool fetches,
-                Time now) const;
-  // Plans it; the claim comes back with its name and times, to be recorded.
-  // Nothing if there is no room for it. `fetch_s`: what the target still has
-  // to fetch, s.
-  std::optional<MoveClaim> Begin(MoveClaim claim, const std::string& zone,
-                                 const std::string& team, double fetch_seconds,
+  // Whether such a move may begin within the limits.
+  bool MayBegin(const MoveRequest& request, Time now) const;
+  // Plans the move. Returns `claim` with its id and times set, to be recorded;
+  // nothing if the budget is used up. `claim` names service, task, attempt and
+  // hosts; see MayBegin for the limits.
+  std::optional<MoveClaim> Begin(MoveClaim claim, const MoveRequest& request,
                                  double wall_minus_steady, Time now);
-  // The claim stands in the key-value store.
-  void Recorded(const std::string& id, Time now);
-  // It can't be recorded.
-  void Refused(const std::string& id, Time now);
-  // What to do now. A stop that is answered here counts as ordered.
+  // The claim is recorded in the key-value store.
+  void OnRecorded(const std::string& id, Time now);
+  // The claim can't be recorded.
+  void OnRefused(const std::string& id, Time now);
+  // What to do now. kStop: the caller sends the stop at once.
   ReplicaMoveAction Step(const std::string& id,
                          const ReplicaMoveObservation& observation, Time now);
-  // Whether a move takes a leg off that machine: nothing new belongs there.
-  bool Drains(const std::string& host) const;
-  // The host held for the service's next replica; null for none.
+  // Whether a move takes a replica off that machine: nothing is placed there.
+  bool IsSource(const std::string& host) const;
+  // The host reserved for the service's next replica; null for none.
   const std::string* TargetFor(const std::string& job) const;
-  // Forgets ended ones that have cooled off.
-  void Forget(Time now);
+  // Removes ended moves that have cooled off.
+  void RemoveCooledOff(Time now);
 
   const std::map<std::string, Move>& moves() const { return moves_; }
-  int under_way() const;
-  // Legs of the service that a move has stopped and that do not run yet. What
-  // was given up does not count: its leg is one that is missing.
-  int Down(const std::string& job) const;
+  int in_progress() const;
+  // Replicas of the service that moves have stopped and that do not run yet.
+  // A move that was given up does not count: its replica is a missing one.
+  int StoppedReplicas(const std::string& job) const;
   // Since this leader began.
   int settled() const { return settled_; }
   int given_up() const { return given_up_; }
 
  private:
-  // The one function for a change of state.
+  // The one function for changes of a move's state.
   void Change(Move& move, ReplicaMoveState next, Time now,
-              std::string_view why = {});
+              GiveUpReason reason = GiveUpReason::kNone);
+  // Nothing: the move goes on.
+  std::optional<GiveUpReason> ReasonToGiveUp(
+      const Move& move, const ReplicaMoveObservation& observation,
+      Time now) const;
+
   MoveLimits limits_;
   std::map<std::string, Move> moves_;  // by id
   int settled_ = 0;
@@ -148,6 +178,6 @@
 
 // The most replicas of a service that moves may have stopped at once: 0 for a
 // service of one, whose only replica would be the last.
-int MostDown(uint32_t tasks, double service_share);
+int MaxStoppedReplicas(uint32_t tasks, double service_share);
 
 }  // namespace oxbow
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -1,30 +1,51 @@
 #include "core/rebalancing/rebalancing_manager.h"
 
 #include <algorithm>
+#include <memory>
 #include <utility>
 
 #include "core/command_dispatch/command_dispatcher.h"
 #include "core/rollout/rollout_manager.h"
 #include "core/worker_sessions/machine_health.h"
-#include "core/rebalancing/rebalancer.h"
-#include "core/rebalancing/rebalancing_plan.h"
 
 namespace oxbow {
 namespace {
 
-constexpr std::string_view kPrefix = "move/";
+// Operators' records of this prefix hold the claims.
+constexpr std::string_view kRecordPrefix = "move/";
+constexpr const char* kRecordKind = "move";
 
-// Shares of a worker lease. A large one that has just come may find its place
-// without a move; a replica that has just started is not worth another start.
-constexpr double kWaitsLeases = 0.5;
+// In worker leases. A job that has just arrived may find its place without a
+// move; a replica that has just started is not worth another start.
+constexpr double kMinWaitLeases = 0.5;
 constexpr double kSettledLeases = 1;
 // About how long a fragmented machine takes to empty by itself.
 constexpr double kHorizonLeases = 3;
+// In heartbeat intervals: how long users lack a replica that moves without a
+// fetch.
+constexpr double kDisturbanceHeartbeats = 2;
+// Moves are advanced so often within a heartbeat interval.
+constexpr double kStepsPerHeartbeat = 4;
 
-}  // namespace
+std::string RecordName(const std::string& id) {
+  return std::string(kRecordPrefix) + id;
+}
 
+}  // namespace
 
-RebalancingManager::RebalancingManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), tuning_(context.tuning), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), liveness_(context.liveness), fragmentation_(context.fragmentation), machine_health_(modules.machine_health), dispatcher_(modules.dispatcher), rollout_manager_(modules.rollout_manager) {}
+RebalancingManager::RebalancingManager(LeaderContext& context,
+                                       const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      tuning_(context.tuning),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      liveness_(context.liveness),
+      fragmentation_(context.fragmentation),
+      machine_health_(modules.machine_health),
+      dispatcher_(modules.dispatcher),
+      rollout_manager_(modules.rollout_manager) {}
 
 void RebalancingManager::UseMoves(const MoveCodec& codec, Time now) {
   if (tuning_.moves_at_once < 1 || tuning_.fragmentation_weight <= 0) return;
@@ -42,9 +63,9 @@
   rebalancer_.emplace(limits);
   for (const auto& [name, record] : catalog_.operators()) {
     MoveClaim claim;
-    if (!name.starts_with(kPrefix) || record.withdrawn ||
+    if (!name.starts_with(kRecordPrefix) || record.withdrawn ||
         !move_codec_.read(record.text, &claim) ||
-        name != std::string(kPrefix) + claim.id) {
+        name != RecordName(claim.id)) {
       continue;
     }
     rebalancer_->Restore(claim, context_.wall_minus_steady, now);
@@ -52,91 +73,128 @@
 }
 
 void RebalancingManager::OnMoveRecord(const std::string& name, Time now) {
-  if (!rebalancer_ || !name.starts_with(kPrefix)) return;
-  const std::string id = name.substr(kPrefix.size());
+  if (!rebalancer_ || !name.starts_with(kRecordPrefix)) return;
+  const std::string id = name.substr(kRecordPrefix.size());
   const auto move = rebalancer_->moves().find(id);
   const auto record = catalog_.operators().find(name);
   if (move == rebalancer_->moves().end() ||
       move->second.state != ReplicaMoveState::kPlanned) {
     return;
   }
-  // The watch may bring an older version meanwhile; the write's own outcome
-  // comes last. What stands in its place by then is not this claim.
-  const bool stands =
+  // The watch may bring an older version meanwhile; the outcome of the write
+  // itself comes last. A record with other contents is not this claim.
+  const bool recorded =
       record != catalog_.operators().end() && !record->second.withdrawn &&
       record->second.text == move_codec_.write(move->second.claim);
-  if (stands) rebalancer_->Recorded(id, now);
+  if (recorded) rebalancer_->OnRecorded(id, now);
 }
 
-uint32_t RebalancingManager::CountConfirmedRunning(const Job& job, Time now) const {
-  uint32_t n = 0;
+uint32_t RebalancingManager::CountConfirmedRunning(const Job& job,
+                                                   Time now) const {
+  uint32_t count = 0;
   for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const TaskAttempt& attempt = machine->task_attempts.at(key);
-    n += attempt.phase == TaskPhase::kRunning && !attempt.stopping &&
-         cluster_.IsCurrent(*machine, attempt) && machine_health_.Usable(*machine, now);
+    count +=
+        IsRunning(*machine, attempt) && machine_health_.Usable(*machine, now);
   }
-  return n;
+  return count;
+}
+
+bool RebalancingManager::IsRunning(const Machine& machine,
+                                   const TaskAttempt& attempt) {
+  return attempt.phase == TaskPhase::kRunning && !attempt.stopping &&
+         ClusterState::IsCurrent(machine, attempt);
+}
+
+bool RebalancingManager::HasUnplacedTasks(const std::string& job_id) const {
+  const Job* job = cluster_.FindJob(job_id);
+  return job != nullptr && job->live() &&
+         rollout_manager_.StartableTasks(*job) > 0;
 }
 
-ReplicaMoveObservation RebalancingManager::ObservationOf(const Rebalancer::Move& move,
-                                             Time now) {
+ReplicaMoveObservation RebalancingManager::Observe(const Rebalancer::Move& move,
+                                                   Time now) {
   ReplicaMoveObservation observation;
   const MoveClaim& claim = move.claim;
-  const auto it = cluster_.jobs().find(claim.job);
-  if (it == cluster_.jobs().end() || !it->second->live()) return observation;
-  const Job& job = *it->second;
-  const JobSpec& spec = job.spec();
-  observation.live = true;
-  observation.wants = rollout_manager_.StartableTasks(job) > 0;
-  const TaskAttemptKey key{claim.job, claim.task, claim.attempt};
-  Machine* from = cluster_.FindMachine(claim.from);
-  if (from != nullptr) {
-    const auto r = from->task_attempts.find(key);
-    if (r != from->task_attempts.end() &&
-        r->second.phase != TaskPhase::kExited) {
-      observation.on_source = true;
-      observation.runs = r->second.phase == TaskPhase::kRunning &&
-                         !r->second.stopping &&
-                         cluster_.IsCurrent(*from, r->second);
-    }
-    observation.source_good = machine_health_.Usable(*from, now);
+  const Job* job = cluster_.FindJob(claim.job);
+  if (job == nullptr || !job->live()) return observation;
+  observation.service_live = true;
+  observation.has_unplaced_replica = rollout_manager_.StartableTasks(*job) > 0;
+  ObserveSource(claim, now, observation);
+  ObserveTarget(move, *job, now, observation);
+  observation.demand_remains = HasUnplacedTasks(claim.for_job);
+  // Only a claimed move stops its replica.
+  if (move.state == ReplicaMoveState::kClaimed) {
+    ObservePermission(claim, *job, now, observation);
   }
-  Machine* to = cluster_.FindMachine(claim.to);
-  if (to != nullptr) {
-    for (auto r = to->task_attempts.lower_bound({claim.job, 0, 0});
-         r != to->task_attempts.end() && r->first.job_id == claim.job; ++r) {
-      // Another replica may have been there before.
-      if (r->second.phase == TaskPhase::kExited ||
-          r->second.started < move.stopped) {
-        continue;
-      }
-      observation.on_target = true;
-      observation.runs_on_target = r->second.phase == TaskPhase::kRunning;
+  return observation;
+}
+
+void RebalancingManager::ObserveSource(
+    const MoveClaim& claim, Time now,
+    ReplicaMoveObservation& observation) const {
+  const Machine* source = cluster_.FindMachine(claim.from);
+  if (source == nullptr) return;
+  observation.source_usable = machine_health_.Usable(*source, now);
+  const auto it =
+      source->task_attempts.find({claim.job, claim.task, claim.attempt});
+  if (it == source->task_attempts.end() ||
+      it->second.phase == TaskPhase::kExited) {
+    return;
+  }
+  observation.on_source = true;
+  observation.running_on_source = IsRunning(*source, it->second);
+}
+
+void RebalancingManager::ObserveTarget(
+    const Rebalancer::Move& move, const Job& job, Time now,
+    ReplicaMoveObservation& observation) const {
+  const Machine* target = cluster_.FindMachine(move.claim.to);
+  if (target == nullptr) return;
+  for (auto it = target->task_attempts.lower_bound({job.id(), 0, 0});
+       it != target->task_attempts.end() && it->first.job_id == job.id();
+       ++it) {
+    const TaskAttempt& attempt = it->second;
+    // Another replica may have been there before.
+    if (attempt.phase == TaskPhase::kExited ||
+        attempt.started < move.stop_sent_at) {
+      continue;
     }
-    ZoneSpread where = cluster_.ZoneSpreadOf(job);
-    if (observation.on_source) where.Add(from->zone, -1);
-    observation.target_good =
-        observation.on_target
-            ? to->state() == MachineState::kUp
-            : machine_health_.Usable(*to, now) && Allowed(spec, *to, where) &&
-                  spec.need.FitsIn(to->CapacityFor(&job, spec.priority));
+    observation.on_target = true;
+    observation.running_on_target = attempt.phase == TaskPhase::kRunning;
   }
-  const auto waiting = cluster_.jobs().find(claim.for_job);
-  observation.wanted = waiting != cluster_.jobs().end() &&
-                       waiting->second->live() &&
-                       rollout_manager_.StartableTasks(*waiting->second) > 0;
-  // A restored one moves nothing any more.
-  if (move.state != ReplicaMoveState::kClaimed) return observation;
-  const auto down = static_cast<uint32_t>(rebalancer_->Down(claim.job));
-  observation.whole = cluster_.AllMachinesAccountedFor() &&
-                      CountConfirmedRunning(job, now) + down >= job.size();
-  // The limiter counts what it allows, so it is asked last.
-  observation.allowed = observation.wanted && observation.runs &&
-                        observation.target_good && observation.source_good &&
-                        observation.whole && rollout_manager_.RolloutOf(job) == nullptr &&
-                        rollout_manager_.DisruptionAllowed(key, job, now) &&
-                        liveness_.LossAllowed(*from, LossCause::kMoved, now);
-  return observation;
+  if (observation.on_target) {
+    observation.target_usable = target->state() == MachineState::kUp;
+    return;
+  }
+  const JobSpec& spec = job.spec();
+  ZoneSpread zones = cluster_.ZoneSpreadOf(job);
+  if (observation.on_source) {
+    zones.Add(cluster_.FindMachine(move.claim.from)->zone, -1);
+  }
+  observation.target_usable =
+      machine_health_.Usable(*target, now) && Allowed(spec, *target, zones) &&
+      spec.need.FitsIn(target->CapacityFor(&job, spec.priority));
+}
+
+void RebalancingManager::ObservePermission(
+    const MoveClaim& claim, const Job& job, Time now,
+    ReplicaMoveObservation& observation) {
+  const auto stopped =
+      static_cast<uint32_t>(rebalancer_->StoppedReplicas(claim.job));
+  observation.others_running =
+      cluster_.AllMachinesAccountedFor() &&
+      CountConfirmedRunning(job, now) + stopped >= job.size();
+  // The loss limiter counts what it allows, so it is asked last.
+  observation.stop_allowed =
+      observation.demand_remains && observation.running_on_source &&
+      observation.target_usable && observation.source_usable &&
+      observation.others_running &&
+      rollout_manager_.RolloutOf(job) == nullptr &&
+      rollout_manager_.DisruptionAllowed({claim.job, claim.task, claim.attempt},
+                                         job, now) &&
+      liveness_.LossAllowed(*cluster_.FindMachine(claim.from),
+                            LossCause::kMoved, now);
 }
 
 void RebalancingManager::StepMoves(Time now) {
@@ -147,128 +205,164 @@
   for (const std::string& id : ids) {
     const Rebalancer::Move& move = rebalancer_->moves().at(id);
     const ReplicaMoveState before = move.state;
-    const ReplicaMoveAction act =
-        rebalancer_->Step(id, ObservationOf(move, now), now);
-    const MoveClaim& claim = move.claim;
-    if (move.state != before) {
-      context_.Log("move " + id + " of " + claim.job + "/" + std::to_string(claim.task) +
-          " from " + claim.from + " to " + claim.to + " for " + claim.for_job +
-          ": " + std::string(NameOf(move.state)) +
-          (move.why.empty() ? "" : ", " + std::string(move.why)));
-    }
-    if (act != ReplicaMoveAction::kStop) continue;
-    Machine* from = cluster_.FindMachine(claim.from);
-    const auto r =
-        from->task_attempts.find({claim.job, claim.task, claim.attempt});
-    const JobSpec& spec = r->second.job->spec();
-    dispatcher_.QueueStop(*from, r->second,
-              spec.checkpoint_seconds > 0 ? spec.save_seconds : 0, now);
+    const ReplicaMoveAction action =
+        rebalancer_->Step(id, Observe(move, now), now);
+    if (move.state != before) LogState(move);
+    if (action == ReplicaMoveAction::kStop) StopReplica(move.claim, now);
   }
-  rebalancer_->Forget(now);
+  rebalancer_->RemoveCooledOff(now);
 }
 
-void RebalancingManager::TickMoves(const std::vector<std::string>& large_waiting, Time now) {
-  if (!rebalancer_ || now < next_moves_) return;
-  next_moves_ = now + settings_.workers.heartbeat_interval_seconds / 4;
+void RebalancingManager::LogState(const Rebalancer::Move& move) {
+  const MoveClaim& claim = move.claim;
+  LogFields fields = {{"move", claim.id},
+                      {"job", claim.job},
+                      {"task", claim.task},
+                      {"from", claim.from},
+                      {"to", claim.to},
+                      {"for_job", claim.for_job},
+                      {"state", NameOf(move.state)}};
+  if (move.reason != GiveUpReason::kNone) {
+    fields.emplace_back("reason", NameOf(move.reason));
+  }
+  context_.Log("replica move changed state", std::move(fields));
+}
+
+void RebalancingManager::StopReplica(const MoveClaim& claim, Time now) {
+  Machine* source = cluster_.FindMachine(claim.from);
+  TaskAttempt& attempt =
+      source->task_attempts.find({claim.job, claim.task, claim.attempt})
+          ->second;
+  const JobSpec& spec = attempt.job->spec();
+  const double grace_seconds =
+      spec.checkpoint_seconds > 0 ? spec.save_seconds : 0;
+  dispatcher_.QueueStop(*source, attempt, grace_seconds, now);
+}
+
+void RebalancingManager::TickMoves(
+    const std::vector<std::string>& large_waiting, Time now) {
+  if (!rebalancer_ || now < next_step_) return;
+  next_step_ =
+      now + settings_.workers.heartbeat_interval_seconds / kStepsPerHeartbeat;
   StepMoves(now);
-  if (now < next_move_plan_ || !cluster_.AllMachinesAccountedFor() ||
-      rebalancer_->under_way() >= static_cast<int>(tuning_.moves_at_once) ||
+  if (now < next_plan_ || !cluster_.AllMachinesAccountedFor() ||
+      rebalancer_->in_progress() >= static_cast<int>(tuning_.moves_at_once) ||
       liveness_.leader_health() != LeaderHealthState::kHealthy) {
     return;
   }
-  next_move_plan_ = now + settings_.workers.heartbeat_interval_seconds;
+  next_plan_ = now + settings_.workers.heartbeat_interval_seconds;
   for (const std::string& id : large_waiting) {
-    const auto it = cluster_.jobs().find(id);
-    if (it == cluster_.jobs().end() || !it->second->live() ||
-        rollout_manager_.StartableTasks(*it->second) == 0 ||
-        now - it->second->queued_since() <
-            kWaitsLeases * settings_.workers.lease_seconds) {
+    const Job* job = cluster_.FindJob(id);
+    if (job == nullptr || !HasUnplacedTasks(id) ||
+        now - job->queued_since() <
+            kMinWaitLeases * settings_.workers.lease_seconds) {
       continue;
     }
-    const int before = rebalancer_->under_way();
-    PlanMovesFor(*it->second, now);
-    if (rebalancer_->under_way() > before) return;
+    const int before = rebalancer_->in_progress();
+    PlanMovesFor(*job, now);
+    if (rebalancer_->in_progress() > before) return;
   }
 }
 
 void RebalancingManager::PlanMovesFor(const Job& waiting, Time now) {
   std::vector<Machine*> usable;
-  for (auto& machine : cluster_.machines()) {
-    if (machine->state() != MachineState::kGone && machine_health_.Usable(*machine, now) &&
-        !DrainedByMove(*machine)) {
+  for (const auto& machine : cluster_.machines()) {
+    if (machine->state() != MachineState::kGone &&
+        machine_health_.Usable(*machine, now) && !DrainedByMove(*machine)) {
       usable.push_back(machine.get());
     }
   }
-  const double lease = settings_.workers.lease_seconds;
+  MovePlanInput input = PlanInputFor(waiting, now);
+  input.usable = usable;
+  const std::vector<PlannedMove> plan = PlanMoves(input);
+  // The moves off one machine stand together in the plan.
+  for (auto first = plan.begin(); first != plan.end();) {
+    const auto last = std::find_if(
+        first, plan.end(),
+        [&](const PlannedMove& move) { return move.from != first->from; });
+    BeginAllOrNone({first, last}, waiting, now);
+    first = last;
+  }
+}
+
+MovePlanInput RebalancingManager::PlanInputFor(const Job& waiting,
+                                               Time now) const {
+  const double lease_seconds = settings_.workers.lease_seconds;
   MovePlanInput input;
   input.fragmentation = &fragmentation_;
-  input.usable = usable;
   input.waiting = &waiting.spec();
   input.missing = rollout_manager_.StartableTasks(waiting);
-  input.most = static_cast<size_t>(std::max(
-      0, static_cast<int>(tuning_.moves_at_once) - rebalancer_->under_way()));
-  input.settled_seconds = kSettledLeases * lease;
-  input.disturbance_seconds = 2 * settings_.workers.heartbeat_interval_seconds;
-  input.horizon_seconds = kHorizonLeases * lease;
+  input.max_moves = static_cast<size_t>(std::max(
+      0, static_cast<int>(tuning_.moves_at_once) - rebalancer_->in_progress()));
+  input.settled_seconds = kSettledLeases * lease_seconds;
+  input.disturbance_seconds =
+      kDisturbanceHeartbeats * settings_.workers.heartbeat_interval_seconds;
+  input.horizon_seconds = kHorizonLeases * lease_seconds;
   input.now = now;
-  input.where = [this](const Job& job) { return cluster_.ZoneSpreadOf(job); };
-  input.may_leave = [&](const TaskAttempt& attempt) {
-    return attempt.job->live() && rollout_manager_.RolloutOf(*attempt.job) == nullptr &&
-           rollout_manager_.DisruptionAllowed(KeyOf(attempt), *attempt.job, now) &&
-           CountConfirmedRunning(*attempt.job, now) == attempt.job->size();
+  input.zone_spread = [this](const Job& job) {
+    return cluster_.ZoneSpreadOf(job);
+  };
+  input.may_leave = [this, now](const TaskAttempt& replica) {
+    return MayLeave(replica, now);
   };
-  input.may_go = [&](const TaskAttempt& attempt, const Machine& to,
-                     bool fetches) {
+  input.may_move_to = [this, now](const TaskAttempt& replica, const Machine& to,
+                                  double fetch_seconds) {
+    const Job& job = *replica.job;
     // The loss of the target must not take the service.
-    return cluster_.CountOn(*attempt.job, to) <
-               ReplicasPerMachineLimit(attempt.job->size()) &&
-           rebalancer_->MayBegin(attempt.job_id, attempt.job->size(),
-                                 attempt.job->spec().team, to.host(), to.zone,
-                                 fetches, now);
+    return cluster_.CountOn(job, to) < ReplicasPerMachineLimit(job.size()) &&
+           rebalancer_->MayBegin({replica.job_id, job.size(), job.spec().team,
+                                  to.host(), to.zone, fetch_seconds},
+                                 now);
   };
-  const std::vector<PlannedMove> plan = PlanMoves(input);
-  // One machine's moves together, or none of them.
-  for (size_t i = 0; i < plan.size();) {
-    Rebalancer trial = *rebalancer_;
-    std::vector<MoveClaim> claims;
-    const Machine* from = plan[i].from;
-    bool all = true;
-    for (; i < plan.size() && plan[i].from == from; ++i) {
-      const PlannedMove& move = plan[i];
-      const JobSpec& spec = cluster_.jobs().at(move.leg.job_id)->spec();
-      MoveClaim claim;
-      claim.job = move.leg.job_id;
-      claim.task = move.leg.task;
-      claim.attempt = move.leg.attempt;
-      claim.from = from->host();
-      claim.to = move.to->host();
-      claim.for_job = waiting.id();
-      std::optional<MoveClaim> begun;
-      if (trial.MayBegin(claim.job, spec.tasks, spec.team, claim.to,
-                         move.to->zone, move.fetch_seconds > 0, now)) {
-        begun = trial.Begin(claim, move.to->zone, spec.team, move.fetch_seconds,
-                            context_.wall_minus_steady, now);
-      }
-      all = all && begun;
-      if (begun) claims.push_back(*begun);
-    }
-    if (!all) continue;
-    *rebalancer_ = std::move(trial);
-    for (const MoveClaim& claim : claims) {
-      const std::string name = std::string(kPrefix) + claim.id;
-      const auto known = catalog_.operators().find(name);
-      auto record = std::make_shared<OperatorRecord>();
-      record->kind = "move";
-      record->text = move_codec_.write(claim);
-      record->version =
-          known == catalog_.operators().end() ? 1 : known->second.version + 1;
-      record->author = settings_.node;
-      record->changed_wall = now + context_.wall_minus_steady;
-      WriteOp op{WriteKind::kOperator, name};
-      op.record = std::move(record);
-      writes_.Queue(std::move(op));
-    }
+  return input;
+}
+
+bool RebalancingManager::MayLeave(const TaskAttempt& replica, Time now) const {
+  const Job& job = *replica.job;
+  return job.live() && rollout_manager_.RolloutOf(job) == nullptr &&
+         rollout_manager_.DisruptionAllowed(KeyOf(replica), job, now) &&
+         CountConfirmedRunning(job, now) == job.size();
+}
+
+void RebalancingManager::BeginAllOrNone(std::span<const PlannedMove> moves,
+                                        const Job& waiting, Time now) {
+  Rebalancer trial = *rebalancer_;
+  std::vector<MoveClaim> claims;
+  for (const PlannedMove& move : moves) {
+    const JobSpec& spec = cluster_.jobs().at(move.replica.job_id)->spec();
+    const MoveRequest request{move.replica.job_id, spec.tasks,
+                              spec.team,           move.to->host(),
+                              move.to->zone,       move.fetch_seconds};
+    if (!trial.MayBegin(request, now)) return;
+    MoveClaim claim;
+    claim.job = move.replica.job_id;
+    claim.task = move.replica.task;
+    claim.attempt = move.replica.attempt;
+    claim.from = move.from->host();
+    claim.to = move.to->host();
+    claim.for_job = waiting.id();
+    const std::optional<MoveClaim> begun =
+        trial.Begin(std::move(claim), request, context_.wall_minus_steady, now);
+    if (!begun) return;
+    claims.push_back(*begun);
   }
+  *rebalancer_ = std::move(trial);
+  for (const MoveClaim& claim : claims) RecordClaim(claim, now);
+}
+
+void RebalancingManager::RecordClaim(const MoveClaim& claim, Time now) {
+  const std::string name = RecordName(claim.id);
+  const auto earlier = catalog_.operators().find(name);
+  auto record = std::make_shared<OperatorRecord>();
+  record->kind = kRecordKind;
+  record->text = move_codec_.write(claim);
+  record->version =
+      earlier == catalog_.operators().end() ? 1 : earlier->second.version + 1;
+  record->author = settings_.node;
+  record->changed_wall = now + context_.wall_minus_steady;
+  WriteOp op{WriteKind::kOperator, name};
+  op.record = std::move(record);
+  writes_.Queue(std::move(op));
 }
 
 void RebalancingManager::ReserveMoveTargets(Time now) {
@@ -278,29 +372,28 @@
         move.state != ReplicaMoveState::kStopping) {
       continue;
     }
-    Machine* to = cluster_.FindMachine(move.claim.to);
-    const auto it = cluster_.jobs().find(move.claim.job);
-    if (to == nullptr || it == cluster_.jobs().end() || !it->second->live())
-      continue;
-    Job* job = it->second.get();
-    const bool held = std::any_of(
-        to->reservations.begin(), to->reservations.end(),
+    Machine* target = cluster_.FindMachine(move.claim.to);
+    Job* job = cluster_.FindJob(move.claim.job);
+    if (target == nullptr || job == nullptr || !job->live()) continue;
+    const bool reserved = std::any_of(
+        target->reservations.begin(), target->reservations.end(),
         [&](const Reservation& reservation) { return reservation.job == job; });
-    if (held) continue;
-    to->reservations.push_back({job, job->spec().need, job->spec().priority,
-                                std::max(now, move.until)});
+    if (reserved) continue;
+    target->reservations.push_back({job, job->spec().need, job->spec().priority,
+                                    std::max(now, move.ends_at)});
   }
 }
 
-Machine* RebalancingManager::ReservedByMove(const Job& job, const ZoneSpread& where,
-                                Time now) {
-  const std::string* host =
-      rebalancer_ ? rebalancer_->TargetFor(job.id()) : nullptr;
-  Machine* machine = host == nullptr ? nullptr : cluster_.FindMachine(*host);
+Machine* RebalancingManager::ReservedByMove(const Job& job,
+                                            const ZoneSpread& zones, Time now) {
+  if (!rebalancer_) return nullptr;
+  const std::string* host = rebalancer_->TargetFor(job.id());
+  if (host == nullptr) return nullptr;
+  Machine* machine = cluster_.FindMachine(*host);
+  const JobSpec& spec = job.spec();
   if (machine == nullptr || !machine_health_.Usable(*machine, now) ||
-      !Allowed(job.spec(), *machine, where) ||
-      !job.spec().need.FitsIn(
-          machine->CapacityFor(&job, job.spec().priority))) {
+      !Allowed(spec, *machine, zones) ||
+      !spec.need.FitsIn(machine->CapacityFor(&job, spec.priority))) {
     return nullptr;
   }
   return machine;
--- a/core/rebalancing/rebalancing_plan.cc
+++ b/core/rebalancing/rebalancing_plan.cc
@@ -2,182 +2,264 @@
 
 #include <algorithm>
 #include <map>
+#include <optional>
 #include <set>
+#include <utility>
 
 namespace oxbow {
 namespace {
 
-constexpr double kNothing = 1e-6;
+// Differences below are rounding.
+constexpr double kEpsilon = 1e-6;
 
-// One machine's way to be whole.
-struct Vacating {
+// The moves after which one machine is whole.
+struct Evacuation {
   Machine* from = nullptr;
   std::vector<PlannedMove> moves;
   double cost = 0;  // s of accelerators lost to their users
 };
 
-struct Taken {
-  std::map<const Machine*, Resources> room;  // of targets
-  std::set<const Machine*> fetching;
-  std::set<const Machine*> drained;
-
+// What the moves planned so far use.
+class PlannedUse {
+ public:
   Resources On(const Machine* machine) const {
-    const auto it = room.find(machine);
-    return it == room.end() ? Resources{} : it->second;
+    const auto it = target_use_.find(machine);
+    return it == target_use_.end() ? Resources{} : it->second;
+  }
+  bool IsTarget(const Machine* machine) const {
+    return target_use_.contains(machine);
+  }
+  bool IsFetching(const Machine* machine) const {
+    return fetching_.contains(machine);
+  }
+  bool IsEvacuated(const Machine* machine) const {
+    return evacuated_.contains(machine);
   }
-  void Take(const PlannedMove& move, const Resources& need) {
-    room[move.to] += need;
-    if (move.fetch_seconds > 0) fetching.insert(move.to);
+  void Add(const PlannedMove& move, const Resources& need) {
+    target_use_[move.to] += need;
+    if (move.fetch_seconds > 0) fetching_.insert(move.to);
   }
+  void AddEvacuated(const Machine* machine) { evacuated_.insert(machine); }
+
+ private:
+  std::map<const Machine*, Resources> target_use_;
+  std::set<const Machine*> fetching_;
+  std::set<const Machine*> evacuated_;
+};
+
+// What there is for the waiting job in one zone; in all zones together, if it
+// may be placed across them.
+struct ZoneOptions {
+  uint32_t fitting_tasks = 0;  // without any move
+  std::vector<Evacuation> evacuations;
+};
+
+struct ZonePlan {
+  std::vector<PlannedMove> moves;
+  double cost = 0;
+};
+
+class MovePlanner {
+ public:
+  explicit MovePlanner(const MovePlanInput& input);
+  std::vector<PlannedMove> Plan() const;
+
+ private:
+  std::map<std::string, ZoneOptions> OptionsByZone() const;
+  ZonePlan PlanZone(ZoneOptions options) const;
+  // Nothing: the machine can't become whole by `max_moves`, or not at a cost
+  // below the gain.
+  std::optional<Evacuation> Evacuate(Machine& machine, PlannedUse use,
+                                     size_t max_moves) const;
+  std::vector<const TaskAttempt*> MovableReplicas(const Machine& machine) const;
+  bool IsMovable(const TaskAttempt& attempt) const;
+  // The best target beside what is planned already; nothing for none.
+  std::optional<PlannedMove> FindTarget(const TaskAttempt& attempt,
+                                        Machine& from,
+                                        const PlannedUse& use) const;
+  // Whether the target has capacity for the replica and loses nothing by it.
+  bool FitsOn(const TaskAttempt& attempt, const Machine& target,
+              const ZoneSpread& zones, const PlannedUse& use) const;
+
+  const MovePlanInput& input_;
+  std::vector<Machine*> targets_;
 };
 
-// The best target for one leg beyond what is spoken for; false for none.
-bool FindTarget(const MovePlanInput& in, const TaskAttempt& attempt,
-                const Machine& from, const Taken& taken, PlannedMove* out) {
+MovePlanner::MovePlanner(const MovePlanInput& input) : input_(input) {
+  // Most machines are full or whole, and no target.
+  for (Machine* machine : input.usable) {
+    if (machine->total().gpus > 0 && LastingRoom(*machine).gpus > kEpsilon &&
+        input.fragmentation->Useless(*machine) > kEpsilon) {
+      targets_.push_back(machine);
+    }
+  }
+}
+
+bool MovePlanner::FitsOn(const TaskAttempt& attempt, const Machine& target,
+                         const ZoneSpread& zones, const PlannedUse& use) const {
   const JobSpec& spec = attempt.job->spec();
-  ZoneSpread where = in.where(*attempt.job);
-  where.Add(from.zone, -1);
+  const Resources planned = use.On(&target) + spec.need;
+  return Allowed(spec, target, zones) &&
+         planned.FitsIn(target.CapacityFor(attempt.job, spec.priority)) &&
+         planned.FitsIn(LastingRoom(target)) &&
+         input_.fragmentation->Added(target, spec.need) <= kEpsilon;
+}
+
+std::optional<PlannedMove> MovePlanner::FindTarget(
+    const TaskAttempt& attempt, Machine& from, const PlannedUse& use) const {
+  ZoneSpread zones = input_.zone_spread(*attempt.job);
+  zones.Add(from.zone, -1);
   Machine* best = nullptr;
   double best_fetch = 0;
-  for (Machine* machine : in.targets) {
-    if (machine == &from || taken.drained.contains(machine)) continue;
-    const Resources more = taken.On(machine) + spec.need;
-    if (!Allowed(spec, *machine, where) ||
-        !more.FitsIn(machine->CapacityFor(attempt.job, spec.priority)) ||
-        !more.FitsIn(LastingRoom(*machine)) ||
-        in.fragmentation->Added(*machine, spec.need) > kNothing) {
-      continue;
-    }
-    const double fetch = SecondsToImage(*machine, spec);
-    if (fetch > 0 && taken.fetching.contains(machine)) continue;
-    if (!in.may_go(attempt, *machine, fetch > 0)) continue;
-    // The weights first, then the fullest.
-    if (best == nullptr || fetch < best_fetch - kNothing ||
-        (fetch < best_fetch + kNothing &&
+  for (Machine* machine : targets_) {
+    if (machine == &from || use.IsEvacuated(machine)) continue;
+    if (!FitsOn(attempt, *machine, zones, use)) continue;
+    const double fetch = SecondsToImage(*machine, attempt.job->spec());
+    if (fetch > 0 && use.IsFetching(machine)) continue;
+    if (!input_.may_move_to(attempt, *machine, fetch)) continue;
+    // The image first, then the fullest machine.
+    if (best == nullptr || fetch < best_fetch - kEpsilon ||
+        (fetch < best_fetch + kEpsilon &&
          machine->lasting.gpus > best->lasting.gpus)) {
       best = machine;
       best_fetch = fetch;
     }
   }
-  if (best == nullptr) return false;
-  *out = {KeyOf(attempt), const_cast<Machine*>(&from), best, best_fetch};
-  return true;
+  if (best == nullptr) return std::nullopt;
+  return PlannedMove{KeyOf(attempt), &from, best, best_fetch};
 }
 
-bool PlanVacating(const MovePlanInput& in, Machine& machine, Taken taken,
-                  size_t most, Vacating* out) {
-  const Resources& need = in.waiting->need;
-  Resources room = LastingRoom(machine);
-  std::vector<const TaskAttempt*> legs;
-  Resources could = room;
-  for (const auto& [key, attempt] : machine.task_attempts) {
-    if (attempt.phase != TaskPhase::kRunning || attempt.stopping ||
-        attempt.job == nullptr || !attempt.holds ||
-        attempt.job->spec().kind != JobKind::kService ||
-        attempt.job->spec().priority == Priority::kProduction ||
-        attempt.job->spec().need.gpus <= 0 ||
-        in.now - attempt.running_since < in.settled_seconds) {
-      continue;
-    }
-    legs.push_back(&attempt);
-    could += attempt.need;
-  }
-  if (!need.FitsIn(could)) return false;
-  std::sort(legs.begin(), legs.end(),
-            [](const TaskAttempt* a, const TaskAttempt* b) {
-              if (a->need.gpus != b->need.gpus)
-                return a->need.gpus < b->need.gpus;
-              return KeyOf(*a) < KeyOf(*b);
-            });
-  taken.drained.insert(&machine);
-  out->from = &machine;
-  for (const TaskAttempt* attempt : legs) {
-    if (need.FitsIn(room)) break;
-    PlannedMove move;
-    if (out->moves.size() >= most || !in.may_leave(*attempt) ||
-        !FindTarget(in, *attempt, machine, taken, &move)) {
-      return false;
-    }
-    taken.Take(move, attempt->need);
-    room += attempt->need;
-    out->cost +=
-        attempt->need.gpus * (in.disturbance_seconds + move.fetch_seconds);
-    out->moves.push_back(move);
-  }
-  const double gain = need.gpus * in.horizon_seconds;
-  return need.FitsIn(room) && !out->moves.empty() && out->cost < gain;
+bool MovePlanner::IsMovable(const TaskAttempt& attempt) const {
+  if (attempt.phase != TaskPhase::kRunning || attempt.stopping ||
+      attempt.job == nullptr || !attempt.holds) {
+    return false;
+  }
+  const JobSpec& spec = attempt.job->spec();
+  return spec.kind == JobKind::kService &&
+         spec.priority != Priority::kProduction && spec.need.gpus > 0 &&
+         input_.now - attempt.running_since >= input_.settled_seconds;
 }
 
-}  // namespace
+std::vector<const TaskAttempt*> MovePlanner::MovableReplicas(
+    const Machine& machine) const {
+  std::vector<const TaskAttempt*> movable;
+  for (const auto& [key, attempt] : machine.task_attempts) {
+    if (IsMovable(attempt)) movable.push_back(&attempt);
+  }
+  return movable;
+}
 
-std::vector<PlannedMove> PlanMoves(const MovePlanInput& input) {
-  MovePlanInput in = input;
-  const JobSpec& waiting = *in.waiting;
-  // Most machines are full or whole, and no target.
-  std::vector<Machine*> fragmented;
-  for (Machine* machine : in.usable) {
-    if (machine->total().gpus > 0 && LastingRoom(*machine).gpus > kNothing &&
-        in.fragmentation->Useless(*machine) > kNothing) {
-      fragmented.push_back(machine);
+std::optional<Evacuation> MovePlanner::Evacuate(Machine& machine,
+                                                PlannedUse use,
+                                                size_t max_moves) const {
+  const Resources& need = input_.waiting->need;
+  Resources capacity = LastingRoom(machine);
+  std::vector<const TaskAttempt*> movable = MovableReplicas(machine);
+  Resources capacity_without_all = capacity;
+  for (const TaskAttempt* attempt : movable) {
+    capacity_without_all += attempt->need;
+  }
+  if (!need.FitsIn(capacity_without_all)) return std::nullopt;
+  std::sort(movable.begin(), movable.end(),
+            [](const TaskAttempt* first, const TaskAttempt* second) {
+              if (first->need.gpus != second->need.gpus) {
+                return first->need.gpus < second->need.gpus;
+              }
+              return KeyOf(*first) < KeyOf(*second);
+            });
+  use.AddEvacuated(&machine);
+  Evacuation evacuation{&machine, {}, 0};
+  for (const TaskAttempt* attempt : movable) {
+    if (need.FitsIn(capacity)) break;
+    if (evacuation.moves.size() >= max_moves || !input_.may_leave(*attempt)) {
+      return std::nullopt;
     }
+    const std::optional<PlannedMove> move = FindTarget(*attempt, machine, use);
+    if (!move) return std::nullopt;
+    use.Add(*move, attempt->need);
+    capacity += attempt->need;
+    evacuation.cost +=
+        attempt->need.gpus * (input_.disturbance_seconds + move->fetch_seconds);
+    evacuation.moves.push_back(*move);
+  }
+  const double gain = need.gpus * input_.horizon_seconds;
+  if (!need.FitsIn(capacity) || evacuation.moves.empty() ||
+      evacuation.cost >= gain) {
+    return std::nullopt;
   }
-  in.targets = fragmented;
-  std::map<std::string, std::vector<Vacating>> zones;
-  std::map<std::string, uint32_t> fitting;  // there already
-  for (Machine* machine : in.usable) {
+  return evacuation;
+}
+
+std::map<std::string, ZoneOptions> MovePlanner::OptionsByZone() const {
+  const JobSpec& waiting = *input_.waiting;
+  std::map<std::string, ZoneOptions> zones;
+  for (Machine* machine : input_.usable) {
     if (!Allowed(waiting, *machine, {}) ||
-        !waiting.need.FitsIn(machine->total()))
+        !waiting.need.FitsIn(machine->total())) {
       continue;
-    const std::string zone = waiting.one_zone ? machine->zone : "";
-    const uint32_t here =
-        waiting.need.TimesIn(LastingRoom(*machine), in.missing);
-    fitting[zone] += here;
-    if (here > 0) continue;
-    Vacating vacating;
-    if (PlanVacating(in, *machine, {}, in.most, &vacating)) {
-      zones[zone].push_back(std::move(vacating));
     }
+    ZoneOptions& options = zones[waiting.one_zone ? machine->zone : ""];
+    const uint32_t fitting =
+        waiting.need.TimesIn(LastingRoom(*machine), input_.missing);
+    options.fitting_tasks += fitting;
+    if (fitting > 0) continue;
+    std::optional<Evacuation> evacuation =
+        Evacuate(*machine, {}, input_.max_moves);
+    if (evacuation) options.evacuations.push_back(*std::move(evacuation));
+  }
+  return zones;
+}
+
+ZonePlan MovePlanner::PlanZone(ZoneOptions options) const {
+  ZonePlan plan;
+  uint32_t missing = input_.missing - options.fitting_tasks;
+  // A gang that can't be placed whole would leave the machines empty.
+  if (input_.waiting->kind == JobKind::kGang &&
+      options.evacuations.size() < missing) {
+    return plan;
+  }
+  std::sort(options.evacuations.begin(), options.evacuations.end(),
+            [](const Evacuation& first, const Evacuation& second) {
+              if (first.cost != second.cost) return first.cost < second.cost;
+              return first.from->index() < second.from->index();
+            });
+  PlannedUse use;
+  for (const Evacuation& option : options.evacuations) {
+    if (missing == 0 || plan.moves.size() >= input_.max_moves) break;
+    if (use.IsTarget(option.from)) continue;
+    // Planned again, beside what the evacuations before it use.
+    const std::optional<Evacuation> evacuation =
+        Evacuate(*option.from, use, input_.max_moves - plan.moves.size());
+    if (!evacuation) continue;
+    for (const PlannedMove& move : evacuation->moves) {
+      use.Add(move, move.from->task_attempts.at(move.replica).need);
+      plan.moves.push_back(move);
+    }
+    use.AddEvacuated(evacuation->from);
+    plan.cost += evacuation->cost;
+    --missing;
   }
-  for (const auto& [zone, count] : fitting) {
-    if (count >= in.missing) return {};  // it will go there
+  return plan;
+}
+
+std::vector<PlannedMove> MovePlanner::Plan() const {
+  std::map<std::string, ZoneOptions> zones = OptionsByZone();
+  for (const auto& [zone, options] : zones) {
+    if (options.fitting_tasks >= input_.missing) return {};  // no move needed
   }
-  std::vector<PlannedMove> best;
-  double best_cost = 0;
+  ZonePlan best;
   for (auto& [zone, options] : zones) {
-    uint32_t left = in.missing - fitting[zone];
-    // A zone that can't become whole would be drained for nothing.
-    if (waiting.kind == JobKind::kGang && options.size() < left) continue;
-    std::sort(options.begin(), options.end(),
-              [](const Vacating& a, const Vacating& b) {
-                if (a.cost != b.cost) return a.cost < b.cost;
-                return a.from->index() < b.from->index();
-              });
-    std::vector<PlannedMove> moves;
-    double cost = 0;
-    Taken taken;
-    for (const Vacating& option : options) {
-      if (left == 0 || moves.size() >= in.most) break;
-      if (taken.room.contains(option.from)) continue;
-      // Again, beside what the ones before it have taken.
-      Vacating now;
-      if (!PlanVacating(in, *option.from, taken, in.most - moves.size(),
-                        &now)) {
-        continue;
-      }
-      for (const PlannedMove& move : now.moves) {
-        taken.Take(move, move.from->task_attempts.at(move.leg).need);
-        moves.push_back(move);
-      }
-      taken.drained.insert(now.from);
-      cost += now.cost;
-      --left;
-    }
-    if (!moves.empty() && (best.empty() || cost < best_cost)) {
-      best = std::move(moves);
-      best_cost = cost;
-    }
+    ZonePlan plan = PlanZone(std::move(options));
+    if (plan.moves.empty()) continue;
+    if (best.moves.empty() || plan.cost < best.cost) best = std::move(plan);
   }
-  return best;
+  return best.moves;
+}
+
+}  // namespace
+
+std::vector<PlannedMove> PlanMoves(const MovePlanInput& input) {
+  return MovePlanner(input).Plan();
 }
 
 }  // namespace oxbow
--- a/core/rebalancing/rebalancing_plan.h
+++ b/core/rebalancing/rebalancing_plan.h
@@ -1,5 +1,6 @@
-// Which replicas to move so that work that waits for whole machines finds them:
-// gain against cost.
+// Which replicas to move so that a job whose tasks need whole machines gets
+// them: what the job gains against what the moves cost. A pure function of its
+// input; stops and starts nothing.
 #pragma once
 
 #include <functional>
@@ -14,38 +15,40 @@
 
 namespace oxbow {
 
+// One replica from one machine to another. The machines outlive the plan.
 struct PlannedMove {
-  TaskAttemptKey leg;
+  TaskAttemptKey replica;
   Machine* from = nullptr;
   Machine* to = nullptr;
-  double fetch_seconds = 0;
+  double fetch_seconds = 0;  // until the target has the replica's image
 };
 
+// What a plan is made of. What is pointed to must outlive the call.
 struct MovePlanInput {
   const FragmentationIndex* fragmentation = nullptr;
   std::span<Machine* const> usable;
-  std::span<Machine* const> targets;  // set by PlanMoves itself
-  const JobSpec* waiting = nullptr;   // the large one
-  uint32_t missing = 0;               // its tasks that have no place
-  size_t most = 0;                    // moves
-  double settled_seconds = 0;         // a replica that has run for less stays
-  double disturbance_seconds = 0;     // of a stop and a start without a fetch
-  // What a whole machine sooner is worth, s of its accelerators: about how long
-  // it would take until it drains by itself.
+  const JobSpec* waiting = nullptr;  // the job that needs whole machines
+  uint32_t missing = 0;              // its tasks that have no place
+  size_t max_moves = 0;
+  double settled_seconds = 0;      // a replica that has run for less stays
+  double disturbance_seconds = 0;  // of a stop and a start without a fetch
+  // What having a machine whole now is worth, in seconds of its accelerators:
+  // about how long it would take to empty by itself.
   double horizon_seconds = 0;
   Time now = 0;
-  // Whether this leg may be moved at all, and whether to that machine.
-  std::function<bool(const TaskAttempt&)> may_leave;
-  std::function<bool(const TaskAttempt&, const Machine& to, bool fetches)>
-      may_go;
-  std::function<ZoneSpread(const Job&)> where;
+  // Whether the replica may be moved at all, and whether to that machine.
+  std::function<bool(const TaskAttempt& replica)> may_leave;
+  std::function<bool(const TaskAttempt& replica, const Machine& to,
+                     double fetch_seconds)>
+      may_move_to;
+  std::function<ZoneSpread(const Job& job)> zone_spread;
 };
 
-// Machines that become able to take one more task of the waiting job, each with
-// all moves that this needs or none of them; the cheapest first. Targets are
-// fragmented already and stay of the same use to the mix, or gain; they are
-// never machines that are being drained. A job in one zone gets machines of one
-// zone only, and none where it can't become whole.
+// The moves after which machines can take one more task of the waiting job,
+// the cheapest machine first, each with all the moves that it needs or none of
+// them. Targets are fragmented machines that become no less useful by the move,
+// and never machines that are being emptied. A job that stays in one zone gets
+// machines of one zone only, and a gang none where it can't be placed whole.
 std::vector<PlannedMove> PlanMoves(const MovePlanInput& input);
 
 }  // namespace oxbow
--- a/tests/rebalancer_test.cc
+++ b/tests/rebalancer_test.cc
@@ -26,6 +26,7 @@
 constexpr int kServices = 2;
 constexpr int kReplicas = 2;
 constexpr int kLegs = kServices * kReplicas;
+constexpr double kFetchSeconds = 1;  // of a target without the image
 
 // Guards that are left out, to see that they are missed. Some stand behind one
 // another: those are left out together.
@@ -95,7 +96,8 @@
     }
     for (const auto& [id, m] : rebalancer.moves()) {
       key += fmt::format("m{}{}{}{}{:.1f}{:.1f}{:.1f}", id, m.claim.job,
-                         m.claim.task, m.claim.to, m.since, m.until, m.cool) +
+                         m.claim.task, m.claim.to, m.state_since, m.ends_at,
+                         m.cooled_off_at) +
              std::string(NameOf(m.state));
     }
     return key;
@@ -150,7 +152,8 @@
       claim.job = "s0";
       claim.from = Host(0);
       claim.to = Host(2);
-      const auto begun = start.rebalancer.Begin(claim, "a", "t", 0, 0, 0);
+      const auto begun = start.rebalancer.Begin(
+          claim, {claim.job, kReplicas, "t", claim.to, "a", 0}, 0, 0);
       start.stored[begun->id] = *begun;
       ChangeLeader(start);
     }
@@ -189,12 +192,13 @@
       for (int r = 0; r < kReplicas; ++r) {
         there += w.there[s * kReplicas + r] != 0;
       }
-      if (there < kReplicas - MostDown(kReplicas, 0.125)) {
+      if (there < kReplicas - MaxStoppedReplicas(kReplicas, 0.125)) {
         bad_ = "a service below its floor";
       }
     }
     for (const auto& [id, m] : w.rebalancer.moves()) {
-      if (!Ended(m.state) && w.now > m.until + 1) bad_ = "a state without end";
+      if (!Ended(m.state) && w.now > m.ends_at + 1)
+        bad_ = "a state without end";
     }
   }
 
@@ -226,24 +230,26 @@
     const int leg = LegOf(move.claim);
     const int from = move.claim.from[0] - '0';
     const int to = move.claim.to[0] - '0';
-    observation.live = true;
+    observation.service_live = true;
     observation.on_source = (w.belief[leg] & (1 << from)) != 0;
-    observation.runs = w.belief[leg] == (1 << from) && w.stopped[leg] == 0;
+    observation.running_on_source =
+        w.belief[leg] == (1 << from) && w.stopped[leg] == 0;
     observation.on_target = (w.belief[leg] & (1 << to)) != 0;
-    observation.runs_on_target =
+    observation.running_on_target =
         w.belief[leg] == (1 << to) && !Outstanding(w, to, w.leader);
-    observation.wants = w.belief[leg] == 0;
-    observation.target_good = to != w.dead && Good(w, to);
-    observation.source_good = from != w.dead && Good(w, from);
+    observation.has_unplaced_replica = w.belief[leg] == 0;
+    observation.target_usable = to != w.dead && Good(w, to);
+    observation.source_usable = from != w.dead && Good(w, from);
     int missing = 0;
     const int first = leg / kReplicas * kReplicas;
     for (int l = first; l < first + kReplicas; ++l) {
       missing += l != leg && !RunsSurely(w, l);
     }
-    observation.whole =
-        without_.whole || missing <= w.rebalancer.Down(move.claim.job);
-    observation.allowed = true;
-    observation.wanted = w.wanted;
+    observation.others_running =
+        without_.whole ||
+        missing <= w.rebalancer.StoppedReplicas(move.claim.job);
+    observation.stop_allowed = true;
+    observation.demand_remains = w.wanted;
     return observation;
   }
 
@@ -291,12 +297,12 @@
         break;
       }
     }
-    w.rebalancer.Forget(w.now);
+    w.rebalancer.RemoveCooledOff(w.now);
     for (const auto& [id, move] : w.rebalancer.moves()) {
       settled_ +=
-          move.state == ReplicaMoveState::kSettled && move.since == w.now;
+          move.state == ReplicaMoveState::kSettled && move.state_since == w.now;
       given_up_ +=
-          move.state == ReplicaMoveState::kGivenUp && move.since == w.now;
+          move.state == ReplicaMoveState::kGivenUp && move.state_since == w.now;
     }
   }
 
@@ -325,11 +331,11 @@
       switch (choose(4)) {
         case 0:
           w.stored[claim.id] = claim;
-          w.rebalancer.Recorded(claim.id, w.now);
+          w.rebalancer.OnRecorded(claim.id, w.now);
           w.writes.erase(w.writes.begin());
           break;
         case 1:
-          w.rebalancer.Refused(claim.id, w.now);
+          w.rebalancer.OnRefused(claim.id, w.now);
           w.writes.erase(w.writes.begin());
           break;
         case 2:  // it stands, its answer never comes
@@ -349,7 +355,7 @@
       w.dead = 2;  // a target, and the home of a replica
       Bury(w);
     } else if (event == 3) {
-      if (!w.wanted || w.rebalancer.under_way() == 0) return false;
+      if (!w.wanted || w.rebalancer.in_progress() == 0) return false;
       w.wanted = false;
     } else if (event == 4) {
       if (w.exited || w.there[1] == 0) return false;
@@ -434,8 +440,9 @@
       if (!RunsSurely(w, l)) continue;
       for (int to = 0; to < kMachines; ++to) {
         if (w.belief[l] == (1 << to) || to == w.dead || !Good(w, to) ||
-            !w.rebalancer.MayBegin(Service(l), kReplicas, "t", Host(to), "a",
-                                   true, w.now)) {
+            !w.rebalancer.MayBegin(
+                {Service(l), kReplicas, "t", Host(to), "a", kFetchSeconds},
+                w.now)) {
           continue;
         }
         options.emplace_back(l, to);
@@ -449,7 +456,8 @@
     claim.task = static_cast<uint32_t>(leg % kReplicas);
     claim.from = Host(std::countr_zero(w.belief[leg]));
     claim.to = Host(to);
-    const auto begun = w.rebalancer.Begin(claim, "a", "t", 0, 0, w.now);
+    const auto begun = w.rebalancer.Begin(
+        claim, {claim.job, kReplicas, "t", claim.to, "a", 0}, 0, w.now);
     if (begun) w.writes.push_back(*begun);
   }
 
--- a/tests/rebalancing_simulation_test.cc
+++ b/tests/rebalancing_simulation_test.cc
@@ -107,7 +107,7 @@
     settled_ += rebalancer->settled() - last_settled_;
     last_settled_ = rebalancer->settled();
     for (const auto& [id, move] : rebalancer->moves()) {
-      stopped_ += move.stopped == sim_.now();
+      stopped_ += move.stop_sent_at == sim_.now();
     }
   }
 
