--- a/app/calendar_cli.cc
+++ b/app/calendar_cli.cc
@@ -58,7 +58,7 @@
 std::string WorkOutWhatFits(double wall, double notice_seconds,
                             const std::vector<UtcInterval>& held,
                             MaintenanceWindow* booking) {
-  for (size_t most = kMostTimes; most > 0; most /= 2) {
+  for (size_t most = kMaxWindowTimes; most > 0; most /= 2) {
     const std::string wrong = WorkOut({wall, kHorizon, most}, booking);
     if (!wrong.empty()) return wrong;
     if (!booking->rule.empty()) {
@@ -133,7 +133,7 @@
         std::find_if(b.times.begin(), b.times.end(),
                      [&](const UtcInterval& t) { return t.to > wall; });
     std::printf("%s: %s, version %llu, %s%s%s\n", b.id.c_str(),
-                b.kind == BookingKind::kPeak ? "peak" : "window",
+                b.kind == WindowKind::kPeak ? "peak" : "window",
                 static_cast<unsigned long long>(records[i].second.version),
                 next == b.times.end() ? "no time is left"
                 : next->from <= wall  ? "open now, until "
@@ -242,15 +242,15 @@
   Settings settings;
   wrong = LoadSettings(command.config, &settings);
   if (!wrong.empty()) return BadUse(wrong);
-  BookingContext context;
+  WindowValidationContext context;
   context.settings = &settings;
   context.wall = wall;
   RecordClient::Named records;
   if (!Bookings(client, &context.others, &records)) return kRecordRefused;
   std::erase_if(context.others,
                 [&](const MaintenanceWindow& b) { return b.id == booking.id; });
-  wrong = WhyNoBooking(booking, context);
-  if (!wrong.empty()) return BadUse(wrong);
+  const std::optional<WindowError> error = FindWindowError(booking, context);
+  if (error) return BadUse(Render(*error));
   std::printf("good\n");
   return kRecordOk;
 }
@@ -260,25 +260,25 @@
   RecordClient::Named records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
   MaintenanceCalendar calendar(1, 0);
-  calendar.Confirmed(0, 0);
-  calendar.ReadWall({net::WallNow(), 0, 0});
+  calendar.OnConfirmed(0, 0);
+  calendar.OnWallReading({net::WallNow(), 0, 0});
   for (const MaintenanceWindow& booking : bookings)
-    calendar.Take(booking, 1, 0);
+    calendar.AddWindow(booking, 1, 0);
   JobSpec spec;
   spec.job_class = command.job_class;
   spec.team = command.team;
   spec.need = {command.cores, command.accelerators, 0};
   const AdmissionDecision admission =
-      calendar.MayStart(spec, "", command.run_seconds, 0);
-  if (!calendar.Names(spec, "")) {
+      calendar.Admit(spec, "", command.run_seconds, 0);
+  if (!calendar.AppliesTo(spec, "")) {
     std::printf("no booking names this work\n");
   } else if (admission.may()) {
     std::printf("may start now\n");
   } else {
     std::printf(
         "waits for %s until %s\n",
-        admission.booking.empty() ? "a window" : admission.booking.c_str(),
-        admission.until > 0 ? Utc(admission.until).c_str()
+        admission.window.empty() ? "a window" : admission.window.c_str(),
+        admission.next_start > 0 ? Utc(admission.next_start).c_str()
                             : "a time that is not known");
   }
   return kRecordOk;
--- a/app/calendar_records.cc
+++ b/app/calendar_records.cc
@@ -26,7 +26,7 @@
   std::string wrong =
       wire::ReadMaintenanceWindow(IdOf(name), text, true, &booking);
   if (!wrong.empty()) return wrong;
-  BookingContext context;
+  WindowValidationContext context;
   context.settings = &settings;
   context.wall = net::WallNow();
   for (const auto& [host, machine] : catalog.machines()) {
@@ -46,7 +46,8 @@
       context.others.push_back(std::move(known));
     }
   }
-  return WhyNoBooking(booking, context);
+  const std::optional<WindowError> error = FindWindowError(booking, context);
+  return error ? Render(*error) : std::string();
 }
 
 void PublishMaintenanceWindow(const Catalog& catalog, const std::string& name,
@@ -57,14 +58,14 @@
   if (it == catalog.operators().end()) return;
   const OperatorRecord& record = it->second;
   if (record.withdrawn) {
-    controller.OnBookingWithdrawn(IdOf(name), record.version, now);
+    controller.OnMaintenanceWindowWithdrawn(IdOf(name), record.version, now);
     return;
   }
   MaintenanceWindow booking;
   const std::string wrong =
       wire::ReadMaintenanceWindow(IdOf(name), record.text, true, &booking);
   if (wrong.empty()) {
-    controller.OnBooking(booking, record.version, now);
+    controller.OnMaintenanceWindow(booking, record.version, now);
   } else {
     spdlog::error("booking {} can't be read: {}", name, wrong);
   }
--- a/app/recurrence.cc
+++ b/app/recurrence.cc
@@ -116,7 +116,7 @@
  private:
   // In doubt a window is the shorter of two, a peak the longer.
   UtcInterval Of(Local from) const {
-    const bool window = booking_.kind == BookingKind::kWindow;
+    const bool window = booking_.kind == WindowKind::kWindow;
     const auto length =
         std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds));
     return {ToUtc(*zone_, from,
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -96,11 +96,12 @@
   void OnClocks(const WallReading& reading, Time confirmed, Time now) {
     maintenance_.OnClocks(reading, confirmed, now);
   }
-  void OnBooking(const MaintenanceWindow& booking, uint64_t version, Time now) {
-    maintenance_.OnBooking(booking, version, now);
+  void OnMaintenanceWindow(const MaintenanceWindow& window, uint64_t version,
+                           Time now) {
+    maintenance_.OnMaintenanceWindow(window, version, now);
   }
-  void OnBookingWithdrawn(const std::string& id, uint64_t version, Time now) {
-    maintenance_.OnBookingWithdrawn(id, version, now);
+  void OnMaintenanceWindowWithdrawn(const std::string& id, uint64_t version, Time now) {
+    maintenance_.OnMaintenanceWindowWithdrawn(id, version, now);
   }
   void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
                 const CheckOutcome& outcome, Time now) {
--- a/core/maintenance/maintenance_calendar.h
+++ b/core/maintenance/maintenance_calendar.h
@@ -1,163 +1,161 @@
-// Whether work may start now, by what operators have booked. Knows true time
-// as an interval, and no clock.
+// The maintenance calendar: whether work may start now, by the maintenance
+// windows that operators have recorded. Has no clock: it is given readings of
+// the wall clock, and treats true time as an interval. Owns the windows that
+// are in force.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "core/maintenance/maintenance_window.h"
+#include "core/maintenance/start_plan.h"
 #include "core/maintenance/true_time.h"
 #include "core/model/settings.h"
 
 namespace oxbow {
 
-// How far what is known of the bookings can be relied on.
+// How far the windows as read from the store can be relied on.
 enum class CalendarFreshness : uint8_t {
-  kNone,     // no booking is known: nothing is restricted
-  kCurrent,  // as the key-value store had it lately
-  kStale,    // not confirmed for a while; the last known hold
-  kTooOld,   // another may have been made meanwhile: work that any booking
-             // names does not start
+  kNone,     // no window is in force: nothing is restricted
+  kCurrent,  // as the key-value store had them lately
+  kStale,    // not confirmed for a while; the last ones read apply
+  kTooOld,   // another window may have been recorded meanwhile: work that any
+             // window applies to does not start
 };
-inline constexpr size_t kCalendarStandings = 4;
 
+// What may change the freshness.
 enum class CalendarEvent : uint8_t {
-  kBooked,     // there is a booking
-  kCancelled,  // there is none any more
-  kConfirmed,  // what the key-value store holds has been read
-  kAged,       // time has gone by since
+  kWindowAdded,   // a window is in force
+  kNoWindowLeft,  // none is in force any more
+  kConfirmed,     // what the key-value store holds has been read
+  kTimePassed,
 };
 
-// In worker leases. A booking binds nobody sooner than the notice after it was
-// recorded, so a leader that does not know of it has stopped starting by then.
-// A new leader waits for its first confirmation like any other.
+// In worker leases. A window has no effect sooner than the notice after it was
+// recorded, so a leader that does not know of it has stopped starting work by
+// then. A new leader waits for its first confirmation like any other.
 inline constexpr double kStaleLeases = 3;
 inline constexpr double kTooOldLeases = 6;
 inline constexpr double kNoticeLeases = 8;
-// A worker drops the answer to a heartbeat that is older, s (protocol): a start
-// in such an answer is carried out no later than this after the heartbeat was
-// sent.
-inline constexpr double kAnswerLifetimeSeconds = 4;
+// A worker drops the response to a heartbeat that is older, s (protocol): a
+// start in such a response is carried out no later than this after the
+// heartbeat was sent.
+inline constexpr double kResponseLifetimeSeconds = 4;
 
-inline constexpr size_t kMostBookings = 64;
-inline constexpr size_t kMostTimes = 300;  // of one booking
+inline constexpr size_t kMaxMaintenanceWindows = 64;
+inline constexpr size_t kMaxWindowTimes = 300;  // of one window
 
-enum class HeldBy : uint8_t {
-  kFree,
+// Why work may not start.
+enum class AdmissionBlocker : uint8_t {
+  kNone,  // it may
   kInPeak,
-  kNoWindow,      // none is surely open
-  kWontFit,       // it is not expected to end in time
-  kNoRoom,        // the window's room is in use
-  kHorizon,       // past what is known of the booking's times
-  kTooOld,        // the calendar can't be relied on any more
-  kClockUnknown,  // the time of day has not been read
+  kNoOpenWindow,      // none is surely open
+  kDoesNotFit,        // it is not expected to end in time
+  kWindowFull,        // the window's share of the fleet is in use
+  kBeyondKnownTimes,  // later than the last known time of the window
+  kCalendarTooOld,    // the calendar can't be relied on any more
+  kClockUnknown,      // the time of day has not been read
 };
 
+// Whether work may start, and if not, why and until when.
 struct AdmissionDecision {
-  HeldBy hold = HeldBy::kFree;
-  std::string booking;  // that holds it back, or whose window it starts in
-  double until = 0;     // true time of the next chance, s; 0: none is known
-  double room_share = 1;
-  bool may() const { return hold == HeldBy::kFree; }
+  AdmissionBlocker blocker = AdmissionBlocker::kNone;
+  // Id of the window that blocks the start, or in which it starts.
+  std::string window;
+  double next_start = 0;  // s since 1970; 0: none is known
+  double capacity_share = 1;
+  bool may() const { return blocker == AdmissionBlocker::kNone; }
 };
 
-// What is to become of work that is there.
+// What is to become of work past the end of the period in which it may start.
 enum class OverrunStep : uint8_t {
-  kNone,        // let it be
-  kTakeBack,    // what does not run yet, goes: nothing is lost by it
+  kNone,
+  kWithdraw,    // what does not run yet is withdrawn: nothing is lost by it
   kSaveAndStop  // that, and what runs is saved and stopped
 };
 
+// A window and the share of the fleet that it allows.
+struct WindowShare {
+  std::string id;
+  double capacity_share = 1;
+};
+
+// The windows in force and what follows from them. Also used by the
+// command-line client, to show what the recorded windows would decide.
 class MaintenanceCalendar {
  public:
-  // `lease_s`: of the workers. `bound_s`: how far the wall clock may be off.
-  MaintenanceCalendar(double lease_seconds, double bound_seconds)
-      : lease_seconds_(lease_seconds), bound_seconds_(bound_seconds) {}
+  // `lease_seconds`: of the workers. `clock_bound_seconds`: how far the wall
+  // clock may be off.
+  MaintenanceCalendar(double lease_seconds, double clock_bound_seconds)
+      : lease_seconds_(lease_seconds),
+        clock_bound_seconds_(clock_bound_seconds) {}
 
   // --- events
-  // A booking as recorded; an older version than the known one is no news.
-  // Nothing else removes one: a record that is missing proves nothing.
-  void Take(const MaintenanceWindow& booking, uint64_t version, Time now);
-  void Withdraw(const std::string& id, uint64_t version, Time now);
-  // All that the key-value store held at this moment has been read.
-  void Confirmed(Time at, Time now) {
-    confirmed_ = std::max(confirmed_, at);
-    Change(CalendarEvent::kConfirmed, now);
-  }
-  void Age(Time now) { Change(CalendarEvent::kAged, now); }
-  void ReadWall(const WallReading& reading) { reading_ = reading; }
+  // A window as recorded; one of an older version than the known one is
+  // ignored. A record that is missing proves nothing: only WithdrawWindow
+  // removes a window.
+  void AddWindow(const MaintenanceWindow& window, uint64_t version, Time now);
+  void WithdrawWindow(const std::string& id, uint64_t version, Time now);
+  // All that the key-value store held at the time `at` has been read.
+  void OnConfirmed(Time at, Time now);
+  // To be called now and then, so that FreshnessAt follows time.
+  void Tick(Time now) { Change(CalendarEvent::kTimePassed, now); }
+  void OnWallReading(const WallReading& reading) { reading_ = reading; }
 
   // --- questions
-  CalendarFreshness standing(Time now) const {
-    return standing_ == CalendarFreshness::kNone ? standing_ : ByAge(now);
+  CalendarFreshness FreshnessAt(Time now) const;
+  bool empty() const { return windows_.empty(); }
+  size_t size() const { return windows_.size(); }
+  TrueTime TrueTimeAt(Time now) const {
+    return reading_.At(now, clock_bound_seconds_);
   }
-  bool empty() const { return bookings_.empty(); }
-  size_t size() const { return bookings_.size(); }
-  TrueTime At(Time now) const { return reading_.At(now, bound_seconds_); }
-  // Whether any booking names the work.
-  bool Names(const JobSpec& spec, const std::string& tier) const {
-    return MaskOf(spec, tier) != 0;
+  // Whether any window applies to the work.
+  bool AppliesTo(const JobSpec& spec, const std::string& tier) const {
+    return WindowsOf(spec, tier) != 0;
   }
-  // `run_s`: how long one task is expected to take from its start, fetch
-  // included, estimates being wrong by half.
-  AdmissionDecision MayStart(const JobSpec& spec, const std::string& tier,
-                             double run_seconds, Time now) const;
-  // What is to become of its tasks that are there, so long before the end of
-  // their chance, s.
-  OverrunStep Caught(const JobSpec& spec, const std::string& tier,
-                     double lead_seconds, Time now) const;
-  bool InWindow(const std::string& booking, const JobSpec& spec,
-                const std::string& tier) const;
-  std::vector<std::string> AllWindows() const;
-  // Windows that name the work, with the share of the fleet that each allows.
-  std::vector<std::pair<std::string, double>> Windows(
-      const JobSpec& spec, const std::string& tier) const;
+  // Whether one task may start now. `run_seconds`: how long it is expected to
+  // take, fetch included; estimates are often wrong by half.
+  AdmissionDecision Admit(const JobSpec& spec, const std::string& tier,
+                          double run_seconds, Time now) const;
+  // What is to become of its tasks that are placed, `lead_seconds` before the
+  // end of the period in which they could start.
+  OverrunStep OverrunStepFor(const JobSpec& spec, const std::string& tier,
+                             double lead_seconds, Time now) const;
+  // Whether that window applies to the work.
+  bool Covers(const std::string& window, const JobSpec& spec,
+              const std::string& tier) const;
+  // Without the peaks.
+  std::vector<std::string> WindowIds() const;
+  // Windows, not peaks, that apply to the work.
+  std::vector<WindowShare> SharesFor(const JobSpec& spec,
+                                     const std::string& tier) const;
 
  private:
-  using Mask = uint64_t;
-  struct Known {
-    MaintenanceWindow booking;
+  // A set of windows: a bit for each, in the order of their ids.
+  using WindowSet = uint64_t;
+  struct RecordedWindow {
+    MaintenanceWindow window;
     uint64_t version = 0;
   };
-  // A stretch in which work of one mask may start.
-  struct Chance {
-    double from;
-    double to;
-    // Whose window opened it, and who ends it; null: nobody, the horizon.
-    const MaintenanceWindow* opens = nullptr;
-    const MaintenanceWindow* closes = nullptr;
-  };
-  struct Plan {
-    std::vector<Chance> chances;  // ascending
-    double longest = 0;
-    const MaintenanceWindow* horizon =
-        nullptr;  // beyond whose known times it ends
-  };
 
-  // The one function for a change of the standing.
+  // The one function for changes of the freshness.
   void Change(CalendarEvent event, Time now);
-  CalendarFreshness ByAge(Time now) const;
-  Mask MaskOf(const JobSpec& spec, const std::string& tier) const;
-  const Plan& PlanOf(Mask mask) const;
-  Plan Build(Mask mask) const;
-  static bool Saves(const JobSpec& spec) { return spec.checkpoint_seconds > 0; }
-  // What must be left of a chance for the work to start in it, s.
-  static double Needs(const JobSpec& spec, double run_seconds,
-                      const Chance& chance);
-  static double NextChance(const Plan& plan, const JobSpec& spec,
-                           double run_seconds, double after);
+  CalendarFreshness FreshnessByAge(Time now) const;
+  // Those that apply to the work.
+  WindowSet WindowsOf(const JobSpec& spec, const std::string& tier) const;
+  const StartPlan& PlanOf(WindowSet windows) const;
 
   double lease_seconds_;
-  double bound_seconds_;
+  double clock_bound_seconds_;
   WallReading reading_;
-  std::map<std::string, Known> bookings_;
-  std::map<std::string, uint64_t> withdrawn_;  // versions, bounded
-  CalendarFreshness standing_ = CalendarFreshness::kNone;
-  Time confirmed_ = -1e9;
-  mutable std::map<Mask, Plan> plans_;  // worked out, until a booking changes
+  std::map<std::string, RecordedWindow> windows_;  // by id
+  std::map<std::string, uint64_t> withdrawn_;      // versions by id, bounded
+  CalendarFreshness freshness_ = CalendarFreshness::kNone;
+  Time confirmed_at_ = -1e9;  // never
+  // Cache, valid until a window changes.
+  mutable std::map<WindowSet, StartPlan> plans_;
 };
 
 }  // namespace oxbow
--- a/core/maintenance/maintenance_manager.cc
+++ b/core/maintenance/maintenance_manager.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <string_view>
 #include <utility>
 
 #include "core/command_dispatch/command_dispatcher.h"
@@ -10,126 +11,161 @@
 namespace oxbow {
 namespace {
 
-std::string WordOf(HeldBy hold) {
-  switch (hold) {
-    case HeldBy::kFree:
-      return "may start";
-    case HeldBy::kInPeak:
-      return "a peak";
-    case HeldBy::kNoWindow:
+// Shares of the fleet are compared up to rounding.
+constexpr double kEpsilon = 1e-6;
+constexpr double kMinFetchGbPerSecond = 1e-3;
+
+std::string_view NameOf(AdmissionBlocker blocker) {
+  switch (blocker) {
+    case AdmissionBlocker::kNone:
+      return "none";
+    case AdmissionBlocker::kInPeak:
+      return "in a peak";
+    case AdmissionBlocker::kNoOpenWindow:
       return "no window is open";
-    case HeldBy::kWontFit:
-      return "it would not end in time";
-    case HeldBy::kNoRoom:
-      return "the window's room is in use";
-    case HeldBy::kHorizon:
-      return "the booking's times are not known so far ahead";
-    case HeldBy::kTooOld:
-      return "the calendar has not been read for too long";
-    case HeldBy::kClockUnknown:
-      return "the time of day is not known";
+    case AdmissionBlocker::kDoesNotFit:
+      return "would not end in time";
+    case AdmissionBlocker::kWindowFull:
+      return "capacity of the window is in use";
+    case AdmissionBlocker::kBeyondKnownTimes:
+      return "times of the window are not known so far ahead";
+    case AdmissionBlocker::kCalendarTooOld:
+      return "calendar has not been read for too long";
+    case AdmissionBlocker::kClockUnknown:
+      return "time of day is not known";
   }
   return {};
 }
 
-}  // namespace
+std::string_view NameOf(CalendarFreshness freshness) {
+  switch (freshness) {
+    case CalendarFreshness::kNone:
+      return "no window in force";
+    case CalendarFreshness::kCurrent:
+      return "current";
+    case CalendarFreshness::kStale:
+      return "stale, the windows read last apply";
+    case CalendarFreshness::kTooOld:
+      return "too old, no work that a window applies to starts";
+  }
+  return {};
+}
 
+bool Runs(const TaskAttempt& attempt) {
+  return attempt.phase == TaskPhase::kRunning ||
+         attempt.phase == TaskPhase::kSaving;
+}
 
-MaintenanceManager::MaintenanceManager(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), cluster_(context.cluster), tiers_(context.tiers), run_times_(context.run_times), dispatcher_(modules.dispatcher), rollout_manager_(modules.rollout_manager), calendar_(context.settings.workers.lease_seconds, context.settings.clock_off_ms / 1000) {}
+}  // namespace
 
-void MaintenanceManager::OnClocks(const WallReading& reading, Time confirmed, Time now) {
-  calendar_.ReadWall(reading);
-  calendar_.Confirmed(confirmed, now);
+MaintenanceManager::MaintenanceManager(LeaderContext& context,
+                                       const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      cluster_(context.cluster),
+      tiers_(context.tiers),
+      run_times_(context.run_times),
+      dispatcher_(modules.dispatcher),
+      rollout_manager_(modules.rollout_manager),
+      calendar_(context.settings.workers.lease_seconds,
+                context.settings.clock_off_ms / 1000) {}
+
+void MaintenanceManager::OnClocks(const WallReading& reading, Time confirmed,
+                                  Time now) {
+  calendar_.OnWallReading(reading);
+  calendar_.OnConfirmed(confirmed, now);
 }
 
-void MaintenanceManager::OnBooking(const MaintenanceWindow& booking, uint64_t version,
-                       Time now) {
-  calendar_.Take(booking, version, now);
+void MaintenanceManager::OnMaintenanceWindow(const MaintenanceWindow& window,
+                                             uint64_t version, Time now) {
+  calendar_.AddWindow(window, version, now);
   cluster_.MarkChanged();
 }
 
-void MaintenanceManager::OnBookingWithdrawn(const std::string& id, uint64_t version,
-                                Time now) {
-  calendar_.Withdraw(id, version, now);
+void MaintenanceManager::OnMaintenanceWindowWithdrawn(const std::string& id,
+                                                      uint64_t version,
+                                                      Time now) {
+  calendar_.WithdrawWindow(id, version, now);
   cluster_.MarkChanged();
 }
 
-// Empty where no tiers are in force.
 std::string MaintenanceManager::TierOf(const Job& job) const {
   if (!tiers_.active() || job.tier >= tiers_.set().size()) return {};
   return tiers_.set().at(job.tier).name;
 }
 
-AdmissionDecision MaintenanceManager::AdmissionOf(const Job& job, Time now) const {
+AdmissionDecision MaintenanceManager::AdmissionOf(const Job& job,
+                                                  Time now) const {
   const JobSpec& spec = job.spec();
-  // What is fetched first comes on top of the run.
-  const double fetch =
-      cluster_.types().empty()
-          ? 0
-          : spec.image_gb /
-                std::max(1e-3,
-                         cluster_.types().begin()->second.fetch_gb_per_second);
-  return calendar_.MayStart(spec, TierOf(job), run_times_.RunSeconds(spec) + fetch, now);
+  // The fetch comes on top of the run.
+  double fetch_seconds = 0;
+  if (!cluster_.types().empty()) {
+    const MachineType& type = cluster_.types().begin()->second;
+    fetch_seconds = spec.image_gb /
+                    std::max(kMinFetchGbPerSecond, type.fetch_gb_per_second);
+  }
+  return calendar_.Admit(spec, TierOf(job),
+                         run_times_.RunSeconds(spec) + fetch_seconds, now);
 }
 
 std::optional<AdmissionDecision> MaintenanceManager::CalendarAdmission(
     const std::string& id, Time now) const {
-  const auto it = cluster_.jobs().find(id);
-  if (it == cluster_.jobs().end()) return std::nullopt;
-  if (calendar_.empty() || !it->second->live()) return AdmissionDecision{};
-  AdmissionDecision verdict = AdmissionOf(*it->second, now);
-  if (verdict.may() && it->second->placed() == 0 &&
-      !WindowAllows(*it->second, 1)) {
-    verdict.hold = HeldBy::kNoRoom;
+  const Job* job = cluster_.FindJob(id);
+  if (job == nullptr) return std::nullopt;
+  if (calendar_.empty() || !job->live()) return AdmissionDecision{};
+  AdmissionDecision decision = AdmissionOf(*job, now);
+  if (decision.may() && job->placed() == 0 && !WindowAllows(*job, 1)) {
+    decision.blocker = AdmissionBlocker::kWindowFull;
   }
-  return verdict;
+  return decision;
 }
 
 void MaintenanceManager::CountWindows() {
-  in_window_.clear();
+  window_use_.clear();
   fleet_ = {};
   if (calendar_.empty()) return;
   for (const auto& machine : cluster_.machines()) {
     if (machine->state() == MachineState::kUp) fleet_ += machine->total();
   }
-  for (const std::string& id : calendar_.AllWindows()) in_window_[id];
-  if (in_window_.empty()) return;
+  for (const std::string& id : calendar_.WindowIds()) window_use_[id];
+  if (window_use_.empty()) return;
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->holding() == 0) continue;
     const JobSpec& spec = job->spec();
-    for (const auto& [booking, share] : calendar_.Windows(spec, TierOf(*job))) {
-      in_window_[booking] += spec.need * job->holding();
+    for (const WindowShare& window : calendar_.SharesFor(spec, TierOf(*job))) {
+      window_use_[window.id] += spec.need * job->holding();
     }
   }
 }
 
-// What is too large for the room goes when nothing else of the window is
-// there: refused it would wait for ever.
 bool MaintenanceManager::WindowAllows(const Job& job, double tasks) const {
-  if (in_window_.empty()) return true;
+  if (window_use_.empty()) return true;
   const JobSpec& spec = job.spec();
-  for (const auto& [booking, share] : calendar_.Windows(spec, TierOf(job))) {
-    const auto it = in_window_.find(booking);
-    if (it == in_window_.end()) continue;
+  for (const WindowShare& window : calendar_.SharesFor(spec, TierOf(job))) {
+    const auto it = window_use_.find(window.id);
+    if (it == window_use_.end()) continue;
     const Resources& used = it->second;
+    // Work that is too large for the share may run alone: refused it would wait
+    // for ever.
     if (used.cpus <= 0 && used.gpus <= 0) continue;
     const Resources wanted = used + spec.need * tasks;
-    const Resources room = fleet_ * share;
-    if (wanted.cpus > room.cpus + 1e-6 ||
-        (spec.need.gpus > 0 && wanted.gpus > room.gpus + 1e-6)) {
+    const Resources allowed = fleet_ * window.capacity_share;
+    if (wanted.cpus > allowed.cpus + kEpsilon ||
+        (spec.need.gpus > 0 && wanted.gpus > allowed.gpus + kEpsilon)) {
       return false;
     }
   }
   return true;
 }
 
-// A command sent to a worker's address may be carried out minutes later. The
-// worker drops the answer to a heartbeat after 4 s, whatever held it up.
-bool MaintenanceManager::SentInHeartbeatResponse(const WorkerCommand& command) const {
+// A command sent to a worker's address may be carried out minutes later. A
+// response to a heartbeat is dropped by the worker after a few seconds,
+// whatever delayed it.
+bool MaintenanceManager::SentInHeartbeatResponse(
+    const WorkerCommand& command) const {
   if (command.kind != CommandKind::kStart || calendar_.empty()) return false;
-  const auto it = cluster_.jobs().find(command.job_id);
-  return it != cluster_.jobs().end() &&
-         calendar_.Names(it->second->spec(), TierOf(*it->second));
+  const Job* job = cluster_.FindJob(command.job_id);
+  return job != nullptr && calendar_.AppliesTo(job->spec(), TierOf(*job));
 }
 
 bool MaintenanceManager::HasCalendarStart(const Machine& machine) const {
@@ -152,94 +188,111 @@
   for (const TaskAttemptKey& key : late) cluster_.RemoveAttempt(machine, key);
 }
 
-// What does not run yet loses nothing when it goes; what runs is stopped only
-// if its booking says so and it can save, as if its machine were drained. A
-// gang is stopped whole.
-void MaintenanceManager::WithdrawQueuedStarts(Job& job, Time now) {
+void MaintenanceManager::ApplyOverrun(Job& job, Time now) {
   const JobSpec& spec = job.spec();
   const double heartbeat = settings_.workers.heartbeat_interval_seconds;
   const std::string tier = TierOf(job);
-  const double grace = spec.save_seconds + heartbeat;
-  const bool save =
-      calendar_.Caught(spec, tier, grace, now) == OverrunStep::kSaveAndStop;
-  const bool back =
-      calendar_.Caught(spec, tier, 2 * heartbeat, now) != OverrunStep::kNone;
-  if (!save && !back) return;
-  const auto task_attempts = cluster_.AttemptsOf(job);
-  const auto runs = [](const TaskAttempt& attempt) {
-    return attempt.phase == TaskPhase::kRunning ||
-           attempt.phase == TaskPhase::kSaving;
-  };
+  Overruns overruns;
+  overruns.grace_seconds = spec.save_seconds + heartbeat;
+  overruns.stop_running =
+      calendar_.OverrunStepFor(spec, tier, overruns.grace_seconds, now) ==
+      OverrunStep::kSaveAndStop;
+  overruns.withdraw_starting =
+      calendar_.OverrunStepFor(spec, tier, 2 * heartbeat, now) !=
+      OverrunStep::kNone;
+  if (!overruns.stop_running && !overruns.withdraw_starting) return;
+  if (spec.kind == JobKind::kGang) {
+    StopGang(job, overruns, now);
+  } else {
+    StopTasks(job, overruns, now);
+  }
+}
+
+// A gang is stopped whole.
+void MaintenanceManager::StopGang(Job& job, const Overruns& overruns,
+                                  Time now) {
   bool any_runs = false;
-  for (const auto& [machine, key] : task_attempts) {
-    any_runs |= runs(machine->task_attempts.at(key));
+  for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
+    any_runs |= Runs(machine->task_attempts.at(key));
   }
-  if (spec.kind == JobKind::kGang) {
-    if (any_runs ? save : back) dispatcher_.StopTasks(job, any_runs ? grace : 0, now);
-    return;
+  if (any_runs && overruns.stop_running) {
+    dispatcher_.StopTasks(job, overruns.grace_seconds, now);
   }
-  for (const auto& [machine, key] : task_attempts) {
+  if (!any_runs && overruns.withdraw_starting) {
+    dispatcher_.StopTasks(job, 0, now);
+  }
+}
+
+void MaintenanceManager::StopTasks(const Job& job, const Overruns& overruns,
+                                   Time now) {
+  for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const auto it = machine->task_attempts.find(key);
     if (it == machine->task_attempts.end() || it->second.stopping ||
         !rollout_manager_.DisruptionAllowed(key, job, now)) {
       continue;
     }
-    const bool running = runs(it->second);
-    if (running ? save : back) {
-      dispatcher_.QueueStop(*machine, it->second, running ? grace : 0, now);
+    TaskAttempt& attempt = it->second;
+    const bool running = Runs(attempt);
+    if (running && overruns.stop_running) {
+      dispatcher_.QueueStop(*machine, attempt, overruns.grace_seconds, now);
+    }
+    if (!running && overruns.withdraw_starting) {
+      dispatcher_.QueueStop(*machine, attempt, 0, now);
     }
   }
 }
 
 void MaintenanceManager::LogAdmissionChange(const Job& job,
-                                const AdmissionDecision& verdict, Time now) {
-  HeldBy& told = held_[job.id()];
-  if (told == verdict.hold) return;
-  told = verdict.hold;
-  if (verdict.may()) return;
-  std::string text =
-      "calendar: " + job.id() + " waits, " + WordOf(verdict.hold);
-  if (!verdict.booking.empty()) text += ", " + verdict.booking;
-  if (verdict.until > 0) {
-    const double in = verdict.until - calendar_.At(now).earliest;
-    text += ", next chance in " + std::to_string(std::llround(in)) + " s";
-    const auto& due = job.spec().deadline_seconds;
-    if (due && now + in > job.submitted() + *due) {
-      text += ", after its deadline";
+                                            const AdmissionDecision& decision,
+                                            Time now) {
+  AdmissionBlocker& logged = logged_blockers_[job.id()];
+  if (logged == decision.blocker) return;
+  logged = decision.blocker;
+  if (decision.may()) return;
+  LogFields fields = {{"job", job.id()}, {"reason", NameOf(decision.blocker)}};
+  if (!decision.window.empty()) fields.emplace_back("window", decision.window);
+  if (decision.next_start > 0) {
+    const double wait_seconds =
+        decision.next_start - calendar_.TrueTimeAt(now).earliest;
+    fields.emplace_back("next_start_in_s", std::llround(wait_seconds));
+    const auto& deadline = job.spec().deadline_seconds;
+    if (deadline && now + wait_seconds > job.submitted() + *deadline) {
+      fields.emplace_back("misses_deadline", true);
     }
-  } else {
-    text += ", no chance is known";
   }
-  context_.Log(std::move(text));
+  context_.Log("job waits for a maintenance window", std::move(fields));
+}
+
+void MaintenanceManager::LogFreshnessChange(Time now) {
+  const CalendarFreshness freshness = calendar_.FreshnessAt(now);
+  if (freshness == std::exchange(logged_freshness_, freshness)) return;
+  context_.Log(
+      "maintenance calendar changed freshness",
+      {{"windows", calendar_.size()}, {"freshness", NameOf(freshness)}});
 }
 
 void MaintenanceManager::TickCalendar(Time now) {
-  calendar_.Age(now);
-  const CalendarFreshness standing = calendar_.standing(now);
-  if (standing != std::exchange(logged_freshness_, standing)) {
-    context_.Log("calendar: " + std::to_string(calendar_.size()) + " bookings, " +
-        (standing == CalendarFreshness::kNone      ? "none in force"
-         : standing == CalendarFreshness::kCurrent ? "current"
-         : standing == CalendarFreshness::kStale
-             ? "not read lately, the last known hold"
-             : "too old, no work that they name starts"));
-  }
-  std::erase_if(held_, [&](const auto& held) {
-    const auto it = cluster_.jobs().find(held.first);
-    return it == cluster_.jobs().end() || !it->second->live();
+  calendar_.Tick(now);
+  LogFreshnessChange(now);
+  std::erase_if(logged_blockers_, [&](const auto& entry) {
+    const Job* job = cluster_.FindJob(entry.first);
+    return job == nullptr || !job->live();
   });
   if (calendar_.empty()) return;
-  for (auto& [id, job] : cluster_.jobs()) {
-    if (!job->live() || !calendar_.Names(job->spec(), TierOf(*job))) continue;
-    if (job->unplaced() > 0)
+  for (const auto& [id, job] : cluster_.jobs()) {
+    if (!job->live() || !calendar_.AppliesTo(job->spec(), TierOf(*job))) {
+      continue;
+    }
+    if (job->unplaced() > 0) {
       LogAdmissionChange(*job, AdmissionOf(*job, now), now);
-    if (job->holding() > 0) WithdrawQueuedStarts(*job, now);
+    }
+    if (job->holding() > 0) ApplyOverrun(*job, now);
   }
 }
 
 void MaintenanceManager::NoteStart(const Job& job) {
-  for (auto& [id, used] : in_window_) {
-    if (calendar_.InWindow(id, job.spec(), TierOf(job))) used += job.spec().need;
+  for (auto& [id, used] : window_use_) {
+    if (calendar_.Covers(id, job.spec(), TierOf(job))) used += job.spec().need;
   }
 }
 
--- a/core/maintenance/maintenance_manager.h
+++ b/core/maintenance/maintenance_manager.h
@@ -1,16 +1,12 @@
-// The maintenance calendar applied to the cluster: which jobs may start now,
-// and what is withdrawn or stopped when a window closes. Owns the calendar.
+// Applies the maintenance calendar to the cluster: which jobs may start now,
+// how much of the fleet each window's work uses, and what is withdrawn or
+// stopped when a window closes. Owns the calendar.
 #pragma once
 
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
-#include <set>
 #include <string>
-#include <unordered_map>
-#include <utility>
-#include <vector>
 
 #include "core/leader_context/leader_context.h"
 #include "core/maintenance/maintenance_calendar.h"
@@ -20,6 +16,7 @@
 class CommandDispatcher;
 class RolloutManager;
 
+// One per leadership. The scheduler asks it before it starts a task.
 class MaintenanceManager {
  public:
   // The modules that it calls.
@@ -29,39 +26,60 @@
   };
   MaintenanceManager(LeaderContext& context, const Modules& modules);
 
+  // The name of the job's tier; empty where no tiers are in force.
   std::string TierOf(const Job& job) const;
+  // By the times of the windows alone; see WindowAllows for their capacity.
   AdmissionDecision AdmissionOf(const Job& job, Time now) const;
-  // Whether no window holds the job back at this moment.
+  // Whether no window blocks the job at this moment.
   bool MayStartNow(const Job& job, Time now) const {
     return calendar_.empty() || AdmissionOf(job, now).may();
   }
-  // A task of the job has been started in this pass.
+  // A task of the job has been started in this scheduling pass.
   void NoteStart(const Job& job);
   const MaintenanceCalendar& calendar() const { return calendar_; }
-  // What the windows hold at the beginning of a pass.
+  // Counts what the work of each window uses; at the beginning of a pass.
   void CountWindows();
-  // Room in every window that names the job, for so many of its tasks.
+  // Whether every window that applies to the job has capacity for so many of
+  // its tasks.
   bool WindowAllows(const Job& job, double tasks) const;
-  // A start that goes in the answer to a heartbeat only: those are never late.
-  bool SentInHeartbeatResponse(const WorkerCommand& order) const;
+  // Whether the command is a start that a window applies to. Such starts go in
+  // the response to a heartbeat only: these are never carried out late.
+  bool SentInHeartbeatResponse(const WorkerCommand& command) const;
   bool HasCalendarStart(const Machine& machine) const;
-  // Starts decided before, which may not be any more; they were never sent.
+  // Removes queued starts that are not allowed any more; they were never sent.
   void DropLateStarts(Machine& machine, Time now);
   void TickCalendar(Time now);
-  // A look at the clocks, before every other event and later than the message
-  // it brings, and when all live records had last been read.
+  // A reading of the clocks, made before every other event and later than the
+  // message that it brings; `confirmed`: when all live records had last been
+  // read.
   void OnClocks(const WallReading& reading, Time confirmed, Time now);
-  void OnBooking(const MaintenanceWindow& booking, uint64_t version, Time now);
-  void OnBookingWithdrawn(const std::string& id, uint64_t version, Time now);
-  // Whether the calendar holds the job back, why and until when; nothing if the
-  // job is not known.
+  // The record of a window; see MaintenanceCalendar for versions.
+  void OnMaintenanceWindow(const MaintenanceWindow& window, uint64_t version,
+                           Time now);
+  void OnMaintenanceWindowWithdrawn(const std::string& id, uint64_t version,
+                                    Time now);
+  // Whether the calendar blocks the job, why and until when; nothing if the job
+  // is not known.
   std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
                                                      Time now) const;
 
  private:
-  void WithdrawQueuedStarts(Job& job, Time now);
-  void LogAdmissionChange(const Job& job, const AdmissionDecision& verdict,
+  // What becomes of a job's tasks when its window closes.
+  struct Overruns {
+    bool stop_running = false;       // after saving
+    bool withdraw_starting = false;  // those that do not run yet
+    double grace_seconds = 0;        // to save
+  };
+
+  // A task that does not run yet loses nothing when it is withdrawn. One that
+  // runs is stopped only if its window says so and it can save, as if its
+  // machine were drained.
+  void ApplyOverrun(Job& job, Time now);
+  void StopGang(Job& job, const Overruns& overruns, Time now);
+  void StopTasks(const Job& job, const Overruns& overruns, Time now);
+  void LogAdmissionChange(const Job& job, const AdmissionDecision& decision,
                           Time now);
+  void LogFreshnessChange(Time now);
 
   LeaderContext& context_;
   const Settings& settings_;
@@ -72,9 +90,9 @@
   RolloutManager& rollout_manager_;
   MaintenanceCalendar calendar_;
   CalendarFreshness logged_freshness_ = CalendarFreshness::kNone;
-  std::map<std::string, Resources> in_window_;  // by window, in this pass
-  Resources fleet_;                             // in this pass
-  std::map<std::string, HeldBy> held_;          // by job: as logged
+  std::map<std::string, Resources> window_use_;  // by window, in this pass
+  Resources fleet_;                              // in this pass
+  std::map<std::string, AdmissionBlocker> logged_blockers_;  // by job
 };
 
 }  // namespace oxbow
--- a/core/maintenance/true_time.h
+++ b/core/maintenance/true_time.h
@@ -1,4 +1,4 @@
-// What a process knows of the time of day.
+// The time of day as an interval that surely contains it.
 #pragma once
 
 #include <algorithm>
@@ -13,16 +13,16 @@
   double latest = 0;
 };
 
-// One look at the wall clock, between two at the steady clock: a process that
-// was stalled in between knows how little it has learnt.
+// A reading of the wall clock between two of the steady clock: if the process
+// was stalled in between, the interval is as wide as the stall.
 struct WallReading {
   double wall = 0;    // s since 1970
   Time before = 0;    // steady
-  Time after = -1e9;  // steady; never read
+  Time after = -1e9;  // steady; -1e9: never read
 
   bool known() const { return after > -1e8; }
-  // `bound_s`: how far the wall clock may be off at the moment of the look. The
-  // steady clock has drifted since then, and only that.
+  // `bound_seconds`: how far the wall clock may be off at the reading. Since
+  // then the steady clock may have drifted.
   TrueTime At(Time now, double bound_seconds) const {
     const double drift = kDrift * std::max(0.0, now - before);
     return {wall + (now - after) - bound_seconds - drift,
--- a/core/maintenance/window_validation.cc
+++ b/core/maintenance/window_validation.cc
@@ -3,204 +3,277 @@
 #include <algorithm>
 #include <cmath>
 #include <sstream>
+#include <utility>
 
 #include "core/maintenance/maintenance_calendar.h"
 
 namespace oxbow {
 namespace {
 
+using MaybeError = std::optional<WindowError>;
+
+// Shares of the fleet that add up to 1 are within it, up to rounding.
+constexpr double kShareEpsilon = 1e-9;
+// What a team without a maximum may use.
+constexpr double kNoMaximum = 1e18;
+
 template <typename... Parts>
-std::string Line(const Parts&... parts) {
-  std::ostringstream out;
-  out.precision(10);
-  (out << ... << parts);
-  return out.str();
+WindowError Error(std::string field, const Parts&... parts) {
+  std::ostringstream problem;
+  problem.precision(10);
+  (problem << ... << parts);
+  return {std::move(field), problem.str()};
+}
+
+bool Overlap(const UtcInterval& first, const UtcInterval& second) {
+  return first.from < second.to && second.from < first.to;
 }
 
-bool Overlap(const UtcInterval& a, const UtcInterval& b) {
-  return a.from < b.to && b.from < a.to;
+bool Contains(const std::vector<std::string>& names, const std::string& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-bool ListsMeet(const std::vector<std::string>& a,
-               const std::vector<std::string>& b) {
-  if (a.empty() || b.empty()) return true;
-  return std::any_of(a.begin(), a.end(), [&](const std::string& word) {
-    return std::find(b.begin(), b.end(), word) != b.end();
+// Whether some name is in both lists; an empty list means every name.
+bool ListsMeet(const std::vector<std::string>& first,
+               const std::vector<std::string>& second) {
+  if (first.empty() || second.empty()) return true;
+  return std::any_of(first.begin(), first.end(), [&](const std::string& name) {
+    return Contains(second, name);
   });
 }
 
-// Whether some work can be named by both.
-bool MayMeet(const WorkRule& a, const WorkRule& b) {
-  return ListsMeet(a.classes, b.classes) && ListsMeet(a.teams, b.teams) &&
-         ListsMeet(a.tiers, b.tiers);
+// Whether some work can match both.
+bool MayMeet(const WorkRule& first, const WorkRule& second) {
+  return ListsMeet(first.classes, second.classes) &&
+         ListsMeet(first.teams, second.teams) &&
+         ListsMeet(first.tiers, second.tiers);
+}
+
+const TeamQuota* FindTeam(const Settings& settings, const std::string& name) {
+  const auto it =
+      std::find_if(settings.teams.begin(), settings.teams.end(),
+                   [&](const TeamQuota& team) { return team.name == name; });
+  return it == settings.teams.end() ? nullptr : &*it;
 }
 
-std::string WrongWork(const WorkRule& work, const BookingContext& context) {
-  if (!work.Asks()) return "work: names nothing, so it would mean all work";
+double MaximumOr(double maximum, double otherwise) {
+  return maximum > 0 ? maximum : otherwise;
+}
+
+MaybeError FindUnknownName(const WorkRule& work,
+                           const WindowValidationContext& context) {
   const Settings& settings = *context.settings;
   for (const std::string& name : work.classes) {
     if (std::none_of(settings.objectives.begin(), settings.objectives.end(),
-                     [&](const Objective& o) { return o.job_class == name; })) {
-      return Line("work.classes: class ", name, " is not known");
+                     [&](const Objective& objective) {
+                       return objective.job_class == name;
+                     })) {
+      return Error("work.classes", "class ", name, " is not known");
     }
   }
-  double most_cores = 0;
-  double most_accelerators = 0;
   for (const std::string& name : work.teams) {
-    const auto team =
-        std::find_if(settings.teams.begin(), settings.teams.end(),
-                     [&](const TeamQuota& team) { return team.name == name; });
-    if (team == settings.teams.end()) {
-      return Line("work.teams: team ", name, " is not known");
+    if (FindTeam(settings, name) == nullptr) {
+      return Error("work.teams", "team ", name, " is not known");
     }
-    const double cores = team->cpus_max > 0 ? team->cpus_max : 1e18;
-    const double accelerators = team->gpus_max > 0 ? team->gpus_max : 1e18;
-    most_cores = std::max(most_cores, cores);
-    most_accelerators = std::max(most_accelerators, accelerators);
-  }
-  if (context.tiers) {
-    for (const std::string& name : work.tiers) {
-      if (std::find(context.tiers->begin(), context.tiers->end(), name) ==
-          context.tiers->end()) {
-        return Line("work.tiers: tier ", name, " is not known");
-      }
+  }
+  if (!context.tiers) return std::nullopt;
+  for (const std::string& name : work.tiers) {
+    if (!Contains(*context.tiers, name)) {
+      return Error("work.tiers", "tier ", name, " is not known");
     }
   }
-  if (work.teams.empty() || !work.AsksForSize()) return {};
-  const bool cores = work.cores_above >= 0 && work.cores_above < most_cores;
+  return std::nullopt;
+}
+
+// Work above the largest maximum of the named teams does not exist.
+MaybeError FindSizeError(const WorkRule& work, const Settings& settings) {
+  if (work.teams.empty() || !work.AsksForSize()) return std::nullopt;
+  double max_cores = 0;
+  double max_accelerators = 0;
+  for (const std::string& name : work.teams) {
+    const TeamQuota& team = *FindTeam(settings, name);
+    max_cores = std::max(max_cores, MaximumOr(team.cpus_max, kNoMaximum));
+    max_accelerators =
+        std::max(max_accelerators, MaximumOr(team.gpus_max, kNoMaximum));
+  }
+  const bool cores = work.cores_above >= 0 && work.cores_above < max_cores;
   const bool accelerators = work.accelerators_above >= 0 &&
-                            work.accelerators_above < most_accelerators;
-  if (!cores && !accelerators) {
-    return work.cores_above >= 0
-               ? Line("work.cores_above: ", work.cores_above,
-                      " is not below the teams' limit of ", most_cores)
-               : Line("work.accelerators_above: ", work.accelerators_above,
-                      " is not below the teams' limit of ", most_accelerators);
+                            work.accelerators_above < max_accelerators;
+  if (cores || accelerators) return std::nullopt;
+  if (work.cores_above >= 0) {
+    return Error("work.cores_above", work.cores_above,
+                 " is not below the teams' limit of ", max_cores);
   }
-  return {};
+  return Error("work.accelerators_above", work.accelerators_above,
+               " is not below the teams' limit of ", max_accelerators);
 }
 
-std::string WrongRoom(const MaintenanceWindow& booking,
-                      const BookingContext& context) {
-  if (!(booking.room_share > 0 && booking.room_share <= 1)) {
-    return Line("room: ", booking.room_share, " is not above 0 and at most 1");
+MaybeError FindWorkError(const WorkRule& work,
+                         const WindowValidationContext& context) {
+  if (!work.Asks()) {
+    return Error("work", "names nothing, so it would mean all work");
   }
-  if (booking.kind == BookingKind::kPeak) return {};
-  double limit = 0;
-  for (const std::string& name : booking.work.teams) {
-    for (const TeamQuota& team : context.settings->teams) {
-      if (team.name == name) limit += team.cpus_max > 0 ? team.cpus_max : 1e18;
+  if (MaybeError error = FindUnknownName(work, context)) return error;
+  return FindSizeError(work, *context.settings);
+}
+
+// The window's share of the fleet at a moment, with all others that are open.
+struct OpenShare {
+  double share = 0;
+  std::string last_other;  // id
+};
+
+OpenShare ShareAt(double moment, const MaintenanceWindow& window,
+                  const std::vector<MaintenanceWindow>& others) {
+  OpenShare open{window.capacity_share, {}};
+  for (const MaintenanceWindow& other : others) {
+    if (other.kind == WindowKind::kPeak) continue;
+    for (const UtcInterval& time : other.times) {
+      if (moment < time.from || moment >= time.to) continue;
+      open.share += other.capacity_share;
+      open.last_other = other.id;
     }
   }
-  const double cores = booking.room_share * context.fleet.cpus;
-  if (limit > 0 && cores > limit) {
-    return Line("room: ", booking.room_share, " of the fleet is ", cores,
-                " cores, over the teams' limit of ", limit);
-  }
-  // What overlaps shares the fleet: the most at any one moment is reached where
-  // one of them begins.
-  for (const UtcInterval& t : booking.times) {
-    std::vector<double> moments = {t.from};
-    for (const MaintenanceWindow& other : context.others) {
-      if (other.kind == BookingKind::kPeak) continue;
-      for (const UtcInterval& o : other.times) {
-        if (o.from > t.from && o.from < t.to) moments.push_back(o.from);
-      }
-    }
-    for (const double at : moments) {
-      double share = booking.room_share;
-      std::string with;
-      for (const MaintenanceWindow& other : context.others) {
-        if (other.kind == BookingKind::kPeak) continue;
-        for (const UtcInterval& o : other.times) {
-          if (at < o.from || at >= o.to) continue;
-          share += other.room_share;
-          with = other.id;
+  return open;
+}
+
+// Windows that overlap share the fleet: the most at any one moment is reached
+// where one of them begins.
+MaybeError FindOverlapError(const MaintenanceWindow& window,
+                            const std::vector<MaintenanceWindow>& others) {
+  for (const UtcInterval& time : window.times) {
+    std::vector<double> moments = {time.from};
+    for (const MaintenanceWindow& other : others) {
+      if (other.kind == WindowKind::kPeak) continue;
+      for (const UtcInterval& theirs : other.times) {
+        if (theirs.from > time.from && theirs.from < time.to) {
+          moments.push_back(theirs.from);
         }
       }
-      if (share > 1 + 1e-9) {
-        return Line("room: ", booking.room_share, " makes ", share,
-                    " of the fleet together with ", with);
+    }
+    for (const double moment : moments) {
+      const OpenShare open = ShareAt(moment, window, others);
+      if (open.share > 1 + kShareEpsilon) {
+        return Error("room", window.capacity_share, " makes ", open.share,
+                     " of the fleet together with ", open.last_other);
       }
     }
   }
-  return {};
+  return std::nullopt;
 }
 
-std::string WrongTimes(const MaintenanceWindow& booking,
-                       const BookingContext& context) {
-  if (!(booking.length_seconds > 0)) {
-    return Line("length_s: ", booking.length_seconds, " is not above 0");
+MaybeError FindCapacityError(const MaintenanceWindow& window,
+                             const WindowValidationContext& context) {
+  if (!(window.capacity_share > 0 && window.capacity_share <= 1)) {
+    return Error("room", window.capacity_share,
+                 " is not above 0 and at most 1");
   }
-  if (booking.times.empty()) return "rule: it never matches";
-  if (booking.times.size() > kMostTimes) {
-    return Line("times: ", booking.times.size(), " are more than ", kMostTimes);
-  }
-  for (size_t i = 0; i < booking.times.size(); ++i) {
-    const UtcInterval& t = booking.times[i];
-    if (!(t.from < t.to) || (i > 0 && t.from < booking.times[i - 1].to)) {
-      return Line("times: the one at ", t.from, " is empty or out of order");
+  if (window.kind == WindowKind::kPeak) return std::nullopt;
+  double limit = 0;
+  for (const std::string& name : window.work.teams) {
+    for (const TeamQuota& team : context.settings->teams) {
+      if (team.name == name) limit += MaximumOr(team.cpus_max, kNoMaximum);
     }
   }
-  if (booking.times.back().to <= context.wall) {
-    return Line("starts: ", booking.starts, " is in the past");
+  const double cores = window.capacity_share * context.fleet.cpus;
+  if (limit > 0 && cores > limit) {
+    return Error("room", window.capacity_share, " of the fleet is ", cores,
+                 " cores, over the teams' limit of ", limit);
   }
-  const double notice = context.wall + BookingNotice(*context.settings);
-  for (const UtcInterval& t : booking.times) {
-    if (t.from >= notice) break;
-    const auto same = [&](const UtcInterval& o) { return o.from == t.from; };
-    const bool held =
+  return FindOverlapError(window, context.others);
+}
+
+// Times that begin sooner than the notice must have been in force already.
+MaybeError FindNoticeError(const MaintenanceWindow& window,
+                           const WindowValidationContext& context) {
+  const double notice = MinimumNoticeSeconds(*context.settings);
+  for (const UtcInterval& time : window.times) {
+    if (time.from >= context.wall + notice) break;
+    const auto same = [&](const UtcInterval& earlier) {
+      return earlier.from == time.from;
+    };
+    const bool in_force =
         context.replaces && std::any_of(context.replaces->times.begin(),
                                         context.replaces->times.end(), same);
-    if (!held) {
-      return Line("starts: the time at ", t.from, " begins in ",
-                  std::floor(t.from - context.wall),
-                  " s; a booking needs a notice of ",
-                  BookingNotice(*context.settings), " s");
+    if (!in_force) {
+      return Error("starts", "the time at ", time.from, " begins in ",
+                   std::floor(time.from - context.wall),
+                   " s; a booking needs a notice of ", notice, " s");
     }
   }
-  return {};
+  return std::nullopt;
 }
 
-std::string InsidePeak(const MaintenanceWindow& booking,
-                       const BookingContext& context) {
-  for (const MaintenanceWindow& other : context.others) {
-    if (other.kind == booking.kind || !MayMeet(other.work, booking.work)) {
-      continue;
+MaybeError FindTimesError(const MaintenanceWindow& window,
+                          const WindowValidationContext& context) {
+  const std::vector<UtcInterval>& times = window.times;
+  if (!(window.length_seconds > 0)) {
+    return Error("length_s", window.length_seconds, " is not above 0");
+  }
+  if (times.empty()) return Error("rule", "it never matches");
+  if (times.size() > kMaxWindowTimes) {
+    return Error("times", times.size(), " are more than ", kMaxWindowTimes);
+  }
+  for (size_t i = 0; i < times.size(); ++i) {
+    if (!(times[i].from < times[i].to) ||
+        (i > 0 && times[i].from < times[i - 1].to)) {
+      return Error("times", "the one at ", times[i].from,
+                   " is empty or out of order");
     }
-    const bool window = booking.kind == BookingKind::kWindow;
-    const MaintenanceWindow& quiet = window ? booking : other;
-    const MaintenanceWindow& peak = window ? other : booking;
-    for (const UtcInterval& q : quiet.times) {
-      for (const UtcInterval& p : peak.times) {
-        if (!Overlap(q, p) || q.from < p.from || q.to > p.to) continue;
-        return window ? Line("times: the one at ", q.from,
-                             " lies inside the peak ", peak.id)
-                      : Line("times: the one at ", p.from,
-                             " covers the window ", quiet.id);
+  }
+  if (times.back().to <= context.wall) {
+    return Error("starts", window.starts, " is in the past");
+  }
+  return FindNoticeError(window, context);
+}
+
+// A window inside a peak for the same work would never open.
+MaybeError FindPeakError(const MaintenanceWindow& added,
+                         const WindowValidationContext& context) {
+  for (const MaintenanceWindow& other : context.others) {
+    if (other.kind == added.kind || !MayMeet(other.work, added.work)) continue;
+    const bool adds_window = added.kind == WindowKind::kWindow;
+    const MaintenanceWindow& window = adds_window ? added : other;
+    const MaintenanceWindow& peak = adds_window ? other : added;
+    for (const UtcInterval& open : window.times) {
+      for (const UtcInterval& shut : peak.times) {
+        if (!Overlap(open, shut) || open.from < shut.from ||
+            open.to > shut.to) {
+          continue;
+        }
+        if (adds_window) {
+          return Error("times", "the one at ", open.from,
+                       " lies inside the peak ", peak.id);
+        }
+        return Error("times", "the one at ", shut.from, " covers the window ",
+                     window.id);
       }
     }
   }
-  return {};
+  return std::nullopt;
 }
 
 }  // namespace
 
-double BookingNotice(const Settings& settings) {
+std::string Render(const WindowError& error) {
+  return error.field + ": " + error.problem;
+}
+
+double MinimumNoticeSeconds(const Settings& settings) {
   return kNoticeLeases * settings.workers.lease_seconds +
          2 * settings.clock_off_ms / 1000;
 }
 
-std::string WhyNoBooking(const MaintenanceWindow& booking,
-                         const BookingContext& context) {
-  if (context.others.size() >= kMostBookings) {
-    return Line("id: ", kMostBookings, " bookings are in force already");
+std::optional<WindowError> FindWindowError(
+    const MaintenanceWindow& window, const WindowValidationContext& context) {
+  if (context.others.size() >= kMaxMaintenanceWindows) {
+    return Error("id", kMaxMaintenanceWindows,
+                 " bookings are in force already");
   }
-  std::string wrong = WrongWork(booking.work, context);
-  if (wrong.empty()) wrong = WrongTimes(booking, context);
-  if (wrong.empty()) wrong = InsidePeak(booking, context);
-  if (wrong.empty()) wrong = WrongRoom(booking, context);
-  return wrong;
+  if (MaybeError error = FindWorkError(window.work, context)) return error;
+  if (MaybeError error = FindTimesError(window, context)) return error;
+  if (MaybeError error = FindPeakError(window, context)) return error;
+  return FindCapacityError(window, context);
 }
 
 }  // namespace oxbow
--- a/core/maintenance/window_validation.h
+++ b/core/maintenance/window_validation.h
@@ -1,7 +1,6 @@
-// Whether a booking can be taken.
+// Whether a maintenance window can be recorded.
 #pragma once
 
-#include <functional>
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,10 +10,11 @@
 
 namespace oxbow {
 
-struct BookingContext {
+// What a window is validated against.
+struct WindowValidationContext {
   const Settings* settings = nullptr;
-  // Names in force; absent when tiers are not known: their names are not
-  // looked at then.
+  // Names in force; absent when the tiers are not known: names of tiers are
+  // then not validated.
   std::optional<std::vector<std::string>> tiers;
   Resources fleet;  // of all machines together; zero when it is not known
   double wall = 0;  // s since 1970
@@ -22,11 +22,20 @@
   std::optional<MaintenanceWindow> replaces;  // its version in force
 };
 
-// Sooner than this after it is recorded no booking binds anybody, s.
-double BookingNotice(const Settings& settings);
+// The value for which a window can't be recorded.
+struct WindowError {
+  std::string field;
+  std::string problem;
+};
+
+// `field: problem`, on one line.
+std::string Render(const WindowError& error);
+
+// A window has no effect sooner than this after it is recorded, s.
+double MinimumNoticeSeconds(const Settings& settings);
 
-// Empty, or one line that names the value it can't be taken for.
-std::string WhyNoBooking(const MaintenanceWindow& booking,
-                         const BookingContext& context);
+// The first error; nothing if the window can be recorded.
+std::optional<WindowError> FindWindowError(
+    const MaintenanceWindow& window, const WindowValidationContext& context);
 
 }  // namespace oxbow
--- a/tests/maintenance_calendar_test.cc
+++ b/tests/maintenance_calendar_test.cc
@@ -18,7 +18,7 @@
 // 2026-03-01T00:00:00Z
 constexpr double kMarch = 1772323200;
 
-MaintenanceWindow Rule(BookingKind kind, const std::string& zone,
+MaintenanceWindow Rule(WindowKind kind, const std::string& zone,
                        const std::string& starts, double length,
                        const std::string& rule) {
   MaintenanceWindow b;
@@ -38,14 +38,14 @@
 
 TEST(Recurrence, DaysOfTwentyThreeAndTwentyFiveHours) {
   // Berlin: 29 March 2026 has 23 hours, 25 October has 25.
-  MaintenanceWindow b = Rule(BookingKind::kWindow, "Europe/Berlin",
+  MaintenanceWindow b = Rule(WindowKind::kWindow, "Europe/Berlin",
                              "2026-03-28T00:00:00", kDay, "FREQ=DAILY;COUNT=3");
   ASSERT_EQ(Expand(b), "");
   // They touch, so they are one: 71 hours.
   ASSERT_EQ(b.times.size(), 1U);
   EXPECT_EQ(b.times[0].length(), 71 * kHour);
-  b = Rule(BookingKind::kPeak, "Europe/Berlin", "2026-10-24T22:00:00",
-           8 * kHour, "FREQ=DAILY;COUNT=2");
+  b = Rule(WindowKind::kPeak, "Europe/Berlin", "2026-10-24T22:00:00", 8 * kHour,
+           "FREQ=DAILY;COUNT=2");
   ASSERT_EQ(Expand(b), "");
   ASSERT_EQ(b.times.size(), 2U);
   EXPECT_EQ(b.times[0].length(), 9 * kHour);
@@ -56,17 +56,17 @@
 TEST(Recurrence, MissingAndDoubledHour) {
   // 02:00 to 03:00 is missing on 29 March: nothing is left of the window.
   MaintenanceWindow b =
-      Rule(BookingKind::kWindow, "Europe/Berlin", "2026-03-28T02:00:00", kHour,
+      Rule(WindowKind::kWindow, "Europe/Berlin", "2026-03-28T02:00:00", kHour,
            "FREQ=DAILY;COUNT=3");
   ASSERT_EQ(Expand(b), "");
   EXPECT_EQ(b.times.size(), 2U);
   // The doubled one on 25 October: a window is the second, a peak is both.
-  b = Rule(BookingKind::kWindow, "Europe/Berlin", "2026-10-25T02:00:00", kHour,
+  b = Rule(WindowKind::kWindow, "Europe/Berlin", "2026-10-25T02:00:00", kHour,
            "");
   ASSERT_EQ(Expand(b), "");
   const double second = b.times.at(0).from;
   EXPECT_EQ(b.times[0].length(), kHour);
-  b.kind = BookingKind::kPeak;
+  b.kind = WindowKind::kPeak;
   ASSERT_EQ(Expand(b), "");
   EXPECT_EQ(b.times.at(0).from, second - kHour);
   EXPECT_EQ(b.times[0].length(), 2 * kHour);
@@ -74,8 +74,8 @@
 
 TEST(Recurrence, LeapDayIsFoundYearsAhead) {
   MaintenanceWindow b =
-      Rule(BookingKind::kWindow, "America/Jamaica", "2024-02-29T01:00:00",
-           kHour, "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29");
+      Rule(WindowKind::kWindow, "America/Jamaica", "2024-02-29T01:00:00", kHour,
+           "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29");
   ASSERT_EQ(Expand(b), "");
   ASSERT_EQ(b.times.size(), 1U);
   EXPECT_EQ(b.times[0].from, 1835416800);  // 2028-02-29T06:00:00Z
@@ -83,7 +83,7 @@
 }
 
 TEST(Recurrence, ExceptionsAreLeftOut) {
-  MaintenanceWindow b = Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00",
+  MaintenanceWindow b = Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00",
                              kHour, "FREQ=DAILY;COUNT=4");
   b.except = {"2026-03-03T00:00:00"};
   ASSERT_EQ(Expand(b), "");
@@ -94,7 +94,7 @@
 TEST(Recurrence, WhatCannotBeFollowedIsRefusedByName) {
   const auto wrong = [](const std::string& rule) {
     MaintenanceWindow b =
-        Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00", kHour, rule);
+        Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00", kHour, rule);
     return Expand(b);
   };
   EXPECT_NE(wrong("FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30").find("never matches"),
@@ -103,15 +103,15 @@
             std::string::npos);
   EXPECT_NE(wrong("FREQ=SECONDLY").find("HOURLY"), std::string::npos);
   EXPECT_NE(wrong("nightly").find("no RRULE"), std::string::npos);
-  MaintenanceWindow b = Rule(BookingKind::kWindow, "Mars/Olympus",
+  MaintenanceWindow b = Rule(WindowKind::kWindow, "Mars/Olympus",
                              "2026-03-02T00:00:00", kHour, "");
   EXPECT_EQ(Expand(b), "zone: Mars/Olympus is not known here");
-  b = Rule(BookingKind::kWindow, "UTC", "2026-03-02T00:00:00+02", kHour, "");
+  b = Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00+02", kHour, "");
   EXPECT_NE(Expand(b).find("starts"), std::string::npos);
 }
 
 TEST(Recurrence, ARuleWithoutEndIsBounded) {
-  MaintenanceWindow b = Rule(BookingKind::kPeak, "UTC", "2020-01-01T00:00:00",
+  MaintenanceWindow b = Rule(WindowKind::kPeak, "UTC", "2020-01-01T00:00:00",
                              kHour / 2, "FREQ=HOURLY");
   ASSERT_EQ(Expand(b, kMarch, 4000 * kDay, 300), "");
   EXPECT_EQ(b.times.size(), 300U);
@@ -138,7 +138,7 @@
     spec_.tasks = 10;
     spec_.need = {8, 0, 1};
   }
-  void Book(const std::string& id, BookingKind kind,
+  void Book(const std::string& id, WindowKind kind,
             std::vector<UtcInterval> times,
             Overrun overrun = Overrun::kHoldBack, double known_until = 0) {
     MaintenanceWindow b;
@@ -148,13 +148,13 @@
     b.overrun = overrun;
     b.times = std::move(times);
     b.known_until = known_until;
-    calendar_.Take(b, ++version_, 0);
+    calendar_.AddWindow(b, ++version_, 0);
   }
   // The wall clock shows so much and is right by its bound.
-  HeldBy At(double wall, double run_seconds = 1) {
-    calendar_.Confirmed(0, 0);
-    calendar_.ReadWall({wall, 0, 0});
-    return calendar_.MayStart(spec_, "", run_seconds, 0).hold;
+  AdmissionBlocker At(double wall, double run_seconds = 1) {
+    calendar_.OnConfirmed(0, 0);
+    calendar_.OnWallReading({wall, 0, 0});
+    return calendar_.Admit(spec_, "", run_seconds, 0).blocker;
   }
 
   MaintenanceCalendar calendar_;
@@ -163,98 +163,105 @@
 };
 
 TEST_F(CalendarRules, BothEdgesAreGuarded) {
-  Book("night", BookingKind::kWindow, {{1000, 2000}});
-  EXPECT_EQ(At(1000), HeldBy::kNoWindow);  // it may be 999.975
-  EXPECT_EQ(At(1000.03), HeldBy::kFree);
-  EXPECT_EQ(At(1995, 0), HeldBy::kFree);
+  Book("night", WindowKind::kWindow, {{1000, 2000}});
+  EXPECT_EQ(At(1000), AdmissionBlocker::kNoOpenWindow);  // it may be 999.975
+  EXPECT_EQ(At(1000.03), AdmissionBlocker::kNone);
+  EXPECT_EQ(At(1995, 0), AdmissionBlocker::kNone);
   // An answer that is carried out 4 s later would be past the end.
-  EXPECT_EQ(At(1995.98, 0), HeldBy::kNoWindow);
-  EXPECT_EQ(At(2100), HeldBy::kNoWindow);
+  EXPECT_EQ(At(1995.98, 0), AdmissionBlocker::kNoOpenWindow);
+  EXPECT_EQ(At(2100), AdmissionBlocker::kNoOpenWindow);
 }
 
 TEST_F(CalendarRules, TheSteadyClockDriftsSinceTheLook) {
-  Book("noon", BookingKind::kPeak, {{5000, 6000}});
-  calendar_.Confirmed(3990, 3990);
-  calendar_.ReadWall({1002.5, 0, 0});
+  Book("noon", WindowKind::kPeak, {{5000, 6000}});
+  calendar_.OnConfirmed(3990, 3990);
+  calendar_.OnWallReading({1002.5, 0, 0});
   // 3,990 s later by a clock that may be a thousandth off.
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 0, 3990).hold, HeldBy::kInPeak);
-  calendar_.ReadWall({4992.5, 3990, 3990});
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 0, 3990).hold, HeldBy::kFree);
+  EXPECT_EQ(calendar_.Admit(spec_, "", 0, 3990).blocker,
+            AdmissionBlocker::kInPeak);
+  calendar_.OnWallReading({4992.5, 3990, 3990});
+  EXPECT_EQ(calendar_.Admit(spec_, "", 0, 3990).blocker,
+            AdmissionBlocker::kNone);
   // A stall between the looks at the two clocks.
-  calendar_.ReadWall({4992.5, 3980, 3990});
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 0, 3990).hold, HeldBy::kInPeak);
+  calendar_.OnWallReading({4992.5, 3980, 3990});
+  EXPECT_EQ(calendar_.Admit(spec_, "", 0, 3990).blocker,
+            AdmissionBlocker::kInPeak);
 }
 
 TEST_F(CalendarRules, OnlyWhatIsNamedIsHeld) {
-  Book("night", BookingKind::kWindow, {{1000, 2000}});
-  EXPECT_EQ(At(500), HeldBy::kNoWindow);
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 1, 0).until, 1000);
+  Book("night", WindowKind::kWindow, {{1000, 2000}});
+  EXPECT_EQ(At(500), AdmissionBlocker::kNoOpenWindow);
+  EXPECT_EQ(calendar_.Admit(spec_, "", 1, 0).next_start, 1000);
   spec_.tasks = 8;  // 64 cores, not above
-  EXPECT_EQ(At(500), HeldBy::kFree);
+  EXPECT_EQ(At(500), AdmissionBlocker::kNone);
   spec_.tasks = 10;
   spec_.kind = JobKind::kService;
-  EXPECT_EQ(At(500), HeldBy::kFree);
+  EXPECT_EQ(At(500), AdmissionBlocker::kNone);
   spec_.kind = JobKind::kArray;
   spec_.priority = Priority::kProduction;
-  EXPECT_EQ(At(500), HeldBy::kFree);
+  EXPECT_EQ(At(500), AdmissionBlocker::kNone);
 }
 
 TEST_F(CalendarRules, WhatWontFitWaitsForAChanceThatIsLongEnough) {
-  Book("night", BookingKind::kWindow, {{1000, 1100}, {3000, 3400}});
-  EXPECT_EQ(At(1010, 50), HeldBy::kFree);      // 75 s with its slack
-  EXPECT_EQ(At(1010, 100), HeldBy::kWontFit);  // the next one is longer
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 100, 0).until, 3000);
+  Book("night", WindowKind::kWindow, {{1000, 1100}, {3000, 3400}});
+  EXPECT_EQ(At(1010, 50), AdmissionBlocker::kNone);  // 75 s with its slack
+  EXPECT_EQ(At(1010, 100),
+            AdmissionBlocker::kDoesNotFit);  // the next one is longer
+  EXPECT_EQ(calendar_.Admit(spec_, "", 100, 0).next_start, 3000);
   // Too long for any: in the first part of the longest.
-  EXPECT_EQ(At(1010, 1000), HeldBy::kWontFit);
-  EXPECT_EQ(At(3010, 1000), HeldBy::kFree);
-  EXPECT_EQ(At(3150, 1000), HeldBy::kWontFit);
+  EXPECT_EQ(At(1010, 1000), AdmissionBlocker::kDoesNotFit);
+  EXPECT_EQ(At(3010, 1000), AdmissionBlocker::kNone);
+  EXPECT_EQ(At(3150, 1000), AdmissionBlocker::kDoesNotFit);
 }
 
 TEST_F(CalendarRules, OverrunsGoAsTheBookingSays) {
-  Book("noon", BookingKind::kPeak, {{1000, 2000}}, Overrun::kRunOn);
-  EXPECT_EQ(At(900, 500), HeldBy::kFree);
-  Book("noon", BookingKind::kPeak, {{1000, 2000}}, Overrun::kSaveAndStop);
-  EXPECT_EQ(At(900, 500), HeldBy::kWontFit);  // it can't save
+  Book("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kRunOn);
+  EXPECT_EQ(At(900, 500), AdmissionBlocker::kNone);
+  Book("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kSaveAndStop);
+  EXPECT_EQ(At(900, 500), AdmissionBlocker::kDoesNotFit);  // it can't save
   spec_.checkpoint_seconds = 10;
-  EXPECT_EQ(At(900, 500), HeldBy::kFree);
-  EXPECT_EQ(At(1001), HeldBy::kInPeak);
-  EXPECT_EQ(calendar_.Caught(spec_, "", 0, 0), OverrunStep::kSaveAndStop);
+  EXPECT_EQ(At(900, 500), AdmissionBlocker::kNone);
+  EXPECT_EQ(At(1001), AdmissionBlocker::kInPeak);
+  EXPECT_EQ(calendar_.OverrunStepFor(spec_, "", 0, 0),
+            OverrunStep::kSaveAndStop);
   spec_.checkpoint_seconds = 0;
-  EXPECT_EQ(calendar_.Caught(spec_, "", 0, 0), OverrunStep::kTakeBack);
-  calendar_.ReadWall({900, 0, 0});
-  EXPECT_EQ(calendar_.Caught(spec_, "", 0, 0), OverrunStep::kNone);
+  EXPECT_EQ(calendar_.OverrunStepFor(spec_, "", 0, 0), OverrunStep::kWithdraw);
+  calendar_.OnWallReading({900, 0, 0});
+  EXPECT_EQ(calendar_.OverrunStepFor(spec_, "", 0, 0), OverrunStep::kNone);
 }
 
 TEST_F(CalendarRules, PastTheKnownTimesNothingIsSurelyAllowed) {
-  Book("noon", BookingKind::kPeak, {{1000, 2000}}, Overrun::kRunOn, 5000);
-  EXPECT_EQ(At(4000), HeldBy::kFree);
-  EXPECT_EQ(At(5001), HeldBy::kHorizon);
+  Book("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kRunOn, 5000);
+  EXPECT_EQ(At(4000), AdmissionBlocker::kNone);
+  EXPECT_EQ(At(5001), AdmissionBlocker::kBeyondKnownTimes);
 }
 
 TEST_F(CalendarRules, AnOldCalendarStartsNothingThatItNames) {
   using enum CalendarFreshness;
-  EXPECT_EQ(calendar_.standing(1e6), kNone);
-  Book("noon", BookingKind::kPeak, {{1e6, 2e6}});
-  EXPECT_EQ(At(1000), HeldBy::kFree);
-  EXPECT_EQ(calendar_.standing(kStaleLeases * kLease), kCurrent);
-  EXPECT_EQ(calendar_.standing(kTooOldLeases * kLease), kStale);
+  EXPECT_EQ(calendar_.FreshnessAt(1e6), kNone);
+  Book("noon", WindowKind::kPeak, {{1e6, 2e6}});
+  EXPECT_EQ(At(1000), AdmissionBlocker::kNone);
+  EXPECT_EQ(calendar_.FreshnessAt(kStaleLeases * kLease), kCurrent);
+  EXPECT_EQ(calendar_.FreshnessAt(kTooOldLeases * kLease), kStale);
   const double later = kTooOldLeases * kLease + 1;
-  EXPECT_EQ(calendar_.standing(later), kTooOld);
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 1, later).hold, HeldBy::kTooOld);
+  EXPECT_EQ(calendar_.FreshnessAt(later), kTooOld);
+  EXPECT_EQ(calendar_.Admit(spec_, "", 1, later).blocker,
+            AdmissionBlocker::kCalendarTooOld);
   spec_.tasks = 1;
-  EXPECT_EQ(calendar_.MayStart(spec_, "", 1, later).hold, HeldBy::kFree);
+  EXPECT_EQ(calendar_.Admit(spec_, "", 1, later).blocker,
+            AdmissionBlocker::kNone);
 }
 
 TEST_F(CalendarRules, AnOlderVersionIsNoNewsAndACancelledOneStaysGone) {
-  Book("noon", BookingKind::kPeak, {{1000, 2000}});
+  Book("noon", WindowKind::kPeak, {{1000, 2000}});
   MaintenanceWindow old;
   old.id = "noon";
-  calendar_.Take(old, 0, 0);
-  EXPECT_EQ(At(1500), HeldBy::kInPeak);
-  calendar_.Withdraw("noon", 2, 0);
-  EXPECT_EQ(At(1500), HeldBy::kFree);
+  calendar_.AddWindow(old, 0, 0);
+  EXPECT_EQ(At(1500), AdmissionBlocker::kInPeak);
+  calendar_.WithdrawWindow("noon", 2, 0);
+  EXPECT_EQ(At(1500), AdmissionBlocker::kNone);
   version_ = 1;
-  Book("noon", BookingKind::kPeak, {{1000, 2000}});  // version 2 again
+  Book("noon", WindowKind::kPeak, {{1000, 2000}});  // version 2 again
   EXPECT_TRUE(calendar_.empty());
 }
 
@@ -272,17 +279,21 @@
     context_.fleet = {1000, 100, 1000};
     booking_.id = "night";
     booking_.work.classes = {"rebuild"};
-    booking_.room_share = 0.5;
+    booking_.capacity_share = 0.5;
     booking_.length_seconds = 1000;
     booking_.times = {{2000, 3000}};
   }
-  std::string Why() { return WhyNoBooking(booking_, context_); }
+  std::string Why() {
+    const std::optional<WindowError> error =
+        FindWindowError(booking_, context_);
+    return error ? Render(*error) : "";
+  }
   void ExpectsWord(const std::string& word) {
     EXPECT_NE(Why().find(word), std::string::npos) << Why();
   }
 
   Settings settings_;
-  BookingContext context_;
+  WindowValidationContext context_;
   MaintenanceWindow booking_;
 };
 
@@ -290,11 +301,11 @@
   EXPECT_EQ(Why(), "");
   MaintenanceWindow other = booking_;
   other.id = "other";
-  other.room_share = 0.6;
+  other.capacity_share = 0.6;
   other.times = {{2500, 2600}};
   context_.others = {other};
   ExpectsWord("together with other");
-  other.kind = BookingKind::kPeak;
+  other.kind = WindowKind::kPeak;
   other.times = {{1900, 3100}};
   context_.others = {other};
   ExpectsWord("inside the peak other");
@@ -312,7 +323,7 @@
   ExpectsWord("names nothing");
   booking_.work.teams = {"vision"};
   ExpectsWord("over the teams' limit of 200");
-  booking_.room_share = 0.2;
+  booking_.capacity_share = 0.2;
   EXPECT_EQ(Why(), "");
   booking_.work.cores_above = 200;
   ExpectsWord("not below the teams' limit of 200");
@@ -321,7 +332,7 @@
 }
 
 TEST(CalendarJson, ReadsBackWhatItWrote) {
-  MaintenanceWindow b = Rule(BookingKind::kPeak, "Europe/Berlin",
+  MaintenanceWindow b = Rule(WindowKind::kPeak, "Europe/Berlin",
                              "2026-03-28T08:00:00", kHour, "FREQ=DAILY");
   b.work.teams = {"vision"};
   b.work.accelerators_above = 8;
--- a/tests/maintenance_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -97,17 +97,17 @@
   }
   bool Every(double seconds) { return Happens(kStep / seconds); }
 
-  void Book(const std::string& id, BookingKind kind, const std::string& name,
+  void Book(const std::string& id, WindowKind kind, const std::string& name,
             Overrun overrun, std::vector<UtcInterval> times) {
     MaintenanceWindow b;
     b.id = id;
     b.kind = kind;
     b.work.classes = {name};
     b.overrun = overrun;
-    b.room_share = kind == BookingKind::kWindow ? 0.5 : 1;
+    b.capacity_share = kind == WindowKind::kWindow ? 0.5 : 1;
     b.times = std::move(times);
     for (const UtcInterval& t : b.times) {
-      auto& spans = kind == BookingKind::kWindow ? windows_ : peaks_;
+      auto& spans = kind == WindowKind::kWindow ? windows_ : peaks_;
       spans.push_back({id, t.from, t.to});
       edges_.push_back(t.from - sim_.true_wall());
       edges_.push_back(t.to - sim_.true_wall());
@@ -131,9 +131,9 @@
   }
   void BookAll() {
     edges_.clear();
-    Book("noon", BookingKind::kPeak, "heavy", AnyOverrun(), Times(10));
-    Book("extra", BookingKind::kPeak, "heavy", AnyOverrun(), Times(20));
-    Book("night", BookingKind::kWindow, "rebuild", AnyOverrun(), Times(15));
+    Book("noon", WindowKind::kPeak, "heavy", AnyOverrun(), Times(10));
+    Book("extra", WindowKind::kPeak, "heavy", AnyOverrun(), Times(20));
+    Book("night", WindowKind::kWindow, "rebuild", AnyOverrun(), Times(15));
   }
 
   // Written from what a booking says, not from how it is kept.
@@ -233,7 +233,7 @@
     // A peak that is booked meanwhile binds after its notice.
     if (Every(40) && !sim_.state_down && !sim_.rebuilding() && booked_ < 3) {
       const double from = sim_.true_wall() + kNotice;
-      Book(fmt::format("late-{}", ++booked_), BookingKind::kPeak, "heavy",
+      Book(fmt::format("late-{}", ++booked_), WindowKind::kPeak, "heavy",
            AnyOverrun(), {{from, from + Between(5, 30)}});
     }
     if (Every(200) && !sim_.state_down && !sim_.rebuilding()) {
--- a/tests/scenario_test.cc
+++ b/tests/scenario_test.cc
@@ -393,9 +393,9 @@
     std::string kind;
     words >> b.id >> kind;
     const Options o = ReadOptions(words);
-    b.kind = kind == "peak" ? BookingKind::kPeak : BookingKind::kWindow;
+    b.kind = kind == "peak" ? WindowKind::kPeak : WindowKind::kWindow;
     b.work.classes = {o.at("class")};
-    b.room_share = Number(o, "room", 1);
+    b.capacity_share = Number(o, "room", 1);
     const std::string overrun = o.contains("overrun") ? o.at("overrun") : "";
     b.overrun = overrun == "run_on"          ? Overrun::kRunOn
                 : overrun == "save_and_stop" ? Overrun::kSaveAndStop
--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -283,9 +283,9 @@
     if (told >= b.version) continue;
     told = b.version;
     if (b.withdrawn) {
-      leader_->OnBookingWithdrawn(id, b.version, now_);
+      leader_->OnMaintenanceWindowWithdrawn(id, b.version, now_);
     } else {
-      leader_->OnBooking(b.booking, b.version, now_);
+      leader_->OnMaintenanceWindow(b.booking, b.version, now_);
     }
   }
 }
--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -13,10 +13,10 @@
 namespace oxbow::wire {
 namespace {
 
-using BookingName = std::pair<BookingKind, std::string_view>;
+using BookingName = std::pair<WindowKind, std::string_view>;
 constexpr std::array kBookingKinds = {
-    BookingName{BookingKind::kWindow, "window"},
-    BookingName{BookingKind::kPeak, "peak"}};
+    BookingName{WindowKind::kWindow, "window"},
+    BookingName{WindowKind::kPeak, "peak"}};
 
 using OverrunName = std::pair<Overrun, std::string_view>;
 constexpr std::array kOverruns = {
@@ -62,7 +62,7 @@
 // Pairs of begin and length, s.
 std::string ReadTimes(const rapidjson::Value& value, MaintenanceWindow* out) {
   const auto* times = json::Find(value, "times");
-  if (times == nullptr || !times->IsArray() || times->Size() > kMostTimes) {
+  if (times == nullptr || !times->IsArray() || times->Size() > kMaxWindowTimes) {
     return "field times";
   }
   for (const auto& pair : times->GetArray()) {
@@ -120,7 +120,7 @@
   if (json::Find(doc, "overrun") != nullptr) {
     read.Word("overrun", kOverruns, &out->overrun);
   }
-  read.AmountIfGiven("room", 0, &out->room_share);
+  read.AmountIfGiven("room", 0, &out->capacity_share);
   read.String("zone", &out->zone);
   read.String("starts", &out->starts);
   read.StringIfGiven("rule", &out->rule);
@@ -156,7 +156,7 @@
   }
   writer.EndObject();
   writer.Key("room");
-  writer.Double(booking.room_share);
+  writer.Double(booking.capacity_share);
   json::Field(writer, "overrun", NameOf(kOverruns, booking.overrun));
   json::Field(writer, "zone", booking.zone);
   json::Field(writer, "starts", booking.starts);
