--- a/core/priority_tiers/mass_failure_recovery.h
+++ b/core/priority_tiers/mass_failure_recovery.h
@@ -1,6 +1,6 @@
-// Return after many tasks are lost at once: the best tier first, then one after
-// the other, so that what lower tiers fetch does not fill the links that the
-// best one comes back over. Every step ends by itself.
+// Recovery after many tasks are lost at once: the best tier starts first, then
+// one tier after the other, so that the images that lower tiers fetch do not
+// fill the links over which the best one recovers. Every step ends by itself.
 #pragma once
 
 #include <cstddef>
@@ -11,89 +11,105 @@
 
 namespace oxbow {
 
+// The steps of a recovery, in this order.
 enum class RecoveryStep : uint8_t {
-  kCalm,         // every tier may start
-  kLoss,         // more may be found lost; only the best tier starts
-  kPublicFirst,  // the best tier comes back, the others wait
-  kNextTier,     // the others are let in one by one
-  kRest,         // every tier may start, and none waits again so soon
+  kNormal,          // every tier may start
+  kAssessingLoss,   // more may be found lost; only the best tier starts
+  kBestTierFirst,   // the best tier recovers, the others wait
+  kReleasingTiers,  // the others may start, one tier after the other
+  kCooldown,        // every tier may start, and none is made to wait again yet
 };
 
-// All times in s, shares of the best tier's replicas.
+// Shares are of the best tier's replicas.
 struct RecoveryLimits {
-  double loss_share = 0.04;   // missing: a loss
-  double least_lost = 3;      // replicas; fewer are no mass failure
-  double back_share = 0.998;  // running: it is back
+  double loss_share = 0.04;   // missing: a mass failure
+  double min_lost = 3;        // replicas; fewer are no mass failure
+  double back_share = 0.998;  // running: the tier has recovered
   double loss_seconds = 5;    // without a further loss, the extent is known
-  double most_loss_seconds = 10;
-  double most_public_seconds = 40;
-  double most_wave_seconds = 5;    // for one tier
-  double most_waves_seconds = 30;  // for all of them
+  double max_loss_seconds = 10;
+  double max_best_tier_seconds = 40;
+  double max_wave_seconds = 5;    // for one tier
+  double max_waves_seconds = 30;  // for all of them
   // Starts with a fetch in a wave, as a share of the machines.
   double fetch_share = 0.25;
 
-  // In leases, so that all waits together stay below twelve of them.
+  // In worker leases, so that all waits together stay below twelve of them.
   static RecoveryLimits From(const WorkerSettings& workers);
-  // The longest that a lower tier waits for others in one go.
+  // The longest that a lower tier waits for others without a break.
   double LongestWait() const {
-    return most_loss_seconds + most_public_seconds + most_waves_seconds;
+    return max_loss_seconds + max_best_tier_seconds + max_waves_seconds;
   }
 };
 
-// What the leader sees, at one moment.
-struct RecoveryView {
-  // Replicas of the best tier that were there before, of services that are not
-  // new; those that have a place; those that run.
+// The state of the cluster at one moment.
+struct RecoveryObservation {
+  // Replicas of the best tier's services that are not new: all, those that are
+  // placed, and those that run.
   double wanted = 0;
   double placed = 0;
   double running = 0;
-  // By place of the tier: whether one of its jobs waits.
-  std::vector<bool> waiting;
+  // Whether a job of the tier waits, the best tier first.
+  std::vector<bool> tier_waits;
   size_t machines = 0;  // that take new work
+
+  double Missing() const { return wanted - placed; }
 };
 
-class Recovery {
+// A state machine, reviewed in each scheduling pass.
+class MassFailureRecovery {
  public:
-  explicit Recovery(const RecoveryLimits& limits) : limits_(limits) {}
+  explicit MassFailureRecovery(const RecoveryLimits& limits)
+      : limits_(limits) {}
 
-  // Derived from what is there and from nothing that only one leader knows: a
-  // new one goes on from the truth.
-  void Review(const RecoveryView& view, Time now);
+  // Depends only on what is observed and on time, and on nothing that an
+  // earlier leader knew: a new leader continues from the same state.
+  void Review(const RecoveryObservation& observation, Time now);
 
   RecoveryStep step() const { return step_; }
   // Whether lower tiers wait.
   bool holds() const {
-    return step_ == RecoveryStep::kLoss ||
-           step_ == RecoveryStep::kPublicFirst ||
-           step_ == RecoveryStep::kNextTier;
+    return step_ == RecoveryStep::kAssessingLoss ||
+           step_ == RecoveryStep::kBestTierFirst ||
+           step_ == RecoveryStep::kReleasingTiers;
   }
   // Whether jobs of the tier at that place may start tasks.
-  bool MayStart(size_t place) const { return !holds() || place <= released_; }
-  // Whether a start of that tier may bring a fetch with it.
+  bool MayStart(size_t place) const {
+    return !holds() || place <= last_released_;
+  }
+  // Whether a start of that tier may begin a fetch.
   bool MayFetch(size_t place) const {
     return !holds() || place == 0 || fetches_left_ > 0;
   }
+  // A start of that tier has begun a fetch.
   void NoteFetch(size_t place) {
     if (holds() && place > 0 && fetches_left_ > 0) --fetches_left_;
   }
 
  private:
-  // The one function for a change.
+  // The one function for changes of the step.
   void Change(RecoveryStep next, Time now);
-  void NextWave(const RecoveryView& view, Time now);
-  bool Missing(const RecoveryView& view) const;
-  bool Back(const RecoveryView& view) const;
+  bool IsMassFailure(const RecoveryObservation& observation) const;
+  bool BestTierIsBack(const RecoveryObservation& observation) const;
+  // The best tier has had its time.
+  bool IsOverdue(Time now) const;
+  void NoteWorse(double missing, Time now);
+  void ReleaseNextTier(const RecoveryObservation& observation, Time now);
+  void RefillFetches(const RecoveryObservation& observation, Time now);
+  void ReviewNormal(const RecoveryObservation& observation, Time now);
+  bool LossIsAssessed(const RecoveryObservation& observation, Time now);
+  void ReviewBestTierFirst(const RecoveryObservation& observation, Time now);
+  void ReviewReleasingTiers(const RecoveryObservation& observation, Time now);
 
   RecoveryLimits limits_;
-  RecoveryStep step_ = RecoveryStep::kCalm;
-  Time since_ = 0;       // in this step
-  Time held_since_ = 0;  // lower tiers wait
-  Time rest_until_ = 0;
-  Time worse_at_ = 0;    // when the loss was last seen to grow
-  double worst_ = 0;     // missing then
-  size_t released_ = 0;  // the last place that may start
+  RecoveryStep step_ = RecoveryStep::kNormal;
+  Time step_since_ = 0;
+  Time waiting_since_ = 0;  // lower tiers
+  Time cooldown_until_ = 0;
+  double max_missing_ = 0;
+  Time last_worse_at_ = 0;    // when max_missing_ last grew
+  size_t last_released_ = 0;  // the last place that may start
   Time wave_since_ = 0;
-  Time refilled_at_ = 0;
+  Time fetches_refilled_at_ = 0;
   size_t fetches_left_ = 0;
 };
 
--- a/core/priority_tiers/tier_manager.h
+++ b/core/priority_tiers/tier_manager.h
@@ -1,15 +1,11 @@
-// Feeds the priority tiers with the state of the cluster, and applies what they
-// say to placement. Owns nothing; the policy is TierPolicy.
+// Gives TierPolicy the state of the cluster, and applies its decisions to
+// placement and to the autoscaler. Owns nothing.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <memory>
-#include <optional>
-#include <set>
 #include <string>
-#include <unordered_map>
-#include <utility>
 #include <vector>
 
 #include "core/autoscaler/capacity_planning.h"
@@ -20,6 +16,7 @@
 
 class RolloutManager;
 
+// One per leadership. Called by the scheduler, the autoscaler and the leader.
 class TierManager {
  public:
   // The modules that it calls.
@@ -28,22 +25,29 @@
   };
   TierManager(LeaderContext& context, const Modules& modules);
 
+  // Begins a scheduling pass. `order`: the jobs that wait; `usable`: the
+  // machines that take new work; `accounted`: whether every machine is
+  // accounted for.
   void BeginTiers(const std::vector<Job*>& order,
                   const std::vector<Machine*>& usable, bool accounted,
                   Time now);
-  // Whether the job may take that room on the machine.
+  // Whether the job may use that capacity of the machine.
   bool TierAllows(const Job& job, const Machine& machine) const;
-  // Whether what makes room for the job would only take kept room.
+  // Whether the plan preempts nothing and would only use reserved headroom.
   bool UsesReservedHeadroom(const Job& job, const Machine& machine,
                             const PreemptionPlan& plan) const;
+  // Measures what the tiers that reserve headroom use; now and then.
   void SurveyTiers();
-  // Room that is kept is not there for those who wait.
+  // Subtracts the headroom from the capacity: jobs that wait can't use it.
   void ReserveTierHeadroom(AutoscalerInput& input) const;
   // The tiers in force, at the beginning and whenever they change. Running
-  // work moves to its new tier as it is.
+  // tasks move to their new tier and are not stopped.
   void UseTiers(std::shared_ptr<const TierSet> set);
 
  private:
+  void ObserveBestTier(Time now, TierObservation& observation) const;
+  void LogRecoveryStep(RecoveryStep before);
+  std::map<std::string, TierUse> UseByZone(uint8_t tier) const;
 
   LeaderContext& context_;
   const Settings& settings_;
--- a/core/priority_tiers/tier_policy.cc
+++ b/core/priority_tiers/tier_policy.cc
@@ -6,20 +6,29 @@
 namespace oxbow {
 namespace {
 
+// In worker leases; see Headroom.
 constexpr double kBurstLeases = 1;
 constexpr double kHalfLifeLeases = 30;
+// Amounts are compared up to rounding.
 constexpr double kEpsilon = 1e-6;
 
-// Whether what is left is enough in each dimension that the task takes. One
-// that takes no accelerators costs nobody any.
-bool Leaves(const Resources& free, const Resources& need,
-            const Resources& kept) {
-  const auto enough = [](double have, double take, double keep) {
-    return take <= 0 || keep <= 0 || have - take >= keep - kEpsilon;
+// Whether the reserved amount stays free of each resource that the task needs.
+bool LeavesReserved(const Resources& free, const Resources& need,
+                    const Resources& reserved) {
+  const auto leaves = [](double free_amount, double needed, double kept) {
+    return needed <= 0 || kept <= 0 || free_amount - needed >= kept - kEpsilon;
   };
-  return enough(free.cpus, need.cpus, kept.cpus) &&
-         enough(free.gpus, need.gpus, kept.gpus) &&
-         enough(free.memory_gb, need.memory_gb, kept.memory_gb);
+  return leaves(free.cpus, need.cpus, reserved.cpus) &&
+         leaves(free.gpus, need.gpus, reserved.gpus) &&
+         leaves(free.memory_gb, need.memory_gb, reserved.memory_gb);
+}
+
+// `waiting`: jobs of each tier.
+bool OtherTiersWait(const std::vector<uint32_t>& waiting, uint8_t place) {
+  for (size_t other = 0; other < waiting.size(); ++other) {
+    if (other != place && waiting[other] > 0) return true;
+  }
+  return false;
 }
 
 }  // namespace
@@ -35,20 +44,20 @@
 bool TierPolicy::Use(std::shared_ptr<const TierSet> set) {
   if (set == nullptr) set = std::make_shared<const TierSet>();
   if (set_ != nullptr && *set == *set_) {
-    // The same tiers under another version: what was measured stays.
+    // The same tiers under another version: the measurements stay valid.
     set_ = std::move(set);
     return false;
   }
   set_ = std::move(set);
-  const size_t n = set_->size();
-  held_.assign(n, {});
-  headroom_.assign(n, Headroom(kBurstLeases * lease_seconds_,
-                               kHalfLifeLeases * lease_seconds_));
-  losses_.assign(n, {});
-  turns_.assign(n, {});
-  kept_.assign(n, {});
-  waiting_.assign(n, 0);
-  // A recovery under way goes on from what is there, under its own bounds.
+  const size_t tiers = set_->size();
+  held_.assign(tiers, {});
+  headroom_.assign(tiers, Headroom(kBurstLeases * lease_seconds_,
+                                   kHalfLifeLeases * lease_seconds_));
+  largest_losses_.assign(tiers, {});
+  turns_.assign(tiers, {});
+  headroom_by_zone_.assign(tiers, {});
+  waiting_.assign(tiers, 0);
+  // A recovery in progress goes on under its own bounds.
   return true;
 }
 
@@ -63,53 +72,64 @@
 void TierPolicy::ForgetHeld() { held_.assign(set_->size(), {}); }
 
 void TierPolicy::Survey(uint8_t place,
-                        const std::map<std::string, TierHolding>& where) {
+                        const std::map<std::string, TierUse>& use_by_zone) {
   std::map<std::string, Resources> by_zone;
   std::map<std::string, Resources> by_machine;
-  for (const auto& [zone, holding] : where) {
-    by_zone[zone] = holding.in_zone;
-    by_machine[zone] = holding.on_one_machine;
+  for (const auto& [zone, use] : use_by_zone) {
+    by_zone[zone] = use.in_zone;
+    by_machine[zone] = use.on_one_machine;
   }
-  losses_[place] = LargestLoss(by_zone, by_machine);
+  largest_losses_[place] = LargestLoss(by_zone, by_machine);
 }
 
-void TierPolicy::Begin(const TierView& view, Time now) {
+void TierPolicy::Begin(const TierObservation& observation, Time now) {
   others_served_ = false;
   if (!active()) return;
-  free_ = view.free;
+  free_ = observation.free;
   total_ = {};
-  for (const auto& [zone, total] : view.total) total_ += total;
+  for (const auto& [zone, total] : observation.total) total_ += total;
+  ReserveHeadroom(observation, now);
+  std::fill(waiting_.begin(), waiting_.end(), 0);
+  for (const TierObservation::Waiting& waiting : observation.waiting) {
+    ++waiting_[waiting.place];
+  }
+  RecoveryObservation best_tier{observation.best_wanted,
+                                observation.best_placed,
+                                observation.best_running,
+                                {},
+                                observation.machines};
+  for (const uint32_t jobs : waiting_) {
+    best_tier.tier_waits.push_back(jobs > 0);
+  }
+  recovery_.Review(best_tier, now);
+  GiveTurns(observation, now);
+}
+
+void TierPolicy::ReserveHeadroom(const TierObservation& observation, Time now) {
   for (size_t place = 0; place < set_->size(); ++place) {
-    kept_[place].clear();
+    headroom_by_zone_[place].clear();
     const double share = set_->at(place).kept_share;
     if (share <= 0) continue;
-    for (const auto& [zone, total] : view.total) {
-      const auto loss = losses_[place].find(zone);
-      kept_[place][zone] = headroom_[place].Kept(
+    for (const auto& [zone, total] : observation.total) {
+      const auto loss = largest_losses_[place].find(zone);
+      headroom_by_zone_[place][zone] = headroom_[place].Reserved(
           zone, total, share,
-          loss == losses_[place].end() ? Resources{} : loss->second, now);
+          loss == largest_losses_[place].end() ? Resources{} : loss->second,
+          now);
     }
   }
-  std::fill(waiting_.begin(), waiting_.end(), 0);
-  for (const TierView::Waiting& w : view.waiting) ++waiting_[w.place];
-  RecoveryView seen{
-      view.best_wanted, view.best_placed, view.best_running, {}, view.machines};
-  for (const uint32_t jobs : waiting_) seen.waiting.push_back(jobs > 0);
-  recovery_.Review(seen, now);
-  GiveTurns(view, now);
 }
 
-// One job of a tier in a lease, the one that has waited longest: enough that
-// nobody starves, too little to take the room from those who come first.
-void TierPolicy::GiveTurns(const TierView& view, Time now) {
+void TierPolicy::GiveTurns(const TierObservation& observation, Time now) {
   std::vector<double> longest(turns_.size(), 0);
   for (Turn& turn : turns_) turn.job = nullptr;
-  for (const TierView::Waiting& w : view.waiting) {
-    if (w.place == 0 || w.begun || now < turns_[w.place].not_before) continue;
-    if (w.waited_seconds < set_->at(w.place).floor_seconds) continue;
-    if (w.waited_seconds <= longest[w.place]) continue;
-    longest[w.place] = w.waited_seconds;
-    turns_[w.place].job = w.job;
+  for (const TierObservation::Waiting& waiting : observation.waiting) {
+    const uint8_t place = waiting.place;
+    if (place == 0 || waiting.begun || now < turns_[place].not_before) continue;
+    if (waiting.waited_seconds < set_->at(place).floor_seconds) continue;
+    if (waiting.waited_seconds <= longest[place]) continue;
+    longest[place] = waiting.waited_seconds;
+    turns_[place].job = waiting.job;
   }
 }
 
@@ -128,26 +148,22 @@
   if (!active() || others_served_ || HasTurn(job, place)) return true;
   const double share = set_->at(place).most_share;
   if (share >= 1) return true;
-  bool others = false;
-  for (size_t other = 0; other < waiting_.size(); ++other) {
-    others = others || (other != place && waiting_[other] > 0);
-  }
-  if (!others) return true;
+  if (!OtherTiersWait(waiting_, place)) return true;
   const Resources most = total_ * share;
   const Resources want = held_[place] + need;
   return (need.cpus <= 0 || want.cpus <= most.cpus + kEpsilon) &&
          (need.gpus <= 0 || want.gpus <= most.gpus + kEpsilon);
 }
 
-Resources TierPolicy::KeptAgainst(uint8_t place,
-                                  const std::string& zone) const {
-  Resources kept;
-  if (!active()) return kept;
+Resources TierPolicy::ReservedAgainst(uint8_t place,
+                                      const std::string& zone) const {
+  Resources reserved;
+  if (!active()) return reserved;
   for (size_t better = 0; better < place; ++better) {
-    const auto it = kept_[better].find(zone);
-    if (it != kept_[better].end()) kept += it->second;
+    const auto it = headroom_by_zone_[better].find(zone);
+    if (it != headroom_by_zone_[better].end()) reserved += it->second;
   }
-  return kept;
+  return reserved;
 }
 
 bool TierPolicy::MayUse(const Job& job, uint8_t place, const std::string& zone,
@@ -156,7 +172,7 @@
   if (fetches && !recovery_.MayFetch(place)) return false;
   const auto free = free_.find(zone);
   if (free == free_.end()) return true;
-  return Leaves(free->second, need, KeptAgainst(place, zone));
+  return LeavesReserved(free->second, need, ReservedAgainst(place, zone));
 }
 
 void TierPolicy::Take(const std::string& zone, const Resources& need) {
@@ -170,9 +186,9 @@
 void TierPolicy::Started(const Job& job, uint8_t place, const std::string& zone,
                          const Resources& need, bool fetches, Time now) {
   if (!active()) return;
-  if (Keeps(place)) headroom_[place].OnStart(zone, need, now);
+  if (ReservesHeadroom(place)) headroom_[place].OnStart(zone, need, now);
   if (fetches) recovery_.NoteFetch(place);
-  // Of a gang all tasks are the turn; of others the first one is.
+  // The turn of a gang is all of its tasks; of another job, one task.
   if (HasTurn(job, place) && job.spec().kind != JobKind::kGang) {
     TurnUsed(job, place, now);
   }
--- a/core/priority_tiers/tier_policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -1,6 +1,6 @@
-// What tiers mean for one pass of placement: order, kept room, shares, turns of
-// those that have waited long, and who may start after a mass failure. Stops
-// nothing: who may be stopped for whom is not asked here.
+// What the tiers mean for one scheduling pass: order, reserved headroom,
+// shares, turns of jobs that have waited long, and which tiers may start after
+// a mass failure. Preemption is not decided here.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
 
 namespace oxbow {
 
-// A tier's room in one zone.
-struct TierHolding {
+// What a tier uses in one zone.
+struct TierUse {
   Resources in_zone;
-  Resources on_one_machine;  // the most there is
+  Resources on_one_machine;  // the most that it uses on any
 };
 
-// The leader's picture at the beginning of a pass.
-struct TierView {
+// The state of the cluster at the beginning of a pass.
+struct TierObservation {
   std::map<std::string, Resources> total;  // by zone, of machines in use
   std::map<std::string, Resources> free;
-  // What waits in this pass.
+  // A job that waits in this pass.
   struct Waiting {
     const Job* job = nullptr;
     uint8_t place = 0;
@@ -35,18 +35,21 @@
     bool begun = false;  // some task of it has a place or is done
   };
   std::vector<Waiting> waiting;
-  double best_wanted = 0;  // see RecoveryView
+  // Replicas of the best tier; see RecoveryObservation.
+  double best_wanted = 0;
   double best_placed = 0;
   double best_running = 0;
   size_t machines = 0;
 };
 
+// A tier is named by its place in the order of ranks, the best being 0.
 class TierPolicy {
  public:
+  // `on`: whether the operators have enabled tiers.
   TierPolicy(const Settings& settings, bool on);
 
   // Null or a set of one tier only: nothing is changed. Returns whether jobs
-  // have to be classified anew.
+  // have to be classified again.
   bool Use(std::shared_ptr<const TierSet> set);
   bool active() const { return on_ && set_->size() > 1; }
   const TierSet& set() const { return *set_; }
@@ -54,19 +57,21 @@
     return active() ? set_->Classify(spec) : 0;
   }
 
-  // What each tier holds, changed by these alone.
+  // What each tier uses, changed by these alone.
   void Hold(uint8_t place, const Resources& need);
   void Release(uint8_t place, const Resources& need);
-  void ForgetHeld();  // before all is entered anew
+  void ForgetHeld();  // before everything is entered again
   const Resources& held(uint8_t place) const { return held_[place]; }
 
-  // Where the tier that keeps room holds what; now and then. By zone.
-  void Survey(uint8_t place, const std::map<std::string, TierHolding>& where);
-  bool Keeps(uint8_t place) const {
+  // What a tier that reserves headroom uses in each zone; to be called now and
+  // then.
+  void Survey(uint8_t place, const std::map<std::string, TierUse>& use_by_zone);
+  bool ReservesHeadroom(uint8_t place) const {
     return active() && set_->at(place).kept_share > 0;
   }
 
-  void Begin(const TierView& view, Time now);
+  // Begins a scheduling pass.
+  void Begin(const TierObservation& observation, Time now);
   // The job's place in the queue among jobs that can't stop one another; least
   // first. One that has waited too long comes next after the best tier.
   int RankOf(const Job& job, uint8_t place) const;
@@ -76,13 +81,13 @@
   // What is refused may ask again once all others have been served.
   bool WithinShare(const Job& job, uint8_t place, const Resources& need) const;
   void OthersServed() { others_served_ = true; }
-  // Whether the room kept for better tiers stays whole, and a fetch may begin.
+  // Whether the headroom of better tiers stays free, and a fetch may begin.
   bool MayUse(const Job& job, uint8_t place, const std::string& zone,
               const Resources& need, bool fetches) const;
-  // Room spoken for within the pass, and given back.
+  // Capacity that is taken within the pass, and given back.
   void Take(const std::string& zone, const Resources& need);
   void Give(const std::string& zone, const Resources& need);
-  // A task was started; its room has been taken before.
+  // A task was started; its capacity has been taken before.
   void Started(const Job& job, uint8_t place, const std::string& zone,
                const Resources& need, bool fetches, Time now);
   // All starts of the job's turn are made.
@@ -90,18 +95,24 @@
   bool HasTurn(const Job& job, uint8_t place) const {
     return active() && turns_[place].job == &job;
   }
+  // The job is about to be destroyed.
   void Forget(const Job& job);
 
-  // Kept free for tiers better than that one, in the zone.
-  Resources KeptAgainst(uint8_t place, const std::string& zone) const;
-  const Recovery& recovery() const { return recovery_; }
+  // The headroom of all tiers better than that one, in the zone.
+  Resources ReservedAgainst(uint8_t place, const std::string& zone) const;
+  const MassFailureRecovery& recovery() const { return recovery_; }
 
  private:
+  static constexpr Time kNever = -1e18;  // a turn may be given at once
   struct Turn {
     const Job* job = nullptr;  // in this pass
-    Time not_before = -1e18;
+    Time not_before = kNever;
   };
-  void GiveTurns(const TierView& view, Time now);
+  void ReserveHeadroom(const TierObservation& observation, Time now);
+  // Gives one job of each lower tier a turn in each worker lease, the one that
+  // has waited longest: enough that none starves, too little to take the
+  // capacity from better tiers.
+  void GiveTurns(const TierObservation& observation, Time now);
 
   const double lease_seconds_;
   const bool on_;
@@ -109,14 +120,14 @@
   std::shared_ptr<const TierSet> set_;
   std::vector<Resources> held_;
   std::vector<Headroom> headroom_;
-  std::vector<std::map<std::string, Resources>> losses_;  // by zone
+  std::vector<std::map<std::string, Resources>> largest_losses_;  // by zone
   std::vector<Turn> turns_;
-  Recovery recovery_;
+  MassFailureRecovery recovery_;
   // In this pass.
   std::map<std::string, Resources> free_;
   Resources total_;
-  std::vector<std::map<std::string, Resources>> kept_;  // by zone
-  std::vector<uint32_t> waiting_;                       // jobs
+  std::vector<std::map<std::string, Resources>> headroom_by_zone_;
+  std::vector<uint32_t> waiting_;  // jobs of each tier
   bool others_served_ = false;
 };
 
--- a/core/priority_tiers/tier_set.cc
+++ b/core/priority_tiers/tier_set.cc
@@ -13,6 +13,10 @@
 namespace {
 
 using enum TierSource;
+using MaybeError = std::optional<TierError>;
+
+// Shares that add up to 1 are within it, up to rounding.
+constexpr double kShareEpsilon = 1e-9;
 
 constexpr std::array kChanges = {
     std::pair{kBuiltIn, kBuiltIn},    std::pair{kBuiltIn, kRecorded},
@@ -39,20 +43,99 @@
                      [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
-std::string WhyNoList(const std::string& where,
-                      const std::vector<std::string>& words,
-                      const TierBounds& bounds) {
+bool IsShare(double value) {
+  // Written so that what is no number fails too.
+  return value >= 0 && value <= 1;
+}
+
+std::string NotANameText(const std::string& word, const TierBounds& bounds) {
+  return "\"" + word.substr(0, bounds.most_word) + "\" is no name";
+}
+
+MaybeError FindListError(std::string field,
+                         const std::vector<std::string>& words,
+                         const TierBounds& bounds) {
   if (words.size() > bounds.most_words) {
-    return where + ": " + std::to_string(words.size()) + " names, at most " +
-           std::to_string(bounds.most_words);
+    return TierError{std::move(field), std::to_string(words.size()) +
+                                           " names, at most " +
+                                           std::to_string(bounds.most_words)};
   }
   for (const std::string& word : words) {
     if (!PlainWord(word, bounds.most_word)) {
-      return where + ": \"" + word.substr(0, bounds.most_word) +
-             "\" is no name";
+      return TierError{std::move(field), NotANameText(word, bounds)};
     }
   }
-  return {};
+  return std::nullopt;
+}
+
+// The tiers that were validated before this one.
+struct EarlierTiers {
+  std::set<std::string> names;
+  std::set<uint32_t> ranks;
+  double kept_share = 0;
+};
+
+MaybeError FindShareError(const Tier& tier, const std::string& where,
+                          EarlierTiers& earlier) {
+  if (!IsShare(tier.kept_share)) {
+    return TierError{where + "kept_share",
+                     Number(tier.kept_share) + " is not between 0 and 1"};
+  }
+  if (!IsShare(tier.most_share) || tier.most_share <= 0) {
+    return TierError{where + "most_share",
+                     Number(tier.most_share) + " is not above 0 and at most 1"};
+  }
+  if (tier.kept_share > tier.most_share) {
+    return TierError{where + "kept_share",
+                     Number(tier.kept_share) +
+                         " is more than the tier may hold, " +
+                         Number(tier.most_share)};
+  }
+  earlier.kept_share += tier.kept_share;
+  if (earlier.kept_share > 1 + kShareEpsilon) {
+    return TierError{
+        where + "kept_share",
+        "the shares add up to " + Number(earlier.kept_share) + ", more than 1"};
+  }
+  return std::nullopt;
+}
+
+MaybeError FindFloorError(const Tier& tier, const std::string& where,
+                          const TierBounds& bounds) {
+  if (tier.floor_seconds == 0 ||
+      (tier.floor_seconds >= bounds.least_floor_seconds &&
+       tier.floor_seconds <= bounds.most_floor_seconds)) {
+    return std::nullopt;
+  }
+  return TierError{where + "floor_s",
+                   Number(tier.floor_seconds) + " is not between " +
+                       Number(bounds.least_floor_seconds) + " and " +
+                       Number(bounds.most_floor_seconds)};
+}
+
+MaybeError FindErrorOf(const Tier& tier, const TierBounds& bounds,
+                       EarlierTiers& earlier) {
+  if (!PlainWord(tier.name, bounds.most_word)) {
+    return TierError{"name", NotANameText(tier.name, bounds)};
+  }
+  const std::string where = "tier " + tier.name + ", ";
+  if (tier.name == kRestTier) {
+    return TierError{where + "name", "kept for what no tier matches"};
+  }
+  if (!earlier.names.insert(tier.name).second) {
+    return TierError{where + "name", "given twice"};
+  }
+  if (tier.rank == UINT32_MAX || !earlier.ranks.insert(tier.rank).second) {
+    return TierError{where + "rank",
+                     std::to_string(tier.rank) + " given twice"};
+  }
+  if (MaybeError error = FindShareError(tier, where, earlier)) return error;
+  if (MaybeError error = FindFloorError(tier, where, bounds)) return error;
+  if (MaybeError error =
+          FindListError(where + "duty", tier.match.classes, bounds)) {
+    return error;
+  }
+  return FindListError(where + "crew", tier.match.teams, bounds);
 }
 
 }  // namespace
@@ -63,7 +146,7 @@
   bounds.least_floor_seconds = lease;
   bounds.most_floor_seconds = 24 * lease;
   bounds.usual_floor_seconds = 12 * lease;
-  // Room is left for the author, the note and the version beside the text.
+  // The other half is for the author, the note and the version.
   bounds.most_text = static_cast<size_t>(settings.store.value_kb * 1024 / 2);
   return bounds;
 }
@@ -123,67 +206,32 @@
                     other.listed_.end(), same);
 }
 
-std::string WhyNoTiers(const std::vector<Tier>& tiers,
-                       const TierBounds& bounds) {
-  if (tiers.empty()) return "tiers: none given; withdraw the record instead";
+std::string Render(const TierError& error) {
+  return error.field + ": " + error.problem;
+}
+
+std::optional<TierError> FindTierError(const std::vector<Tier>& tiers,
+                                       const TierBounds& bounds) {
+  if (tiers.empty()) {
+    return TierError{"tiers", "none given; withdraw the record instead"};
+  }
   if (tiers.size() > bounds.most_tiers) {
-    return "tiers: " + std::to_string(tiers.size()) + " given, at most " +
-           std::to_string(bounds.most_tiers);
+    return TierError{"tiers", std::to_string(tiers.size()) +
+                                  " given, at most " +
+                                  std::to_string(bounds.most_tiers)};
   }
-  std::set<std::string> names;
-  std::set<uint32_t> ranks;
-  double kept = 0;
+  EarlierTiers earlier;
   for (const Tier& tier : tiers) {
-    if (!PlainWord(tier.name, bounds.most_word)) {
-      return "name: \"" + tier.name.substr(0, bounds.most_word) +
-             "\" is no name";
-    }
-    const std::string where = "tier " + tier.name + ", ";
-    if (tier.name == kRestTier) {
-      return where + "name: kept for what no tier matches";
-    }
-    if (!names.insert(tier.name).second) return where + "name: given twice";
-    if (tier.rank == UINT32_MAX || !ranks.insert(tier.rank).second) {
-      return where + "rank: " + std::to_string(tier.rank) + " given twice";
-    }
-    // Written so that what is no number fails too.
-    if (!(tier.kept_share >= 0 && tier.kept_share <= 1)) {
-      return where + "kept_share: " + Number(tier.kept_share) +
-             " is not between 0 and 1";
-    }
-    if (!(tier.most_share > 0 && tier.most_share <= 1)) {
-      return where + "most_share: " + Number(tier.most_share) +
-             " is not above 0 and at most 1";
-    }
-    if (tier.kept_share > tier.most_share) {
-      return where + "kept_share: " + Number(tier.kept_share) +
-             " is more than the tier may hold, " + Number(tier.most_share);
-    }
-    kept += tier.kept_share;
-    if (kept > 1 + 1e-9) {
-      return where + "kept_share: the shares add up to " + Number(kept) +
-             ", more than 1";
-    }
-    if (tier.floor_seconds != 0 &&
-        !(tier.floor_seconds >= bounds.least_floor_seconds &&
-          tier.floor_seconds <= bounds.most_floor_seconds)) {
-      return where + "floor_s: " + Number(tier.floor_seconds) +
-             " is not between " + Number(bounds.least_floor_seconds) + " and " +
-             Number(bounds.most_floor_seconds);
-    }
-    for (std::string why :
-         {WhyNoList(where + "duty", tier.match.classes, bounds),
-          WhyNoList(where + "crew", tier.match.teams, bounds)}) {
-      if (!why.empty()) return why;
-    }
+    if (MaybeError error = FindErrorOf(tier, bounds, earlier)) return error;
   }
   for (size_t i = 0; i + 1 < tiers.size(); ++i) {
     if (tiers[i].match.MatchesAll()) {
-      return "tier " + tiers[i + 1].name + ", match: tier " + tiers[i].name +
-             " before it matches every job";
+      return TierError{
+          "tier " + tiers[i + 1].name + ", match",
+          "tier " + tiers[i].name + " before it matches every job"};
     }
   }
-  return {};
+  return std::nullopt;
 }
 
 TiersInForce::TiersInForce() : set_(std::make_shared<const TierSet>()) {}
--- a/core/priority_tiers/tier_set.h
+++ b/core/priority_tiers/tier_set.h
@@ -1,11 +1,12 @@
-// Priority tiers: which jobs belong together, in which order they come, what
-// room is kept for them and what they may hold. Operators record them; which
-// version a leader works by is decided here. No I/O, no clock.
+// Priority tiers: which jobs belong together, in which order they are served,
+// which headroom is reserved for them and how much they may use. Operators
+// record them; which version is in force is decided here.
 #pragma once
 
 #include <algorithm>
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -14,7 +15,7 @@
 
 namespace oxbow {
 
-// What a set of tiers has to keep to. Times in s.
+// Limits on a set of tiers.
 struct TierBounds {
   size_t most_tiers = 16;
   size_t most_words = 64;    // in one list of a match
@@ -25,11 +26,13 @@
   double usual_floor_seconds = 120;  // of a tier that names none
 
   static TierBounds From(const Settings& settings);
-  // Of a set that stands already, perhaps since larger values were taken.
+  // For a set that is recorded already, perhaps when larger values were
+  // allowed.
   static TierBounds OfStored(const Settings& settings);
 };
 
-// An empty list matches everything.
+// Which jobs belong to a tier: all lists must match; an empty one matches
+// everything.
 struct TierMatch {
   std::vector<std::string> classes;
   std::vector<std::string> teams;
@@ -43,30 +46,32 @@
   }
 };
 
+// One tier as operators record it.
 struct Tier {
   std::string name;
   uint32_t rank = 0;  // the least comes first
   TierMatch match;
-  double kept_share = 0;     // of each zone's room, at the most
-  double most_share = 1;     // of all room, while others wait; 1: no limit
-  double floor_seconds = 0;  // 0: the usual one
+  double kept_share = 0;  // of each zone's capacity: the most to reserve
+  double most_share = 1;  // of all capacity, while others wait; 1: no limit
+  // A job that has waited for so long gets a turn; 0: the usual time.
+  double floor_seconds = 0;
 };
 
-// Tiers in the order in which they are matched. Jobs that no tier matches are
-// in one more, after all others, so that a gap in a record loses nobody.
+// Tiers in the order in which they are matched. Jobs that no tier matches
+// belong to one more, after all others, so that a gap in a record loses no job.
 class TierSet {
  public:
-  // One tier for all: the order of the queue is what it is without tiers.
+  // One tier for all jobs: the queue is ordered as without tiers.
   TierSet();
   TierSet(std::vector<Tier> tiers, const TierBounds& bounds);
 
-  // The tier's place in the order of ranks, 0 first. Looks at every tier; kept
-  // with the job, so that nobody asks twice.
+  // The tier's place in the order of ranks, 0 first. Compares with every tier:
+  // callers store the result with the job.
   uint8_t Classify(const JobSpec& spec) const;
   // By place, the best first.
   const Tier& at(size_t place) const { return by_rank_[place]; }
   size_t size() const { return by_rank_.size(); }
-  // As recorded, without the one for what is left over.
+  // As recorded, without the one for jobs that no tier matches.
   const std::vector<Tier>& listed() const { return listed_; }
   bool operator==(const TierSet& other) const;
 
@@ -76,30 +81,40 @@
   std::vector<uint8_t> places_;  // of the listed ones
 };
 
-// The name of the tier of what no other matches. No record may use it.
+// The name of the tier of jobs that no other matches. No record may use it.
 inline constexpr const char* kRestTier = "rest";
 
-// One line that names what can't be accepted, or nothing.
-std::string WhyNoTiers(const std::vector<Tier>& tiers,
-                       const TierBounds& bounds);
+// The value for which a set of tiers can't be recorded.
+struct TierError {
+  std::string field;  // `tier NAME, FIELD`
+  std::string problem;
+};
+
+// `field: problem`, on one line.
+std::string Render(const TierError& error);
+
+// The first error; nothing if the tiers can be recorded.
+std::optional<TierError> FindTierError(const std::vector<Tier>& tiers,
+                                       const TierBounds& bounds);
 
+// Where the set in force comes from.
 enum class TierSource : uint8_t {
   kBuiltIn,    // nothing was ever recorded, or it was withdrawn
   kRecorded,   // as the key-value store holds it
-  kLastKnown,  // what it holds can't be read, or is gone
+  kLastKnown,  // the record can't be read, or is missing
 };
 
 // Which set is in force. Outlives leaderships: every controller follows the
-// record, so its own leadership begins with the version known then.
+// record, so its own leadership begins with the version in force then.
 class TiersInForce {
  public:
   TiersInForce();
 
   void OnRecord(uint64_t version, TierSet set);
-  // It is there and can't be used: `why` names what is wrong.
+  // There is a record that can't be used: `why` names what is wrong.
   void OnBadRecord(uint64_t version, const std::string& why);
-  // There is none. That proves nothing, the key-value store may have lost it:
-  // only a withdrawal takes tiers back.
+  // There is none. That proves nothing, since the key-value store may have lost
+  // it: only a withdrawal ends the tiers.
   void OnNoRecord();
   void OnWithdrawn();
 
@@ -113,7 +128,7 @@
   const std::shared_ptr<const TierSet>& set() const { return set_; }
 
  private:
-  // The one function for a change.
+  // The one function for changes of the source.
   void Change(TierSource next);
 
   TierSource source_ = TierSource::kBuiltIn;
--- a/tests/priority_tiers_test.cc
+++ b/tests/priority_tiers_test.cc
@@ -101,6 +101,9 @@
     EXPECT_EQ(why.find('\n'), std::string::npos);
     EXPECT_TRUE(tiers.empty());
   }
+}
+
+TEST(Tiers, RecordsOfTooManyTiersOrBytesAreRefused) {
   std::string many = R"({"tiers":[)";
   for (int i = 0; i < 17; ++i) {
     const std::string n = std::to_string(i);
@@ -158,8 +161,9 @@
   EXPECT_NEAR(headroom.Burst("a", 430).cpus, 7.5, 0.5);
   EXPECT_EQ(headroom.Burst("b", 130).cpus, 0);
   const Resources total{100, 0, 400};
-  EXPECT_DOUBLE_EQ(headroom.Kept("a", total, 0.05, {}, 130).cpus, 5);
-  EXPECT_DOUBLE_EQ(headroom.Kept("b", total, 0.5, {30, 0, 60}, 130).cpus, 30);
+  EXPECT_DOUBLE_EQ(headroom.Reserved("a", total, 0.05, {}, 130).cpus, 5);
+  EXPECT_DOUBLE_EQ(headroom.Reserved("b", total, 0.5, {30, 0, 60}, 130).cpus,
+                   30);
 }
 
 TEST(Headroom, LargestLossIsAMachineOrAnotherZonesShare) {
@@ -172,47 +176,48 @@
       LargestLoss({{"a", {40, 0, 0}}}, {{"a", {8, 0, 0}}}).at("a").cpus, 8);
 }
 
-RecoveryView Seen(double wanted, double placed, double running,
-                  std::vector<bool> waiting) {
+RecoveryObservation Seen(double wanted, double placed, double running,
+                         std::vector<bool> waiting) {
   return {wanted, placed, running, std::move(waiting), 100};
 }
 
 TEST(Recovery, ReleasesTierAfterTier) {
   const RecoveryLimits limits = RecoveryLimits::From({});
-  Recovery r(limits);
+  MassFailureRecovery recovery(limits);
   const std::vector<bool> all{true, true, true};
-  r.Review(Seen(100, 98, 98, all), 0);  // two of a hundred: no mass failure
-  EXPECT_TRUE(r.MayStart(2));
-  r.Review(Seen(100, 80, 80, all), 1);
-  EXPECT_EQ(r.step(), RecoveryStep::kLoss);
-  EXPECT_TRUE(r.MayStart(0));
-  EXPECT_FALSE(r.MayStart(1));
-  r.Review(Seen(100, 70, 70, all), 4);  // still growing
-  r.Review(Seen(100, 80, 70, all), 8);
-  EXPECT_EQ(r.step(), RecoveryStep::kLoss);
-  r.Review(Seen(100, 100, 80, all), 9.5);
-  EXPECT_EQ(r.step(), RecoveryStep::kPublicFirst);
-  EXPECT_FALSE(r.MayStart(1));
-  r.Review(Seen(100, 100, 100, all), 12);
-  EXPECT_EQ(r.step(), RecoveryStep::kNextTier);
-  EXPECT_TRUE(r.MayStart(1));
-  EXPECT_FALSE(r.MayStart(2));
+  recovery.Review(Seen(100, 98, 98, all),
+                  0);  // two of a hundred: no mass failure
+  EXPECT_TRUE(recovery.MayStart(2));
+  recovery.Review(Seen(100, 80, 80, all), 1);
+  EXPECT_EQ(recovery.step(), RecoveryStep::kAssessingLoss);
+  EXPECT_TRUE(recovery.MayStart(0));
+  EXPECT_FALSE(recovery.MayStart(1));
+  recovery.Review(Seen(100, 70, 70, all), 4);  // still growing
+  recovery.Review(Seen(100, 80, 70, all), 8);
+  EXPECT_EQ(recovery.step(), RecoveryStep::kAssessingLoss);
+  recovery.Review(Seen(100, 100, 80, all), 9.5);
+  EXPECT_EQ(recovery.step(), RecoveryStep::kBestTierFirst);
+  EXPECT_FALSE(recovery.MayStart(1));
+  recovery.Review(Seen(100, 100, 100, all), 12);
+  EXPECT_EQ(recovery.step(), RecoveryStep::kReleasingTiers);
+  EXPECT_TRUE(recovery.MayStart(1));
+  EXPECT_FALSE(recovery.MayStart(2));
   for (int i = 0; i < 25; ++i) {
-    EXPECT_TRUE(r.MayFetch(1));
-    r.NoteFetch(1);
+    EXPECT_TRUE(recovery.MayFetch(1));
+    recovery.NoteFetch(1);
   }
-  EXPECT_FALSE(r.MayFetch(1));
-  EXPECT_TRUE(r.MayFetch(0));
-  r.Review(Seen(100, 100, 100, all), 17.5);
-  EXPECT_TRUE(r.MayStart(2));
-  EXPECT_TRUE(r.MayFetch(2));
-  r.Review(Seen(100, 100, 100, all), 23);
-  EXPECT_EQ(r.step(), RecoveryStep::kRest);
+  EXPECT_FALSE(recovery.MayFetch(1));
+  EXPECT_TRUE(recovery.MayFetch(0));
+  recovery.Review(Seen(100, 100, 100, all), 17.5);
+  EXPECT_TRUE(recovery.MayStart(2));
+  EXPECT_TRUE(recovery.MayFetch(2));
+  recovery.Review(Seen(100, 100, 100, all), 23);
+  EXPECT_EQ(recovery.step(), RecoveryStep::kCooldown);
   // As long as they waited, nobody waits again.
-  r.Review(Seen(100, 50, 50, all), 30);
-  EXPECT_TRUE(r.MayStart(2));
-  r.Review(Seen(100, 50, 50, all), 46);
-  EXPECT_EQ(r.step(), RecoveryStep::kLoss);
+  recovery.Review(Seen(100, 50, 50, all), 30);
+  EXPECT_TRUE(recovery.MayStart(2));
+  recovery.Review(Seen(100, 50, 50, all), 46);
+  EXPECT_EQ(recovery.step(), RecoveryStep::kAssessingLoss);
 }
 
 // Whatever is seen, the waits end: the best tier never comes back, machines go
@@ -222,7 +227,7 @@
   EXPECT_LT(limits.LongestWait(), 12 * WorkerSettings{}.lease_seconds);
   std::mt19937_64 random(7);
   for (int round = 0; round < 200; ++round) {
-    Recovery r(limits);
+    MassFailureRecovery recovery(limits);
     double placed = 60;
     Time held_since = -1;
     Time free_since = 0;
@@ -232,8 +237,8 @@
       const size_t tiers = 1 + (round % 5 == 0 ? random() % 16 : 2);
       std::vector<bool> waiting(tiers);
       for (size_t i = 0; i < tiers; ++i) waiting[i] = random() % 4 != 0;
-      r.Review(Seen(100, placed, random() % 100, waiting), now);
-      const bool held = !r.MayStart(1) || !r.MayStart(15);
+      recovery.Review(Seen(100, placed, random() % 100, waiting), now);
+      const bool held = !recovery.MayStart(1) || !recovery.MayStart(15);
       if (held && held_since < 0) {
         held_since = now;
         EXPECT_GE(now - free_since + 0.5, last_wait);
@@ -265,7 +270,7 @@
 
   Settings settings_;
   TierPolicy policy_;
-  TierView view_;
+  TierObservation view_;
   Job nightly_ = MakeJob(Spec("batch", Priority::kLow, JobKind::kArray));
   Job rest_ = MakeJob(Spec("other", Priority::kNormal, JobKind::kArray));
   Job finder_ =
@@ -290,7 +295,7 @@
   policy_.Survey(1, {{"a", {{20, 0, 20}, {8, 0, 8}}}});
   policy_.Begin(view_, 1);
   // 8 of 12 free cores in zone a are kept: one machine's worth.
-  EXPECT_DOUBLE_EQ(policy_.KeptAgainst(2, "a").cpus, 8);
+  EXPECT_DOUBLE_EQ(policy_.ReservedAgainst(2, "a").cpus, 8);
   EXPECT_TRUE(policy_.MayUse(nightly_, 2, "a", {4, 0, 4}, false));
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {5, 0, 4}, false));
   EXPECT_TRUE(policy_.MayUse(finder_, 1, "a", {12, 0, 4}, false));
@@ -303,7 +308,7 @@
     policy_.Started(finder_, 1, "b", {1, 0, 1}, false, 1);
   }
   policy_.Begin(view_, 2);
-  EXPECT_DOUBLE_EQ(policy_.KeptAgainst(2, "b").cpus, 10);
+  EXPECT_DOUBLE_EQ(policy_.ReservedAgainst(2, "b").cpus, 10);
 }
 
 TEST_F(Policy, ShareHoldsWhileOthersWaitAndNoLonger) {
--- a/wire/tiers_json.cc
+++ b/wire/tiers_json.cc
@@ -112,9 +112,11 @@
     // Enough for the check below to refuse it.
     if (read.size() > bounds.most_tiers) break;
   }
-  const std::string why = WhyNoTiers(read, bounds);
-  if (why.empty()) *out = std::move(read);
-  return why;
+  if (const std::optional<TierError> error = FindTierError(read, bounds)) {
+    return Render(*error);
+  }
+  *out = std::move(read);
+  return {};
 }
 
 std::string WriteTiers(const std::vector<Tier>& tiers) {
