--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -325,14 +325,14 @@
   modules_.rollout_manager.OnRolloutRecord(id, now);
 }
 
-void Leader::OnBooking(const MaintenanceWindow& booking, uint64_t version,
-                       Time now) {
-  modules_.maintenance.OnBooking(booking, version, now);
+void Leader::OnMaintenanceWindow(const MaintenanceWindow& booking,
+                                 uint64_t version, Time now) {
+  modules_.maintenance.OnMaintenanceWindow(booking, version, now);
 }
 
-void Leader::OnBookingWithdrawn(const std::string& id, uint64_t version,
-                                Time now) {
-  modules_.maintenance.OnBookingWithdrawn(id, version, now);
+void Leader::OnMaintenanceWindowWithdrawn(const std::string& id,
+                                          uint64_t version, Time now) {
+  modules_.maintenance.OnMaintenanceWindowWithdrawn(id, version, now);
 }
 
 void Leader::OnReadAnswer(uint64_t id, bool succeeded, Time now) {
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -40,8 +40,10 @@
   void OnWaitingRecord(const std::string& id, Time now);
   void OnRolloutRecord(const std::string& id, Time now);
   void OnOperatorRecord(const std::string& name, Time now);
-  void OnBooking(const MaintenanceWindow& booking, uint64_t version, Time now);
-  void OnBookingWithdrawn(const std::string& id, uint64_t version, Time now);
+  void OnMaintenanceWindow(const MaintenanceWindow& booking, uint64_t version,
+                           Time now);
+  void OnMaintenanceWindowWithdrawn(const std::string& id, uint64_t version,
+                                    Time now);
 
   // --- events: answers of the store
   void OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
--- a/core/store_writes/write_queue.cc
+++ b/core/store_writes/write_queue.cc
@@ -50,7 +50,7 @@
 size_t VariableBytes(const RolloutRecord& rollout) {
   const auto& check = rollout.spec->check;
   return kBytesPerCharacter *
-         (check.verdict.size() + check.path.size() + rollout.reason.size());
+         (check.expression.size() + check.path.size() + rollout.reason.size());
 }
 
 size_t VariableBytes(const OperatorRecord& record) {
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -91,9 +91,9 @@
   spec.need = {1, 0, 1};
   AutoscalerInput input;
   input.types = &types;
-  input.rooms = {{{"small", "a", false}, {2, 0, 16}}};
+  input.capacity = {{{"small", "a", false}, {2, 0, 16}}};
   input.demand = {{&spec, 6, {}}};
-  input.most_machines = 10;
+  input.max_new_machines = 10;
   const auto scale_out = PlanScaleOut(input);
   ASSERT_EQ(scale_out.size(), 1U);
   EXPECT_EQ(scale_out.begin()->first, (MachinePool{"small", "a", false}));
