--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -1,11 +1,10 @@
 #include "app/controller_node.h"
 
-#include <spdlog/spdlog.h>
-
 #include <random>
 #include <utility>
 
 #include "app/calendar_records.h"
+#include "logging/structured_log.h"
 #include "wire/calendar_json.h"
 #include "wire/tiers_json.h"
 
@@ -16,10 +15,11 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
+// The text is valid: it was checked when the settings were read.
 net::Address AddressOf(const std::string& text) {
-  net::Address out;
-  net::ParseAddress(text, &out);  // checked with the settings
-  return out;
+  net::Address address;
+  net::ParseAddress(text, &address);
+  return address;
 }
 
 LeaderHealthCoordinator::Peers PeersOf(net::Loop& loop,
@@ -37,8 +37,8 @@
   return std::to_string((static_cast<uint64_t>(device()) << 32) | device());
 }
 
-// The kinds of operators' records, one place for each subsystem to bring its
-// own.
+// The kinds of operators' records: each subsystem that uses one is registered
+// here with its validation.
 std::vector<RecordKind> RecordKinds(const Settings& settings,
                                     const Tuning& tuning,
                                     const Catalog& catalog,
@@ -65,10 +65,10 @@
 
 net::HttpServer::Limits ServerLimits(const Settings& settings) {
   net::HttpServer::Limits limits;
-  // A part of the sockets stays for what this controller opens itself.
-  constexpr double kServed = 0.75;
+  // The rest of the sockets is for connections that this controller opens.
+  constexpr double kServedShare = 0.75;
   limits.connections =
-      static_cast<size_t>(kServed * settings.limits.max_connections);
+      static_cast<size_t>(kServedShare * settings.limits.max_connections);
   return limits;
 }
 
@@ -84,11 +84,11 @@
       watcher_(loop, settings, store_, cloud_, catalog_,
                {[this](const std::string& key) {
                   if (key == keys::kEpoch) recovery_.EpochSeen();
-                  leader_runtime_.RecordTaken(key);
+                  leader_runtime_.OnRecord(key);
                 },
                 [this] { leader_runtime_.ExecuteActions(); },
                 [this](const std::vector<MachineType>& types) {
-                  leader_runtime_.TypesKnown(types);
+                  leader_runtime_.OnMachineTypes(types);
                 },
                 [this] {
                   recovery_.ReportDataLoss(DataLossIndication::kEpochMissing);
@@ -130,9 +130,10 @@
                    leader_runtime_.StartLeading(revision, delegates);
                  },
                  [this] { leader_runtime_.StopLeading(); }}),
-      leader_runtime_(loop, settings, tuning, catalog_, store_, cloud_,
-                      watcher_, election_, leader_health_coordinator_,
-                      zone_coordinator_, recovery_),
+      leader_runtime_(
+          {loop, settings, catalog_, store_, cloud_, watcher_, election_,
+           leader_health_coordinator_, zone_coordinator_, recovery_},
+          tuning),
       version_coordinator_(loop, settings, catalog_, store_,
                            {[this] { return watcher_.synced(); },
                             [this] { return recovery_.MayAccept(); },
@@ -143,9 +144,11 @@
                                    uint64_t mod_revision) {
                               watcher_.Apply(key, record, mod_revision);
                             }}),
-      users_(loop, settings, catalog_, store_, watcher_, election_,
-             leader_runtime_, peers_, zone_coordinator_, recovery_,
-             version_coordinator_),
+      request_forwarder_(loop, settings, election_, peers_),
+      job_request_handler_({loop, settings, catalog_, store_, watcher_,
+                            election_, leader_runtime_, zone_coordinator_,
+                            recovery_, version_coordinator_,
+                            request_forwarder_}),
       rollout_coordinator_(settings, tuning, catalog_, store_,
                            {[this](const std::string& key, const Record& record,
                                    uint64_t mod_revision) {
@@ -170,7 +173,7 @@
                            },
                            [this] { return recovery_.MayAccept(); }}),
       record_routes_(record_coordinator_),
-      api_(users_, &rollout_routes_, &record_routes_),
+      api_(job_request_handler_, &rollout_routes_, &record_routes_),
       peer_server_(
           loop, AddressOf(settings.peer_listen),
           [this](PeerMessage message) { return OnPeer(std::move(message)); }),
@@ -180,8 +183,9 @@
               }) {}
 
 void ControllerNode::Start() {
-  spdlog::info("{} in {} starts, users at {}", settings_.node, settings_.zone,
-               settings_.listen);
+  logging::Info("controller starting", {{"node", settings_.node},
+                                        {"zone", settings_.zone},
+                                        {"listen", settings_.listen}});
   net::Spawn(server_.Run());
   net::Spawn(peer_server_.Run());
   watcher_.Start();
@@ -196,8 +200,9 @@
   PeerMessage reply;
   reply.node = settings_.node;
   reply.role = election_.Role();
-  if (JobRequestHandler::Handles(message.kind)) {
-    co_await users_.OnPeer(std::move(message), &reply);
+  if (PeerRequestHandler::Handles(message.kind)) {
+    co_await job_request_handler_.peer_requests().Handle(std::move(message),
+                                                         &reply);
     co_return reply;
   }
   if (RecoveryCoordinator::Handles(message.kind)) {
@@ -224,13 +229,14 @@
       break;
     case PeerKind::kReach:
     case PeerKind::kSilent:
-      co_await leader_health_coordinator_.OnReach(std::move(message), &reply);
+      co_await leader_health_coordinator_.OnReachabilityQuestion(
+          std::move(message), &reply);
       break;
     case PeerKind::kOfferLeadershipTransfer:
-      leader_health_coordinator_.OnOffer(message, &reply);
+      leader_health_coordinator_.OnTransferOffer(message, &reply);
       break;
     case PeerKind::kDeferCandidacy:
-      leader_health_coordinator_.OnStandAside(message);
+      leader_health_coordinator_.OnDeferCandidacy(message);
       break;
     default:
       break;
--- a/app/controller_node.h
+++ b/app/controller_node.h
@@ -1,8 +1,11 @@
-// One controller: the rooms of which it is made, and who may call whom.
+// One controller: owns its parts and connects them. Calls run down:
 //
-//   Users -> LeaderRuntime -> Election -> Follower
-//   LeaderHealthCoordinator, RecoveryCoordinator, RolloutCoordinator: reached
-//   by the others, reach back through seams that are wired here.
+//   Api -> JobRequestHandler -> LeaderRuntime -> LeaderElection -> StoreWatcher
+//
+// The coordinators are called by these and call back through callbacks that
+// are wired here. Parts are constructed in the order of the members; each may
+// keep references to those before it, and uses callbacks to later ones only
+// once the controller has started. Not movable: its parts refer to each other.
 #pragma once
 
 #include <memory>
@@ -14,6 +17,7 @@
 #include "app/leader_runtime.h"
 #include "app/record_coordinator.h"
 #include "app/recovery_coordinator.h"
+#include "app/request_forwarder.h"
 #include "app/rollout_coordinator.h"
 #include "app/store_watcher.h"
 #include "app/version_coordinator.h"
@@ -26,14 +30,19 @@
 
 namespace oxbow::app {
 
+// One controller of a deployment, as a process runs it.
 class ControllerNode {
  public:
   ControllerNode(net::Loop& loop, const Settings& settings,
                  const Tuning& tuning);
 
-  // Starts everything; the loop does the rest.
+  // Starts all parts; the event loop does the rest. The controller must outlive
+  // the loop's run.
   void Start();
-  const std::map<std::string, MachineType>* Types() { return users_.Types(); }
+  // Null while the machine types are unknown.
+  const std::map<std::string, MachineType>* Types() {
+    return job_request_handler_.MachineTypes();
+  }
 
  private:
   net::Task<clients::PeerMessage> OnPeer(clients::PeerMessage message);
@@ -42,7 +51,8 @@
   Catalog catalog_;
   clients::KeyValueStoreClient store_;
   clients::CloudClient cloud_;
-  const std::string process_incarnation_;  // incarnation of this process
+  // Distinguishes this process from earlier ones of the same controller.
+  const std::string process_incarnation_;
   LeaderHealthCoordinator::Peers peers_;
   StoreWatcher watcher_;
   LeaderHealthCoordinator leader_health_coordinator_;
@@ -51,7 +61,8 @@
   LeaderElection election_;
   LeaderRuntime leader_runtime_;
   VersionCoordinator version_coordinator_;
-  JobRequestHandler users_;
+  RequestForwarder request_forwarder_;
+  JobRequestHandler job_request_handler_;
   RolloutCoordinator rollout_coordinator_;
   api::RolloutRoutes rollout_routes_;
   RecordCoordinator record_coordinator_;
--- a/app/calendar_cli.h
+++ b/cli/calendar_command.h
@@ -1,11 +1,12 @@
-// `oxbowbank calendar ...`: what operators say to the calendar.
+// `oxbowbank calendar ...`: the operators' maintenance windows and peaks.
 #pragma once
 
 #include <string>
 #include <vector>
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
+// The arguments of the command.
 struct CalendarCommand {
   std::string verb;     // book, list, show, cancel, check, next, extend
   std::string address;  // of any controller
@@ -27,7 +28,7 @@
   double run_seconds = 0;
 };
 
-// Exit codes are those of app/record_client.h.
+// Exit codes are those of cli/record_client.h.
 int RunCalendar(const CalendarCommand& command);
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/tiers_cli.h
+++ b/cli/tiers_command.h
@@ -6,8 +6,9 @@
 
 #include "core/model/settings.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
+// The arguments of the command.
 struct TiersCommand {
   std::string verb;      // show, check, set, withdraw, history
   std::string address;   // of any controller; not for check
@@ -18,8 +19,8 @@
   bool json = false;
 };
 
-// Returns the exit code (app/record_client.h). `settings`: what a file is
+// Returns the exit code (cli/record_client.h). `settings`: what a file is
 // checked against before it is sent; the deployment's own word is the last.
 int RunTiers(const TiersCommand& command, const Settings& settings);
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
