--- a/app/calendar_cli.cc
+++ b/app/calendar_cli.cc
@@ -59,7 +59,7 @@
                             const std::vector<UtcInterval>& held,
                             MaintenanceWindow* booking) {
   for (size_t most = kMostTimes; most > 0; most /= 2) {
-    const std::string wrong = WorkOut({wall, kHorizon, most}, booking);
+    std::string wrong = WorkOut({wall, kHorizon, most}, booking);
     if (!wrong.empty()) return wrong;
     if (!booking->rule.empty()) {
       // What a rule has too soon is left out, unless it was known before.
--- a/tests/election_exploration_test.cc
+++ b/tests/election_exploration_test.cc
@@ -148,7 +148,7 @@
   const double begins = GetParam() == Event::kStart ? 0 : kFrom;
   int played = 0;
   std::set<LeaderState> met;
-  const auto play = [&](std::vector<Ending> endings) {
+  const auto play = [&](const std::vector<Ending>& endings) {
     Exploration exploration(GetParam(), endings);
     const std::string wrong = exploration.Play(kUntil);
     ++played;
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -135,7 +135,7 @@
 }  // namespace
 
 const std::vector<Target>& Targets() {
-  static const std::vector<Target> targets = {
+  static const std::vector<Target> kTargets = {
       {"frames", PeerFrames, {SomeFrames()}},
       {"reports",
        Reports,
@@ -165,7 +165,7 @@
         R"({"final":"done","tasks":3})"}},
       {"reach", ReachTexts, {"1101?0\n000111", "111111111111\n000000000000"}},
   };
-  return targets;
+  return kTargets;
 }
 
 }  // namespace oxbow::fuzz
