--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -340,7 +340,7 @@
     const uint64_t number = me.asked;
     const int to = me.at;
     const Heartbeat heartbeat = HeartbeatOf(w);
-    After(4, [=, this] { NoAnswer(w, number, /*at_once=*/true); });
+    After(4, [=, this] { NoAnswer(w, number, /*next=*/true); });
     if (!ReachesWorker(to, me)) {
       // Silence behind a cut, a refusal where nothing listens.
       if (!Up(to)) NoAnswer(w, number, true);
