--- a/app/recurrence.cc
+++ b/app/recurrence.cc
@@ -204,6 +204,8 @@
   return Expansion(horizon, booking).Run();
 }
 
+// A symbol of C, looked up by this name when the module is loaded.
+// NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" __attribute__((visibility("default"))) void oxbow_work_out_times(
     const Horizon* horizon, MaintenanceWindow* booking, std::string* wrong) {
   *wrong = WorkOutTimes(*horizon, booking);
