--- a/cli/calendar_command.cc
+++ b/cli/calendar_command.cc
@@ -58,7 +58,7 @@
                             const std::vector<UtcInterval>& held,
                             MaintenanceWindow* booking) {
   for (size_t most = kMaxWindowTimes; most > 0; most /= 2) {
-    const std::string wrong = WorkOut({wall, kHorizon, most}, booking);
+    std::string wrong = WorkOut({wall, kHorizon, most}, booking);
     if (!wrong.empty()) return wrong;
     if (!booking->rule.empty()) {
       // What a rule has too soon is left out, unless it was known before.
@@ -278,7 +278,7 @@
         "waits for %s until %s\n",
         admission.window.empty() ? "a window" : admission.window.c_str(),
         admission.next_start > 0 ? Utc(admission.next_start).c_str()
-                            : "a time that is not known");
+                                 : "a time that is not known");
   }
   return kRecordOk;
 }
--- a/tests/replica_move_explorer.h
+++ b/tests/replica_move_explorer.h
@@ -99,9 +99,9 @@
                          claim.until_wall);
     }
     for (const auto& [id, move] : rebalancer.moves()) {
-      key += fmt::format("m{}{}{}{}{:.1f}{:.1f}{:.1f}", id,
-                         move.claim.job, move.claim.task, move.claim.to,
-                         move.state_since, move.ends_at, move.cooled_off_at) +
+      key += fmt::format("m{}{}{}{}{:.1f}{:.1f}{:.1f}", id, move.claim.job,
+                         move.claim.task, move.claim.to, move.state_since,
+                         move.ends_at, move.cooled_off_at) +
              std::string(NameOf(move.state));
     }
     return key;
--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -62,7 +62,8 @@
 // Pairs of begin and length, s.
 std::string ReadTimes(const rapidjson::Value& value, MaintenanceWindow* out) {
   const auto* times = json::Find(value, "times");
-  if (times == nullptr || !times->IsArray() || times->Size() > kMaxWindowTimes) {
+  if (times == nullptr || !times->IsArray() ||
+      times->Size() > kMaxWindowTimes) {
     return "field times";
   }
   for (const auto& pair : times->GetArray()) {
