--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -574,7 +574,7 @@
     Heartbeat heartbeat, std::string body) {
   using Result = api::HeartbeatAnswer::Result;
   api::HeartbeatAnswer out;
-  recovery_.TermSeen(heartbeat.token >> kTokenBits);
+  recovery_.TermSeen(TermOfToken(heartbeat.token));
   if (const Leader* leading = leader_runtime_.ActiveLeader()) {
     out.leader =
         zone_coordinator_.BetterPlaceFor(heartbeat, leading->revision());
@@ -600,7 +600,7 @@
   }
   // Answered with the token that the worker knows, and without commands: it
   // lives on, and whoever leads next counts from when it takes office.
-  const uint64_t term = heartbeat.token >> kTokenBits;
+  const uint64_t term = TermOfToken(heartbeat.token);
   ZoneCoordinator::Renewal renewal = ZoneCoordinator::Renewal::kYes;
   if (heartbeat.token == 0 || !election_.MayRenew(term)) {
     renewal = zone_coordinator_.MayRenew(heartbeat);
--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -10,10 +10,16 @@
 
 namespace oxbow {
 
-CommandDispatcher::CommandDispatcher(LeaderContext& context, const Modules& modules) : context_(context), settings_(context.settings), cluster_(context.cluster), actions_(context.actions), maintenance_(modules.maintenance) {}
+CommandDispatcher::CommandDispatcher(LeaderContext& context,
+                                     const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      cluster_(context.cluster),
+      actions_(context.actions),
+      maintenance_(modules.maintenance) {}
 
 void CommandDispatcher::QueueStop(Machine& machine, TaskAttempt& attempt,
-                       double grace_seconds, Time now) {
+                                  double grace_seconds, Time now) {
   if (attempt.phase == TaskPhase::kExited) return;
   if (attempt.start_progress == StartProgress::kQueued) {
     // Its start was never sent, so it is not there.
@@ -151,8 +157,10 @@
                      settings_.workers.lease_seconds);
 }
 
-void CommandDispatcher::FillResponse(Machine& machine, HeartbeatResponse* response, Time now) {
-  if ((now >= machine.direct_broken_until && !maintenance_.HasCalendarStart(machine)) ||
+void CommandDispatcher::FillResponse(Machine& machine,
+                                     HeartbeatResponse* response, Time now) {
+  if ((now >= machine.direct_broken_until &&
+       !maintenance_.HasCalendarStart(machine)) ||
       machine.batch || !machine.confirmed() || machine.queue.empty()) {
     return;
   }
@@ -168,7 +176,8 @@
   machine.batch = std::move(batch);
 }
 
-void CommandDispatcher::OnCommandResponse(Machine& target, uint64_t batch, CommandOutcome outcome, Time now) {
+void CommandDispatcher::OnCommandResponse(Machine& target, uint64_t batch,
+                                          CommandOutcome outcome, Time now) {
   Machine* machine = &target;
   if (machine->batch && machine->batch->id == batch && !machine->batch_lost) {
     switch (outcome) {
@@ -222,7 +231,8 @@
           it->second.forgetting = false;
         }
         RaiseFencingToken(*machine);
-        context_.Log("orders to " + machine->host() + " unanswered, token raised");
+        context_.Log("orders to " + machine->host() +
+                     " unanswered, token raised");
         break;
     }
   }
--- a/core/command_dispatch/command_dispatcher.h
+++ b/core/command_dispatch/command_dispatcher.h
@@ -41,7 +41,8 @@
   // go to the worker directly.
   void FillResponse(Machine& machine, HeartbeatResponse* response, Time now);
   // The outcome of a batch that was sent to the worker's address.
-  void OnCommandResponse(Machine& target, uint64_t batch, CommandOutcome outcome, Time now);
+  void OnCommandResponse(Machine& target, uint64_t batch,
+                         CommandOutcome outcome, Time now);
 
  private:
   void OnDirectCommandFailed(Machine& machine, Time now);
--- a/core/leader_context/actions.h
+++ b/core/leader_context/actions.h
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "core/catalog/catalog.h"
+#include "core/model/fencing_token.h"
 #include "core/model/heartbeat.h"
 #include "core/model/log_event.h"
 #include "core/model/machine.h"
@@ -23,7 +24,7 @@
   std::string host;
   std::string endpoint;
   uint64_t batch = 0;
-  uint64_t token = 0;
+  FencingToken token = 0;
   uint64_t incarnation = 0;
   std::vector<WorkerCommand> commands;
 };
@@ -138,7 +139,7 @@
   bool refused = false;
   // Not to be answered: its machine's lease is let run out.
   bool withheld = false;
-  uint64_t token = 0;
+  FencingToken token = 0;
   std::vector<WorkerCommand> commands;
 };
 
--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -15,7 +15,7 @@
 #include "core/cluster_state/cluster_state.h"
 #include "core/leader_context/actions.h"
 #include "core/leader_context/run_time_estimates.h"
-#include "core/lease/fencing_token.h"
+#include "core/lease/fencing_token_source.h"
 #include "core/model/settings.h"
 #include "core/model/timeouts.h"
 #include "core/packing/fragmentation.h"
@@ -52,7 +52,7 @@
   // Runs a scheduling pass at once, if one is due.
   std::function<void(Time now)> schedule_if_needed;
 
-  NumberSource numbers;
+  FencingTokenSource numbers;
   // This leadership is over: nothing may be started or sent any more.
   bool resigned = false;
   // Whether details are logged.
--- a/core/lease/partition_detector.h
+++ b/core/lease/partition_detector.h
@@ -6,6 +6,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "core/model/fencing_token.h"
 #include "core/model/heartbeat.h"
 #include "core/model/settings.h"
 
@@ -39,7 +40,7 @@
   struct Seen {
     uint64_t incarnation = 0;
     uint64_t seq = 0;
-    uint64_t token = 0;
+    FencingToken token = 0;
     Time kept = -1e9;
     Time sent_on = -1e9;
   };
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -6,6 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "core/model/fencing_token.h"
+
 namespace oxbow {
 
 enum class TaskPhase : uint8_t {
@@ -45,7 +47,7 @@
   bool spot = false;
   uint64_t incarnation = 0;
   uint64_t seq = 0;
-  uint64_t token = 0;
+  FencingToken token = 0;
   std::optional<double> notice_seconds;
   std::vector<TaskStatus> tasks;
   // By way of another controller, which answers the worker for the leader. Not
--- a/core/model/machine.cc
+++ b/core/model/machine.cc
@@ -18,12 +18,12 @@
 }  // namespace
 
 Machine::Machine(std::string host, const MachineRecord& record, int32_t index,
-                 uint64_t machine_token)
+                 FencingToken initial_token)
     : type_name(record.type),
       zone(record.zone),
       spot(record.spot),
       endpoint(record.endpoint),
-      token(machine_token),
+      token(initial_token),
       host_(std::move(host)),
       index_(index),
       state_(record.endpoint.empty() ? kBooting : kUp) {}
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -10,6 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "core/model/fencing_token.h"
 #include "core/model/heartbeat.h"
 #include "core/model/job.h"
 #include "core/model/reachability.h"
@@ -126,7 +127,7 @@
 class Machine {
  public:
   Machine(std::string host, const MachineRecord& record, int32_t index,
-          uint64_t token);
+          FencingToken initial_token);
 
   const std::string& host() const { return host_; }
   int32_t index() const { return index_; }
@@ -164,8 +165,8 @@
   WorkerIncarnation incarnation;
   Reachability reachability;
   uint64_t seq = 0;
-  uint64_t token;                   // the one this leader uses for it now
-  uint64_t seen_fencing_token = 0;  // the highest the worker has shown
+  FencingToken token;                   // the one this leader uses for it now
+  FencingToken seen_fencing_token = 0;  // the highest the worker has shown
   Time last_heard = -1e9;
   Time last_heartbeat = -1e9;  // by which its lease is renewed
   bool forwarded = false;      // that report came by way of another controller
--- a/core/model/reachability.h
+++ b/core/model/reachability.h
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <cstdint>
 
+#include "core/model/fencing_token.h"
 #include "core/model/settings.h"
 #include "core/model/worker_incarnation.h"
 
@@ -51,17 +52,17 @@
   bool MayTakeWork() const { return !asks(); }
 
   // An order left for the machine's address under this token.
-  void CommandsSent(uint64_t token) { direct_ = std::max(direct_, token); }
+  void CommandsSent(FencingToken token) { direct_ = std::max(direct_, token); }
   // Whether the token to be given in the next answer has to be a new one.
   bool WantsQuestion(Time now) const {
     return asks() && now >= asks_from_ && question_ <= direct_;
   }
-  void Asked(uint64_t token) { question_ = token; }
+  void Asked(FencingToken token) { question_ = token; }
 
   // A message that is news shows `token`, while the leader uses `current` for
   // the machine.
-  void Shown(uint64_t token, uint64_t current, const WorkerSettings& workers,
-             Time now) {
+  void Shown(FencingToken token, FencingToken current,
+             const WorkerSettings& workers, Time now) {
     if (token >= vain_token_) in_vain_since_ = kNever;
     const bool effect =
         asks() ? question_ > direct_ && token >= question_ : token >= current;
@@ -73,8 +74,8 @@
   // A report that is news has come, `apart` seconds after the one before;
   // called before Shown. `lacks_orders`: commands in the last answer to have no
   // effect.
-  void Reported(uint64_t seq, uint64_t token, double apart, bool lacks_orders,
-                const WorkerSettings& workers, Time now) {
+  void Reported(uint64_t seq, FencingToken token, double apart,
+                bool lacks_orders, const WorkerSettings& workers, Time now) {
     const bool after_answer = seq > answer_seq_ && answer_seq_ > 0;
     if (after_answer && (token < answer_token_ || lacks_orders)) {
       Change(ReachabilityEvent::kNoEffect, workers, now);
@@ -122,7 +123,7 @@
 
   // A report that is news is being answered with this token. `kept`: somebody
   // in its zone may have kept the worker alive meanwhile.
-  void Answered(uint64_t seq, uint64_t token, uint64_t shown,
+  void Answered(uint64_t seq, FencingToken token, FencingToken shown,
                 double lease_seconds, bool kept, Time now) {
     if (kept && now - answered_at_ > lease_seconds / 2) in_vain_since_ = kNever;
     answered_at_ = now;
@@ -137,7 +138,7 @@
   // within the last lease and more any answer that arrived would have made its
   // worker show a higher token, and without one its incarnation would be over.
   // Unless somebody else may have kept it alive: then there was a silence.
-  bool MustBeOld(uint64_t token, double lease_seconds, bool kept,
+  bool MustBeOld(FencingToken token, double lease_seconds, bool kept,
                  Time now) const {
     return in_vain_since_ != kNever && token < vain_token_ &&
            !(kept && now - answered_at_ > lease_seconds / 2) &&
@@ -189,11 +190,11 @@
   }
 
   ReachabilityState state_ = ReachabilityState::kUnproven;
-  uint64_t direct_ = 0;    // the highest token sent to the machine's address
-  uint64_t question_ = 0;  // the token that only answers have carried
+  FencingToken direct_ = 0;  // the highest token sent to the machine's address
+  FencingToken question_ = 0;  // the token that only answers have carried
   uint64_t answer_seq_ = 0;
-  uint64_t answer_token_ = 0;
-  uint64_t vain_token_ = 0;  // of the first answer without effect
+  FencingToken answer_token_ = 0;
+  FencingToken vain_token_ = 0;  // of the first answer without effect
   Time answered_at_ = kNever;
   Time in_vain_since_ = kNever;
   Time deaf_since_ = kNever;
--- a/core/worker_sessions/machine_health.cc
+++ b/core/worker_sessions/machine_health.cc
@@ -8,7 +8,8 @@
 
 namespace oxbow {
 
-MachineHealth::MachineHealth(LeaderContext& context) : context_(context), timeouts_(context.timeouts) {}
+MachineHealth::MachineHealth(LeaderContext& context)
+    : context_(context), timeouts_(context.timeouts) {}
 
 bool MachineHealth::Suspect(const Machine& machine, Time now) const {
   return now - machine.last_heard > timeouts_.suspect;
@@ -18,9 +19,9 @@
 // But nothing renews its lease then: what is started there is lost with it. A
 // new leader gives each worker the time that it takes to find it.
 bool MachineHealth::Usable(const Machine& machine, Time now) const {
-  const Time reported =
-      std::max(machine.last_heartbeat,
-               context_.started + kHeartbeatTimeoutSeconds + kRetryPauseSeconds);
+  const Time reported = std::max(
+      machine.last_heartbeat,
+      context_.started + kHeartbeatTimeoutSeconds + kRetryPauseSeconds);
   return now - reported <= timeouts_.suspect &&
          machine.state() == MachineState::kUp && machine.type != nullptr &&
          machine.recorded_up && machine.reported && machine.confirmed() &&
--- a/core/worker_sessions/machine_health.h
+++ b/core/worker_sessions/machine_health.h
@@ -16,7 +16,6 @@
 
 namespace oxbow {
 
-
 class MachineHealth {
  public:
   explicit MachineHealth(LeaderContext& context);
@@ -25,7 +24,6 @@
   bool Usable(const Machine& machine, Time now) const;
 
  private:
-
   LeaderContext& context_;
   const SilenceTimeouts& timeouts_;
 };
--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -33,8 +33,22 @@
 
 }  // namespace
 
-
-WorkerSessions::WorkerSessions(LeaderContext& context, const Modules& modules, const std::optional<std::set<std::string>>& delegates) : context_(context), settings_(context.settings), catalog_(context.catalog), cluster_(context.cluster), writes_(context.writes), actions_(context.actions), dispatcher_(modules.dispatcher), job_lifecycle_(modules.job_lifecycle), maintenance_(modules.maintenance), reconciler_(modules.reconciler), machine_lifecycle_(modules.machine_lifecycle), run_times_(context.run_times), zones_(context.settings, context.started, delegates) {}
+WorkerSessions::WorkerSessions(
+    LeaderContext& context, const Modules& modules,
+    const std::optional<std::set<std::string>>& delegates)
+    : context_(context),
+      settings_(context.settings),
+      catalog_(context.catalog),
+      cluster_(context.cluster),
+      writes_(context.writes),
+      actions_(context.actions),
+      dispatcher_(modules.dispatcher),
+      job_lifecycle_(modules.job_lifecycle),
+      maintenance_(modules.maintenance),
+      reconciler_(modules.reconciler),
+      machine_lifecycle_(modules.machine_lifecycle),
+      run_times_(context.run_times),
+      zones_(context.settings, context.started, delegates) {}
 
 bool WorkerSessions::IncarnationExpired(const Machine& machine, Time now) {
   const double lease = settings_.workers.lease_seconds;
@@ -71,8 +85,8 @@
 }
 
 bool WorkerSessions::OnDelegationAsked(const std::string& peer,
-                               const std::string& process_incarnation,
-                               double age, Time now) {
+                                       const std::string& process_incarnation,
+                                       double age, Time now) {
   for (const PeerSettings& settings : settings_.peers) {
     if (settings.name != peer) continue;
     if (!ZoneSettled(settings.zone, now)) return false;
@@ -90,7 +104,8 @@
   cluster_.MarkChanged();
 }
 
-Machine& WorkerSessions::MachineForHeartbeat(const Heartbeat& heartbeat, Time now) {
+Machine& WorkerSessions::MachineForHeartbeat(const Heartbeat& heartbeat,
+                                             Time now) {
   Machine* machine = cluster_.FindMachine(heartbeat.host);
   if (machine == nullptr) {
     machine = &cluster_.AddMachine(
@@ -104,8 +119,8 @@
   if (machine->state() == MachineState::kBooting) {
     machine->Change(MachineState::kUp);
     machine->idle_since = now;
-    context_.Log("machine " + heartbeat.host + " is up: " + heartbeat.type + " in " +
-        heartbeat.zone + (heartbeat.spot ? " (spot)" : ""));
+    context_.Log("machine " + heartbeat.host + " is up: " + heartbeat.type +
+                 " in " + heartbeat.zone + (heartbeat.spot ? " (spot)" : ""));
   }
   if (machine->endpoint != heartbeat.endpoint)
     machine->endpoint = heartbeat.endpoint;
@@ -127,7 +142,7 @@
 // Whether a message tells something that is not known. If not, it is a copy,
 // was held back, was overtaken, or is of the past of an incarnation.
 bool WorkerSessions::IsNews(const Machine& machine, const Heartbeat& heartbeat,
-                    Time now) const {
+                            Time now) const {
   if (!machine.incarnation.MayBeNews(heartbeat.incarnation)) return false;
   if (heartbeat.incarnation != machine.incarnation.number()) return true;
   return heartbeat.seq > machine.seq &&
@@ -143,15 +158,16 @@
 // copies of its heartbeats do so for 4 s after the last news of it and not for
 // ever.
 bool WorkerSessions::WorkerMayAwaitResponse(const Machine& machine,
-                                    const Heartbeat& heartbeat,
-                                    Time now) const {
+                                            const Heartbeat& heartbeat,
+                                            Time now) const {
   if (IsNews(machine, heartbeat, now)) return true;
   return heartbeat.incarnation == machine.incarnation.number() &&
          machine.incarnation.alive() && heartbeat.seq <= machine.seq &&
          now - machine.last_heard <= kHeartbeatTimeoutSeconds * (1 + kDrift);
 }
 
-HeartbeatResponse WorkerSessions::OnHeartbeat(const Heartbeat& heartbeat, Time now) {
+HeartbeatResponse WorkerSessions::OnHeartbeat(const Heartbeat& heartbeat,
+                                              Time now) {
   HeartbeatResponse reply;
   if (cluster_.IsDeleted(heartbeat.host)) {
     // A late message from a deleted machine.
@@ -203,11 +219,12 @@
 // what former leaders have started there and sent there is over, whatever it
 // shows. As long as it was answered, a machine that reports and hears nothing
 // kept every old job, and every job of a capped team, waiting without an end.
-bool WorkerSessions::AllowsLeaseToExpire(const Machine& machine, uint64_t shown,
-                                 Time now) const {
+bool WorkerSessions::AllowsLeaseToExpire(const Machine& machine,
+                                         FencingToken shown, Time now) const {
   return machine.recorded_up && !machine.reported &&
          machine.first_answer >= context_.started &&
-         (std::max(machine.seen_fencing_token, shown) >> kTokenBits) < context_.term &&
+         TermOfToken(std::max(machine.seen_fencing_token, shown)) <
+             context_.term &&
          now > TasksMayLiveUntil(machine.first_answer,
                                  settings_.workers.lease_seconds) +
                    kHeartbeatTimeoutSeconds;
@@ -224,7 +241,7 @@
 // through. So each has the commands to end what must not be there any more;
 // repeating one does no harm, and they count for nothing else.
 void WorkerSessions::AddStopCommands(const Machine& machine,
-                             HeartbeatResponse* reply) const {
+                                     HeartbeatResponse* reply) const {
   for (const auto& [key, attempt] : machine.task_attempts) {
     if (reply->commands.size() >= kMaxCommandsPerBatch) return;
     if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
@@ -245,11 +262,12 @@
   return true;
 }
 
-void WorkerSessions::ApplyHeartbeat(Machine& machine, const Heartbeat& heartbeat,
-                            bool by_heartbeat, Time now) {
+void WorkerSessions::ApplyHeartbeat(Machine& machine,
+                                    const Heartbeat& heartbeat,
+                                    bool by_heartbeat, Time now) {
   if (!IsNews(machine, heartbeat, now)) return;
   if (heartbeat.token > machine.token &&
-      (heartbeat.token >> kTokenBits) > context_.term) {
+      TermOfToken(heartbeat.token) > context_.term) {
     context_.GiveUp(machine.host() + " has seen a newer leader's token");
     return;
   }
@@ -319,7 +337,7 @@
 // Whether a heartbeat lacks what commands in the answer before it must have
 // brought.
 bool WorkerSessions::MissesCommandEffects(const Machine& machine,
-                                  const Heartbeat& heartbeat) const {
+                                          const Heartbeat& heartbeat) const {
   if (!machine.batch || !machine.batch->in_response) return false;
   return std::any_of(
       machine.batch->commands.begin(), machine.batch->commands.end(),
@@ -335,20 +353,20 @@
 }
 
 void WorkerSessions::LogReachabilityChange(const Machine& machine,
-                                   ReachabilityState before) {
+                                           ReachabilityState before) {
   const ReachabilityState after = machine.reachability.state();
   if (after == before) return;
   cluster_.MarkChanged();
   if (after == ReachabilityState::kDeaf) {
     context_.Log("machine " + machine.host() +
-        " reports, but answers have no effect there");
+                 " reports, but answers have no effect there");
   } else if (before == ReachabilityState::kDeaf) {
     context_.Log("machine " + machine.host() + " hears again");
   }
 }
 
 void WorkerSessions::AdoptRunningTask(Machine& machine, const TaskStatus& task,
-                              Time now) {
+                                      Time now) {
   TaskAttempt attempt;
   attempt.job_id = task.job_id;
   attempt.task = task.task;
@@ -373,7 +391,7 @@
 }
 
 void WorkerSessions::UpdateAttempt(Machine& machine, TaskAttempt& attempt,
-                           const TaskStatus& task, Time now) {
+                                   const TaskStatus& task, Time now) {
   attempt.start_progress = StartProgress::kSettled;
   const bool has_image =
       task.phase != TaskPhase::kFetching &&
@@ -413,13 +431,14 @@
                          cluster_.IsCurrent(machine, attempt) &&
                          (attempt.job->state() == JobState::kRecordingAbort ||
                           attempt.job->state() == JobState::kRecordingDone);
-  if (attempt.job == nullptr && !reconciler_.MayStopUnknownTask(attempt, now)) return;
+  if (attempt.job == nullptr && !reconciler_.MayStopUnknownTask(attempt, now))
+    return;
   if (!wanted && !recording && !attempt.stopping)
     dispatcher_.QueueStop(machine, attempt, 0, now);
 }
 
 void WorkerSessions::OnExit(Machine& machine, TaskAttempt& attempt,
-                    const TaskStatus& task, Time now) {
+                            const TaskStatus& task, Time now) {
   const bool was_running = attempt.phase == TaskPhase::kRunning;
   cluster_.MarkExited(machine, attempt, task.reason);
   Job* job = attempt.job;
@@ -507,9 +526,8 @@
 void WorkerSessions::BeginTick() { incarnations_unsettled_ = false; }
 
 void WorkerSessions::ExpireIfOver(Machine& machine, Time now) {
-  const bool may_hold =
-      !machine.task_attempts.empty() || machine.batch ||
-      (machine.recorded_up && !machine.reported);
+  const bool may_hold = !machine.task_attempts.empty() || machine.batch ||
+                        (machine.recorded_up && !machine.reported);
   if (!may_hold || machine.incarnation.state() == IncarnationState::kExpired) {
     return;
   }
--- a/core/worker_sessions/worker_sessions.h
+++ b/core/worker_sessions/worker_sessions.h
@@ -71,7 +71,7 @@
               Time now) const;
   bool WorkerMayAwaitResponse(const Machine& machine,
                               const Heartbeat& heartbeat, Time now) const;
-  bool AllowsLeaseToExpire(const Machine& machine, uint64_t shown,
+  bool AllowsLeaseToExpire(const Machine& machine, FencingToken shown,
                            Time now) const;
   void AddStopCommands(const Machine& machine, HeartbeatResponse* reply) const;
   bool MissesCommandEffects(const Machine& machine,
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "core/autoscaler/capacity_planning.h"
-#include "core/lease/fencing_token.h"
+#include "core/lease/fencing_token_source.h"
 
 namespace oxbow {
 namespace {
@@ -55,15 +55,15 @@
 
 TEST(Numbers, NeverReachTheNextLeadersRange) {
   // A number beyond the range would be one that the next leader gives too.
-  NumberSource numbers(7);
+  FencingTokenSource numbers(7);
   uint64_t last = 0;
   while (const auto n = numbers.Next()) {
-    ASSERT_GT(*n, FirstToken(7));
-    ASSERT_LT(*n, FirstToken(8));
+    ASSERT_GT(*n, FirstFencingToken(7));
+    ASSERT_LT(*n, FirstFencingToken(8));
     ASSERT_GT(*n, last);
     last = *n;
   }
-  EXPECT_EQ(last, FirstToken(8) - 1);
+  EXPECT_EQ(last, FirstFencingToken(8) - 1);
 }
 
 TEST(States, IllegalChangesAreCaught) {
--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -12,13 +12,13 @@
 class DeliveryTest : public testing::Test {
  protected:
   // A report with this token that is answered with `answer`.
-  void Report(uint64_t token, uint64_t answer, double apart = 1) {
+  void Report(FencingToken token, uint64_t answer, double apart = 1) {
     now_ += apart;
     d_.Reported(++seq_, token, apart, false, workers_, now_);
     d_.Shown(token, answer, workers_, now_);
     d_.Answered(seq_, answer, token, workers_.lease_seconds, false, now_);
   }
-  bool MustBeOld(uint64_t token) {
+  bool MustBeOld(FencingToken token) {
     return d_.MustBeOld(token, workers_.lease_seconds, false, now_);
   }
 
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -5,7 +5,7 @@
 
 #include "clients/retained_records_page.h"
 #include "core/catalog/catalog.h"
-#include "core/lease/fencing_token.h"
+#include "core/lease/fencing_token_source.h"
 #include "core/lease/leadership.h"
 #include "core/recovery/peer_choice.h"
 #include "core/recovery/store_epoch.h"
@@ -62,8 +62,8 @@
 
 TEST(Epoch, ATermFitsItsBitsForEver) {
   EXPECT_LT(NextBase(0, 1e12), uint64_t{1} << kTermBits);
-  const uint64_t token = FirstToken(NextBase(0, 1e12));
-  EXPECT_EQ(token >> kTokenBits, NextBase(0, 1e12));
+  const uint64_t token = FirstFencingToken(NextBase(0, 1e12));
+  EXPECT_EQ(TermOfToken(token), NextBase(0, 1e12));
 }
 
 // --- store verification
--- a/tests/sim.cc
+++ b/tests/sim.cc
@@ -667,7 +667,7 @@
                       uint64_t incarnation, Time sent) {
   if (reply.token < worker.token || incarnation != worker.incarnation) return;
   worker.unproven = false;
-  worker.heard_from = reply.token >> kTokenBits;
+  worker.heard_from = TermOfToken(reply.token);
   worker.token = reply.token;
   worker.lease_from = sent;
   Execute(worker, reply.commands);
