--- a/app/leader_election.cc
+++ b/app/leader_election.cc
@@ -185,7 +185,7 @@
     // Whoever asked first, this loop or a request in between, has noticed the
     // lapse; the stepping down is done here in either case. A lapsed leader
     // that was not retired could never lead again.
-    if (leadership_.state() == LeaderState::kLapsed) {
+    if (leadership_.state() == LeaderState::kExpired) {
       StepDown("its right to lead has run out");
     }
     if (recovery_.verification().state() == StoreVerificationState::kLost &&
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -318,7 +318,7 @@
   if (partition_detector_.Redirected(heartbeat, now))
     return Renewal::kRedirected;
   if (!delegated_lease_.Renew(now)) return Renewal::kNo;
-  partition_detector_.Kept(heartbeat, now);
+  partition_detector_.OnAnswered(heartbeat, now);
   return Renewal::kYes;
 }
 
--- a/core/lease/delegated_lease_record.h
+++ b/core/lease/delegated_lease_record.h
@@ -1,5 +1,6 @@
-// The record of a delegated lease, in the key-value store: by it a
-// new leader tells whom it has to wait for. See docs/delegated-lease.md.
+// The record of this controller's delegated lease in the key-value store: from
+// the records a new leader knows which delegates it has to wait for. See
+// docs/delegated-lease.md.
 #pragma once
 
 #include <cstdint>
@@ -9,32 +10,33 @@
 
 namespace oxbow {
 
-// What has to be asked of the key-value store next, each once in a while.
+// The next request to the key-value store, each repeated until it succeeds.
 enum class RecordStep : uint8_t {
-  kRead,   // the key's stamp, which the write is conditioned on
+  kRead,   // the key's mod revision, the precondition of the write
   kLease,  // a lease for the key
-  kWrite,  // the key, under the stamp that was read
+  kWrite,  // the key, if its mod revision is still the one that was read
   kRenew,  // its lease
 };
 
-// A controller writes its key in every life. Written without a condition, the
-// write of a former life, or one that stayed unanswered, could arrive late and
-// hang the key on a lease that nobody renews: it goes while its owner counts
-// with it, and a new leader takes for over what is kept. Under the stamp that
-// was read, of two such writes one is refused, and who is refused reads again.
+// A controller writes its key after every start. Without a precondition, the
+// write of a former process, or one that stayed unanswered, could arrive late
+// and attach the key to a lease that nobody renews: the key would expire while
+// its owner relies on it, and a new leader would treat as expired what the
+// owner renews. With the mod revision as precondition, of two such writes one
+// is refused, and whoever is refused reads again.
 class DelegatedLeaseRecord {
  public:
   explicit DelegatedLeaseRecord(DelegatedLease& lease)
       : delegated_lease_(lease) {}
 
   RecordStep step() const { return step_; }
-  uint64_t mod_revision() const {
-    return mod_revision_;
-  }                                                // of the key, 0: not there
-  uint64_t lease_id() const { return lease_id_; }  // to write with, to renew
+  // Of the key as read; 0: it does not exist.
+  uint64_t mod_revision() const { return mod_revision_; }
+  // To write the key with, and to renew.
+  uint64_t lease_id() const { return lease_id_; }
 
   void WasRead(uint64_t mod_revision);
-  // `sent`: when the lease was asked for, which it counts from.
+  // `sent`: when the lease was asked for; it counts from then.
   void LeaseGranted(uint64_t lease_id, Time sent);
   void Written(Time now);
   // Refused, or of unknown outcome.
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -12,9 +12,9 @@
     std::pair{kFollower, kSeeking},  std::pair{kSeeking, kFollower},
     std::pair{kSeeking, kLeading},   std::pair{kLeading, kProlonged},
     std::pair{kSeeking, kRenewing},  std::pair{kRenewing, kLeading},
-    std::pair{kRenewing, kLapsed},   std::pair{kLeading, kLapsed},
-    std::pair{kProlonged, kLeading}, std::pair{kProlonged, kLapsed},
-    std::pair{kLapsed, kFollower},
+    std::pair{kRenewing, kExpired},  std::pair{kLeading, kExpired},
+    std::pair{kProlonged, kLeading}, std::pair{kProlonged, kExpired},
+    std::pair{kExpired, kFollower},
 };
 
 }  // namespace
@@ -33,7 +33,7 @@
 }
 
 Time Leadership::PromisedUntil() const {
-  if (peers_.empty()) return -1e9;  // nobody to promise: the lease decides
+  if (peers_.empty()) return -1e9;  // nobody can promise: the lease decides
   Time until = 1e18;
   for (const std::string& peer : peers_) {
     const auto it = granted_until_.find(peer);
@@ -43,7 +43,7 @@
 }
 
 bool Leadership::Valid(Time now) {
-  if (state_ == kRenewing && now >= lease_until_) Change(kLapsed);
+  if (state_ == kRenewing && now >= lease_until_) Change(kExpired);
   if (state_ != kLeading && state_ != kProlonged) return false;
   if (now < lease_until_) {
     if (state_ == kProlonged) Change(kLeading);
@@ -53,7 +53,7 @@
     if (state_ == kLeading) Change(kProlonged);
     return true;
   }
-  Change(kLapsed);
+  Change(kExpired);
   return false;
 }
 
@@ -95,9 +95,9 @@
 void Leadership::SeekStarted(uint64_t seen) {
   Change(kSeeking);
   seen_ = seen;
-  // Somebody who is told that this one renews by the key, or leads, no longer
-  // counts with a promise to a delegate; one left over must not count
-  // afterwards either.
+  // A controller that learns that this one renews by the key, or leads, no
+  // longer honours its promise to a delegate; so one left over must not count
+  // here afterwards either.
   delegation_over_ = std::max(delegation_over_, delegation_asked_);
   delegation_granted_.clear();
 }
@@ -141,19 +141,21 @@
 
 void Leadership::Lost() {
   if (state_ == kLeading || state_ == kProlonged || state_ == kRenewing) {
-    Change(kLapsed);
+    Change(kExpired);
   }
 }
 
 void Leadership::Retire() {
-  if (state_ == kLapsed) Change(kFollower);
+  if (state_ == kExpired) Change(kFollower);
 }
 
 bool Leadership::WantsPromises(Time now) const {
-  // Ask as soon as one renewal is overdue: what is granted has to be there
-  // before the lease runs out, for afterwards it is too late for good.
+  // Ask as soon as one renewal is overdue: the promises have to be there before
+  // the lease expires, for afterwards they are of no use.
+  constexpr double kOverdueRenewal = 0.7;  // of the lease is left
   return state_ == kProlonged ||
-         (state_ == kLeading && lease_until_ - now < lease_seconds_ * 0.7);
+         (state_ == kLeading &&
+          lease_until_ - now < lease_seconds_ * kOverdueRenewal);
 }
 
 void Leadership::PromiseGranted(const std::string& peer, Time sent) {
@@ -162,13 +164,14 @@
 }
 
 bool Leadership::AskedToPromise(bool state_fails, Time now) {
-  // A search under way has an unknown outcome, so nothing can be promised.
+  // An attempt to win the key in progress has an unknown outcome: nothing can
+  // be promised.
   if (!state_fails || state_ != kFollower) return false;
   promised_until_ = now + promise_seconds_ * (1 + kDrift);
   return true;
 }
 
-// That a peer relies on nothing holds from then on: what it comes to rely on
+// That a peer relies on no promise holds from then on: what it comes to rely on
 // later, this process has promised and remembers.
 void Leadership::PeerIs(const std::string& peer, LeaderRole role) {
   if (std::find(peers_.begin(), peers_.end(), peer) == peers_.end()) return;
@@ -187,8 +190,8 @@
 LeaderRole Leadership::Role(Time now) const {
   if (state_ == kLeading || state_ == kProlonged) return LeaderRole::kLeads;
   if (state_ == kRenewing) return LeaderRole::kRenewsByKey;
-  // From the question on: the answer may be under way while its giver, started
-  // again, asks who relies on it.
+  // From the request on: a promise may be in flight while the controller that
+  // gave it, restarted, asks who relies on it.
   return delegation_over_ < delegation_asked_ &&
                  now < delegation_asked_ + delegation_seconds_
              ? LeaderRole::kRenewsByPromises
@@ -198,7 +201,7 @@
 bool Leadership::MayRenew(Time now) {
   if (state_ == kRenewing) {
     if (now < lease_until_) return true;
-    Change(kLapsed);
+    Change(kExpired);
     return false;
   }
   if (state_ != kFollower || delegation_seconds_ <= 0 || peers_.empty())
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -1,5 +1,7 @@
 // Who leads: a leased key in the key-value store, and promises between the
-// controllers that carry the leader through an outage of that service.
+// controllers that let the leader continue through an outage of the store. No
+// I/O, no clock: the caller tells the time and makes the requests. Owned by one
+// controller; its state is changed by the functions here alone.
 #pragma once
 
 #include <cstdint>
@@ -16,25 +18,26 @@
 enum class LeaderState : uint8_t {
   kFollower,  // somebody else leads, or nobody
   kSeeking,   // a lease is asked for, the key is being written
-  kRenewing,  // holds the key, but somebody may still lead by a promise that
-              // this process has forgotten: renews workers' leases, no commands
+  kRenewing,  // has the key, but somebody may still lead by a promise that this
+              // process has forgotten: renews workers' leases, no commands
   kLeading,   // the lease is known to be granted
-  kProlonged,  // the service is out; every other controller has promised
-  kLapsed,     // was leader, the right has run out; becomes follower again
+  kProlonged,  // the store is unavailable; every other controller has promised
+  kExpired,    // was leader, the lease has expired; becomes follower again
 };
 
-// What a controller is to the others, told with every answer to them.
+// What a controller is to the others, sent with every answer to them.
 enum class LeaderRole : uint8_t {
-  kNone,         // relies on no promise
-  kLeads,        // may come to rely on promises, for the longest right there is
-  kRenewsByKey,  // holds the key and relies on no promise
-  kRenewsByPromises,  // relies on promises, for a short right
+  kNone,              // relies on no promise
+  kLeads,             // may come to rely on promises, the longest-lived ones
+  kRenewsByKey,       // has the key and relies on no promise
+  kRenewsByPromises,  // relies on short-lived promises
 };
 
 class Leadership {
  public:
-  // `delegation_s`: how long a promise to a delegate lasts; 0: there are no
-  // delegates.
+  // `peers`: the names of the other controllers. `promise_seconds`: how long a
+  // promise to the leader lasts. `delegation_seconds`: how long one to a
+  // delegate lasts; 0: there are no delegates.
   Leadership(std::vector<std::string> peers, double lease_seconds,
              double promise_seconds, double delegation_seconds, Time started);
 
@@ -43,55 +46,57 @@
   uint64_t lease_id() const { return lease_id_; }
 
   // Whether this controller may act as the leader at this moment. Changes the
-  // state when the right has run out, so the answer never goes back to yes
+  // state when the right has expired, so the answer never changes back to true
   // without a new revision.
   bool Valid(Time now);
 
-  // --- seeking and holding
-  // A starting controller has forgotten what it promised. It waits out the
-  // longest promise, unless every other one says that it does not lead.
+  // --- winning and renewing the key
+  // Whether to try to become the leader. A starting controller has forgotten
+  // what it promised: it waits out the longest promise, unless every other one
+  // answers that it does not lead.
   bool MaySeek(Time now) const;
   // Whether it may take a free key, at least to renew.
   bool MayTakeKey(Time now) const;
-  // Whether nobody can rest on a promise that this process has forgotten.
+  // Whether nobody can rely on a promise that this process has forgotten.
   bool Proven(Time now) const;
-  // The same where the key is this controller's own, from a life in which it
-  // led: nobody has led since, so only delegates by promises have to be
-  // waited for. Who leads by data that the key-value store has lost would have
-  // said so.
+  // The same where the key is this controller's own, from before a restart:
+  // nobody has led since, so only delegates by promises have to be waited for.
+  // Whoever leads by data that the key-value store has lost would have answered
+  // so.
   bool OwnProven(Time now) const;
   // `seen` is the leader key's revision that the search was decided on. The
-  // write has to be conditioned on it, not on what the watch brings meanwhile:
-  // that may be the key of somebody who has just won.
+  // write needs it as precondition, not what the watch delivers meanwhile: that
+  // may be the key of a controller that has just won.
   void SeekStarted(uint64_t seen);
   uint64_t seen() const { return seen_; }
   void SeekFailed();
-  // `sent` is when the request that the lease counts from was sent. `leads`:
-  // it was proven by then; else it only renews.
+  // `sent`: when the request was sent that the lease counts from. `leads`: it
+  // was proven by then (Proven, OwnProven); else this controller only renews.
   void Won(uint64_t revision, uint64_t lease_id, Time sent, bool leads = true);
-  // One that renews by the key, and for whom it is proven by now, leads. True
-  // if it does.
+  // A controller that renews by the key leads once that is proven. True if it
+  // does from now on.
   bool Promote(Time now);
   void RenewGranted(Time sent);
-  // The key was written anew under a right that still stood: into a state
-  // service that had lost it.
+  // The key was written anew while the right to lead was still valid: into a
+  // store that had lost it.
   void Rewon(uint64_t revision, uint64_t lease_id, Time sent);
-  // The key-value store has lost data, and with it perhaps the key of somebody
-  // who leads by it: as after a start, everybody has to be asked, or the
-  // longest right waited out.
+  // The key-value store has lost data, and with it perhaps the key of a leader:
+  // as after a start, every controller has to be asked, or the longest promise
+  // waited out.
   void Forget(Time now);
   // The key is known to be another's, or gone.
   void Lost();
-  // Back to the ranks once the leader's state has been torn down.
+  // Becomes a follower once the leader's state has been torn down.
   void Retire();
 
-  // --- promises, as the one who needs them
+  // --- promises, as the one that needs them
   bool WantsPromises(Time now) const;
   void PromiseGranted(const std::string& peer, Time sent);
 
-  // --- promises, as the one who gives them
-  // `state_fails`: this controller itself cannot reach the key-value store. One
-  // that can must refuse, or a leader cut off alone would lead on for ever.
+  // --- promises, as the one that gives them
+  // `state_fails`: this controller cannot reach the key-value store. One that
+  // can must refuse, or a leader that alone is partitioned off would lead for
+  // ever. False: refused.
   bool AskedToPromise(bool state_fails, Time now);
   void PeerIs(const std::string& peer, LeaderRole role);
   void PeerDoesNotLead(const std::string& peer) {
@@ -101,25 +106,28 @@
   double promise_seconds() const { return promise_seconds_; }
   LeaderRole Role(Time now) const;
 
-  // --- renewing workers' leases without leading: reports are answered without
-  // commands while nobody can lead. Any number of controllers may at the same
-  // time; what must not be is a leader who takes an incarnation for over that
-  // another renews. So a delegate by promises holds every other controller's
-  // promise not to seek, and a delegate by the key holds the key; a leader by
-  // promises, of whom a delegate may not know, takes no incarnation for over
-  // (Leader::Tick).
+  // --- renewing workers' leases without leading: heartbeats are answered
+  // without commands while nobody can lead. Any number of controllers may do so
+  // at the same time; but no leader may treat an incarnation as expired whose
+  // lease another controller renews. So a delegate by promises has every other
+  // controller's promise not to seek, and a delegate by the key has the key; a
+  // leader by promises, which a delegate may not know of, treats no incarnation
+  // as expired (Leader::Tick).
   bool MayRenew(Time now);
   double delegation_seconds() const { return delegation_seconds_; }
-  // The number goes into the question, and back with DelegationOver.
+  // The promises of all others are asked for. Returns the number of the
+  // request, to be sent with it and released with DelegationOver.
   uint64_t DelegationAsked(Time sent);
   void DelegationGranted(const std::string& peer, Time sent);
-  // Relies on no promise any more; the number up to which. 0: did not.
+  // Stops relying on promises. Returns the number of the last request, to
+  // release it and all before; 0: did not rely on any.
   uint64_t DelegationOver(Time now);
-  // As the one who promises. `life`: the asker's incarnation.
+  // As the one that promises. `process_incarnation`: of the asking process.
+  // False: refused.
   bool AskedToDelegate(const std::string& peer,
                        const std::string& process_incarnation, uint64_t number,
                        bool state_fails, Time now);
-  // A release that was held back on its way may be older than the promise.
+  // The promise is released. A delayed release may be older than the promise.
   void DelegationReleased(const std::string& peer,
                           const std::string& process_incarnation,
                           uint64_t number);
@@ -143,8 +151,9 @@
   std::map<std::string, Time> granted_until_;
   Time promised_until_ = -1e9;
   std::set<std::string> known_idle_;  // rely on nothing forgotten here
-  std::set<std::string> delegates_;  // for delegation_s_ from the start at most
-  std::set<std::string> leading_;    // when last asked
+  // May rely on promises to delegates, for delegation_seconds_ from the start.
+  std::set<std::string> delegates_;
+  std::set<std::string> leading_;  // when last asked
   struct DelegationPromise {
     std::string process_incarnation;
     uint64_t number = 0;
@@ -152,8 +161,9 @@
   };
   double delegation_seconds_;
   uint64_t delegation_number_ = 0;
-  Time delegation_asked_ = -1e9;  // the last question
-  Time delegation_over_ = -1e9;  // what was granted to questions before is void
+  Time delegation_asked_ = -1e9;  // the last request
+  // Promises in answer to requests before this are void.
+  Time delegation_over_ = -1e9;
   std::map<std::string, Time> delegation_granted_;
   std::map<std::string, DelegationPromise> delegation_promised_;
 };
--- a/core/lease/partition_detector.h
+++ b/core/lease/partition_detector.h
@@ -1,5 +1,6 @@
-// Whether a zone is cut off, or only the controller inside it: read off the
-// reports of the workers that it keeps. See docs/delegated-lease.md.
+// Whether a zone is partitioned off, or only the controller inside it:
+// concluded from the heartbeats of the workers whose leases it renews. See
+// docs/delegated-lease.md.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +14,28 @@
 namespace oxbow {
 
 // A controller that reaches neither the key-value store nor the leader can't
-// tell by itself whether its zone is cut off, with all workers in it, or
-// whether it alone is out of reach, while a leader waits for those workers'
-// reports. They can: a leader asks a machine that it doesn't hear, and a new
-// one raises its token. Each such answer counts in `tally`. So a worker that
-// was kept here, and whose next heartbeat shows a token raised or a message
-// made for somebody else, is reached from outside the zone's delegates: it is
-// sent on to find the leader, and with it those that come in the next moments.
+// know by itself whether its zone is partitioned off, with all workers in it,
+// or whether it alone is unreachable, while a leader waits for those workers'
+// heartbeats. The workers' messages show it: a leader probes a silent machine,
+// and a new one raises its fencing token; each response increments the sequence
+// number of the worker's messages. So a worker that was answered here, and
+// whose next heartbeat shows a raised token or that it made a message for
+// somebody else, is reached from outside the zone: it is redirected to find the
+// leader, and with it those whose heartbeats arrive in the next moments.
 //
-// One that was sent on and comes back has been to all others. It is kept.
+// One that was redirected and comes back has tried all others. It is answered.
 //
-// A sign that is missed keeps workers back for as long as the right lasts; a
-// false one costs a worker behind a cut a round. Neither touches safety.
+// Evidence that is missed keeps workers from the leader for as long as the
+// delegated lease lasts; false evidence costs a worker in a partition one round
+// over the controllers. Neither touches safety.
 class PartitionDetector {
  public:
   explicit PartitionDetector(const WorkerSettings& workers);
 
-  // Whether the worker is to be sent on rather than kept.
+  // Whether the worker is to be redirected rather than answered.
   bool Redirected(const Heartbeat& heartbeat, Time now);
-  // Its report has been answered here.
-  void Kept(const Heartbeat& heartbeat, Time now);
+  // The heartbeat has been answered here.
+  void OnAnswered(const Heartbeat& heartbeat, Time now);
   // The leader or the key-value store is reached again.
   void Clear();
 
@@ -41,17 +44,19 @@
     uint64_t incarnation = 0;
     uint64_t seq = 0;
     FencingToken token = 0;
-    Time kept = -1e9;
-    Time sent_on = -1e9;
+    Time answered_at = -1e9;
+    Time redirected_at = -1e9;
   };
   bool ReachedByOthers(const Seen& before, const Heartbeat& heartbeat,
                        Time now) const;
 
-  const double next_seconds_;   // the latest that the next heartbeat comes, s
-  const double holds_seconds_;  // how long one worker's sign holds for all, s
-  const double
-      round_seconds_;  // within which one that was sent on comes back, s
-  Time reached_until_ = -1e9;
+  // The longest time to a worker's next heartbeat.
+  const double next_heartbeat_seconds_;
+  // How long the evidence of one worker counts for all.
+  const double evidence_seconds_;
+  // Within which a redirected worker comes back.
+  const double round_seconds_;
+  Time redirects_until_ = -1e9;
   std::unordered_map<std::string, Seen> seen_;  // by host
 };
 
--- a/tests/delegated_lease_test.cc
+++ b/tests/delegated_lease_test.cc
@@ -163,9 +163,9 @@
 TEST(PartitionDetector, WorkersAreKeptFromALeaderThatAsksForThem) {
   PartitionDetector signs(Deployment().workers);
   EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 0));
-  signs.Kept(Shows("n", 5, 9), 0);
+  signs.OnAnswered(Shows("n", 5, 9), 0);
   EXPECT_FALSE(signs.Redirected(Shows("n", 6, 9), 1));
-  signs.Kept(Shows("n", 6, 9), 1);
+  signs.OnAnswered(Shows("n", 6, 9), 1);
   // Between the two it has answered somebody.
   EXPECT_TRUE(signs.Redirected(Shows("n", 8, 9), 2));
   // So the others of the zone are not cut off either.
@@ -174,37 +174,37 @@
 
 TEST(PartitionDetector, WorkersAreKeptFromANewLeader) {
   PartitionDetector signs(Deployment().workers);
-  signs.Kept(Shows("n", 5, 9), 0);
+  signs.OnAnswered(Shows("n", 5, 9), 0);
   EXPECT_TRUE(signs.Redirected(Shows("n", 6, 10), 1));
 }
 
 TEST(PartitionDetector, WorkerBehindACutLosesItsLeaseToAFalseSign) {
   PartitionDetector signs(Deployment().workers);
-  signs.Kept(Shows("n", 5, 9), 0);
+  signs.OnAnswered(Shows("n", 5, 9), 0);
   // It has tried the others, in vain: each heartbeat made for them counts.
   EXPECT_FALSE(signs.Redirected(Shows("n", 9, 9), 6));
-  signs.Kept(Shows("n", 9, 9), 6);
+  signs.OnAnswered(Shows("n", 9, 9), 6);
   // A new incarnation counts from one again.
   Heartbeat next = Shows("n", 3, 9);
   next.incarnation = 2;
   EXPECT_FALSE(signs.Redirected(next, 7));
-  signs.Kept(next, 7);
+  signs.OnAnswered(next, 7);
   // A copy of an older report.
   EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 7.5));
-  signs.Kept(Shows("n", 5, 9), 7.5);
+  signs.OnAnswered(Shows("n", 5, 9), 7.5);
   next.seq = 4;
   EXPECT_FALSE(signs.Redirected(next, 8));
 }
 
 TEST(PartitionDetector, OneThatNobodyElseAnswersIsSentOnAgainAndAgain) {
   PartitionDetector signs(Deployment().workers);
-  signs.Kept(Shows("n", 5, 9), 0);
+  signs.OnAnswered(Shows("n", 5, 9), 0);
   EXPECT_TRUE(signs.Redirected(Shows("n", 7, 9), 1));
   EXPECT_FALSE(signs.Redirected(Shows("n", 12, 9), 5));  // it is back
-  signs.Kept(Shows("n", 12, 9), 5);
+  signs.OnAnswered(Shows("n", 12, 9), 5);
   EXPECT_FALSE(signs.Redirected(Shows("n", 14, 9), 6));
   // For a lease, for there may be a leader by now.
-  signs.Kept(Shows("n", 24, 9), 11);
+  signs.OnAnswered(Shows("n", 24, 9), 11);
   EXPECT_TRUE(signs.Redirected(Shows("n", 26, 9), 12));
 }
 
--- a/tests/leadership_simulation.h
+++ b/tests/leadership_simulation.h
@@ -272,7 +272,7 @@
       }
     }
     const bool valid = r.Valid(now_);
-    if (r.state() == LeaderState::kLapsed) {
+    if (r.state() == LeaderState::kExpired) {
       r.Retire();
       n.office = 0;
     }
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -33,7 +33,7 @@
   EXPECT_FALSE(l.Valid(13));
   l.RenewGranted(13);  // an answer that was on its way
   EXPECT_FALSE(l.Valid(13.1));
-  EXPECT_EQ(l.state(), LeaderState::kLapsed);
+  EXPECT_EQ(l.state(), LeaderState::kExpired);
 }
 
 TEST(Leadership, WorkersLostInAnOutageTheOthersCanBridge) {
@@ -156,7 +156,7 @@
   l.SeekStarted(0);
   l.Won(42, 7, 30.5, /*leads=*/false);
   EXPECT_FALSE(l.MayRenew(30.5 + kLease));
-  EXPECT_EQ(l.state(), LeaderState::kLapsed);
+  EXPECT_EQ(l.state(), LeaderState::kExpired);
 }
 
 TEST(DelegatedLease, TendsWithoutEverybodysPromise) {
--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -391,7 +391,7 @@
         if (me.signs->Redirected(heartbeat, now_)) {
           ++sent_on_;
         } else if (me.lease->Renew(now_)) {
-          me.signs->Kept(heartbeat, now_);
+          me.signs->OnAnswered(heartbeat, now_);
           keeps = true;
           ++kept_;
         }
