--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -134,7 +134,7 @@
     aside.text = offer.to;
     net::Spawn(peer->Notify(std::move(aside)));
   }
-  leadership_transfers_.Note(loop_.Now());
+  leadership_transfers_.Record(loop_.Now());
   callbacks_.step_down("hands over, " + offer.why);
 }
 
@@ -183,7 +183,7 @@
     return;
   }
   spdlog::info("{} offers the lead: {}", message.node, message.text);
-  leadership_transfers_.Note(now);
+  leadership_transfers_.Record(now);
   others_first_until_ = -1e9;
   reply->answer = PeerAnswer::kYes;
 }
@@ -191,7 +191,7 @@
 void LeaderHealthCoordinator::OnStandAside(const PeerMessage& message) {
   const net::Time now = loop_.Now();
   spdlog::info("{} hands over to {}", message.node, message.text);
-  leadership_transfers_.Note(now);
+  leadership_transfers_.Record(now);
   others_first_until_ = now + leader_lease_seconds_ / 2;
 }
 
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -69,7 +69,7 @@
   const Peers& peers_;
   Callbacks callbacks_;
   clients::ReachClient reach_;
-  HandOverLog leadership_transfers_;
+  LeadershipTransferLog leadership_transfers_;
   const double probe_seconds_;         // for a worker's answer
   const double leader_lease_seconds_;  // of the leader key
   net::Time unfit_until_ = -1e9;
--- a/app/main.cc
+++ b/app/main.cc
@@ -50,8 +50,9 @@
     error = LoadTuning(tuning_path, tuning);
   }
   if (error.empty()) {
-    error = SilenceTimeouts::From(settings->workers, *tuning)
-                .Check(settings->workers);
+    const auto conflict = SilenceTimeouts::From(settings->workers, *tuning)
+                              .FindConflict(settings->workers);
+    if (conflict) error = Describe(*conflict);
   }
   if (error.empty()) return 0;
   std::fprintf(stderr, "%s\n", error.c_str());
--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -9,6 +9,19 @@
 #include "core/worker_sessions/machine_limits.h"
 
 namespace oxbow {
+namespace {
+
+TaskAttemptKey KeyOf(const WorkerCommand& command) {
+  return {command.job_id, command.task, command.attempt};
+}
+
+// The attempt that the command is about; null if it is not there.
+TaskAttempt* FindAttempt(Machine& machine, const WorkerCommand& command) {
+  const auto it = machine.task_attempts.find(KeyOf(command));
+  return it == machine.task_attempts.end() ? nullptr : &it->second;
+}
+
+}  // namespace
 
 CommandDispatcher::CommandDispatcher(LeaderContext& context,
                                      const Modules& modules)
@@ -35,17 +48,16 @@
 }
 
 void CommandDispatcher::QueueForget(Machine& machine, TaskAttempt& attempt) {
-  // A start of this attempt that is still under way would be executed anew
-  // once the worker has forgotten it; the batch has to be settled first.
+  // A start of this attempt that is still in flight would be executed anew
+  // once the worker has forgotten it; the batch has to be acknowledged first.
   if (attempt.forgetting || attempt.phase != TaskPhase::kExited) return;
   if (!machine.confirmed() || machine.batch_lost)
-    return;  // asked again by TickMachine
+    return;  // TickMachine tries again
   attempt.forgetting = true;
   machine.queue.push_back(
       {CommandKind::kForget, attempt.job_id, attempt.task, attempt.attempt, 0});
 }
 
-// Stops every task of the job that is not being stopped already.
 void CommandDispatcher::StopTasks(Job& job, double grace_seconds, Time now) {
   for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const auto it = machine->task_attempts.find(key);
@@ -55,7 +67,6 @@
   }
 }
 
-// The job's end is recorded: its tasks go, its exits are forgotten.
 void CommandDispatcher::StopJob(Job& job, Time now) {
   for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
     const auto it = machine->task_attempts.find(key);
@@ -75,82 +86,88 @@
 void CommandDispatcher::AcknowledgeBatch(Machine& machine) {
   for (const WorkerCommand& command : machine.batch->commands) {
     if (command.kind != CommandKind::kStart) continue;
-    const auto it = machine.task_attempts.find(
-        {command.job_id, command.task, command.attempt});
-    if (it != machine.task_attempts.end())
-      it->second.start_progress = StartProgress::kSettled;
+    TaskAttempt* attempt = FindAttempt(machine, command);
+    if (attempt != nullptr) attempt->start_progress = StartProgress::kSettled;
   }
   machine.batch.reset();
   machine.batch_lost = false;
 }
 
 void CommandDispatcher::RaiseFencingToken(Machine& machine) {
-  const uint64_t next = context_.NextNumber();
+  const FencingToken next = context_.NextNumber();
   if (next > machine.token) machine.token = next;
 }
 
-// Sends what is queued, one batch at a time. An empty batch under a token the
-// worker has not shown yet settles what an earlier leader may have sent.
-void CommandDispatcher::DispatchCommands(Machine& machine, Time now) {
-  if (machine.batch || machine.endpoint.empty() ||
-      !machine.incarnation.alive() || context_.resigned ||
-      now < machine.direct_broken_until ||
-      machine.state() == MachineState::kGone ||
-      machine.state() == MachineState::kBooting) {
-    return;
-  }
-  // While a question is open its token must not go this way.
-  if (machine.queue.empty() &&
-      (machine.confirmed() || machine.reachability.asks()))
-    return;
-  // Its report's answer takes everything: what went by itself now would be
-  // under way, and no start could go with the answer.
-  const bool in_answer = maintenance_.HasCalendarStart(machine);
-  if (in_answer && responding_to_ == &machine) return;
-  if (in_answer && machine.confirmed() &&
+bool CommandDispatcher::MayDispatch(const Machine& machine, Time now) const {
+  return !machine.batch && !machine.endpoint.empty() &&
+         machine.incarnation.alive() && !context_.resigned &&
+         now >= machine.direct_broken_until &&
+         machine.state() != MachineState::kGone &&
+         machine.state() != MachineState::kBooting;
+}
+
+bool CommandDispatcher::HasDirectCommands(const Machine& machine) const {
+  // An empty batch makes the worker show its token. That of a delivery check
+  // must not be sent this way.
+  const bool wants_empty_batch =
+      !machine.confirmed() && !machine.reachability.needs_proof();
+  if (machine.queue.empty() && !wants_empty_batch) return false;
+  if (!maintenance_.HasCalendarStart(machine)) return true;
+  // The response to the machine's heartbeat takes everything: what was sent
+  // directly now would be in flight, and no start could be in the response.
+  if (responding_to_ == &machine) return false;
+  const bool all_in_response =
       std::all_of(machine.queue.begin(), machine.queue.end(),
                   [&](const WorkerCommand& command) {
                     return maintenance_.SentInHeartbeatResponse(command);
-                  })) {
-    return;
-  }
-  std::deque<WorkerCommand> stay;
-  Batch batch{next_batch_++, {}, false};
-  while (!machine.queue.empty() &&
-         batch.commands.size() < kMaxCommandsPerBatch) {
+                  });
+  return !machine.confirmed() || !all_in_response;
+}
+
+void CommandDispatcher::DispatchCommands(Machine& machine, Time now) {
+  if (!MayDispatch(machine, now) || !HasDirectCommands(machine)) return;
+  Batch batch{next_batch_++, TakeDirectCommands(machine),
+              /*in_response=*/false};
+  machine.reachability.OnCommandsSent(machine.token);
+  actions_.push_back(SendCommands{machine.host(), machine.endpoint, batch.id,
+                                  machine.token, machine.incarnation.number(),
+                                  batch.commands});
+  machine.batch = std::move(batch);
+}
+
+std::vector<WorkerCommand> CommandDispatcher::TakeDirectCommands(
+    Machine& machine) {
+  const bool some_in_response = maintenance_.HasCalendarStart(machine);
+  std::vector<WorkerCommand> commands;
+  std::deque<WorkerCommand> remaining;
+  while (!machine.queue.empty() && commands.size() < kMaxCommandsPerBatch) {
     WorkerCommand command = std::move(machine.queue.front());
     machine.queue.pop_front();
-    if (in_answer && maintenance_.SentInHeartbeatResponse(command)) {
-      stay.push_back(std::move(command));
+    if (some_in_response && maintenance_.SentInHeartbeatResponse(command)) {
+      remaining.push_back(std::move(command));
       continue;
     }
     if (command.kind == CommandKind::kStart) {
-      const auto it = machine.task_attempts.find(
-          {command.job_id, command.task, command.attempt});
-      if (it == machine.task_attempts.end()) continue;
-      it->second.start_progress = StartProgress::kSent;
+      TaskAttempt* attempt = FindAttempt(machine, command);
+      if (attempt == nullptr) continue;
+      attempt->start_progress = StartProgress::kSent;
     }
-    batch.commands.push_back(std::move(command));
+    commands.push_back(std::move(command));
   }
-  machine.reachability.CommandsSent(machine.token);
   machine.queue.insert(machine.queue.begin(),
-                       std::make_move_iterator(stay.begin()),
-                       std::make_move_iterator(stay.end()));
-  actions_.push_back(SendCommands{machine.host(), machine.endpoint, batch.id,
-                                  machine.token, machine.incarnation.number(),
-                                  batch.commands});
-  machine.batch = std::move(batch);
+                       std::make_move_iterator(remaining.begin()),
+                       std::make_move_iterator(remaining.end()));
+  return commands;
 }
 
-// A worker whose heartbeats get through while nothing reaches its address must
-// hear its commands in the responses. After an unanswered order it takes two
-// reports until its token is confirmed; a pause of one, each time, had put
-// every second try on the broken way again, and a cancelled task outlived the
-// time it is given.
+// A worker whose heartbeats get through while nothing reaches its address has
+// to get its commands in the responses. After an unanswered batch it takes two
+// heartbeats until its token is confirmed. With a pause of one, every second
+// attempt used the broken path again, and a cancelled task outlived the time
+// that a cancellation has.
 void CommandDispatcher::OnDirectCommandFailed(Machine& machine, Time now) {
-  constexpr uint32_t kMostDoublings = 4;
-  const uint32_t doublings =
-      std::min(machine.direct_failures++, kMostDoublings);
+  constexpr uint32_t kMaxDoublings = 4;
+  const uint32_t doublings = std::min(machine.direct_failures++, kMaxDoublings);
   const double heartbeats = doublings == 0 ? 1 : 1.5 * (1 << doublings);
   machine.direct_broken_until =
       now + std::min(heartbeats * settings_.workers.heartbeat_interval_seconds,
@@ -159,8 +176,8 @@
 
 void CommandDispatcher::FillResponse(Machine& machine,
                                      HeartbeatResponse* response, Time now) {
-  if ((now >= machine.direct_broken_until &&
-       !maintenance_.HasCalendarStart(machine)) ||
+  const bool direct_path_works = now >= machine.direct_broken_until;
+  if ((direct_path_works && !maintenance_.HasCalendarStart(machine)) ||
       machine.batch || !machine.confirmed() || machine.queue.empty()) {
     return;
   }
@@ -176,66 +193,70 @@
   machine.batch = std::move(batch);
 }
 
-void CommandDispatcher::OnCommandResponse(Machine& target, uint64_t batch,
+void CommandDispatcher::OnCommandResponse(Machine& machine, uint64_t batch,
                                           CommandOutcome outcome, Time now) {
-  Machine* machine = &target;
-  if (machine->batch && machine->batch->id == batch && !machine->batch_lost) {
-    switch (outcome) {
-      case CommandOutcome::kExecuted:
-      case CommandOutcome::kRefused: {
-        // Forgotten exits go before the heartbeat is read: it no longer has
-        // them.
-        const std::vector<WorkerCommand> commands = machine->batch->commands;
-        machine->direct_failures = 0;
-        AcknowledgeBatch(*machine);
-        if (outcome == CommandOutcome::kRefused) {
-          for (const WorkerCommand& command : commands) {
-            if (command.kind == CommandKind::kStart) continue;
-            const auto it = machine->task_attempts.find(
-                {command.job_id, command.task, command.attempt});
-            if (it == machine->task_attempts.end()) continue;
-            cluster_.SetStopping(*machine, it->second, false);
-            it->second.forgetting = false;
-          }
-        }
-        break;
-      }
-      case CommandOutcome::kNotSent: {
-        // Certainly not executed. Starts go elsewhere; the rest is kept.
-        std::vector<WorkerCommand> commands =
-            std::move(machine->batch->commands);
-        machine->batch.reset();
-        OnDirectCommandFailed(*machine, now);
-        for (auto it = commands.rbegin(); it != commands.rend(); ++it) {
-          if (it->kind == CommandKind::kStart) {
-            cluster_.RemoveAttempt(*machine,
-                                   {it->job_id, it->task, it->attempt});
-          } else {
-            machine->queue.push_front(std::move(*it));
-          }
-        }
-        break;
-      }
-      case CommandOutcome::kUnknown:
-        // It may be executed minutes from now, unless the worker has by then
-        // seen a higher token.
-        machine->batch_lost = true;
-        OnDirectCommandFailed(*machine, now);
-        for (const WorkerCommand& command : machine->batch->commands) {
-          const auto it = machine->task_attempts.find(
-              {command.job_id, command.task, command.attempt});
-          if (it == machine->task_attempts.end() ||
-              command.kind == CommandKind::kStart)
-            continue;
-          cluster_.SetStopping(*machine, it->second, false);
-          it->second.forgetting = false;
-        }
-        RaiseFencingToken(*machine);
-        context_.Log("orders to " + machine->host() +
-                     " unanswered, token raised");
-        break;
+  if (!machine.batch || machine.batch->id != batch || machine.batch_lost) {
+    return;  // settled in another way meanwhile
+  }
+  switch (outcome) {
+    case CommandOutcome::kExecuted:
+      machine.direct_failures = 0;
+      AcknowledgeBatch(machine);
+      break;
+    case CommandOutcome::kRefused:
+      OnBatchRefused(machine);
+      break;
+    case CommandOutcome::kNotSent:
+      OnBatchNotSent(machine, now);
+      break;
+    case CommandOutcome::kUnknown:
+      OnBatchOutcomeUnknown(machine, now);
+      break;
+  }
+}
+
+void CommandDispatcher::OnBatchRefused(Machine& machine) {
+  const std::vector<WorkerCommand> commands = machine.batch->commands;
+  machine.direct_failures = 0;
+  AcknowledgeBatch(machine);
+  AllowRepetition(machine, commands);
+}
+
+// Certainly not executed. Starts are placed anew, maybe elsewhere; the other
+// commands are queued again.
+void CommandDispatcher::OnBatchNotSent(Machine& machine, Time now) {
+  std::vector<WorkerCommand> commands = std::move(machine.batch->commands);
+  machine.batch.reset();
+  OnDirectCommandFailed(machine, now);
+  for (auto it = commands.rbegin(); it != commands.rend(); ++it) {
+    if (it->kind == CommandKind::kStart) {
+      cluster_.RemoveAttempt(machine, KeyOf(*it));
+    } else {
+      machine.queue.push_front(std::move(*it));
     }
   }
 }
 
+// It may be executed minutes from now, unless the worker has seen a higher
+// token by then.
+void CommandDispatcher::OnBatchOutcomeUnknown(Machine& machine, Time now) {
+  machine.batch_lost = true;
+  OnDirectCommandFailed(machine, now);
+  AllowRepetition(machine, machine.batch->commands);
+  RaiseFencingToken(machine);
+  context_.Log("commands unanswered, fencing token raised",
+               {{"host", machine.host()}});
+}
+
+void CommandDispatcher::AllowRepetition(
+    Machine& machine, const std::vector<WorkerCommand>& commands) {
+  for (const WorkerCommand& command : commands) {
+    if (command.kind == CommandKind::kStart) continue;
+    TaskAttempt* attempt = FindAttempt(machine, command);
+    if (attempt == nullptr) continue;
+    cluster_.SetStopping(machine, *attempt, false);
+    attempt->forgetting = false;
+  }
+}
+
 }  // namespace oxbow
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -161,7 +161,7 @@
   dispatcher_.OnCommandResponse(*machine, batch, outcome, now);
   if (heartbeat != nullptr) {
     worker_sessions_.ApplyHeartbeat(*machine, *heartbeat,
-                                    /*by_heartbeat=*/false, now);
+                                    HeartbeatChannel::kWorkerResponse, now);
   }
   dispatcher_.DispatchCommands(*machine, now);
   Settle(now);
@@ -315,7 +315,7 @@
     machine_lifecycle_.TickMachine(*machine, now);
   }
   worker_sessions_.EndTick(now);
-  liveness_.Ask(now);
+  liveness_.StartSurveys(now);
   autoscaler_.TickRequests(now);
   rollout_manager_.TickRollouts(now);
   rebalancing_.TickMoves(scheduler_.large_waiting(), now);
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -17,6 +17,32 @@
     std::pair{kOffering, kSuspect}, std::pair{kOffering, kYielding},
 };
 
+// What the answers of one round say about who is best placed to lead.
+struct Comparison {
+  const Reach* best = nullptr;  // surely better than this controller; or none
+  int advantage = 0;            // of `best`, in machines
+  bool any_answer = false;      // from another controller
+};
+
+Comparison CompareAnswers(const std::vector<Reach>& answers) {
+  Comparison comparison;
+  const Reach& self = answers.front();
+  const auto asked = static_cast<int>(self.machines.size());
+  for (size_t i = 1; i < answers.size(); ++i) {
+    const Reach& other = answers[i];
+    if (!other.answered) continue;
+    comparison.any_answer = true;
+    const int advantage = Advantage(self, other);
+    if (!other.may_lead || !Surely(advantage, asked) ||
+        advantage <= comparison.advantage) {
+      continue;
+    }
+    comparison.best = &other;
+    comparison.advantage = advantage;
+  }
+  return comparison;
+}
+
 }  // namespace
 
 void LeaderHealth::Change(LeaderHealthEvent event) {
@@ -47,46 +73,56 @@
   if (next != state_) CheckedChange(state_, next, kChanges, "leader health");
 }
 
-bool LeaderHealth::Deaf() const {
+bool LeaderHealth::ReceivesTooFew() const {
   return heartbeats_received_.recorded > 0 &&
          heartbeats_received_.recorded - heartbeats_received_.silent <
-             limits_.deaf_share * heartbeats_received_.recorded;
+             limits_.minimum_received_share * heartbeats_received_.recorded;
 }
 
-void LeaderHealth::Observe(const HeartbeatsReceived& heard, Time now) {
+void LeaderHealth::Observe(const HeartbeatsReceived& received, Time now) {
   // After a stall everything looks overdue until what has arrived meanwhile is
-  // read; and deafness that was not watched is not known to have lasted.
+  // read; and a lack of messages that was not watched is not known to have
+  // lasted.
   const Time before = observed_;
   const bool stalled = now - before > limits_.pause_seconds / 2;
   observed_ = now;
-  heartbeats_received_ = heard;
+  heartbeats_received_ = received;
   if (stalled) {
-    deaf_since_ = 1e18;
+    too_few_since_.reset();
     next_round_ = std::max(next_round_, now + limits_.pause_seconds / 2);
   }
-  const bool deaf_before = deaf_since_ <= now;
-  deaf_since_ = Deaf() ? std::min(deaf_since_, now) : 1e18;
-  if (Deaf() && !deaf_before) {
-    // Worse than what the last rounds were about: asked as at first. A leader
-    // suspect for long over one dead machine asked too late otherwise.
-    pause_seconds_ = limits_.pause_seconds;
-    next_round_ = std::min(next_round_, now + limits_.pause_seconds / 2);
-  }
+  NoteTooFew(now);
   // The round that may end it comes when it is due, not after a pause.
-  const Time blind_at = deaf_since_ + limits_.blind_after_seconds;
-  if (before < blind_at && now >= blind_at) {
-    next_round_ = std::min(next_round_, now);
+  if (too_few_since_) {
+    const Time blind_at = *too_few_since_ + limits_.blind_after_seconds;
+    if (before < blind_at && now >= blind_at) {
+      next_round_ = std::min(next_round_, now);
+    }
   }
-  const bool little = heard.troubled > 0 &&
-                      heard.troubled >= limits_.troubled_share * heard.recorded;
-  if (state_ == kHealthy && little) {
+  const bool few =
+      received.troubled > 0 &&
+      received.troubled >= limits_.troubled_share * received.recorded;
+  if (state_ == kHealthy && few) {
     pause_seconds_ = limits_.pause_seconds;
     Change(LeaderHealthEvent::kFewReports);
-  } else if (!little) {
+  } else if (!few) {
     Change(LeaderHealthEvent::kEnoughReports);
   }
 }
 
+void LeaderHealth::NoteTooFew(Time now) {
+  if (!ReceivesTooFew()) {
+    too_few_since_.reset();
+    return;
+  }
+  if (too_few_since_) return;
+  too_few_since_ = now;
+  // Worse than what the last rounds were about: the pauses start anew. A leader
+  // suspect for long over one dead machine asked too late otherwise.
+  pause_seconds_ = limits_.pause_seconds;
+  next_round_ = std::min(next_round_, now + limits_.pause_seconds / 2);
+}
+
 bool LeaderHealth::WantsRound(Time now) const {
   return state_ == kSuspect && now >= next_round_ &&
          now - started_ >= limits_.settle_seconds;
@@ -99,48 +135,36 @@
   pause_seconds_ = std::min(2 * pause_seconds_, limits_.longest_pause_seconds);
 }
 
-LeaderHealth::Verdict LeaderHealth::RoundAnswered(
+LeaderHealth::Decision LeaderHealth::RoundAnswered(
     const std::vector<Reach>& answers, Time now) {
-  Verdict verdict;
-  if (state_ != kAsking || answers.empty()) return verdict;
-  const Reach& self = answers.front();
-  const auto asked = static_cast<int>(self.machines.size());
-  const Reach* best = nullptr;
-  int most = 0;
-  bool compared = false;
-  for (size_t i = 1; i < answers.size(); ++i) {
-    const Reach& other = answers[i];
-    if (!other.answered) continue;
-    compared = true;
-    const int more = Advantage(self, other);
-    if (!other.may_lead || !Surely(more, asked) || more <= most) continue;
-    best = &other;
-    most = more;
-  }
-  if (best != nullptr) {
+  if (state_ != kAsking || answers.empty()) return {};
+  const Comparison comparison = CompareAnswers(answers);
+  if (comparison.best != nullptr) {
     Change(LeaderHealthEvent::kOneIsBetter);
-    verdict.kind = Verdict::Kind::kOfferLeadershipTransfer;
-    verdict.to = best->node;
-    verdict.why = best->node + " reaches " + std::to_string(most) + " of " +
-                  std::to_string(asked) + " machines more";
-    return verdict;
+    return {Decision::Kind::kOfferLeadershipTransfer, comparison.best->node,
+            comparison.best->node + " reaches " +
+                std::to_string(comparison.advantage) + " of " +
+                std::to_string(answers.front().machines.size()) +
+                " machines more"};
   }
-  // Nothing can be compared. Staying is right if all are deaf, and loses every
-  // task in the fleet if the others are not; a leadership transfer into the
-  // dark costs one takeover. Once, after it has lasted.
-  if (!compared && answers.size() > 1 &&
-      now - deaf_since_ >= limits_.blind_after_seconds) {
-    Change(LeaderHealthEvent::kBlind);
-    verdict.kind = Verdict::Kind::kStepDown;
-    verdict.why = "hears " +
-                  std::to_string(heartbeats_received_.recorded -
-                                 heartbeats_received_.silent) +
-                  " of " + std::to_string(heartbeats_received_.recorded) +
-                  " machines, and no controller to compare with";
-    return verdict;
+  // Nothing can be compared. Staying is right if all controllers receive
+  // nothing, and loses every task in the fleet if the others do; a leadership
+  // transfer to nobody in particular costs one failover. Once, after it has
+  // lasted.
+  const bool blind = !comparison.any_answer && answers.size() > 1 &&
+                     too_few_since_ &&
+                     now - *too_few_since_ >= limits_.blind_after_seconds;
+  if (!blind) {
+    Change(LeaderHealthEvent::kNoneBetter);
+    return {};
   }
-  Change(LeaderHealthEvent::kNoneBetter);
-  return verdict;
+  Change(LeaderHealthEvent::kBlind);
+  const int received =
+      heartbeats_received_.recorded - heartbeats_received_.silent;
+  return {Decision::Kind::kStepDown, "",
+          "hears " + std::to_string(received) + " of " +
+              std::to_string(heartbeats_received_.recorded) +
+              " machines, and no controller to compare with"};
 }
 
 void LeaderHealth::OfferRefused(Time now) {
@@ -149,9 +173,10 @@
   next_round_ = std::max(next_round_, now + pause_seconds_);
 }
 
-bool HandOverLog::Allows(Time now) {
-  std::erase_if(times_, [&](Time t) { return t <= now - window_seconds_; });
-  return static_cast<int>(times_.size()) < most_;
+bool LeadershipTransferLog::Allows(Time now) {
+  std::erase_if(times_,
+                [&](Time time) { return time <= now - window_seconds_; });
+  return static_cast<int>(times_.size()) < max_in_window_;
 }
 
 }  // namespace oxbow
--- a/core/leader_health/leader_health.h
+++ b/core/leader_health/leader_health.h
@@ -1,6 +1,7 @@
-// Whether the leader is the right one to lead. It hears little: is that the
-// machines, the network of all, or only its own network? No I/O, no clock;
-// safety never rests on what is decided here, only on the lease and the tokens.
+// Whether the leader is the right one to lead. When it receives few heartbeats:
+// are the machines dead, is the network down for all, or only its own? No I/O,
+// no clock; safety never rests on what is decided here, only on the lease and
+// the fencing tokens. Used by LivenessMonitor.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +15,10 @@
 namespace oxbow {
 
 enum class LeaderHealthState : uint8_t {
-  kHealthy,   // as many machines report as should
-  kSuspect,   // too few do: the others are to be asked
-  kAsking,    // a question is under way
-  kOffering,  // another is surely better placed, and is asked to take over
+  kHealthy,   // as many machines send heartbeats as should
+  kSuspect,   // too few do: the other controllers are to be asked
+  kAsking,    // a survey of them is in progress
+  kOffering,  // another is surely better placed, and is offered leadership
   kYielding,  // it has agreed; this leadership ends
 };
 
@@ -27,16 +28,16 @@
   kAsked,
   kNoneBetter,  // or nothing could be compared
   kOneIsBetter,
-  kRefused,  // the other can't, or too many leadership transfers lately
+  kRefused,  // the other can't, or there were too many transfers lately
   kAgreed,
-  kBlind,  // nobody answers and next to nothing is heard
+  kBlind,  // nobody answers and next to nothing is received
 };
 
-// How much of the fleet is heard, counted in one pass over it.
+// From how much of the fleet messages arrive, counted in one pass over it.
 struct HeartbeatsReceived {
   int recorded = 0;  // machines that may hold tasks
   // Of them: no message, or no heartbeat, for longer than one may take, or
-  // commands that don't get through.
+  // commands or responses that don't get through.
   int troubled = 0;
   int silent = 0;  // no message for longer than a heartbeat may take
 };
@@ -45,14 +46,15 @@
  public:
   struct Limits {
     double troubled_share = 0;  // troubled machines that make it suspect
-    double deaf_share = 0;      // heard so few, it can't lead whoever else can
-    double pause_seconds = 0;   // between two rounds, at first
+    // Receiving from a smaller share, it can't lead whoever else can.
+    double minimum_received_share = 0;
+    double pause_seconds = 0;  // between two rounds, at first
     double longest_pause_seconds = 0;
-    double blind_after_seconds = 0;  // of being deaf with nobody to ask
+    double blind_after_seconds = 0;  // of receiving too few with nobody to ask
     double settle_seconds =
         0;  // after taking office, before any leadership transfer
   };
-  struct Verdict {
+  struct Decision {
     enum class Kind : uint8_t { kStay, kOfferLeadershipTransfer, kStepDown };
     Kind kind = Kind::kStay;
     std::string to;  // of an offer
@@ -65,21 +67,23 @@
   LeaderHealthState state() const { return state_; }
   bool healthy() const { return state_ == LeaderHealthState::kHealthy; }
 
-  // With each count. A gap in the calls (the process stood still) is no time in
-  // which anything could have been heard.
-  void Observe(const HeartbeatsReceived& heard, Time now);
+  // With each count. A gap in the calls (the process was stalled) is no time in
+  // which anything could have been received.
+  void Observe(const HeartbeatsReceived& received, Time now);
   // Whether a round should be asked now; the caller asks it.
   bool WantsRound(Time now) const;
   void RoundAsked(Time now);
   // The answers, this controller's first.
-  Verdict RoundAnswered(const std::vector<Reach>& answers, Time now);
+  Decision RoundAnswered(const std::vector<Reach>& answers, Time now);
   void OfferRefused(Time now);
   void TransferAccepted() { Change(LeaderHealthEvent::kAgreed); }
 
  private:
   // The one function for a change.
   void Change(LeaderHealthEvent event);
-  bool Deaf() const;
+  bool ReceivesTooFew() const;
+  // Restarts the rounds when messages of too few machines arrive.
+  void NoteTooFew(Time now);
 
   Limits limits_;
   Time started_;
@@ -87,22 +91,23 @@
   HeartbeatsReceived heartbeats_received_;
   Time observed_ = -1e9;
   Time next_round_ = 0;
-  Time deaf_since_ = 1e18;
+  std::optional<Time> too_few_since_;
   double pause_seconds_ = 0;
 };
 
-// Hand-overs this controller has seen, its own and others': there is a bound to
-// them, so that two deaf controllers don't pass the key to and fro.
-class HandOverLog {
+// The leadership transfers that this controller has seen, its own and others'.
+// They are bounded, so that two controllers that receive little don't pass the
+// leadership to and fro.
+class LeadershipTransferLog {
  public:
-  HandOverLog(double window_seconds, int most)
-      : window_seconds_(window_seconds), most_(most) {}
+  LeadershipTransferLog(double window_seconds, int max_in_window)
+      : window_seconds_(window_seconds), max_in_window_(max_in_window) {}
   bool Allows(Time now);
-  void Note(Time now) { times_.push_back(now); }
+  void Record(Time now) { times_.push_back(now); }
 
  private:
   double window_seconds_;
-  int most_;
+  int max_in_window_;
   std::vector<Time> times_;
 };
 
--- a/core/limits/loss_limiter.cc
+++ b/core/limits/loss_limiter.cc
@@ -21,8 +21,8 @@
   return kNames[static_cast<size_t>(cause)];
 }
 
-std::string_view NameOf(LossDecision verdict) {
-  switch (verdict) {
+std::string_view NameOf(LossDecision decision) {
+  switch (decision) {
     case LossDecision::kAllowed:
       return "allowed";
     case LossDecision::kFleetLimit:
@@ -58,42 +58,49 @@
 
 LossDecision LossLimiter::Ask(const Loss& loss, int fleet, int zone, Time now) {
   Forget(now);
+  const auto cause = static_cast<size_t>(loss.cause);
+  const LossDecision decision = Decide(loss, fleet, zone);
+  if (decision != LossDecision::kAllowed) {
+    ++refused_[cause];
+    return decision;
+  }
+  refused_[cause] = 0;
+  Count(loss, now);
+  return decision;
+}
+
+LossDecision LossLimiter::Decide(const Loss& loss, int fleet, int zone) const {
   const auto cause = static_cast<size_t>(loss.cause);
   const int asked = by_cause_[cause];
+  if (asked + 1 > Allowance(limits_.fleet[cause], fleet + asked)) {
+    return LossDecision::kFleetLimit;
+  }
   const auto it = by_zone_.find({loss.cause, loss.zone});
   const int asked_in_zone = it == by_zone_.end() ? 0 : it->second;
-  LossDecision verdict = LossDecision::kAllowed;
-  if (asked + 1 > Allowance(limits_.fleet[cause], fleet + asked)) {
-    verdict = LossDecision::kFleetLimit;
-  } else if (asked_in_zone + 1 >
-             Allowance(std::max(limits_.zone, limits_.fleet[cause]),
-                       zone + asked_in_zone)) {
-    verdict = LossDecision::kZoneLimit;
-  } else {
-    for (const Loss::Part& part : loss.services) {
-      const auto taken = by_service_.find(part.job);
-      const int before = taken == by_service_.end() ? 0 : taken->second;
-      // The first act may take what it finds: where all replicas stand on one
-      // machine, that one must still be replaceable.
-      if (before > 0 &&
-          before + part.replicas > Allowance(limits_.service, part.size)) {
-        verdict = LossDecision::kServiceLimit;
-        break;
-      }
-    }
+  const double zone_share = std::max(limits_.zone, limits_.fleet[cause]);
+  if (asked_in_zone + 1 > Allowance(zone_share, zone + asked_in_zone)) {
+    return LossDecision::kZoneLimit;
   }
-  if (verdict != LossDecision::kAllowed) {
-    ++refused_[cause];
-    return verdict;
+  for (const Loss::Part& part : loss.services) {
+    const auto taken = by_service_.find(part.job);
+    const int before = taken == by_service_.end() ? 0 : taken->second;
+    // The first act may take everything: where all replicas are on one machine,
+    // that one must still be replaceable.
+    if (before > 0 &&
+        before + part.replicas > Allowance(limits_.service, part.size)) {
+      return LossDecision::kServiceLimit;
+    }
   }
-  refused_[cause] = 0;
-  ++by_cause_[cause];
+  return LossDecision::kAllowed;
+}
+
+void LossLimiter::Count(const Loss& loss, Time now) {
+  ++by_cause_[static_cast<size_t>(loss.cause)];
   ++by_zone_[{loss.cause, loss.zone}];
   for (const Loss::Part& part : loss.services) {
     by_service_[part.job] += part.replicas;
   }
   entries_.push_back({now, loss});
-  return verdict;
 }
 
 }  // namespace oxbow
--- a/core/limits/loss_limiter.h
+++ b/core/limits/loss_limiter.h
@@ -1,9 +1,10 @@
 // How much the leader may destroy of its own accord. Every act that can't be
-// taken back and rests on a belief (silence, a list, a timeout, a plan) asks
-// here first.
+// undone and rests on an assumption (silence, a list, a timeout, a plan) asks
+// here first. Used by LivenessMonitor.
 #pragma once
 
 #include <array>
+#include <compare>
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -16,12 +17,12 @@
 namespace oxbow {
 
 enum class LossCause : uint8_t {
-  kSilent,      // deleted: nothing is heard of it
-  kUnlisted,    // deleted: neither listed nor heard
-  kNeverUp,     // deleted: did not come up in time
+  kSilent,      // deleted: no message arrives from it
+  kUnlisted,    // deleted: neither listed nor sending
+  kNeverUp,     // deleted: did not boot in time
   kIdle,        // returned: nothing to do
-  kMoved,       // drained: its replicas have room elsewhere
-  kDistrusted,  // gets nothing for a while: several jobs failed there
+  kMoved,       // drained: its replicas fit elsewhere
+  kDistrusted,  // cordoned for a while: several jobs failed there
 };
 inline constexpr size_t kLossCauses = 6;
 std::string_view NameOf(LossCause cause);
@@ -32,7 +33,7 @@
   kZoneLimit,
   kServiceLimit,
 };
-std::string_view NameOf(LossDecision verdict);
+std::string_view NameOf(LossDecision decision);
 
 // What an act takes away.
 struct Loss {
@@ -74,7 +75,10 @@
   const Limits& limits() const { return limits_; }
 
  private:
+  // Drops what was asked before the window.
   void Forget(Time now);
+  LossDecision Decide(const Loss& loss, int fleet, int zone) const;
+  void Count(const Loss& loss, Time now);
 
   Limits limits_;
   struct Entry {
@@ -83,7 +87,12 @@
   };
   std::deque<Entry> entries_;  // within the window, oldest first
   std::array<int, kLossCauses> by_cause_{};
-  std::map<std::pair<LossCause, std::string>, int> by_zone_;
+  struct CauseInZone {
+    LossCause cause;
+    std::string zone;
+    auto operator<=>(const CauseInZone&) const = default;
+  };
+  std::map<CauseInZone, int> by_zone_;
   std::map<std::string, int> by_service_;
   std::array<int, kLossCauses> refused_{};
 };
--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -1,6 +1,3 @@
-// What the leader hears of its machines, what it asks the others about them,
-// and what it may do about those it doesn't hear.
-
 #include "core/worker_sessions/liveness_monitor.h"
 
 #include <algorithm>
@@ -13,17 +10,18 @@
                                         const Tuning& tuning,
                                         const SilenceTimeouts& timeouts) {
   // Of a lease. Most of it must be left: each worker tries a controller that
-  // doesn't answer for 4 s, and waits 1 s, until it comes to the next leader.
-  constexpr double kBlindAfter = 0.2;
+  // doesn't answer for one heartbeat timeout, and then pauses, until it finds
+  // the next leader.
+  constexpr double kBlindAfterLeases = 0.2;
   const double lease = settings.workers.lease_seconds;
   LeaderHealth::Limits limits;
   limits.troubled_share = tuning.troubled_share;
-  limits.deaf_share = tuning.deaf_share;
+  limits.minimum_received_share = tuning.deaf_share;
   limits.pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
   limits.longest_pause_seconds = lease / 2;
-  limits.blind_after_seconds = kBlindAfter * lease;
-  // A new leader's first seconds take all of its processor, and its own probes
-  // late then say nothing.
+  limits.blind_after_seconds = kBlindAfterLeases * lease;
+  // A new leader's first seconds take all of its processor time: its own probes
+  // are late then and prove nothing.
   limits.settle_seconds =
       std::max(timeouts.overdue, tuning.leader_lease_ratio * lease);
   return limits;
@@ -41,26 +39,46 @@
   return limits;
 }
 
-// Since when nothing has been heard of the machine, as far as this leadership
-// can tell, or since when it has heard nothing: the heartbeats of a deaf
-// machine say no more than that it is there.
+// Since when the machine has been silent as far as this leadership can tell, or
+// since when it has received no response: the heartbeats of such a machine
+// prove no more than that it exists.
 Time QuietSince(const Machine& machine, Time started) {
-  const Time heard =
-      machine.reachability.deaf()
-          ? std::min(machine.last_heard, machine.reachability.deaf_since())
+  const Time last_useful =
+      machine.reachability.receives_no_responses()
+          ? std::min(machine.last_heard,
+                     machine.reachability.receives_none_since())
           : machine.last_heard;
-  return std::max(heard, started);
+  return std::max(last_useful, started);
 }
 
-// Whether the machine says something about what this controller hears. One that
-// has been given up for its silence goes on counting until the cloud has
-// confirmed: else each deletion would make the rest look healthier. One deleted
-// for another reason falls silent by that.
+// Whether the machine's silence would be evidence about this controller. One
+// that was given up for its silence keeps counting until the cloud has
+// confirmed the deletion, or each deletion would make the rest look healthier.
+// One deleted for another reason falls silent because of that.
 bool Counts(const Machine& machine) {
   return machine.recorded_up && machine.state() != MachineState::kGone &&
          (machine.state() != MachineState::kDeleting || machine.given_up);
 }
 
+// What the removal of the machine takes away from services.
+Loss LossOf(const Machine& machine, LossCause cause) {
+  Loss loss;
+  loss.cause = cause;
+  loss.zone = machine.zone;
+  for (const auto& [key, attempt] : machine.task_attempts) {
+    if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
+        attempt.job->spec().kind != JobKind::kService) {
+      continue;
+    }
+    if (loss.services.empty() || loss.services.back().job != key.job_id) {
+      loss.services.push_back(
+          {key.job_id, 0, static_cast<int>(attempt.job->size())});
+    }
+    ++loss.services.back().replicas;
+  }
+  return loss;
+}
+
 }  // namespace
 
 LivenessMonitor::LivenessMonitor(const Settings& settings, const Tuning& tuning,
@@ -76,15 +94,15 @@
       limiter_(LossLimits(settings, tuning)),
       sampling_(seed) {}
 
-void LivenessMonitor::Log(std::string text) {
-  actions_.push_back(LogEvent{std::move(text)});
+void LivenessMonitor::Log(std::string message, LogFields fields) {
+  actions_.push_back(LogEvent{std::move(message), std::move(fields)});
 }
 
 bool LivenessMonitor::HeartbeatOverdue(const Machine& machine, Time now) const {
   // Until a worker has waited in vain and tried another controller, its silence
-  // says nothing about a leader that has just taken office, nor does that of
-  // one that reports by way of another controller, which may have ended: each
-  // restart of one would else move the lead, for nothing.
+  // is no evidence against a leader that has just been elected. Neither is that
+  // of a worker whose heartbeats another controller forwards, which may have
+  // ended: each restart of one would move the leadership for nothing.
   constexpr double kFindsAnotherSeconds =
       kHeartbeatTimeoutSeconds + kRetryPauseSeconds;
   const Time from = std::max(
@@ -94,18 +112,7 @@
 }
 
 void LivenessMonitor::Count(Time now) {
-  HeartbeatsReceived heard;
-  for (const auto& machine : machines_) {
-    if (!Counts(*machine)) continue;
-    ++heard.recorded;
-    const bool silent =
-        now - QuietSince(*machine, started_) > timeouts_.overdue;
-    heard.silent += silent;
-    heard.troubled += silent || now < machine->direct_broken_until ||
-                      machine->reachability.deaf() ||
-                      HeartbeatOverdue(*machine, now);
-  }
-  heartbeats_received_ = heard;
+  heartbeats_received_ = CountReceived(now);
   // An alarm ends when nothing has been refused for a window: there may never
   // be another act of its kind to be allowed.
   for (size_t i = 0; i < kLossCauses; ++i) {
@@ -114,29 +121,46 @@
     }
   }
   const LeaderHealthState before = leader_health_.state();
-  leader_health_.Observe(heard, now);
+  leader_health_.Observe(heartbeats_received_, now);
   if (leader_health_.state() == before) return;
-  Log(std::string(leader_health_.healthy() ? "enough reports heard again"
-                                           : "few reports heard") +
-      ": " + std::to_string(heard.silent) + " silent and " +
-      std::to_string(heard.troubled) + " troubled of " +
-      std::to_string(heard.recorded) + " machines");
+  Log(leader_health_.healthy() ? "enough heartbeats received again"
+                               : "few heartbeats received",
+      {{"silent", heartbeats_received_.silent},
+       {"troubled", heartbeats_received_.troubled},
+       {"machines", heartbeats_received_.recorded}});
+}
+
+HeartbeatsReceived LivenessMonitor::CountReceived(Time now) const {
+  HeartbeatsReceived received;
+  for (const auto& machine : machines_) {
+    if (!Counts(*machine)) continue;
+    ++received.recorded;
+    const bool silent =
+        now - QuietSince(*machine, started_) > timeouts_.overdue;
+    received.silent += silent;
+    received.troubled += silent || now < machine->direct_broken_until ||
+                         machine->reachability.receives_no_responses() ||
+                         HeartbeatOverdue(*machine, now);
+  }
+  return received;
 }
 
 bool LivenessMonitor::FewSilent() const {
   // One in six may be dead machines; more at once is the network, and they
-  // will be back. The last one that is heard tells the leader that it hears.
-  constexpr int kShare = 6;
+  // will be back. At least one that is not silent proves that messages arrive.
+  constexpr int kOneIn = 6;
   return heartbeats_received_.silent < heartbeats_received_.recorded &&
          heartbeats_received_.silent <=
-             std::max(1, heartbeats_received_.recorded / kShare);
+             std::max(1, heartbeats_received_.recorded / kOneIn);
 }
 
-// Machines that go deaf together are seen to be so over the time between two
-// reports and that of a worker's waits; all must count before one is given up.
+// Machines that lose the responses together are found out one after the other,
+// over the time between two heartbeats and a worker's timeout; all must count
+// before one is given up.
 bool LivenessMonitor::SilentTooLong(const Machine& machine, Time now) const {
-  const double spread =
-      machine.reachability.deaf() ? kHeartbeatTimeoutSeconds / 2 : 0;
+  const double spread = machine.reachability.receives_no_responses()
+                            ? kHeartbeatTimeoutSeconds / 2
+                            : 0;
   return now - QuietSince(machine, started_) > timeouts_.give_up + spread;
 }
 
@@ -144,25 +168,26 @@
 bool LivenessMonitor::MayGiveUp(const Machine& machine, Time now) const {
   if (!FewSilent()) return false;
   if (settings_.peers.empty()) {
-    // A deaf one whose address may be reached is left to its leases.
-    return !machine.reachability.deaf() || now < machine.direct_broken_until;
+    // One that receives no responses but may be reached at its address is left
+    // until its lease expires.
+    return !machine.reachability.receives_no_responses() ||
+           now < machine.direct_broken_until;
   }
   const Time quiet_since = QuietSince(machine, started_);
   if (machine.reached_by_other > quiet_since &&
       now - machine.reached_by_other < timeouts_.give_up) {
     return false;
   }
-  // An answer from before many were silent says nothing about now: nobody has
-  // been asked since.
+  // An answer from before many were silent is no evidence: nobody has been
+  // asked since.
   return machine.reached_by_none >
          std::max(quiet_since, now - timeouts_.give_up);
 }
 
 bool LivenessMonitor::LossAllowed(const Machine& machine, LossCause cause,
                                   Time now) {
-  const auto index = static_cast<size_t>(cause);
-  // A leader that suspects its own network takes nothing away for other reasons
-  // either: idle, listed and booted are read off what it hears.
+  // A leader that suspects its own network removes nothing for other reasons
+  // either: idle, listed and booted are concluded from what it receives.
   if (cause != LossCause::kSilent && !leader_health_.healthy()) return false;
   int fleet = 0;
   int zone = 0;
@@ -171,32 +196,21 @@
     ++fleet;
     zone += other->zone == machine.zone;
   }
-  Loss loss;
-  loss.cause = cause;
-  loss.zone = machine.zone;
-  for (const auto& [key, attempt] : machine.task_attempts) {
-    if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
-        attempt.job->spec().kind != JobKind::kService) {
-      continue;
-    }
-    if (loss.services.empty() || loss.services.back().job != key.job_id) {
-      loss.services.push_back(
-          {key.job_id, 0, static_cast<int>(attempt.job->size())});
-    }
-    ++loss.services.back().replicas;
-  }
-  const LossDecision verdict = limiter_.Ask(loss, fleet, zone, now);
-  if (verdict != LossDecision::kAllowed &&
+  const LossDecision decision =
+      limiter_.Ask(LossOf(machine, cause), fleet, zone, now);
+  const auto index = static_cast<size_t>(cause);
+  if (decision != LossDecision::kAllowed &&
       refusals_[index] == LossDecision::kAllowed) {
-    Log("alarm: no more machines are taken away as " +
-        std::string(NameOf(cause)) + ", " + std::string(NameOf(verdict)) +
-        " is reached: " + std::to_string(limiter_.Asked(cause, now)) +
-        " within " + std::to_string(limiter_.limits().window_seconds) +
-        " s of " + std::to_string(fleet));
+    Log("alarm: removal of machines is limited",
+        {{"cause", NameOf(cause)},
+         {"limit", NameOf(decision)},
+         {"removed", limiter_.Asked(cause, now)},
+         {"window_seconds", limiter_.limits().window_seconds},
+         {"machines", fleet}});
   }
-  refusals_[index] = verdict;
-  if (verdict != LossDecision::kAllowed) refused_at_[index] = now;
-  return verdict == LossDecision::kAllowed;
+  refusals_[index] = decision;
+  if (decision != LossDecision::kAllowed) refused_at_[index] = now;
+  return decision == LossDecision::kAllowed;
 }
 
 std::vector<std::string> LivenessMonitor::Alarms() const {
@@ -217,26 +231,26 @@
   return alarms;
 }
 
-uint64_t LivenessMonitor::Ask(const std::vector<Machine*>& about, bool sample,
-                              Time now) {
+uint64_t LivenessMonitor::StartSurvey(const std::vector<Machine*>& machines,
+                                      SurveyKind kind, Time now) {
   AskReach ask;
-  ask.sample = sample;
+  ask.sample = kind == SurveyKind::kSample;
   ask.round = next_round_++;
-  for (const Machine* machine : about) {
+  for (const Machine* machine : machines) {
     ask.hosts.push_back(machine->host());
     ask.endpoints.push_back(machine->endpoint);
   }
-  asked_[ask.round] = {about, now};
+  surveys_[ask.round] = {machines, now};
   const uint64_t round = ask.round;
   actions_.push_back(std::move(ask));
   return round;
 }
 
-// Before a machine is given up, everybody is asked about it, early enough for
-// the answer to be there in time.
-void LivenessMonitor::AskAboutSilent(Time now) {
-  // Each question costs every controller a connection for a moment.
-  constexpr size_t kMostAsked = 64;
+// Before a machine is given up, every controller is asked about it, early
+// enough for the answer to be there in time.
+void LivenessMonitor::SurveySilentMachines(Time now) {
+  // Each machine costs every controller a connection for a moment.
+  constexpr size_t kMaxSurveyed = 64;
   if (settings_.peers.empty() || silent_round_ != 0 || !FewSilent()) return;
   std::vector<Machine*> about;
   for (auto& machine : machines_) {
@@ -250,19 +264,21 @@
     }
     machine->asked_about = now;
     about.push_back(machine.get());
-    if (about.size() == kMostAsked) break;
+    if (about.size() == kMaxSurveyed) break;
+  }
+  if (!about.empty()) {
+    silent_round_ = StartSurvey(about, SurveyKind::kSilent, now);
   }
-  if (!about.empty()) silent_round_ = Ask(about, /*sample=*/false, now);
 }
 
-void LivenessMonitor::Ask(Time now) {
-  AskAboutSilent(now);
-  AskWhoReaches(now);
+void LivenessMonitor::StartSurveys(Time now) {
+  SurveySilentMachines(now);
+  SurveySample(now);
 }
 
-// A sample of all machines, heard or not: one that reached only what this
-// controller does not would be no better place to lead from.
-void LivenessMonitor::AskWhoReaches(Time now) {
+// A sample of all machines, silent or not: a controller that reached only what
+// this one does not would be no better leader.
+void LivenessMonitor::SurveySample(Time now) {
   if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
   std::vector<Machine*> all;
   for (const auto& machine : machines_) {
@@ -274,54 +290,60 @@
               sampling_);
   if (sample.empty()) return;
   leader_health_.RoundAsked(now);
-  health_round_ = Ask(sample, /*sample=*/true, now);
+  health_round_ = StartSurvey(sample, SurveyKind::kSample, now);
 }
 
 bool LivenessMonitor::OnReach(uint64_t round, std::vector<Reach> answers,
                               Time now) {
-  const auto it = asked_.find(round);
-  if (it == asked_.end() || answers.empty()) return true;
-  const auto [about, asked] = std::move(it->second);
-  asked_.erase(it);
-  for (size_t i = 0; i < about.size(); ++i) {
-    Machine* machine = about[i];
-    if (machine->state() == MachineState::kGone) continue;
-    const bool others =
-        std::any_of(answers.begin() + 1, answers.end(),
-                    [i](const Reach& r) { return r.Reaches(i); });
-    if (others) {
-      machine->reached_by_other = now;
-    } else if (answers[0].Denies(i)) {
-      // As of the question: a leader that stood still finds the answer late,
-      // and the machine may have come back since.
-      machine->reached_by_none = std::max(machine->reached_by_none, asked);
-    }
-    // A machine whose heartbeats don't come is not heard, whether or not it
-    // answers: only reports renew its lease.
-    if (answers[0].Reaches(i) && HeartbeatOverdue(*machine, now)) {
-      answers[0].machines[i] = Reach::kNotReached;
-    }
+  const auto it = surveys_.find(round);
+  if (it == surveys_.end() || answers.empty()) return true;
+  const Survey survey = std::move(it->second);
+  surveys_.erase(it);
+  for (size_t i = 0; i < survey.machines.size(); ++i) {
+    ApplyAnswers(*survey.machines[i], i, survey.asked_at, &answers, now);
   }
   if (round == silent_round_) silent_round_ = 0;
   if (round != health_round_) return true;
   health_round_ = 0;
-  const LeaderHealth::Verdict verdict =
+  const LeaderHealth::Decision decision =
       leader_health_.RoundAnswered(answers, now);
-  switch (verdict.kind) {
-    case LeaderHealth::Verdict::Kind::kStay:
+  switch (decision.kind) {
+    case LeaderHealth::Decision::Kind::kStay:
       break;
-    case LeaderHealth::Verdict::Kind::kOfferLeadershipTransfer:
-      actions_.push_back(OfferLeadershipTransfer{verdict.to, verdict.why});
+    case LeaderHealth::Decision::Kind::kOfferLeadershipTransfer:
+      actions_.push_back(OfferLeadershipTransfer{decision.to, decision.why});
       break;
-    case LeaderHealth::Verdict::Kind::kStepDown:
-      actions_.push_back(Resign{verdict.why, /*unfit=*/true});
+    case LeaderHealth::Decision::Kind::kStepDown:
+      actions_.push_back(Resign{decision.why, /*unfit=*/true});
       return false;
   }
   return true;
 }
 
+void LivenessMonitor::ApplyAnswers(Machine& machine, size_t index,
+                                   Time asked_at, std::vector<Reach>* answers,
+                                   Time now) const {
+  if (machine.state() == MachineState::kGone) return;
+  Reach& own = answers->front();
+  const bool reached_by_other =
+      std::any_of(answers->begin() + 1, answers->end(),
+                  [index](const Reach& other) { return other.Reaches(index); });
+  if (reached_by_other) {
+    machine.reached_by_other = now;
+  } else if (own.Denies(index)) {
+    // As of the question: a leader that was stalled reads the answer late, and
+    // the machine may have come back since.
+    machine.reached_by_none = std::max(machine.reached_by_none, asked_at);
+  }
+  // A machine whose heartbeats don't arrive does not count as reached, whether
+  // or not it answers probes: only heartbeats renew its lease.
+  if (own.Reaches(index) && HeartbeatOverdue(machine, now)) {
+    own.machines[index] = Reach::kNotReached;
+  }
+}
+
 void LivenessMonitor::OnTransferRejected(const std::string& why, Time now) {
-  Log("goes on leading: " + why);
+  Log("leadership transfer rejected, keeping leadership", {{"reason", why}});
   leader_health_.OfferRefused(now);
 }
 
--- a/core/worker_sessions/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -1,6 +1,7 @@
-// What the leader hears of its machines, what it asks the others about them,
-// and what it may therefore do about those it does not hear. Reads the
-// machines; writes only what was asked about one and what the others said.
+// Which machines are silent, what the other controllers reach of them, and
+// which may therefore be removed. Reads the machines; changes only the fields
+// about surveys (asked_about, reached_by_other, reached_by_none). Owns
+// LeaderHealth and the LossLimiter.
 #pragma once
 
 #include <array>
@@ -29,37 +30,54 @@
 
   // Once in each tick, before anything is decided on it.
   void Count(Time now);
-  // Asks the others about what is uncertain.
-  void Ask(Time now);
-  // What each controller reaches, this one's answer first. False: this
-  // leadership is over.
+  // Asks the other controllers about machines whose state is uncertain.
+  void StartSurveys(Time now);
+  // The answers to a survey, this controller's first. False: this leadership is
+  // over.
   [[nodiscard]] bool OnReach(uint64_t round, std::vector<Reach> answers,
                              Time now);
   void OnTransferAccepted() { leader_health_.TransferAccepted(); }
   void OnTransferRejected(const std::string& why, Time now);
 
-  // Whether a machine has been silent, or deaf, for long enough.
+  // Whether a machine has been silent, or received no responses, for long
+  // enough.
   bool SilentTooLong(const Machine& machine, Time now) const;
   // Whether such a machine may be given up.
   bool MayGiveUp(const Machine& machine, Time now) const;
-  // Whether it may be taken away for this cause; counts it if so.
+  // Whether it may be removed for this cause; counts the removal if so.
   bool LossAllowed(const Machine& machine, LossCause cause, Time now);
 
   LeaderHealthState leader_health() const { return leader_health_.state(); }
   const HeartbeatsReceived& heartbeats_received() const {
     return heartbeats_received_;
   }
-  // What is held back at this moment; a line each.
+  // What is limited at this moment; a line each, for a person.
   std::vector<std::string> Alarms() const;
 
  private:
+  enum class SurveyKind : uint8_t {
+    kSilent,  // of silent machines, before they are given up
+    kSample,  // of all machines, to compare the controllers
+  };
+  struct Survey {
+    std::vector<Machine*> machines;
+    Time asked_at = 0;
+  };
+
   bool HeartbeatOverdue(const Machine& machine, Time now) const;
   // Whether so few are silent that it is the machines and not the network.
   bool FewSilent() const;
-  void AskAboutSilent(Time now);
-  void AskWhoReaches(Time now);
-  uint64_t Ask(const std::vector<Machine*>& about, bool sample, Time now);
-  void Log(std::string text);
+  HeartbeatsReceived CountReceived(Time now) const;
+  void SurveySilentMachines(Time now);
+  void SurveySample(Time now);
+  // Returns the number of the round.
+  uint64_t StartSurvey(const std::vector<Machine*>& machines, SurveyKind kind,
+                       Time now);
+  // Applies what the answers say about the machine, whose index in the survey
+  // is given, and corrects this controller's own answer.
+  void ApplyAnswers(Machine& machine, size_t index, Time asked_at,
+                    std::vector<Reach>* answers, Time now) const;
+  void Log(std::string message, LogFields fields = {});
 
   const Settings& settings_;
   const SilenceTimeouts& timeouts_;
@@ -70,14 +88,10 @@
   LossLimiter limiter_;
   HeartbeatsReceived heartbeats_received_;
   uint64_t next_round_ = 1;
-  uint64_t health_round_ = 0;  // under way; 0: none
+  uint64_t health_round_ = 0;  // in progress; 0: none
   uint64_t silent_round_ = 0;
-  struct Question {
-    std::vector<Machine*> about;
-    Time asked = 0;
-  };
-  std::map<uint64_t, Question> asked_;  // by round
-  // The latest verdict on each cause, and when one was last refused.
+  std::map<uint64_t, Survey> surveys_;  // in progress, by round
+  // The latest decision on each cause, and when one was last refused.
   std::array<LossDecision, kLossCauses> refusals_{};
   std::array<Time, kLossCauses> refused_at_{};
   std::mt19937_64 sampling_;
--- a/core/worker_sessions/machine_health.h
+++ b/core/worker_sessions/machine_health.h
@@ -2,29 +2,22 @@
 // suspiciously long. Owns nothing; reads the machine.
 #pragma once
 
-#include <cstdint>
-#include <map>
-#include <memory>
-#include <optional>
-#include <set>
-#include <string>
-#include <unordered_map>
-#include <utility>
-#include <vector>
-
 #include "core/leader_context/leader_context.h"
 
 namespace oxbow {
 
 class MachineHealth {
  public:
-  explicit MachineHealth(LeaderContext& context);
+  explicit MachineHealth(const LeaderContext& context);
 
+  // Whether no message of the machine has arrived for longer than a healthy one
+  // is silent.
   bool Suspect(const Machine& machine, Time now) const;
+  // Whether new work may be placed on the machine.
   bool Usable(const Machine& machine, Time now) const;
 
  private:
-  LeaderContext& context_;
+  const LeaderContext& context_;
   const SilenceTimeouts& timeouts_;
 };
 
--- a/core/worker_sessions/machine_limits.h
+++ b/core/worker_sessions/machine_limits.h
@@ -1,15 +1,14 @@
-// What the files about machines share.
+// Limits that several modules share when they deal with machines.
 #pragma once
 
-#include "core/model/heartbeat.h"
-#include "core/model/machine.h"
+#include <cstddef>
 
 namespace oxbow {
 
-// A machine that is not trusted gets nothing for so many worker leases.
+// A cordoned machine gets no new work for so many worker leases.
 inline constexpr double kDistrustLeases = 3;
 
-inline constexpr size_t kMaxCommandsPerBatch =
-    300;  // in a message; about 24 KiB
+// Commands in one message to a worker; about 24 KiB.
+inline constexpr size_t kMaxCommandsPerBatch = 300;
 
 }  // namespace oxbow
--- /dev/null
+++ b/core/worker_sessions/task_attempt_tracker.cc
@@ -0,0 +1,305 @@
+#include "core/worker_sessions/task_attempt_tracker.h"
+
+#include <algorithm>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "core/command_dispatch/command_dispatcher.h"
+#include "core/job_lifecycle/job_lifecycle.h"
+#include "core/reconciliation/reconciler.h"
+#include "core/worker_sessions/machine_lifecycle.h"
+#include "core/worker_sessions/machine_limits.h"
+
+namespace oxbow {
+namespace {
+
+TaskState StateOf(TaskPhase phase) {
+  switch (phase) {
+    case TaskPhase::kFetching:
+      return TaskState::kFetching;
+    case TaskPhase::kWaiting:
+      return TaskState::kWaiting;
+    case TaskPhase::kRunning:
+      return TaskState::kRunning;
+    case TaskPhase::kSaving:
+      return TaskState::kSaving;
+    case TaskPhase::kExited:
+      return TaskState::kPending;
+  }
+  return TaskState::kPending;
+}
+
+std::string_view NameOf(ExitReason reason) {
+  switch (reason) {
+    case ExitReason::kNone:
+      return "none";
+    case ExitReason::kDone:
+      return "done";
+    case ExitReason::kStopped:
+      return "stopped";
+    case ExitReason::kPeersGone:
+      return "gang_peers_gone";
+    case ExitReason::kAlone:
+      return "gang_incomplete";
+    case ExitReason::kError:
+      return "error";
+    case ExitReason::kNoRoom:
+      return "no_capacity";
+    case ExitReason::kBusy:
+      return "busy";
+    case ExitReason::kUnknownTask:
+      return "unknown_task";
+  }
+  return "unknown";
+}
+
+// Whether the worker must have the attempt's image in its cache: it is past
+// fetching, or has run to its end.
+bool ShowsCachedImage(const TaskStatus& status) {
+  if (status.phase == TaskPhase::kExited) {
+    return status.reason == ExitReason::kDone;
+  }
+  return status.phase != TaskPhase::kFetching;
+}
+
+}  // namespace
+
+TaskAttemptTracker::TaskAttemptTracker(LeaderContext& context,
+                                       const Modules& modules)
+    : context_(context),
+      settings_(context.settings),
+      cluster_(context.cluster),
+      run_times_(context.run_times),
+      dispatcher_(modules.dispatcher),
+      job_lifecycle_(modules.job_lifecycle),
+      reconciler_(modules.reconciler),
+      machine_lifecycle_(modules.machine_lifecycle) {}
+
+void TaskAttemptTracker::ApplyTaskStatuses(Machine& machine,
+                                           const Heartbeat& heartbeat,
+                                           Time now) {
+  for (const TaskStatus& status : heartbeat.tasks) {
+    const auto it = machine.task_attempts.find(
+        {status.job_id, status.task, status.attempt});
+    if (it == machine.task_attempts.end()) {
+      AdoptRunningTask(machine, status, now);
+    } else {
+      it->second.last_seq = heartbeat.seq;
+      UpdateAttempt(machine, it->second, status, now);
+    }
+  }
+  RemoveUnlistedAttempts(machine, heartbeat.seq);
+}
+
+void TaskAttemptTracker::RemoveUnlistedAttempts(Machine& machine,
+                                                uint64_t heartbeat_seq) {
+  std::vector<TaskAttemptKey> gone;
+  for (const auto& [key, attempt] : machine.task_attempts) {
+    // Not listed, and no start command in flight can still create it.
+    if (attempt.last_seq != heartbeat_seq &&
+        attempt.start_progress == StartProgress::kSettled) {
+      gone.push_back(key);
+    }
+  }
+  for (const TaskAttemptKey& key : gone) cluster_.RemoveAttempt(machine, key);
+}
+
+void TaskAttemptTracker::AdoptRunningTask(Machine& machine,
+                                          const TaskStatus& status, Time now) {
+  const bool present = status.phase != TaskPhase::kExited;
+  TaskAttempt attempt;
+  attempt.job_id = status.job_id;
+  attempt.task = status.task;
+  attempt.attempt = status.attempt;
+  attempt.last_seq = machine.seq;
+  attempt.phase = TaskPhase::kFetching;
+  attempt.started = now;
+  Job* job = cluster_.FindJob(status.job_id);
+  if (job != nullptr && status.task < job->size()) {
+    attempt.job = job;
+    if (present) {
+      machine.QueueImage(job->spec().image, job->spec().image_gb, now);
+    }
+    cluster_.AssignTask(*job, machine, attempt, present);
+  }
+  TaskAttempt& added =
+      cluster_.AddAttempt(machine, std::move(attempt), present);
+  UpdateAttempt(machine, added, status, now);
+}
+
+void TaskAttemptTracker::UpdateAttempt(Machine& machine, TaskAttempt& attempt,
+                                       const TaskStatus& status, Time now) {
+  attempt.start_progress = StartProgress::kSettled;
+  if (attempt.job != nullptr && attempt.phase == TaskPhase::kFetching &&
+      ShowsCachedImage(status)) {
+    const JobSpec& spec = attempt.job->spec();
+    machine.ImageCached(spec.image, spec.image_gb, now);
+  }
+  if (status.phase == TaskPhase::kExited) {
+    if (attempt.phase != TaskPhase::kExited) {
+      OnExit(machine, attempt, status.reason, now);
+    }
+    return;
+  }
+  UpdatePhase(machine, attempt, status.phase, now);
+  StopIfUnwanted(machine, attempt, now);
+}
+
+void TaskAttemptTracker::UpdatePhase(Machine& machine, TaskAttempt& attempt,
+                                     TaskPhase phase, Time now) {
+  if (phase == TaskPhase::kRunning && attempt.phase != TaskPhase::kRunning) {
+    attempt.running_since = now;
+    context_.LogDetail([&] {
+      return LogEvent{"task running",
+                      {{"job", attempt.job_id},
+                       {"task", attempt.task},
+                       {"host", machine.host()},
+                       {"seconds_since_start", now - attempt.started}}};
+    });
+  }
+  attempt.phase = phase;
+  if (!cluster_.IsCurrent(machine, attempt)) return;
+  const TaskState reported = StateOf(phase);
+  const TaskState recorded = attempt.job->task(attempt.task).state;
+  // Never backwards: a gang that lost a task is reported as running until it
+  // exits, although its tasks are already saving.
+  if (recorded != TaskState::kSaving && reported > recorded) {
+    attempt.job->ChangeTask(attempt.task, reported);
+  }
+}
+
+// Stops an attempt whose job is unknown or has ended, or whose task runs
+// elsewhere. While the job's end is being recorded its attempts stay: the write
+// may fail.
+void TaskAttemptTracker::StopIfUnwanted(Machine& machine, TaskAttempt& attempt,
+                                        Time now) {
+  if (attempt.job == nullptr && !reconciler_.MayStopUnknownTask(attempt, now)) {
+    return;
+  }
+  const bool wanted =
+      cluster_.IsCurrent(machine, attempt) && !attempt.job->ended_by_record();
+  if (wanted || attempt.stopping) return;
+  dispatcher_.QueueStop(machine, attempt, /*grace_seconds=*/0, now);
+}
+
+void TaskAttemptTracker::OnExit(Machine& machine, TaskAttempt& attempt,
+                                ExitReason reason, Time now) {
+  const bool was_running = attempt.phase == TaskPhase::kRunning;
+  cluster_.MarkExited(machine, attempt, reason);
+  Job* job = attempt.job;
+  if (job == nullptr || !cluster_.IsCurrent(machine, attempt) || !job->live()) {
+    OnIrrelevantExit(machine, attempt, now);
+    return;
+  }
+  // A service has no end of its own: its tasks are started again.
+  const bool service = job->spec().kind == JobKind::kService;
+  if (reason == ExitReason::kDone && !service) {
+    OnTaskDone(*job, attempt, was_running, now);
+  } else {
+    OnUnfinishedExit(machine, attempt, now);
+  }
+}
+
+void TaskAttemptTracker::OnIrrelevantExit(Machine& machine,
+                                          TaskAttempt& attempt, Time now) {
+  Job* job = attempt.job;
+  if (job == nullptr) {
+    if (reconciler_.MayStopUnknownTask(attempt, now)) {
+      dispatcher_.QueueForget(machine, attempt);
+    }
+    return;
+  }
+  dispatcher_.QueueForget(machine, attempt);
+  if (cluster_.IsCurrent(machine, attempt) &&
+      attempt.reason != ExitReason::kDone &&
+      job->task(attempt.task).state != TaskState::kDone) {
+    job->ChangeTask(attempt.task, TaskState::kPending);
+  }
+  // This may have been the last attempt that the ended job waited for.
+  job_lifecycle_.RetireIfClear(*job);
+}
+
+// The exit is not forgotten on the machine until the end of the job is
+// recorded: a new leader learns from it that this task need not run again.
+void TaskAttemptTracker::OnTaskDone(Job& job, const TaskAttempt& attempt,
+                                    bool was_running, Time now) {
+  if (was_running) {
+    run_times_.Observe(job.spec().job_class, now - attempt.running_since);
+  }
+  job.errors = 0;
+  if (job.task(attempt.task).state != TaskState::kDone) {
+    job.ChangeTask(attempt.task, TaskState::kDone);
+  }
+  if (job.finished()) job_lifecycle_.FinishJob(job, TerminalState::kDone);
+}
+
+void TaskAttemptTracker::OnUnfinishedExit(Machine& machine,
+                                          TaskAttempt& attempt, Time now) {
+  Job& job = *attempt.job;
+  const JobSpec& spec = job.spec();
+  if (job.task(attempt.task).state != TaskState::kPending) {
+    job.ChangeTask(attempt.task, TaskState::kPending);
+  }
+  context_.LogDetail([&] {
+    return LogEvent{"task exited unfinished",
+                    {{"job", spec.id},
+                     {"task", attempt.task},
+                     {"host", machine.host()},
+                     {"reason", NameOf(attempt.reason)}}};
+  });
+  switch (attempt.reason) {
+    case ExitReason::kError:
+      OnTaskError(job, machine, now);
+      break;
+    case ExitReason::kNoRoom:
+    case ExitReason::kUnknownTask:
+    case ExitReason::kBusy:
+      job.not_before =
+          std::max(job.not_before,
+                   now + settings_.workers.heartbeat_interval_seconds / 2);
+      break;
+    default:
+      break;
+  }
+  if (spec.kind == JobKind::kGang && spec.tasks > 1 &&
+      !cluster_.HasLaterAttempt(job, attempt.attempt)) {
+    // The gang is incomplete: its other tasks stop as well, and the next
+    // attempt starts once every task of this one is surely gone.
+    dispatcher_.StopTasks(job, /*grace_seconds=*/0, now);
+  }
+  dispatcher_.QueueForget(machine, attempt);
+}
+
+void TaskAttemptTracker::OnTaskError(Job& job, Machine& machine, Time now) {
+  ++job.errors;
+  CordonIfJobsFailThere(machine, job.id(), now);
+  constexpr uint32_t kMaxDoublings = 6;
+  const double backoff_seconds =
+      settings_.workers.heartbeat_interval_seconds *
+      (1 << std::min<uint32_t>(job.errors, kMaxDoublings));
+  const double longest_backoff_seconds =
+      2 * kDistrustLeases * settings_.workers.lease_seconds;
+  // Many tasks of one array failing at once are one event.
+  job.not_before = std::max(
+      job.not_before, now + std::min(backoff_seconds, longest_backoff_seconds));
+}
+
+// One job's errors may be the job's own fault. Those of several jobs are the
+// machine's, unless these jobs fail everywhere: two faulty jobs would have
+// every machine cordoned that they run on, and nothing could be placed any
+// more. So the loss limiter bounds how many are.
+void TaskAttemptTracker::CordonIfJobsFailThere(Machine& machine,
+                                               const std::string& job_id,
+                                               Time now) {
+  constexpr size_t kFailedJobsToCordon = 2;
+  std::vector<std::string>& failed = machine.failed_jobs;
+  if (std::find(failed.begin(), failed.end(), job_id) == failed.end()) {
+    failed.push_back(job_id);
+  }
+  if (failed.size() < kFailedJobsToCordon) return;
+  failed.clear();
+  machine_lifecycle_.RemoveMachine(machine, LossCause::kDistrusted, now);
+}
+
+}  // namespace oxbow
--- a/tests/leader_health_test.cc
+++ b/tests/leader_health_test.cc
@@ -34,22 +34,23 @@
 
 LeaderHealth::Limits SomeLimits() { return {0.125, 0.2, 0.5, 5, 4, 2}; }
 
-// Deaf from the start, at a time when leadership transfers are allowed.
-LeaderHealth Deaf(Time until) {
+// Receives nothing from the start, at a time when leadership transfers are
+// allowed.
+LeaderHealth ReceivingNothing(Time until) {
   LeaderHealth health(SomeLimits(), 0);
   for (Time t = 0; t <= until; t += 0.05) health.Observe({20, 20, 20}, t);
   return health;
 }
 
 TEST(LeaderHealth, AsksOnlyAfterItHasSettled) {
-  LeaderHealth health = Deaf(1.0);
+  LeaderHealth health = ReceivingNothing(1.0);
   EXPECT_EQ(health.state(), LeaderHealthState::kSuspect);
   EXPECT_FALSE(health.WantsRound(1.0));
   EXPECT_TRUE(health.WantsRound(2.0));
 }
 
 TEST(LeaderHealth, OffersToTheOneThatReachesMostAndMayLead) {
-  LeaderHealth health = Deaf(3);
+  LeaderHealth health = ReceivingNothing(3);
   health.RoundAsked(3);
   const std::string none(20, '0');
   const std::string all(20, '1');
@@ -61,14 +62,14 @@
        {"d", true, true, all}},
       4);
   EXPECT_EQ(verdict.kind,
-            LeaderHealth::Verdict::Kind::kOfferLeadershipTransfer);
+            LeaderHealth::Decision::Kind::kOfferLeadershipTransfer);
   EXPECT_EQ(verdict.to, "d");
   health.OfferRefused(4);
   EXPECT_EQ(health.state(), LeaderHealthState::kSuspect);
 }
 
 TEST(LeaderHealth, AsksLessOftenTheLongerNobodyIsBetter) {
-  LeaderHealth health = Deaf(3);
+  LeaderHealth health = ReceivingNothing(3);
   const std::string none(20, '0');
   int rounds = 0;
   for (Time t = 3; t < 23; t += 0.05) {
@@ -77,7 +78,7 @@
     health.RoundAsked(t);
     const auto verdict = health.RoundAnswered(
         {{"a", true, false, none}, {"b", true, true, none}}, t);
-    EXPECT_EQ(verdict.kind, LeaderHealth::Verdict::Kind::kStay);
+    EXPECT_EQ(verdict.kind, LeaderHealth::Decision::Kind::kStay);
     ++rounds;
   }
   EXPECT_GE(rounds, 4);
@@ -85,8 +86,8 @@
 }
 
 // A leader suspect for long over one dead machine asked seldom, and found out
-// late that it had grown deaf meanwhile (seed 1256).
-TEST(LeaderHealth, GrowingDeafEndsALongPause) {
+// late that it received nothing meanwhile (seed 1256).
+TEST(LeaderHealth, ReceivingTooFewEndsALongPause) {
   LeaderHealth health(SomeLimits(), 0);
   const std::string none(20, '0');
   Time t = 0;
@@ -98,13 +99,13 @@
                          t);
   }
   EXPECT_FALSE(health.WantsRound(t));
-  const Time deaf = t;
+  const Time too_few_from = t;
   for (; !health.WantsRound(t); t += 0.05) health.Observe({20, 20, 20}, t);
-  EXPECT_LT(t - deaf, SomeLimits().pause_seconds);
+  EXPECT_LT(t - too_few_from, SomeLimits().pause_seconds);
 }
 
-TEST(LeaderHealth, ADeafnessThatWasNotWatchedHasNotLasted) {
-  LeaderHealth health = Deaf(3);
+TEST(LeaderHealth, ReceivingTooFewUnwatchedHasNotLasted) {
+  LeaderHealth health = ReceivingNothing(3);
   const std::string none(20, '0');
   // The process stood still for ten seconds: no reason to step down blindly.
   health.Observe({20, 20, 20}, 13);
@@ -113,14 +114,14 @@
                 .RoundAnswered(
                     {{"a", true, false, none}, {"b", false, false, ""}}, 13)
                 .kind,
-            LeaderHealth::Verdict::Kind::kStay);
+            LeaderHealth::Decision::Kind::kStay);
 }
 
-TEST(HandOverLog, AllowsSoManyWithinItsWindow) {
-  HandOverLog log(10, 2);
+TEST(LeadershipTransferLog, AllowsSoManyWithinItsWindow) {
+  LeadershipTransferLog log(10, 2);
   EXPECT_TRUE(log.Allows(0));
-  log.Note(0);
-  log.Note(3);
+  log.Record(0);
+  log.Record(3);
   EXPECT_FALSE(log.Allows(9));
   EXPECT_TRUE(log.Allows(10.5));
 }
@@ -191,14 +192,15 @@
         tuning.suspect_ratio = suspect;
         tuning.give_up_ratio = give_up;
         const SilenceTimeouts timeouts = SilenceTimeouts::From(workers, tuning);
-        EXPECT_EQ(timeouts.Check(workers), "") << ratio;
+        EXPECT_FALSE(timeouts.FindConflict(workers).has_value()) << ratio;
       }
     }
   }
   WorkerSettings workers;
   workers.heartbeat_interval_seconds = 8;
   workers.lease_seconds = 10;
-  EXPECT_NE(SilenceTimeouts::From(workers, {}).Check(workers), "");
+  EXPECT_EQ(SilenceTimeouts::From(workers, {}).FindConflict(workers),
+            TimeoutConflict::kLeaseTooShort);
 }
 
 }  // namespace
