--- a/core/cluster_state/cluster_state.cc
+++ b/core/cluster_state/cluster_state.cc
@@ -166,7 +166,7 @@
   std::vector<TaskAttemptKey> keys;
   for (const auto& [key, attempt] : machine.task_attempts) keys.push_back(key);
   for (const TaskAttemptKey& key : keys) RemoveAttempt(machine, key);
-  // What is left is rounding.
+  // What remains is rounding errors.
   machine.used = machine.staying = machine.lasting = machine.leaving = {};
   machine.used_by = {};
   MarkChanged();
@@ -201,7 +201,7 @@
   attempt.holds = false;
   if (spec.priority == Priority::kProduction) MarkUrgentChange();
   if (attempt.phase == TaskPhase::kFetching) {
-    // The fetch is given up when no task waits for it any more.
+    // The worker gives up a fetch when no task waits for it any more.
     const bool shared =
         std::any_of(machine.task_attempts.begin(), machine.task_attempts.end(),
                     [&](const auto& entry) {
@@ -239,15 +239,15 @@
 void ClusterState::AssignTask(Job& job, Machine& machine,
                               const TaskAttempt& attempt, bool present) {
   const TaskSlot& slot = job.task(attempt.task);
-  // Of two attempts that are shown the later one counts, also one that has
-  // exited. The other may come from an old copy of a heartbeat, of a machine
-  // that has shown nothing of this leader: a new leader that received it first
+  // Of two reported attempts the later one counts, also one that has exited.
+  // The other may come from a delayed copy of a heartbeat, of a machine that
+  // has shown no token of this leader: a new leader that received it first
   // stopped the living task as a duplicate, or missed that the task is done.
-  const bool by_hearsay = slot.state != TaskState::kPending &&
-                          slot.state != TaskState::kDone && slot.machine >= 0 &&
-                          slot.attempt < attempt.attempt &&
-                          !this->machine(slot.machine).reported;
-  if (by_hearsay) job.ChangeTask(attempt.task, TaskState::kPending);
+  const bool unconfirmed =
+      slot.state != TaskState::kPending && slot.state != TaskState::kDone &&
+      slot.machine >= 0 && slot.attempt < attempt.attempt &&
+      !this->machine(slot.machine).reported;
+  if (unconfirmed) job.ChangeTask(attempt.task, TaskState::kPending);
   if (job.task(attempt.task).state != TaskState::kPending) return;
   job.Place(attempt.task, machine.index(), attempt.attempt);
   if (present) job.ChangeTask(attempt.task, TaskState::kStarting);
--- a/core/cluster_state/cluster_state.h
+++ b/core/cluster_state/cluster_state.h
@@ -89,7 +89,8 @@
   // --- jobs
   const Jobs& jobs() const { return jobs_; }
   Job* FindJob(const std::string& id) const;
-  // Attempts of the job that were heard of before it become its attempts.
+  // Attempts of the job that were reported before its record was read become
+  // its attempts.
   Job& AddJob(std::unique_ptr<Job> job);
   // Its attempts stay, as those of no known job; its reservations go.
   void RemoveJob(const std::string& id);
@@ -108,7 +109,7 @@
   void MarkExited(Machine& machine, TaskAttempt& attempt, ExitReason reason);
   void SetStopping(Machine& machine, TaskAttempt& attempt, bool stopping);
   // Makes the attempt the current one of its task, if the task has none or an
-  // older one that is known by hearsay only.
+  // older one on a machine that has not reported to this leader.
   void AssignTask(Job& job, Machine& machine, const TaskAttempt& attempt,
                   bool present);
   // Whether the attempt is the current one of its task.
@@ -135,7 +136,7 @@
   }
   // The index of the team's quota; -1 if it has none.
   int FindQuota(const std::string& team) const;
-  // Whether the team's maximum leaves room for so many more tasks of the job.
+  // Whether the team's maximum allows so many more tasks of the job.
   bool QuotaAllows(const Job& job, double tasks) const;
   // The most that tasks of no known job can use of any quota.
   Resources OrphanedTasksUpperBound() const;
@@ -148,7 +149,7 @@
   void DropAllReservations(const Job& job);
 
   // --- demand
-  // A job has come, or waits for capacity.
+  // A job was submitted, or waits for capacity.
   void NoteDemand(Time now) { last_demand_ = now; }
   // When that was last; before the first time, never quiescent.
   Time last_demand() const { return last_demand_; }
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -1,4 +1,5 @@
-// What a worker says and what it is told.
+// The messages between the leader and a worker: heartbeats with the status of
+// each task, and commands.
 #pragma once
 
 #include <cstdint>
@@ -50,8 +51,8 @@
   FencingToken token = 0;
   std::optional<double> notice_seconds;
   std::vector<TaskStatus> tasks;
-  // By way of another controller, which answers the worker for the leader. Not
-  // said by the worker itself.
+  // Forwarded by another controller, which answers the worker for the leader.
+  // Not part of the worker's message.
   bool forwarded = false;
 };
 
--- a/core/model/job.h
+++ b/core/model/job.h
@@ -1,4 +1,4 @@
-// Jobs and their tasks.
+// Jobs and their tasks, as stored and as their leader sees them.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace oxbow {
 
 enum class JobKind : uint8_t { kArray, kGang, kService };
-// In the order of their rank.
+// Highest first.
 enum class Priority : uint8_t { kProduction, kHigh, kNormal, kLow };
 inline constexpr size_t kPriorities = 4;
 enum class TerminalState : uint8_t { kNone, kDone, kAborted };
@@ -41,23 +41,25 @@
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  friend Resources operator*(Resources a, double n) {
-    return {a.cpus * n, a.gpus * n, a.memory_gb * n};
+  friend Resources operator*(const Resources& amount, double factor) {
+    return {amount.cpus * factor, amount.gpus * factor,
+            amount.memory_gb * factor};
   }
-  // Whether this much fits into the given room, up to rounding.
-  bool FitsIn(const Resources& room) const {
+  // Whether this much fits into the given capacity, up to rounding.
+  bool FitsIn(const Resources& capacity) const {
     constexpr double kEpsilon = 1e-6;
-    return cpus <= room.cpus + kEpsilon && gpus <= room.gpus + kEpsilon &&
-           memory_gb <= room.memory_gb + kEpsilon;
+    return cpus <= capacity.cpus + kEpsilon &&
+           gpus <= capacity.gpus + kEpsilon &&
+           memory_gb <= capacity.memory_gb + kEpsilon;
   }
   // How many times this much fits, up to `most`.
-  uint32_t TimesIn(const Resources& room, uint32_t most) const {
+  uint32_t TimesIn(const Resources& capacity, uint32_t most) const {
     constexpr double kEpsilon = 1e-6;
-    double n = most;
-    if (cpus > 0) n = std::min(n, room.cpus / cpus);
-    if (gpus > 0) n = std::min(n, room.gpus / gpus);
-    if (memory_gb > 0) n = std::min(n, room.memory_gb / memory_gb);
-    return n <= 0 ? 0 : static_cast<uint32_t>(n + kEpsilon);
+    double times = most;
+    if (cpus > 0) times = std::min(times, capacity.cpus / cpus);
+    if (gpus > 0) times = std::min(times, capacity.gpus / gpus);
+    if (memory_gb > 0) times = std::min(times, capacity.memory_gb / memory_gb);
+    return times <= 0 ? 0 : static_cast<uint32_t>(times + kEpsilon);
   }
 };
 
@@ -83,7 +85,9 @@
   std::vector<std::string> dependencies;  // jobs that have to be done before
 
   bool AllowsType(const std::string& type) const;
-  bool AllowsZone(const std::string& z) const { return !zone || *zone == z; }
+  bool AllowsZone(const std::string& candidate) const {
+    return !zone || *zone == candidate;
+  }
 };
 
 // A job as the key-value store holds it.
@@ -96,23 +100,23 @@
   double released_wall = 0;
 };
 
-// A job that waits for others, as the key-value store holds it: under a key of
-// its own, which a version that knows nothing of waiting never reads, so that
-// no such version can start it.
+// A job with unfinished dependencies, as the key-value store holds it: under a
+// key of its own, which versions without dependencies never read, so that none
+// of them can start it.
 struct WaitingRecord {
   std::shared_ptr<const JobSpec> spec;
   double submitted_wall = 0;
   uint64_t mod_revision = 0;
 };
 
-// The record of a job that has ended. `compact`: without the words that may be
-// long, which what starts no task any more does not need; so one that was
-// accepted when the key-value store took larger values can still end.
+// The record of a job that has ended. `compact`: without the fields that may be
+// long and that only starting tasks needs; so a job that was accepted when the
+// key-value store took larger values can still be recorded as ended.
 JobRecord TerminatedRecord(const JobRecord& record, TerminalState state,
                            bool compact);
 
 enum class TaskState : uint8_t {
-  kPending,   // nowhere, to be placed
+  kPending,   // on no machine, to be placed
   kStarting,  // start sent or queued, not yet seen
   kFetching,
   kWaiting,
@@ -133,7 +137,7 @@
   uint64_t attempt = 0;
   int32_t machine = -1;
   TaskState state = TaskState::kPending;
-  bool queued = false;  // stands in Job::pending_
+  bool queued = false;  // is in Job::pending_
 };
 
 // What one machine has of a job.
@@ -142,8 +146,8 @@
   int listed = 0;   // these, and the exits that the worker still reports
 };
 
-// When a job should be complete: by the first of its class's aims, and by the
-// last that counts.
+// When a job should be complete: by the first of its class's service-level
+// objectives, and by the last that counts.
 struct DueTimes {
   Time first = 1e18;
   Time last = 1e18;
@@ -165,7 +169,7 @@
   const std::string& id() const { return spec_->id; }
   int team() const { return team_; }
   Time submitted() const { return submitted_; }
-  // Since when it is its turn: its release if it waited for others.
+  // Since when it may be placed: its release if it had dependencies.
   Time queued_since() const { return queued_since_; }
   // Its own, or that of a more important job that needs it.
   Priority priority() const {
@@ -196,8 +200,8 @@
   void ChangeTask(uint32_t task, TaskState next);
   void Place(uint32_t task, int32_t machine, uint64_t attempt);
 
-  // Where the job's attempts are, by the index of the machine; kept in step
-  // with the machines' residents, so that nobody has to search them all.
+  // Where the job's attempts are, by the index of the machine; kept equal
+  // to the machines' task attempts, so that nobody has to search them all.
   const std::map<int32_t, Presence>& presence() const { return presence_; }
   int holding() const { return holding_; }
   // The one function for a change of it.
@@ -210,9 +214,10 @@
   Time not_before = 0;  // backs off a job that fails everywhere
   uint32_t errors = 0;  // in a row, without a task that ran well
   bool within_guarantee = false;
-  uint8_t tier = 0;   // its place in the set of tiers in force
+  uint8_t tier = 0;   // its index in the set of priority tiers in force
   Time ended = -1e9;  // since when its end is recorded, if known
-  // Accepted before this leader: its tasks may be where nobody has looked yet.
+  // Accepted before this leader: its tasks may be on machines that have not
+  // reported yet.
   bool from_before = true;
 
  private:
--- a/core/model/machine.cc
+++ b/core/model/machine.cc
@@ -33,13 +33,13 @@
 }
 
 Resources Machine::CapacityFor(const Job* job, Priority priority) const {
-  Resources room = free();
+  Resources capacity = free();
   for (const Reservation& reservation : reservations) {
     const bool binds = reservation.part ? reservation.priority == priority
                                         : reservation.priority <= priority;
-    if (reservation.job != job && binds) room -= reservation.need;
+    if (reservation.job != job && binds) capacity -= reservation.need;
   }
-  return room;
+  return capacity;
 }
 
 double Machine::BytesToFetch(const std::string& image, double gb) const {
@@ -80,14 +80,16 @@
     if (!added && now > entry.queued_at) {
       // Seconds from start to cached, as the design has it.
       const double seen = gb / (now - entry.queued_at);
-      constexpr double kNew = 0.4;
-      bandwidth = bandwidth == 0 ? seen : bandwidth + kNew * (seen - bandwidth);
+      constexpr double kNewSampleWeight = 0.4;
+      bandwidth = bandwidth == 0
+                      ? seen
+                      : bandwidth + kNewSampleWeight * (seen - bandwidth);
     }
     entry.gb = gb;
     entry.cached = true;
   }
   entry.used_at = now;
-  // The worker keeps the images used last; so does this picture of its cache.
+  // The worker keeps the images used last; so does this view of its cache.
   while (type != nullptr && image_gb_cached() > type->cache_gb) {
     auto oldest = images_.end();
     for (auto i = images_.begin(); i != images_.end(); ++i) {
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -1,4 +1,5 @@
-// Machines, what is on them, and what is known of their images.
+// Machines as their leader sees them: their records, the exchange with their
+// worker, the task attempts on them and the images they are known to have.
 #pragma once
 
 #include <array>
@@ -48,7 +49,7 @@
   kSettled,     // granted or refused, the record is being removed
 };
 
-// A rental request as the key-value store holds it; its name is used once.
+// A scale-out request as the key-value store holds it; its name is used once.
 struct ScaleOutRecord {
   std::string type;
   std::string zone;
@@ -60,19 +61,21 @@
 enum class MachineState : uint8_t {
   kBooting,
   kUp,
-  kDraining,  // gets nothing new: notice, fault, or to be returned
+  kDraining,  // gets nothing new: spot notice, fault, or scale-in
   kDeleting,  // the cloud has been asked to delete it
   kGone,      // the cloud has confirmed
 };
 
-// How far the start order of a resident has got.
+// How far the start command of a task attempt has got.
 enum class StartProgress : uint8_t {
   kQueued,   // not sent: certainly not there
-  kSent,     // under way or unanswered: may be there
-  kSettled,  // the next newer message tells
+  kSent,     // in flight or unanswered: may be there
+  kSettled,  // the next newer message shows whether it is there
 };
 
 // A task that is, or may be, on the machine, or whose exit is still reported.
+// `job`, `phase`, `reason`, `need`, `holds` and `stopping` are changed by
+// ClusterState, or right before the attempt is added to it.
 struct TaskAttempt {
   Job* job = nullptr;  // null: of a job that is no longer known
   std::string job_id;
@@ -82,8 +85,8 @@
   uint64_t last_seq = 0;  // of the latest message that listed it
   TaskPhase phase = TaskPhase::kFetching;
   ExitReason reason = ExitReason::kNone;
-  Resources need;  // what it holds of the machine; zero once exited
-  bool holds = false;
+  Resources need;      // what it occupies of the machine; zero once exited
+  bool holds = false;  // its need is charged to machine, team and job
   Time started = 0;
   Time running_since = 0;
   bool stopping = false;
@@ -104,23 +107,23 @@
   return {attempt.job_id, attempt.task, attempt.attempt};
 }
 
-// Orders under way to a worker. One batch at a time: then every message of the
-// worker either came before the batch or shows its effect.
+// Commands in flight to a worker. One batch at a time: then every message of
+// the worker either came before the batch or shows its effect.
 struct Batch {
   uint64_t id = 0;
   std::vector<WorkerCommand> commands;
-  // Set for commands in a heartbeat's response: settled by the next report.
+  // In the response to a heartbeat: acknowledged by the next heartbeat.
   bool in_response = false;
 };
 
-// Room held back for a job that waits for a machine to be drained.
+// Capacity reserved for a job that waits for a machine to be drained.
 struct Reservation {
   Job* job = nullptr;
   Resources need;
   Priority priority = Priority::kNormal;
   Time until = 0;
-  // Kept for a job that can't start yet. Work of lower rank may use the room
-  // meanwhile, since it makes way when the time comes.
+  // For a job that can't start yet. Work of lower priority may use the capacity
+  // meanwhile, since it is preempted when the time comes.
   bool part = false;
 };
 
@@ -137,7 +140,7 @@
 
   Resources total() const { return type ? type->total : Resources{}; }
   Resources free() const { return total() - used; }
-  // Room for a job of this priority, less what is held back for others.
+  // Free capacity for a job of this priority, less what is reserved for others.
   Resources CapacityFor(const Job* job, Priority priority) const;
   // Whether the worker has shown the current token, so nothing sent with an
   // older one, by this leader or another, can be executed any more.
@@ -161,15 +164,16 @@
   const MachineType* type = nullptr;
   Time requested_at = 0;
 
-  // The dialogue with its worker.
+  // The exchange with its worker. Changed by WorkerSessions, CommandDispatcher
+  // and LivenessMonitor.
   WorkerIncarnation incarnation;
   Reachability reachability;
   uint64_t seq = 0;
-  FencingToken token;                   // the one this leader uses for it now
+  FencingToken token;                   // the one this leader uses for it
   FencingToken seen_fencing_token = 0;  // the highest the worker has shown
   Time last_heard = -1e9;
   Time last_heartbeat = -1e9;  // by which its lease is renewed
-  bool forwarded = false;      // that report came by way of another controller
+  bool forwarded = false;      // that one came by way of another controller
   Time first_answer = -1e9;    // to a heartbeat, by this leader
   Time last_answer = -1e9;
   // The other controllers, asked about a silent machine: when last, when one
@@ -178,8 +182,8 @@
   Time reached_by_other = -1e9;
   Time reached_by_none = -1e9;
   bool reported = false;  // under this leader
-  // In no record, and it has shown nothing of this leader: what was heard may
-  // be a copy of what a machine said that is gone.
+  // In no record, and it has shown no token of this leader: its message may be
+  // a delayed copy of one of a machine that is deleted.
   bool stranger = false;
   std::optional<Batch> batch;
   bool batch_lost = false;  // unanswered: may be executed until token shows
@@ -188,18 +192,22 @@
   uint32_t direct_failures = 0;  // in a row
   std::optional<Time> notice_until;
 
+  // The task attempts and the sums over them. Only ClusterState may add or
+  // remove attempts or change these sums: it keeps them equal to what the
+  // attempts occupy. Everybody may read.
   std::map<TaskAttemptKey, TaskAttempt> task_attempts;
-  // Tasks of no known job that are there. What they hold nobody knows, so the
-  // machine gets nothing meanwhile.
+  // Tasks of no known job that are there. What they occupy is not known, so
+  // nothing is placed on the machine meanwhile.
   int orphaned_tasks = 0;
-  Resources used;
-  Resources staying;  // the part of it that services hold
-  Resources lasting;  // the part of it that is no short work
-  Resources leaving;  // the part of it that has been told to stop
+  Resources used;     // by attempts that are, or may be, there
+  Resources staying;  // the part of it that services use
+  Resources lasting;  // the part of it that all but job arrays use
+  Resources leaving;  // the part of it that is being stopped
   std::array<Resources, kPriorities> used_by;  // by priority
+
   std::vector<Reservation> reservations;
-  std::vector<std::string> failed_jobs;  // distinct jobs that erred here
-  Time distrusted_until = 0;
+  std::vector<std::string> failed_jobs;  // distinct jobs that failed here
+  Time distrusted_until = 0;             // cordoned until then
   Time idle_since = 0;
   Time delete_sent = -1e9;
   bool given_up = false;  // deletion was asked for its silence
