--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -150,7 +150,7 @@
   });
   if (!leads) co_return;
   AnnounceTransfer(offer.to);
-  transfers_.Note(loop_.Now());
+  transfers_.Record(loop_.Now());
   callbacks_.step_down("leadership transfer, " + offer.why);
 }
 
@@ -209,7 +209,7 @@
   }
   logging::Info("leadership transfer accepted",
                 {{"from", message.node}, {"reason", message.text}});
-  transfers_.Note(now);
+  transfers_.Record(now);
   defers_until_ = kNever;
   reply->answer = PeerAnswer::kYes;
 }
@@ -218,7 +218,7 @@
   const net::Time now = loop_.Now();
   logging::Info("leadership transfer announced",
                 {{"from", message.node}, {"to", message.text}});
-  transfers_.Note(now);
+  transfers_.Record(now);
   defers_until_ = now + leader_lease_seconds_ / 2;
 }
 
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -85,7 +85,7 @@
   const Peers& peers_;
   Callbacks callbacks_;
   clients::ReachClient reach_;
-  HandOverLog transfers_;
+  LeadershipTransferLog transfers_;
   const double probe_timeout_seconds_;
   const double leader_lease_seconds_;  // of the leader key
   // Until then it leads only if nobody else does.
--- a/app/worker_heartbeat_handler.cc
+++ b/app/worker_heartbeat_handler.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "core/lease/fencing_token.h"
+#include "core/lease/fencing_token_source.h"
 
 namespace oxbow::app {
 namespace {
@@ -51,7 +51,7 @@
 
 net::Task<api::HeartbeatAnswer> WorkerHeartbeatHandler::Handle(
     Heartbeat heartbeat, std::string body) {
-  context_.recovery.TermSeen(heartbeat.token >> kTokenBits);
+  context_.recovery.TermSeen(TermOfToken(heartbeat.token));
   if (const Leader* leader = context_.leader_runtime.ActiveLeader()) {
     co_return AnswerAsLeader(heartbeat, leader->revision());
   }
@@ -71,7 +71,7 @@
 
 api::HeartbeatAnswer WorkerHeartbeatHandler::RenewOrRedirect(
     const Heartbeat& heartbeat) {
-  const uint64_t term = heartbeat.token >> kTokenBits;
+  const uint64_t term = TermOfToken(heartbeat.token);
   Renewal renewal = Renewal::kYes;
   if (heartbeat.token == 0 || !context_.election.MayRenew(term)) {
     renewal = context_.zone_coordinator.MayRenew(heartbeat);
@@ -99,7 +99,7 @@
   // One that a leader reaches, of the term known here, is sent to that leader.
   const bool leader_reaches_worker =
       renewal == Renewal::kRedirected &&
-      heartbeat.token >> kTokenBits ==
+      TermOfToken(heartbeat.token) ==
           TermOf(catalog.epoch(), catalog.leader().mod_revision);
   std::string target;
   if (leader_reaches_worker || !zone_coordinator.IsCutOff()) {
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -116,8 +116,8 @@
   if (machine == nullptr) return;
   modules_.dispatcher.OnCommandResponse(*machine, batch, outcome, now);
   if (heartbeat != nullptr) {
-    modules_.worker_sessions.ApplyHeartbeat(*machine, *heartbeat,
-                                            /*by_heartbeat=*/false, now);
+    modules_.worker_sessions.ApplyHeartbeat(
+        *machine, *heartbeat, HeartbeatChannel::kWorkerResponse, now);
   }
   modules_.dispatcher.DispatchCommands(*machine, now);
   Settle(now);
@@ -270,7 +270,7 @@
     modules_.machine_lifecycle.TickMachine(*machine, now);
   }
   modules_.worker_sessions.EndTick(now);
-  modules_.liveness.Ask(now);
+  modules_.liveness.StartSurveys(now);
   modules_.autoscaler.TickRequests(now);
   modules_.rollout_manager.TickRollouts(now);
   modules_.rebalancing.TickMoves(modules_.scheduler.large_waiting(), now);
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -1,4 +1,5 @@
-// What a worker says and what it is told.
+// The messages between the leader and a worker: heartbeats with the status of
+// each task, and commands.
 #pragma once
 
 #include <cstdint>
@@ -6,6 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "core/model/fencing_token.h"
+
 namespace oxbow {
 
 enum class TaskPhase : uint8_t {
@@ -45,11 +48,11 @@
   bool spot = false;
   uint64_t incarnation = 0;
   uint64_t seq = 0;
-  uint64_t token = 0;
+  FencingToken token = 0;
   std::optional<double> notice_seconds;
   std::vector<TaskStatus> tasks;
-  // By way of another controller, which answers the worker for the leader. Not
-  // said by the worker itself.
+  // Forwarded by another controller, which answers the worker for the leader.
+  // Not part of the worker's message.
   bool forwarded = false;
 };
 
