--- a/core/catalog/catalog.h
+++ b/core/catalog/catalog.h
@@ -19,8 +19,8 @@
 #include <variant>
 #include <vector>
 
-#include "core/catalog/records.h"
 #include "core/catalog/store_keys.h"
+#include "core/catalog/stored_records.h"
 #include "core/recovery/store_epoch.h"
 #include "core/recovery/terminal_state_index.h"
 #include "core/upgrade/version_gate.h"
--- a/core/dependencies/dependency_graph.h
+++ b/core/dependencies/dependency_graph.h
@@ -27,6 +27,7 @@
 
 namespace oxbow {
 
+// Where a dependent job is on its way to an ordinary job or to its end.
 enum class DependencyState : uint8_t {
   kWaiting,     // for its dependencies
   kReleasing,   // all of them are recorded as done
--- a/core/job_lifecycle/job_lifecycle.h
+++ b/core/job_lifecycle/job_lifecycle.h
@@ -14,6 +14,7 @@
 class DependencyCoordinator;
 class ReadConsistencyGate;
 
+// Owned by LeaderModules; called by the leader and its modules.
 class JobLifecycle {
  public:
   // The modules that it calls.
--- a/core/read_consistency/read_consistency_gate.h
+++ b/core/read_consistency/read_consistency_gate.h
@@ -45,6 +45,7 @@
   RecordRead read = RecordRead::kNone;
 };
 
+// How to answer a user.
 enum class StatusDecision : uint8_t {
   kEnd,        // answer with the terminal state
   kLive,       // answer with the live state
@@ -53,6 +54,7 @@
   kNothing,    // unavailable: the user has to ask again
 };
 
+// The one rule for every answer about a job.
 StatusDecision Decide(const StatusEvidence& evidence);
 
 // A write that ends a job, conditioned on the mod revision of its record.
--- a/core/reconciliation/reconciler.h
+++ b/core/reconciliation/reconciler.h
@@ -29,6 +29,7 @@
   JobView view;
 };
 
+// Owned by LeaderModules; called by the leader and its modules.
 class Reconciler {
  public:
   // The modules that it calls.
--- a/core/store_writes/store_operation.h
+++ b/core/store_writes/store_operation.h
@@ -14,6 +14,7 @@
 
 namespace oxbow {
 
+// Of StoreOperation::Build.
 enum class BuildResult : uint8_t {
   kAdded,
   // The store already holds what the operation wants, or the reason for it is
@@ -21,6 +22,7 @@
   kNothingToDo,
 };
 
+// See above. Owned by the WriteQueue from Enqueue on.
 class StoreOperation {
  public:
   // `name`: of what is changed; unique within the kind.
--- a/core/store_writes/write_queue.h
+++ b/core/store_writes/write_queue.h
@@ -36,6 +36,7 @@
 
 namespace oxbow {
 
+// What the queue waits for.
 enum class WritePhase : uint8_t {
   kIdle,
   kWriting,         // a transaction is in flight
@@ -44,11 +45,13 @@
   kReading,         // the outcome is final: the changed keys are being read
 };
 
+// The order in which operations are sent.
 enum class WritePriority : uint8_t {
   kUrgent,
   kBackground,  // fills transactions that urgent operations leave space in
 };
 
+// See above.
 class WriteQueue {
  public:
   // `leadership_preconditions`: what every transaction is conditioned on; the
