--- a/api/api.cc
+++ b/api/api.cc
@@ -12,81 +12,127 @@
 namespace oxbow::api {
 namespace {
 
-constexpr std::string_view kJobs = "/v2/runs";
-constexpr std::string_view kCancelEnd = "/cancel";
+constexpr std::string_view kHeartbeatPath = "/v1/report";
+constexpr std::string_view kReadyPath = "/ready";
+constexpr std::string_view kLeaderPath = "/v2/leader";
+constexpr std::string_view kJobsPath = "/v2/runs";
+constexpr std::string_view kCancelSuffix = "/cancel";
 
 std::string JobBody(const std::string& id, std::string_view status) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "id", id);
-  json::Field(w, "status", status);
-  w.EndObject();
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "id", id);
+  json::Field(writer, "status", status);
+  writer.EndObject();
   return json::Text(buffer);
 }
 
+std::string JobStatusBody(const std::string& id, const JobStatus& status) {
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "id", id);
+  json::Field(writer, "status", status.status);
+  writer.Key("done");
+  writer.Uint(status.done);
+  writer.Key("running");
+  writer.Uint(status.running);
+  writer.EndObject();
+  return json::Text(buffer);
+}
+
+std::string RedirectBody(const std::string& leader) {
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  if (!leader.empty()) json::Field(writer, "controller", leader);
+  writer.EndObject();
+  return json::Text(buffer);
+}
+
+void WriteStrings(json::Writer& writer, const char* key,
+                  const std::vector<std::string>& values) {
+  writer.Key(key);
+  writer.StartArray();
+  for (const std::string& value : values) writer.String(value.c_str());
+  writer.EndArray();
+}
+
+net::HttpResponse Response(int status, std::string body) {
+  net::HttpResponse response;
+  response.status = status;
+  response.body = std::move(body);
+  return response;
+}
+
 }  // namespace
 
 net::Task<net::HttpResponse> Api::Handle(net::HttpRequest request) {
   const std::string path(request.path());
   const bool get = request.method == "GET";
   const bool post = request.method == "POST";
-  if (path == "/v1/report") {
+  if (path == kHeartbeatPath) {
     if (!post) co_return WrongMethod("POST");
     co_return co_await OnHeartbeat(std::move(request.body));
   }
-  if (path == "/ready") {
-    if (!get) co_return WrongMethod("GET");
-    if (!service_.Ready()) co_return TryLater("not ready");
-    net::HttpResponse response;
-    response.body = "{}";
-    co_return response;
+  if (path == kReadyPath) {
+    co_return get ? Readiness() : WrongMethod("GET");
   }
-  if (path == "/v2/leader") {
-    if (!get) co_return WrongMethod("GET");
-    co_return CurrentLeader();
+  if (path == kLeaderPath) {
+    co_return get ? CurrentLeader() : WrongMethod("GET");
   }
-  if (rollouts_ != nullptr && rollouts_->Takes(path)) {
+  if (rollouts_ != nullptr && rollouts_->Matches(path)) {
     co_return co_await rollouts_->Handle(std::move(request));
   }
-  if (records_ != nullptr && RecordRoutes::Takes(path)) {
+  if (records_ != nullptr && RecordRoutes::Matches(path)) {
     co_return co_await records_->Handle(std::move(request));
   }
-  if (path == kJobs) {
+  if (path == kJobsPath) {
     if (!post) co_return WrongMethod("POST");
     co_return co_await Submit(std::move(request.body));
   }
-  if (path.starts_with(kJobs) && path[kJobs.size()] == '/') {
-    std::string id = path.substr(kJobs.size() + 1);
-    if (id.ends_with(kCancelEnd)) {
-      id.resize(id.size() - kCancelEnd.size());
-      if (id.find('/') == std::string::npos) {
-        if (!post) co_return WrongMethod("POST");
-        co_return co_await Cancel(std::move(id));
-      }
-    } else if (id.find('/') == std::string::npos) {
-      if (!get) co_return WrongMethod("GET");
-      co_return co_await Poll(std::move(id));
-    }
+  co_return co_await HandleJob(path, request.method);
+}
+
+net::Task<net::HttpResponse> Api::HandleJob(std::string path,
+                                            std::string method) {
+  if (!path.starts_with(kJobsPath) || path[kJobsPath.size()] != '/') {
+    co_return Error(404, "no such path");
   }
-  co_return Error(404, "no such path");
+  std::string id = path.substr(kJobsPath.size() + 1);
+  const bool cancel = id.ends_with(kCancelSuffix);
+  if (cancel) id.resize(id.size() - kCancelSuffix.size());
+  if (id.find('/') != std::string::npos) {
+    co_return Error(404, "no such path");
+  }
+  if (cancel) {
+    if (method != "POST") co_return WrongMethod("POST");
+    co_return co_await Cancel(std::move(id));
+  }
+  if (method != "GET") co_return WrongMethod("GET");
+  co_return co_await GetStatus(std::move(id));
 }
 
-// A known job is never refused, whatever its description says this time.
-net::Task<net::HttpResponse> Api::Refuse(std::string id, int status,
-                                         std::string why) {
+net::HttpResponse Api::Readiness() {
+  if (!service_.IsReady()) return TryLater("not ready");
+  net::HttpResponse response;
+  response.body = "{}";
+  return response;
+}
+
+net::Task<net::HttpResponse> Api::RefuseUnlessKnown(std::string id, int status,
+                                                    std::string reason) {
   if (wire::ValidJobId(id)) {
-    const Status known = co_await service_.Poll(id);
-    if (known.found == Status::JobPresence::kYes) {
-      net::HttpResponse response;
-      response.body = JobBody(id, known.status);
-      co_return response;
+    const JobStatus known = co_await service_.GetStatus(id);
+    if (known.presence == JobStatus::Presence::kExists) {
+      co_return Response(200, JobBody(id, known.status));
     }
-    if (known.found == Status::JobPresence::kCannotTell) {
+    if (known.presence == JobStatus::Presence::kUnknown) {
       co_return TryLater("state unknown");
     }
   }
-  co_return Error(status, why);
+  co_return Error(status, reason);
 }
 
 net::Task<net::HttpResponse> Api::Submit(std::string body) {
@@ -94,134 +140,111 @@
   if (!json::Parse(body, &doc)) co_return Error(400, "not JSON");
   if (!doc.IsObject()) co_return Error(400, "not an object");
   const std::string id = json::GetString(doc, "id");
-  if (wire::ValidJobId(id) && service_.KnownHere(id)) {
-    co_return co_await Refuse(id, 400, "known");
+  if (wire::ValidJobId(id) && service_.IsKnownLocally(id)) {
+    co_return co_await RefuseUnlessKnown(id, 400, "known");
   }
   auto spec = std::make_shared<JobSpec>();
   const std::string malformed = wire::ReadSpec(doc, spec.get());
-  if (!malformed.empty()) co_return co_await Refuse(id, 400, malformed);
-  const auto* types = service_.Types();
+  if (!malformed.empty()) {
+    co_return co_await RefuseUnlessKnown(id, 400, malformed);
+  }
+  const auto* types = service_.MachineTypes();
   if (types == nullptr) co_return TryLater("machine types unknown");
   const std::string impossible =
-      wire::WhyImpossible(*spec, *types, service_.Teams());
-  if (!impossible.empty()) co_return co_await Refuse(id, 422, impossible);
-  const Submitted submitted = co_await service_.Submit(spec);
-  switch (submitted.result) {
-    case Submitted::Result::kAccepted: {
-      net::HttpResponse response;
-      response.status = 201;
-      response.body = JobBody(id, "pending");
-      co_return response;
-    }
-    case Submitted::Result::kKnown:
-      co_return co_await Refuse(id, 503, "state unknown");
-    case Submitted::Result::kTooLarge:
-      co_return co_await Refuse(id, 400, "description too large");
-    case Submitted::Result::kNamesUnknown:
-      co_return co_await Refuse(
+      wire::WhyImpossible(*spec, *types, service_.TeamQuotas());
+  if (!impossible.empty()) {
+    co_return co_await RefuseUnlessKnown(id, 422, impossible);
+  }
+  co_return co_await SubmitValid(std::move(spec));
+}
+
+net::Task<net::HttpResponse> Api::SubmitValid(
+    std::shared_ptr<const JobSpec> spec) {
+  const std::string id = spec->id;
+  const SubmitResult result = co_await service_.Submit(std::move(spec));
+  switch (result) {
+    case SubmitResult::kAccepted:
+      co_return Response(201, JobBody(id, "pending"));
+    case SubmitResult::kAlreadyKnown:
+      co_return co_await RefuseUnlessKnown(id, 503, "state unknown");
+    case SubmitResult::kTooLarge:
+      co_return co_await RefuseUnlessKnown(id, 400, "description too large");
+    case SubmitResult::kUnknownDependency:
+      co_return co_await RefuseUnlessKnown(
           id, 422, "field waits_on names a job that was never accepted");
-    case Submitted::Result::kTryLater:
+    case SubmitResult::kUnavailable:
       break;
   }
   co_return TryLater("cannot be recorded now");
 }
 
-net::Task<net::HttpResponse> Api::Poll(std::string id) {
+net::Task<net::HttpResponse> Api::GetStatus(std::string id) {
   // An id of another form was never accepted and never can be.
   if (!wire::ValidJobId(id)) co_return Error(404, "no such job");
-  const Status status = co_await service_.Poll(id);
-  if (status.found == Status::JobPresence::kCannotTell) {
-    co_return TryLater("state unknown");
+  const JobStatus status = co_await service_.GetStatus(id);
+  switch (status.presence) {
+    case JobStatus::Presence::kExists:
+      co_return Response(200, JobStatusBody(id, status));
+    case JobStatus::Presence::kNotFound:
+      co_return Error(404, "no such job");
+    case JobStatus::Presence::kUnknown:
+      break;
   }
-  if (status.found == Status::JobPresence::kNo)
-    co_return Error(404, "no such job");
-  rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "id", id);
-  json::Field(w, "status", status.status);
-  w.Key("done");
-  w.Uint(status.done);
-  w.Key("running");
-  w.Uint(status.running);
-  w.EndObject();
-  net::HttpResponse response;
-  response.body = json::Text(buffer);
-  co_return response;
+  co_return TryLater("state unknown");
 }
 
 net::Task<net::HttpResponse> Api::Cancel(std::string id) {
   if (!wire::ValidJobId(id)) co_return Error(404, "no such job");
-  const Status status = co_await service_.Cancel(id);
-  if (status.found == Status::JobPresence::kCannotTell) {
-    co_return TryLater("cannot be recorded now");
+  const JobStatus status = co_await service_.Cancel(id);
+  switch (status.presence) {
+    case JobStatus::Presence::kExists:
+      co_return Response(200, JobBody(id, status.status));
+    case JobStatus::Presence::kNotFound:
+      co_return Error(404, "no such job");
+    case JobStatus::Presence::kUnknown:
+      break;
   }
-  if (status.found == Status::JobPresence::kNo)
-    co_return Error(404, "no such job");
-  net::HttpResponse response;
-  response.body = JobBody(id, status.status);
-  co_return response;
+  co_return TryLater("cannot be recorded now");
 }
 
 net::HttpResponse Api::CurrentLeader() {
   const LeaderView view = service_.CurrentLeader();
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "leader", view.leader);
-  w.Key("here");
-  w.Bool(view.here);
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "leader", view.leader);
+  writer.Key("here");
+  writer.Bool(view.here);
   if (view.here) {
-    w.Key("machines");
-    w.Int(view.machines);
-    w.Key("silent");
-    w.Int(view.silent);
-    w.Key("alarms");
-    w.StartArray();
-    for (const std::string& alarm : view.alarms) w.String(alarm.c_str());
-    w.EndArray();
-    w.Key("waiting");
-    w.StartArray();
-    for (const std::string& line : view.waiting) w.String(line.c_str());
-    w.EndArray();
-  }
-  w.EndObject();
-  net::HttpResponse response;
-  response.body = json::Text(buffer);
-  return response;
+    writer.Key("machines");
+    writer.Int(view.machines);
+    writer.Key("silent");
+    writer.Int(view.silent);
+    WriteStrings(writer, "alarms", view.alarms);
+    WriteStrings(writer, "waiting", view.waiting);
+  }
+  writer.EndObject();
+  return Response(200, json::Text(buffer));
 }
 
 net::Task<net::HttpResponse> Api::OnHeartbeat(std::string body) {
   Heartbeat heartbeat;
-  if (!wire::ParseReport(body, &heartbeat))
+  if (!wire::ParseReport(body, &heartbeat)) {
     co_return Error(400, "not a report");
-  HeartbeatAnswer reported =
+  }
+  HeartbeatAnswer answer =
       co_await service_.OnHeartbeat(std::move(heartbeat), std::move(body));
-  net::HttpResponse response;
-  switch (reported.result) {
+  switch (answer.result) {
     case HeartbeatAnswer::Result::kAnswered:
-      response.body = wire::EncodeReply(reported.reply);
-      break;
+      co_return Response(200, wire::EncodeReply(answer.response));
     case HeartbeatAnswer::Result::kForwarded:
-      response.body = std::move(reported.forwarded);
-      break;
-    case HeartbeatAnswer::Result::kElsewhere: {
-      response.status = 421;
-      rapidjson::StringBuffer buffer;
-      json::Writer w(buffer);
-      w.StartObject();
-      if (!reported.leader.empty()) {
-        json::Field(w, "controller", reported.leader);
-      }
-      w.EndObject();
-      response.body = json::Text(buffer);
-      break;
-    }
+      co_return Response(200, std::move(answer.forwarded));
+    case HeartbeatAnswer::Result::kRedirected:
+      co_return Response(421, RedirectBody(answer.leader));
     case HeartbeatAnswer::Result::kUnavailable:
-      response = Error(503, "taking over");
       break;
   }
-  co_return response;
+  co_return Error(503, "taking over");
 }
 
 }  // namespace oxbow::api
--- a/api/api.h
+++ b/api/api.h
@@ -1,8 +1,10 @@
-// The HTTP interface of a controller: routes, checks, and JSON. What lies
-// behind it is the Service.
+// The HTTP interface of a controller: routes, validation, and JSON. What
+// answers the requests is a Service.
 #pragma once
 
+#include <cstdint>
 #include <map>
+#include <memory>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -16,25 +18,34 @@
 
 namespace oxbow::api {
 
-struct Status {
-  enum class JobPresence { kYes, kNo, kCannotTell };
-  JobPresence found = JobPresence::kCannotTell;
-  std::string status;  // a word of the wire
-  uint32_t done = 0;
-  uint32_t running = 0;
+// What may be said of a job.
+struct JobStatus {
+  enum class Presence : uint8_t { kExists, kNotFound, kUnknown };
+  Presence presence = Presence::kUnknown;
+  std::string status;    // a word of the protocol
+  uint32_t done = 0;     // tasks
+  uint32_t running = 0;  // tasks
 };
 
-struct Submitted {
-  enum class Result { kAccepted, kKnown, kTooLarge, kNamesUnknown, kTryLater };
-  Result result = Result::kTryLater;
+enum class SubmitResult : uint8_t {
+  kUnavailable,  // 503: can't be recorded now
+  kAccepted,
+  kAlreadyKnown,
+  kTooLarge,           // its record does not fit into the key-value store
+  kUnknownDependency,  // it names a job that was never accepted
 };
 
 struct HeartbeatAnswer {
-  enum class Result { kAnswered, kForwarded, kElsewhere, kUnavailable };
+  enum class Result : uint8_t {
+    kUnavailable,
+    kAnswered,    // with `response`
+    kForwarded,   // with `forwarded`
+    kRedirected,  // to `leader`
+  };
   Result result = Result::kUnavailable;
-  HeartbeatResponse reply;
-  std::string forwarded;  // the leader's answer, as it is to be given
-  std::string leader;     // empty when not known
+  HeartbeatResponse response;
+  std::string forwarded;  // the leader's answer, to be sent as it is
+  std::string leader;     // address; empty when not known
 };
 
 // Who leads, and what the leader does not do and why.
@@ -42,24 +53,29 @@
   std::string leader;  // empty when not known
   bool here = false;   // what follows is known at the leader only
   int machines = 0;    // recorded
-  int silent = 0;
+  int silent = 0;      // machines that send no heartbeats
   std::vector<std::string> alarms;
   std::vector<std::string> waiting;  // jobs, and which others they wait for
 };
 
+// What answers the requests. Its coroutines may outlive the call that started
+// them; the service must outlive the event loop's run.
 class Service {
  public:
   virtual ~Service() = default;
-  virtual bool Ready() = 0;
-  // Nothing while the machine types are unknown.
-  virtual const std::map<std::string, MachineType>* Types() = 0;
-  virtual const std::vector<TeamQuota>& Teams() = 0;
+  // Whether users and workers may be sent here.
+  virtual bool IsReady() = 0;
+  // Null while the machine types are unknown.
+  virtual const std::map<std::string, MachineType>* MachineTypes() = 0;
+  virtual const std::vector<TeamQuota>& TeamQuotas() = 0;
   // Whether the job is known, from memory only.
-  virtual bool KnownHere(const std::string& id) = 0;
-  virtual net::Task<Status> Poll(std::string id) = 0;
-  virtual net::Task<Submitted> Submit(std::shared_ptr<const JobSpec> spec) = 0;
-  virtual net::Task<Status> Cancel(std::string id) = 0;
-  // `body`: the same, as it came.
+  virtual bool IsKnownLocally(const std::string& id) = 0;
+  virtual net::Task<JobStatus> GetStatus(std::string id) = 0;
+  virtual net::Task<SubmitResult> Submit(
+      std::shared_ptr<const JobSpec> spec) = 0;
+  // The job's status once its terminal state is recorded.
+  virtual net::Task<JobStatus> Cancel(std::string id) = 0;
+  // `body`: the same heartbeat, as it was received.
   virtual net::Task<HeartbeatAnswer> OnHeartbeat(Heartbeat heartbeat,
                                                  std::string body) = 0;
   virtual LeaderView CurrentLeader() = 0;
@@ -67,18 +83,24 @@
 
 class Api {
  public:
-  // `rollouts` and `records` may be null.
+  // `rollouts` and `records` may be null; then their routes do not exist.
   explicit Api(Service& service, RolloutRoutes* rollouts = nullptr,
                RecordRoutes* records = nullptr)
       : service_(service), rollouts_(rollouts), records_(records) {}
+  // Answers one request. The api must outlive the task.
   net::Task<net::HttpResponse> Handle(net::HttpRequest request);
 
  private:
+  net::Task<net::HttpResponse> HandleJob(std::string path, std::string method);
+  net::HttpResponse Readiness();
   net::Task<net::HttpResponse> Submit(std::string body);
-  net::Task<net::HttpResponse> Poll(std::string id);
+  net::Task<net::HttpResponse> SubmitValid(std::shared_ptr<const JobSpec> spec);
+  net::Task<net::HttpResponse> GetStatus(std::string id);
   net::Task<net::HttpResponse> Cancel(std::string id);
-  net::Task<net::HttpResponse> Refuse(std::string id, int status,
-                                      std::string why);
+  // Refuses a submission, unless the job is known: a known job is never
+  // refused, whatever its description says this time.
+  net::Task<net::HttpResponse> RefuseUnlessKnown(std::string id, int status,
+                                                 std::string reason);
   net::Task<net::HttpResponse> OnHeartbeat(std::string body);
   net::HttpResponse CurrentLeader();
 
--- a/api/record_routes.cc
+++ b/api/record_routes.cc
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-bool RecordRoutes::Takes(std::string_view path) {
+bool RecordRoutes::Matches(std::string_view path) {
   return path == kPath || path.starts_with(kPastPath) ||
          (path.starts_with(kPath) && path.size() > kPath.size() &&
           path[kPath.size()] == '/');
--- a/api/record_routes.h
+++ b/api/record_routes.h
@@ -50,7 +50,7 @@
 
   explicit RecordRoutes(RecordService& service) : service_(service) {}
   // Whether the path is one of these routes.
-  static bool Takes(std::string_view path);
+  static bool Matches(std::string_view path);
   net::Task<net::HttpResponse> Handle(net::HttpRequest request);
 
  private:
--- a/api/rollout_routes.cc
+++ b/api/rollout_routes.cc
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-bool RolloutRoutes::Takes(std::string_view path) const {
+bool RolloutRoutes::Matches(std::string_view path) const {
   return service_.Enabled() && path.starts_with(kPath) &&
          (path.size() == kPath.size() || path[kPath.size()] == '/');
 }
--- a/api/rollout_routes.h
+++ b/api/rollout_routes.h
@@ -51,7 +51,7 @@
 
   explicit RolloutRoutes(RolloutService& service) : service_(service) {}
   // Whether the path is one of these routes.
-  bool Takes(std::string_view path) const;
+  bool Matches(std::string_view path) const;
   net::Task<net::HttpResponse> Handle(net::HttpRequest request);
 
  private:
--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -143,9 +143,11 @@
                                    uint64_t mod_revision) {
                               watcher_.Apply(key, record, mod_revision);
                             }}),
-      users_(loop, settings, catalog_, store_, watcher_, election_,
-             leader_runtime_, peers_, zone_coordinator_, recovery_,
-             version_coordinator_),
+      request_forwarder_(loop, settings, election_, peers_),
+      job_request_handler_({loop, settings, catalog_, store_, watcher_,
+                            election_, leader_runtime_, zone_coordinator_,
+                            recovery_, version_coordinator_,
+                            request_forwarder_}),
       rollout_coordinator_(settings, tuning, catalog_, store_,
                            {[this](const std::string& key, const Record& record,
                                    uint64_t mod_revision) {
@@ -170,7 +172,7 @@
                            },
                            [this] { return recovery_.MayAccept(); }}),
       record_routes_(record_coordinator_),
-      api_(users_, &rollout_routes_, &record_routes_),
+      api_(job_request_handler_, &rollout_routes_, &record_routes_),
       peer_server_(
           loop, AddressOf(settings.peer_listen),
           [this](PeerMessage message) { return OnPeer(std::move(message)); }),
@@ -196,8 +198,9 @@
   PeerMessage reply;
   reply.node = settings_.node;
   reply.role = election_.Role();
-  if (JobRequestHandler::Handles(message.kind)) {
-    co_await users_.OnPeer(std::move(message), &reply);
+  if (PeerRequestHandler::Handles(message.kind)) {
+    co_await job_request_handler_.peer_requests().Handle(std::move(message),
+                                                         &reply);
     co_return reply;
   }
   if (RecoveryCoordinator::Handles(message.kind)) {
--- a/app/controller_node.h
+++ b/app/controller_node.h
@@ -14,6 +14,7 @@
 #include "app/leader_runtime.h"
 #include "app/record_coordinator.h"
 #include "app/recovery_coordinator.h"
+#include "app/request_forwarder.h"
 #include "app/rollout_coordinator.h"
 #include "app/store_watcher.h"
 #include "app/version_coordinator.h"
@@ -33,7 +34,9 @@
 
   // Starts everything; the loop does the rest.
   void Start();
-  const std::map<std::string, MachineType>* Types() { return users_.Types(); }
+  const std::map<std::string, MachineType>* Types() {
+    return job_request_handler_.MachineTypes();
+  }
 
  private:
   net::Task<clients::PeerMessage> OnPeer(clients::PeerMessage message);
@@ -51,7 +54,8 @@
   LeaderElection election_;
   LeaderRuntime leader_runtime_;
   VersionCoordinator version_coordinator_;
-  JobRequestHandler users_;
+  RequestForwarder request_forwarder_;
+  JobRequestHandler job_request_handler_;
   RolloutCoordinator rollout_coordinator_;
   api::RolloutRoutes rollout_routes_;
   RecordCoordinator record_coordinator_;
--- a/app/dependency_admission.cc
+++ b/app/dependency_admission.cc
@@ -13,41 +13,51 @@
                      });
 }
 
-net::Task<NamedJobs> DependencyAdmission::Look(
+net::Task<DependencyState> DependencyAdmission::Check(
     std::shared_ptr<const JobSpec> spec) {
-  if (spec->dependencies.empty()) co_return NamedJobs::kNone;
-  // An earlier version would answer 404 for a job that waits, or, sent the same
+  if (spec->dependencies.empty()) co_return DependencyState::kNoDependencies;
+  // An earlier version would answer 404 for a waiting job, or, sent the same
   // submission, start it at once.
-  if (!callbacks_.all_know_chains()) co_return NamedJobs::kCannotTell;
+  if (!callbacks_.all_support_dependencies()) {
+    co_return DependencyState::kUnknown;
+  }
   for (const std::string& id : spec->dependencies) {
     if (catalog_.Accepted(id)) continue;
-    const Accepted accepted = co_await callbacks_.fresh_read(id);
-    if (accepted == Accepted::kNo) co_return NamedJobs::kNeverAccepted;
-    if (accepted == Accepted::kCannotTell) co_return NamedJobs::kCannotTell;
+    const RecordPresence acceptance = co_await callbacks_.read_acceptance(id);
+    if (acceptance == RecordPresence::kMissing) {
+      co_return DependencyState::kNeverAccepted;
+    }
+    if (acceptance == RecordPresence::kUnknown) {
+      co_return DependencyState::kUnknown;
+    }
   }
-  co_return AllDone(*spec) ? NamedJobs::kAllDone : NamedJobs::kWaitedFor;
+  co_return AllDone(*spec) ? DependencyState::kAllDone
+                           : DependencyState::kPending;
 }
 
-Acceptance DependencyAdmission::Of(std::shared_ptr<const JobSpec> spec,
-                                   NamedJobs named, double wall) {
-  Acceptance out;
+Acceptance DependencyAdmission::BuildAcceptance(
+    std::shared_ptr<const JobSpec> spec, DependencyState dependencies,
+    double wall_seconds) {
+  Acceptance acceptance;
   const std::string& id = spec->id;
   // Whatever the job's record is by now: an acceptance that arrives late finds
-  // that the job waits, runs or has ended.
+  // that the job is waiting, live or terminated.
   for (const std::string_view prefix :
        {keys::kWaiting, keys::kJob, keys::kTerminal}) {
-    out.preconditions.push_back({keys::Of(prefix, id), 0});
+    acceptance.preconditions.push_back({keys::Of(prefix, id), 0});
   }
-  out.waits = named == NamedJobs::kWaitedFor;
-  out.key = keys::Of(out.waits ? keys::kWaiting : keys::kJob, id);
-  if (out.waits) {
-    out.record = WaitingRecord{std::move(spec), wall, 0};
+  acceptance.waits = dependencies == DependencyState::kPending;
+  acceptance.key = keys::Of(acceptance.waits ? keys::kWaiting : keys::kJob, id);
+  if (acceptance.waits) {
+    acceptance.record = WaitingRecord{std::move(spec), wall_seconds, 0};
   } else {
-    JobRecord record{std::move(spec), wall, TerminalState::kNone, 0};
-    if (named == NamedJobs::kAllDone) record.released_wall = wall;
-    out.record = std::move(record);
+    JobRecord record{std::move(spec), wall_seconds, TerminalState::kNone, 0};
+    if (dependencies == DependencyState::kAllDone) {
+      record.released_wall = wall_seconds;
+    }
+    acceptance.record = std::move(record);
   }
-  return out;
+  return acceptance;
 }
 
 }  // namespace oxbow::app
--- a/app/dependency_admission.h
+++ b/app/dependency_admission.h
@@ -1,9 +1,13 @@
-// Whether a job that waits for others may be accepted, and what its acceptance
-// writes. It names only jobs that were accepted before it and is accepted under
-// a condition that it is not known itself, so no job can wait for itself
-// through others.
+// Whether a job that depends on others may be accepted, and what its acceptance
+// writes. A job names only jobs that were accepted before it and is accepted
+// under the condition that it is not known itself, so no job can depend on
+// itself through others. Owns no state.
+//
+// Check() holds `this` and its arguments across reads: the object must outlive
+// the event loop's run.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
@@ -16,39 +20,45 @@
 
 namespace oxbow::app {
 
-// How the jobs that a submission names stand.
-enum class NamedJobs {
-  kNone,           // it names none
-  kAllDone,        // each is recorded as done: it need not wait
-  kWaitedFor,      // all were accepted
+// What a read of a record, or of all records of one job, has shown.
+enum class RecordPresence : uint8_t { kPresent, kMissing, kUnknown };
+
+// The state of the jobs that a submission depends on.
+enum class DependencyState : uint8_t {
+  kNoDependencies,
+  kAllDone,        // each is recorded as done: the job need not wait
+  kPending,        // all were accepted, not all are done
   kNeverAccepted,  // one was not, by a fresh read
-  kCannotTell,
+  kUnknown,        // can't be determined now
 };
 
-// One conditional write: it is not known yet, and now it is.
+// The compare-and-swap that accepts a job: it is not known yet, and now it is.
 struct Acceptance {
   std::string key;
   Record record;
   std::vector<Precondition> preconditions;
-  bool waits = false;
+  bool waits = false;  // for its dependencies
 };
 
 class DependencyAdmission {
  public:
-  enum class Accepted { kYes, kNo, kCannotTell };
   struct Callbacks {
-    // Whether no controller runs a version that would not let a job wait.
-    std::function<bool()> all_know_chains;
+    // Whether no controller runs a version that ignores dependencies.
+    std::function<bool()> all_support_dependencies;
     // Reads afresh whether the job was accepted.
-    std::function<net::Task<Accepted>(std::string id)> fresh_read;
+    std::function<net::Task<RecordPresence>(std::string id)> read_acceptance;
   };
   DependencyAdmission(const Catalog& catalog, Callbacks callbacks)
       : catalog_(catalog), callbacks_(std::move(callbacks)) {}
 
-  net::Task<NamedJobs> Look(std::shared_ptr<const JobSpec> spec);
+  // The state of the submission's dependencies; reads those that are not known
+  // here from the store.
+  net::Task<DependencyState> Check(std::shared_ptr<const JobSpec> spec);
 
-  static Acceptance Of(std::shared_ptr<const JobSpec> spec, NamedJobs named,
-                       double wall);
+  // What accepts the job at that wall clock time (s since the epoch).
+  static Acceptance BuildAcceptance(std::shared_ptr<const JobSpec> spec,
+                                    DependencyState dependencies,
+                                    double wall_seconds);
 
  private:
   bool AllDone(const JobSpec& spec) const;
--- /dev/null
+++ b/app/worker_heartbeat_handler.cc
@@ -0,0 +1,114 @@
+#include "app/worker_heartbeat_handler.h"
+
+#include <utility>
+
+#include "core/lease/fencing_token.h"
+
+namespace oxbow::app {
+namespace {
+
+using Renewal = ZoneCoordinator::Renewal;
+using Result = api::HeartbeatAnswer::Result;
+
+}  // namespace
+
+std::optional<HeartbeatResponse> WorkerHeartbeatHandler::ProcessAsLeader(
+    const Heartbeat& heartbeat) {
+  LeaderRuntime& leader_runtime = context_.leader_runtime;
+  const Leader* active = leader_runtime.ActiveLeader();
+  if (active == nullptr) return std::nullopt;
+  HeartbeatResponse response;
+  leader_runtime.Deliver(active->revision(), [&](Leader& leader) {
+    response = leader.OnHeartbeat(heartbeat, context_.loop.Now());
+  });
+  // The heartbeat may have ended this leadership; and a copy of an earlier one
+  // is not answered.
+  if (!leader_runtime.is_leading() || response.refused || response.withheld) {
+    return std::nullopt;
+  }
+  return response;
+}
+
+api::HeartbeatAnswer WorkerHeartbeatHandler::AnswerAsLeader(
+    const Heartbeat& heartbeat, uint64_t revision) {
+  api::HeartbeatAnswer answer;
+  answer.leader = context_.zone_coordinator.BetterPlaceFor(heartbeat, revision);
+  if (!answer.leader.empty()) {
+    context_.leader_runtime.Deliver(revision, [&](Leader& leader) {
+      leader.OnProbeAnswer(heartbeat, context_.loop.Now());
+    });
+    answer.result = Result::kRedirected;
+    return answer;
+  }
+  std::optional<HeartbeatResponse> response = ProcessAsLeader(heartbeat);
+  if (response) {
+    answer.response = *std::move(response);
+    answer.result = Result::kAnswered;
+  }
+  return answer;
+}
+
+net::Task<api::HeartbeatAnswer> WorkerHeartbeatHandler::Handle(
+    Heartbeat heartbeat, std::string body) {
+  context_.recovery.TermSeen(heartbeat.token >> kTokenBits);
+  if (const Leader* leader = context_.leader_runtime.ActiveLeader()) {
+    co_return AnswerAsLeader(heartbeat, leader->revision());
+  }
+  ZoneCoordinator& zone_coordinator = context_.zone_coordinator;
+  if (zone_coordinator.MayForward(heartbeat, body.size())) {
+    ZoneCoordinator::Relayed relayed =
+        co_await zone_coordinator.Relay(std::move(body));
+    if (relayed.answered) {
+      api::HeartbeatAnswer answer;
+      answer.forwarded = std::move(relayed.text);
+      answer.result = Result::kForwarded;
+      co_return answer;
+    }
+  }
+  co_return RenewOrRedirect(heartbeat);
+}
+
+api::HeartbeatAnswer WorkerHeartbeatHandler::RenewOrRedirect(
+    const Heartbeat& heartbeat) {
+  const uint64_t term = heartbeat.token >> kTokenBits;
+  Renewal renewal = Renewal::kYes;
+  if (heartbeat.token == 0 || !context_.election.MayRenew(term)) {
+    renewal = context_.zone_coordinator.MayRenew(heartbeat);
+  }
+  api::HeartbeatAnswer answer;
+  if (renewal == Renewal::kYes) {
+    // Answered with the token that the worker knows, and without commands: its
+    // lease is renewed, and the next leader counts from its own start.
+    answer.response.token = heartbeat.token;
+    answer.result = Result::kAnswered;
+    return answer;
+  }
+  answer.leader = RedirectTarget(heartbeat, renewal);
+  if (answer.leader != context_.settings.node) {
+    answer.result = Result::kRedirected;
+  }
+  return answer;
+}
+
+std::string WorkerHeartbeatHandler::RedirectTarget(const Heartbeat& heartbeat,
+                                                   Renewal renewal) const {
+  const ZoneCoordinator& zone_coordinator = context_.zone_coordinator;
+  const Catalog& catalog = context_.catalog;
+  // A worker that is sent to a controller it can't reach loses its time there.
+  // One that a leader reaches, of the term known here, is sent to that leader.
+  const bool leader_reaches_worker =
+      renewal == Renewal::kRedirected &&
+      heartbeat.token >> kTokenBits ==
+          TermOf(catalog.epoch(), catalog.leader().mod_revision);
+  std::string target;
+  if (leader_reaches_worker || !zone_coordinator.CutOff()) {
+    target = context_.election.LeaderName();
+  }
+  if (target.empty() && renewal == Renewal::kNo &&
+      heartbeat.zone == context_.settings.zone) {
+    target = zone_coordinator.Neighbour();
+  }
+  return target;
+}
+
+}  // namespace oxbow::app
