--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -84,11 +84,11 @@
       watcher_(loop, settings, store_, cloud_, catalog_,
                {[this](const std::string& key) {
                   if (key == keys::kEpoch) recovery_.EpochSeen();
-                  leader_runtime_.RecordTaken(key);
+                  leader_runtime_.OnRecord(key);
                 },
                 [this] { leader_runtime_.ExecuteActions(); },
                 [this](const std::vector<MachineType>& types) {
-                  leader_runtime_.TypesKnown(types);
+                  leader_runtime_.OnMachineTypes(types);
                 },
                 [this] {
                   recovery_.ReportDataLoss(DataLossIndication::kEpochMissing);
@@ -130,9 +130,10 @@
                    leader_runtime_.StartLeading(revision, delegates);
                  },
                  [this] { leader_runtime_.StopLeading(); }}),
-      leader_runtime_(loop, settings, tuning, catalog_, store_, cloud_,
-                      watcher_, election_, leader_health_coordinator_,
-                      zone_coordinator_, recovery_),
+      leader_runtime_(
+          {loop, settings, catalog_, store_, cloud_, watcher_, election_,
+           leader_health_coordinator_, zone_coordinator_, recovery_},
+          tuning),
       version_coordinator_(loop, settings, catalog_, store_,
                            {[this] { return watcher_.synced(); },
                             [this] { return recovery_.MayAccept(); },
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -1,8 +1,5 @@
 #include "app/leader_runtime.h"
 
-#include <spdlog/spdlog.h>
-
-#include <algorithm>
 #include <utility>
 
 #include "app/calendar_records.h"
@@ -13,421 +10,235 @@
 namespace oxbow::app {
 namespace {
 
-using clients::StoreResult;
-using clients::StoreStatus;
-using clients::Urgency;
-
-// Shares of the workers' lease.
-constexpr double kOrderTimeoutRatio = 0.15;
-constexpr double kCancelWaitRatio = 0.3;
-constexpr double kTick = 0.05;  // of the heartbeat interval
+// Of the workers' lease.
+constexpr double kCancelTimeoutRatio = 0.3;
+// Of the heartbeat interval.
+constexpr double kTickIntervalRatio = 0.05;
+// The cloud's listing is as old as its lag: asking more often shows little.
+constexpr double kListIntervalRatio = 0.5;
+constexpr double kMinListIntervalSeconds = 0.5;
 
 }  // namespace
 
-LeaderRuntime::LeaderRuntime(net::Loop& loop, const Settings& settings,
-                             const Tuning& tuning, Catalog& catalog,
-                             clients::KeyValueStoreClient& state,
-                             clients::CloudClient& cloud, StoreWatcher& watcher,
-                             LeaderElection& election,
-                             LeaderHealthCoordinator& leader_health_coordinator,
-                             ZoneCoordinator& zone_coordinator,
-                             RecoveryCoordinator& recovery)
-    : loop_(loop),
-      settings_(settings),
+LeaderRuntime::LeaderRuntime(const LeaderServices& services,
+                             const Tuning& tuning)
+    : services_(services),
       tuning_(tuning),
-      catalog_(catalog),
-      store_(state),
-      cloud_(cloud),
-      watcher_(watcher),
-      election_(election),
-      leader_health_coordinator_(leader_health_coordinator),
-      zone_coordinator_(zone_coordinator),
-      recovery_(recovery),
-      workers_(loop, kOrderTimeoutRatio * settings.workers.lease_seconds),
-      health_(loop) {}
+      terminal_state_waiters_(services.loop),
+      executor_(services, terminal_state_waiters_,
+                {[this] { return ActiveLeader(); },
+                 [this](uint64_t revision,
+                        const std::function<void(Leader&)>& event) {
+                   Deliver(revision, event);
+                 }}) {}
 
 void LeaderRuntime::Start() {
   net::Spawn(TickLoop());
-  net::Spawn(ListLoop());
+  net::Spawn(ListMachinesLoop());
 }
 
 Leader* LeaderRuntime::ActiveLeader() {
-  return leader_ != nullptr && election_.Valid() ? leader_.get() : nullptr;
+  return leader_ != nullptr && services_.election.Valid() ? leader_.get()
+                                                          : nullptr;
+}
+
+void LeaderRuntime::StartLeading(
+    uint64_t revision, const std::optional<std::set<std::string>>& delegates) {
+  const net::Time now = services_.loop.Refresh();
+  Catalog& catalog = services_.catalog;
+  leader_ =
+      std::make_unique<Leader>(services_.settings, tuning_, catalog, revision,
+                               now, net::WallNow() - now, revision, delegates);
+  UpdateTiers();
+  leader_->UseTiers(tiers_.set());
+  if (tuning_.calendar_on > 0) {
+    PublishMaintenanceWindows(catalog, *leader_, now);
+    UpdateClocks();
+  }
+  leader_->UseMoves(wire::kMoveCodec, now);
+  leader_->set_log_detail(logging::DebugEnabled());
+  if (!services_.watcher.types().empty()) {
+    std::vector<MachineType> types;
+    for (const auto& [name, type] : services_.watcher.types()) {
+      types.push_back(type);
+    }
+    leader_->OnTypes(types);
+  }
+  ExecuteActions();
 }
 
 void LeaderRuntime::StopLeading() {
   leader_.reset();
-  workers_.Clear();
-  health_.Clear();
+  executor_.Clear();
 }
 
-void LeaderRuntime::FollowTiers() {
-  if (tuning_.tiers <= 0) return;
-  const TierSource before = tiers_.source();
-  const uint64_t version = tiers_.version();
-  const std::string refused = tiers_.refused();
-  const auto it = catalog_.operators().find(std::string(wire::kTiersRecord));
-  if (it == catalog_.operators().end()) {
+void LeaderRuntime::ReadTierRecord() {
+  const auto& records = services_.catalog.operators();
+  const auto it = records.find(std::string(wire::kTiersRecord));
+  if (it == records.end()) {
     tiers_.OnNoRecord();
   } else if (it->second.withdrawn) {
     tiers_.OnWithdrawn();
   } else {
     wire::TakeTiers(it->second.text, it->second.version,
-                    TierBounds::OfStored(settings_), &tiers_);
-  }
-  if (!tiers_.refused().empty() && tiers_.refused() != refused) {
-    spdlog::warn("tiers: version {} can't be used, version {} stays: {}",
-                 tiers_.refused_version(), tiers_.version(), tiers_.refused());
-  } else if (before != tiers_.source() || version != tiers_.version()) {
-    spdlog::info("tiers: version {} is in force", tiers_.version());
+                    TierBounds::OfStored(services_.settings), &tiers_);
   }
 }
 
-void LeaderRuntime::RecordTaken(const std::string& key) {
+void LeaderRuntime::UpdateTiers() {
+  if (tuning_.tiers <= 0) return;
+  const TierSource source_before = tiers_.source();
+  const uint64_t version_before = tiers_.version();
+  const std::string refused_before = tiers_.refused();
+  ReadTierRecord();
+  if (!tiers_.refused().empty() && tiers_.refused() != refused_before) {
+    logging::Warning("priority tiers rejected",
+                     {{"version", tiers_.refused_version()},
+                      {"version_in_force", tiers_.version()},
+                      {"reason", tiers_.refused()}});
+  } else if (source_before != tiers_.source() ||
+             version_before != tiers_.version()) {
+    logging::Info("priority tiers in force", {{"version", tiers_.version()}});
+  }
+}
+
+void LeaderRuntime::OnRecord(const std::string& key) {
   if (key.starts_with(keys::kOperator) &&
       key.substr(keys::kOperator.size()) == wire::kTiersRecord) {
-    FollowTiers();
+    UpdateTiers();
     if (leader_) {
       Deliver(leader_->revision(),
               [this](Leader& leader) { leader.UseTiers(tiers_.set()); });
     }
   }
-  if (!leader_) return;
-  const auto about = [&](std::string_view prefix, const auto& event) {
+  NotifyLeaderOfRecord(key);
+}
+
+void LeaderRuntime::NotifyLeaderOfRecord(const std::string& key) {
+  const auto deliver_if = [&](std::string_view prefix, const auto& event) {
     if (!leader_ || !key.starts_with(prefix)) return;
     Deliver(leader_->revision(),
             [&](Leader& leader) { event(leader, key.substr(prefix.size())); });
   };
-  about(keys::kJob, [this](Leader& leader, const std::string& id) {
-    leader.OnJobRecord(id, loop_.Now());
+  const net::Loop& loop = services_.loop;
+  deliver_if(keys::kJob, [&](Leader& leader, const std::string& id) {
+    leader.OnJobRecord(id, loop.Now());
   });
-  about(keys::kWaiting, [this](Leader& leader, const std::string& id) {
-    leader.OnWaitingRecord(id, loop_.Now());
+  deliver_if(keys::kWaiting, [&](Leader& leader, const std::string& id) {
+    leader.OnWaitingRecord(id, loop.Now());
   });
-  about(keys::kRollout, [this](Leader& leader, const std::string& id) {
-    leader.OnRolloutRecord(id, loop_.Now());
+  deliver_if(keys::kRollout, [&](Leader& leader, const std::string& id) {
+    leader.OnRolloutRecord(id, loop.Now());
   });
-  about(keys::kOperator, [this](Leader& leader, const std::string& name) {
-    if (tuning_.calendar_on > 0)
-      PublishMaintenanceWindow(catalog_, name, leader, loop_.Now());
-    leader.OnOperatorRecord(name, loop_.Now());
+  deliver_if(keys::kOperator, [&](Leader& leader, const std::string& name) {
+    if (tuning_.calendar_on > 0) {
+      PublishMaintenanceWindow(services_.catalog, name, leader, loop.Now());
+    }
+    leader.OnOperatorRecord(name, loop.Now());
   });
 }
 
-void LeaderRuntime::TypesKnown(const std::vector<MachineType>& types) {
+void LeaderRuntime::OnMachineTypes(const std::vector<MachineType>& types) {
   if (leader_) leader_->OnTypes(types);
 }
 
-void LeaderRuntime::NotifyWaiters(const JobTerminated& end) {
-  const auto it = terminal_waiters_.find(end.id);
-  if (it == terminal_waiters_.end()) return;
-  for (const auto& waiter : it->second) {
-    waiter->state = end.state;
-    waiter->event.Set();
-  }
-  terminal_waiters_.erase(it);
-}
-
-void LeaderRuntime::StartLeading(
-    uint64_t revision, const std::optional<std::set<std::string>>& delegates) {
-  const net::Time now = loop_.Refresh();
-  leader_ =
-      std::make_unique<Leader>(settings_, tuning_, catalog_, revision, now,
-                               net::WallNow() - now, revision, delegates);
-  FollowTiers();
-  leader_->UseTiers(tiers_.set());
-  if (tuning_.calendar_on > 0) {
-    PublishMaintenanceWindows(catalog_, *leader_, now);
-    LookAtClocks();
-  }
-  leader_->UseMoves(wire::kMoveCodec, now);
-  leader_->set_log_detail(logging::DebugEnabled());
-  if (!watcher_.types().empty()) {
-    std::vector<MachineType> types;
-    for (const auto& [name, type] : watcher_.types()) types.push_back(type);
-    leader_->OnTypes(types);
-  }
-  ExecuteActions();
-}
-
 void LeaderRuntime::Deliver(uint64_t revision,
                             const std::function<void(Leader&)>& event) {
   if (!leader_ || leader_->revision() != revision) return;
   // The loop's time is that of its last wake-up, which a stall may have put
-  // seconds ago; a message read since then may tell of an incarnation that
+  // seconds ago; a message read since then may belong to an incarnation that
   // began later than that.
-  loop_.Refresh();
-  if (tuning_.calendar_on > 0) LookAtClocks();
+  services_.loop.Refresh();
+  if (tuning_.calendar_on > 0) UpdateClocks();
   try {
     event(*leader_);
   } catch (const IllegalTransition& error) {
-    spdlog::error("illegal change of state, {}", error.what());
-    election_.StepDown("its picture is inconsistent");
+    logging::Error("illegal state transition in the leader",
+                   {{"reason", error.what()}});
+    services_.election.StepDown("the state of its core is inconsistent");
     return;
   }
   ExecuteActions();
 }
 
-// Between two looks at the steady clock, so that a stall shows.
-void LeaderRuntime::LookAtClocks() {
-  const net::Time before = loop_.Refresh();
-  const double wall = net::WallNow();
-  const net::Time after = loop_.Refresh();
-  leader_->OnClocks({wall, before, after}, watcher_.confirmed(), after);
+// The wall clock is read between two readings of the steady clock, so that a
+// stall shows.
+void LeaderRuntime::UpdateClocks() {
+  net::Loop& loop = services_.loop;
+  const net::Time before = loop.Refresh();
+  const double wall_seconds = net::WallNow();
+  const net::Time after = loop.Refresh();
+  leader_->OnClocks({wall_seconds, before, after},
+                    services_.watcher.confirmed(), after);
 }
 
 net::Task<void> LeaderRuntime::TickLoop() {
+  const double interval_seconds =
+      kTickIntervalRatio *
+      services_.settings.workers.heartbeat_interval_seconds;
   for (;;) {
-    co_await loop_.Sleep(kTick * settings_.workers.heartbeat_interval_seconds);
+    co_await services_.loop.Sleep(interval_seconds);
     if (ActiveLeader() == nullptr) continue;
     Deliver(leader_->revision(), [this](Leader& leader) {
-      leader.Tick(loop_.Now(), election_.ByLease());
+      leader.Tick(services_.loop.Now(), services_.election.ByLease());
     });
   }
 }
 
-net::Task<void> LeaderRuntime::ListLoop() {
+net::Task<void> LeaderRuntime::ListMachinesLoop() {
+  const double interval_seconds =
+      kListIntervalRatio * services_.settings.cloud.list_lag_seconds +
+      kMinListIntervalSeconds;
   for (;;) {
-    co_await loop_.Sleep(0.5 * settings_.cloud.list_lag_seconds + 0.5);
+    co_await services_.loop.Sleep(interval_seconds);
     if (ActiveLeader() == nullptr) continue;
     const uint64_t revision = leader_->revision();
-    const net::Time asked = loop_.Now();
-    const clients::CloudClient::Listing listing = co_await cloud_.List();
+    const net::Time asked = services_.loop.Now();
+    const clients::CloudClient::Listing listing =
+        co_await services_.cloud.List();
     if (!listing.ok || ActiveLeader() == nullptr) continue;
     Deliver(revision, [&](Leader& leader) {
-      leader.OnMachineList(listing.machines, asked, loop_.Now());
+      leader.OnMachineList(listing.machines, asked, services_.loop.Now());
     });
   }
 }
 
-void LeaderRuntime::ExecuteActions() {
-  if (!leader_ || executing_actions_) return;
-  executing_actions_ = true;
+ActionSummary LeaderRuntime::ExecuteUntilIdle() {
+  ActionSummary summary;
   const uint64_t revision = leader_->revision();
-  std::vector<std::string> to_delete;
-  std::string resign;
-  bool unfit = false;
+  // An action may end the leadership.
   while (leader_) {
     std::vector<Action> actions = leader_->TakeActions();
     if (actions.empty()) break;
     for (Action& action : actions) {
-      if (auto* send = std::get_if<SendCommands>(&action)) {
-        net::Spawn(SendCommandsToWorker(std::move(*send), revision));
-      } else if (auto* probe = std::get_if<Probe>(&action)) {
-        net::Spawn(ProbeWorker(std::move(*probe), revision));
-      } else if (auto* txn = std::get_if<CompareAndSwap>(&action)) {
-        net::Spawn(ExecuteCompareAndSwap(std::move(*txn), revision));
-      } else if (auto* read = std::get_if<ReadKeys>(&action)) {
-        net::Spawn(ReadStoreKeys(std::move(*read), revision));
-      } else if (auto* rent = std::get_if<RequestScaleOut>(&action)) {
-        net::Spawn(RequestMachines(std::move(*rent), revision));
-      } else if (auto* check = std::get_if<CheckInstance>(&action)) {
-        net::Spawn(CheckInstanceHealth(std::move(*check), revision));
-      } else if (auto* ask = std::get_if<AskReach>(&action)) {
-        net::Spawn(leader_health_coordinator_.SurveyReachability(
-            std::move(*ask), revision));
-      } else if (auto* offer = std::get_if<OfferLeadershipTransfer>(&action)) {
-        net::Spawn(leader_health_coordinator_.OfferTransfer(std::move(*offer),
-                                                            revision));
-      } else if (auto* back = std::get_if<RequestLeaseYield>(&action)) {
-        zone_coordinator_.RequestYields(*back, revision);
-      } else if (std::holds_alternative<ReadDelegates>(action)) {
-        net::Spawn(ReadZoneDelegates(revision));
-      } else if (auto* job = std::get_if<RequestJobRecord>(&action)) {
-        net::Spawn(recovery_.AskAboutJob(std::move(job->id)));
-      } else if (auto* end = std::get_if<ReadTerminalState>(&action)) {
-        net::Spawn(ReadJobTerminalState(std::move(end->id), revision));
-      } else if (auto* gone = std::get_if<DeleteMachines>(&action)) {
-        to_delete.insert(to_delete.end(), gone->hosts.begin(),
-                         gone->hosts.end());
-      } else if (auto* terminal_state = std::get_if<JobTerminated>(&action)) {
-        NotifyWaiters(*terminal_state);
-      } else if (auto* quit = std::get_if<Resign>(&action)) {
-        resign = quit->reason;
-        unfit = quit->unfit;
-      } else if (auto* note = std::get_if<LogEvent>(&action)) {
-        logging::Write(*note);
-      }
-    }
-  }
-  constexpr size_t kMostInDelete = 100;
-  for (size_t i = 0; i < to_delete.size(); i += kMostInDelete) {
-    const size_t end = std::min(to_delete.size(), i + kMostInDelete);
-    net::Spawn(DeleteCloudMachines({to_delete.begin() + static_cast<long>(i),
-                                    to_delete.begin() + static_cast<long>(end)},
-                                   revision));
-  }
-  executing_actions_ = false;
-  if (resign.empty()) return;
-  election_.StepDown(resign);
-  if (unfit) leader_health_coordinator_.OnLeadershipYielded();
-}
-
-net::Task<void> LeaderRuntime::SendCommandsToWorker(SendCommands commands,
-                                                    uint64_t revision) {
-  const std::string host = commands.host;
-  const uint64_t batch = commands.batch;
-  clients::WorkerClients::Answer answer;
-  // The last look at the clock before anything leaves.
-  if (ActiveLeader() != nullptr)
-    answer = co_await workers_.Send(std::move(commands));
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnCommandResponse(host, batch, answer.outcome,
-                             answer.has_heartbeat ? &answer.heartbeat : nullptr,
-                             loop_.Now());
-  });
-}
-
-net::Task<void> LeaderRuntime::ProbeWorker(Probe probe, uint64_t revision) {
-  const clients::WorkerClients::Answer answer =
-      co_await workers_.Probe(probe.endpoint);
-  if (!answer.has_heartbeat) co_return;
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnProbeAnswer(answer.heartbeat, loop_.Now());
-  });
-}
-
-net::Task<void> LeaderRuntime::CheckInstanceHealth(CheckInstance check,
-                                                   uint64_t revision) {
-  const std::string rollout = check.rollout;
-  const TaskAttemptKey key = check.key;
-  const CheckOutcome outcome = co_await health_.Check(std::move(check));
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnHealth(rollout, key, outcome, loop_.Now());
-  });
-}
-
-net::Task<void> LeaderRuntime::ExecuteCompareAndSwap(CompareAndSwap txn,
-                                                     uint64_t revision) {
-  const uint64_t id = txn.id;
-  const StoreResult result = co_await store_.Write(
-      std::move(txn.preconditions), std::move(txn.mutations), Urgency::kLeader,
-      election_.LeaseOf(revision), clients::WhenUnanswered::kGiveUp);
-  WriteOutcome outcome = WriteOutcome::kUnknown;
-  switch (result.status) {
-    case StoreStatus::kOk:
-      outcome = WriteOutcome::kApplied;
-      break;
-    case StoreStatus::kConflict:
-      outcome = WriteOutcome::kConflict;
-      break;
-    case StoreStatus::kNotExecuted:
-      outcome = WriteOutcome::kNotExecuted;
-      break;
-    case StoreStatus::kRefused:
-      outcome = WriteOutcome::kRefused;
-      break;
-    default:
-      break;
-  }
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnWriteAnswer(id, outcome, result.revision, result.failed,
-                         loop_.Now());
-  });
-}
-
-net::Task<void> LeaderRuntime::ReadStoreKeys(ReadKeys read, uint64_t revision) {
-  bool ok = true;
-  for (const std::string& key : read.keys) {
-    const StoreResult result = co_await store_.Get(key, Urgency::kLeader);
-    if (result.ok()) {
-      watcher_.Apply(key, result.items[0].record, result.items[0].mod_revision);
-    } else if (result.status == StoreStatus::kNotFound) {
-      // Believed while the epoch stands: what a service that has lost data
-      // does not hold may be remembered here alone.
-      StoreCheck says = StoreCheck::kStands;
-      if (recovery_.on()) says = co_await recovery_.Check();
-      if (says == StoreCheck::kGone)
-        recovery_.ReportDataLoss(DataLossIndication::kEpochMissing);
-      // A job's record goes only with its end: one that is missing alone is
-      // lost, and a leader that believes it forgets the job.
-      if (says == StoreCheck::kStands && recovery_.on()) {
-        says = co_await recovery_.IsDeleted(key);
-      }
-      if (says != StoreCheck::kStands) {
-        ok = false;
-        break;
-      }
-      catalog_.Missing(key, result.revision);
-    } else {
-      ok = false;
-      break;
-    }
-  }
-  if (!ok)
-    co_await loop_.Sleep(0.2 * settings_.workers.heartbeat_interval_seconds);
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnReadAnswer(read.id, ok, loop_.Now());
-  });
-}
-
-// In the order in which a job moves, so that one that moves meanwhile is found.
-// One that is not found proves nothing.
-net::Task<void> LeaderRuntime::ReadJobTerminalState(std::string id,
-                                                    uint64_t revision) {
-  for (const std::string_view prefix :
-       {keys::kWaiting, keys::kJob, keys::kTerminal}) {
-    const StoreResult found =
-        co_await store_.Get(keys::Of(prefix, id), Urgency::kLeader);
-    if (found.ok()) {
-      const clients::KeyValue& item = found.items[0];
-      if (const auto* end = std::get_if<TerminalRecord>(&item.record)) {
-        catalog_.RememberTerminalState(id, *end);
-      } else {
-        watcher_.Apply(item.key, item.record, item.mod_revision);
-      }
+      executor_.Execute(std::move(action), revision, &summary);
     }
-    if (found.status != StoreStatus::kNotFound) break;
   }
-  Deliver(revision,
-          [&](Leader& leader) { leader.OnTerminalStateRead(id, loop_.Now()); });
-}
-
-net::Task<void> LeaderRuntime::RequestMachines(RequestScaleOut rent,
-                                               uint64_t revision) {
-  clients::CloudClient::Rented answer;
-  if (ActiveLeader() != nullptr) {
-    answer = co_await cloud_.Rent(rent.name, rent.scale_out);
-  }
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnScaleOutResponse(rent.name, answer.outcome, answer.hosts,
-                              loop_.Now());
-  });
+  executor_.DeleteHosts(summary.hosts_to_delete, revision);
+  return summary;
 }
 
-net::Task<void> LeaderRuntime::ReadZoneDelegates(uint64_t revision) {
-  const net::Time sent = loop_.Refresh();
-  const auto delegates = co_await election_.ReadDelegates();
-  if (!delegates) co_return;
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnDelegatesRead(*delegates, sent, loop_.Now());
-  });
-}
-
-net::Task<void> LeaderRuntime::DeleteCloudMachines(
-    std::vector<std::string> hosts, uint64_t revision) {
-  bool ok = false;
-  if (ActiveLeader() != nullptr) ok = co_await cloud_.Delete(hosts);
-  Deliver(revision, [&](Leader& leader) {
-    leader.OnDeleteAnswer(hosts, ok, loop_.Now());
-  });
+void LeaderRuntime::ExecuteActions() {
+  if (!leader_ || executing_actions_) return;
+  executing_actions_ = true;
+  const ActionSummary summary = ExecuteUntilIdle();
+  executing_actions_ = false;
+  if (summary.resign_reason.empty()) return;
+  services_.election.StepDown(summary.resign_reason);
+  if (summary.unfit) services_.leader_health_coordinator.OnLeadershipYielded();
 }
 
 net::Task<TerminalState> LeaderRuntime::Cancel(std::string id) {
-  auto waiter = std::make_shared<TerminalStateWaiter>(loop_);
-  terminal_waiters_[id].push_back(waiter);
+  const auto waiter = terminal_state_waiters_.Add(id);
   bool known = false;
-  Deliver(leader_->revision(),
-          [&](Leader& leader) { known = leader.Cancel(id, loop_.Now()); });
+  Deliver(leader_->revision(), [&](Leader& leader) {
+    known = leader.Cancel(id, services_.loop.Now());
+  });
   if (known) {
-    co_await waiter->event.Wait(kCancelWaitRatio *
-                                settings_.workers.lease_seconds);
-  }
-  const auto it = terminal_waiters_.find(id);
-  if (it != terminal_waiters_.end()) {
-    std::erase(it->second, waiter);
-    if (it->second.empty()) terminal_waiters_.erase(it);
+    co_await waiter->event.Wait(kCancelTimeoutRatio *
+                                services_.settings.workers.lease_seconds);
   }
+  terminal_state_waiters_.Remove(id, waiter);
   co_return waiter->state;
 }
 
