--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -228,13 +228,14 @@
       break;
     case PeerKind::kReach:
     case PeerKind::kSilent:
-      co_await leader_health_coordinator_.OnReach(std::move(message), &reply);
+      co_await leader_health_coordinator_.OnReachabilityQuestion(
+          std::move(message), &reply);
       break;
     case PeerKind::kOfferLeadershipTransfer:
-      leader_health_coordinator_.OnOffer(message, &reply);
+      leader_health_coordinator_.OnTransferOffer(message, &reply);
       break;
     case PeerKind::kDeferCandidacy:
-      leader_health_coordinator_.OnStandAside(message);
+      leader_health_coordinator_.OnDeferCandidacy(message);
       break;
     default:
       break;
--- /dev/null
+++ b/app/delegated_lease_record_writer.cc
@@ -0,0 +1,98 @@
+#include "app/delegated_lease_record_writer.h"
+
+#include <utility>
+#include <vector>
+
+namespace oxbow::app {
+namespace {
+
+using clients::StoreResult;
+using clients::StoreStatus;
+using clients::Urgency;
+
+// Shares of the workers' lease.
+constexpr double kIntervalRatio = 0.1;
+constexpr double kRenewalTimeoutRatio = 0.1;
+
+}  // namespace
+
+DelegatedLeaseRecordWriter::DelegatedLeaseRecordWriter(
+    net::Loop& loop, const Settings& settings,
+    clients::KeyValueStoreClient& store, std::string process_incarnation,
+    DelegatedLease& delegated_lease)
+    : loop_(loop),
+      settings_(settings),
+      store_(store),
+      process_incarnation_(std::move(process_incarnation)),
+      key_(keys::Of(keys::kZone, settings.node)),
+      record_(delegated_lease) {}
+
+net::Task<void> DelegatedLeaseRecordWriter::Run() {
+  for (;;) {
+    const RecordStep before = record_.step();
+    co_await Advance();
+    // One step follows another at once; after a failure, and while the record
+    // only needs renewal, there is a pause.
+    const bool advanced = record_.step() != before &&
+                          before != RecordStep::kWrite &&
+                          record_.step() != RecordStep::kRenew;
+    if (!advanced) {
+      co_await loop_.Sleep(kIntervalRatio * settings_.workers.lease_seconds);
+    }
+  }
+}
+
+net::Task<void> DelegatedLeaseRecordWriter::Advance() {
+  switch (record_.step()) {
+    case RecordStep::kRead:
+      co_await ReadRecord();
+      break;
+    case RecordStep::kLease:
+      co_await CreateLease();
+      break;
+    case RecordStep::kWrite:
+      co_await WriteRecord();
+      break;
+    case RecordStep::kRenew:
+      co_await RenewLease();
+      break;
+  }
+}
+
+net::Task<void> DelegatedLeaseRecordWriter::ReadRecord() {
+  const StoreResult read = co_await store_.Get(key_, Urgency::kLease);
+  if (read.ok()) record_.WasRead(read.items[0].mod_revision);
+  if (read.status == StoreStatus::kNotFound) record_.WasRead(0);
+}
+
+net::Task<void> DelegatedLeaseRecordWriter::CreateLease() {
+  const net::Time sent = loop_.Refresh();
+  const StoreResult granted =
+      co_await store_.CreateLease(DelegatedLeaseRecordTerm(settings_.workers));
+  if (granted.ok()) record_.LeaseGranted(granted.lease_id, sent);
+}
+
+net::Task<void> DelegatedLeaseRecordWriter::WriteRecord() {
+  std::vector<Precondition> preconditions{{key_, record_.mod_revision()}};
+  std::vector<Mutation> mutations{
+      {key_, LeaderRecord{settings_.node, process_incarnation_, 0, false}}};
+  const StoreResult written =
+      co_await store_.Write(std::move(preconditions), std::move(mutations),
+                            Urgency::kLease, record_.lease_id());
+  if (written.ok()) {
+    record_.Written(loop_.Refresh());
+  } else {
+    record_.NotWritten();
+  }
+}
+
+net::Task<void> DelegatedLeaseRecordWriter::RenewLease() {
+  const net::Time sent = loop_.Refresh();
+  const StoreResult renewed = co_await store_.Renew(
+      record_.lease_id(),
+      kRenewalTimeoutRatio * settings_.workers.lease_seconds);
+  if (renewed.ok()) record_.Renewed(sent);
+  if (renewed.status == StoreStatus::kNotFound) record_.LeaseEnded();
+}
+
+}  // namespace oxbow::app
--- /dev/null
+++ b/app/delegated_lease_record_writer.h
@@ -0,0 +1,45 @@
+// Keeps the record of this controller's delegated lease in the key-value store,
+// under a store lease, so that the record ends by itself once it is no longer
+// renewed. What is done next is decided by DelegatedLeaseRecord.
+//
+// Run() holds `this`: the writer must outlive the event loop's run.
+#pragma once
+
+#include <string>
+
+#include "clients/key_value_store.h"
+#include "core/lease/delegated_lease.h"
+#include "core/lease/delegated_lease_record.h"
+#include "core/model/settings.h"
+#include "net/loop.h"
+#include "net/task.h"
+
+namespace oxbow::app {
+
+class DelegatedLeaseRecordWriter {
+ public:
+  DelegatedLeaseRecordWriter(net::Loop& loop, const Settings& settings,
+                             clients::KeyValueStoreClient& store,
+                             std::string process_incarnation,
+                             DelegatedLease& delegated_lease);
+
+  // Reads, writes and renews the record, for ever.
+  net::Task<void> Run();
+
+ private:
+  // One request to the store.
+  net::Task<void> Advance();
+  net::Task<void> ReadRecord();
+  net::Task<void> CreateLease();
+  net::Task<void> WriteRecord();
+  net::Task<void> RenewLease();
+
+  net::Loop& loop_;
+  const Settings& settings_;
+  clients::KeyValueStoreClient& store_;
+  const std::string process_incarnation_;
+  const std::string key_;
+  DelegatedLeaseRecord record_;
+};
+
+}  // namespace oxbow::app
--- a/app/job_canceller.cc
+++ b/app/job_canceller.cc
@@ -23,7 +23,7 @@
       status_reader_.TerminalStatus(id);
   if (terminated) co_return *terminated;
   api::JobStatus status;
-  if (context_.zone_coordinator.Apart()) co_return status;
+  if (context_.zone_coordinator.IsIsolated()) co_return status;
   if (!context_.catalog.Accepted(id)) {
     status = co_await status_reader_.ReadFresh(id);
     if (status.presence != Presence::kExists) co_return status;
--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -37,7 +37,7 @@
 
 bool JobRequestHandler::IsReady() {
   return context_.watcher.ever_synced() && !context_.watcher.types().empty() &&
-         !context_.zone_coordinator.Apart();
+         !context_.zone_coordinator.IsIsolated();
 }
 
 const std::map<std::string, MachineType>* JobRequestHandler::MachineTypes() {
@@ -85,7 +85,7 @@
       started + request.timeout_seconds - context_.loop.Now();
   if (status.presence == api::JobStatus::Presence::kUnknown &&
       left_seconds > 0) {
-    const clients::PeerMessage answer = co_await context_.forwarder.Ask(
+    const clients::PeerMessage answer = co_await context_.forwarder.AskPeers(
         MakeJobMessage(request.relay_kind, std::move(id)),
         request.peer_interval_seconds, left_seconds);
     status = StatusFromPeer(answer);
--- a/app/job_status_reader.cc
+++ b/app/job_status_reader.cc
@@ -145,7 +145,7 @@
   }
   // Nobody can be asked: answered at once, so that the user asks another
   // controller.
-  if (context_.zone_coordinator.Apart()) {
+  if (context_.zone_coordinator.IsIsolated()) {
     co_return StatusAfter(id, RecordRead::kUnclear);
   }
   PeerMessage question = MakeJobMessage(PeerKind::kPoll, id);
--- a/app/job_submitter.cc
+++ b/app/job_submitter.cc
@@ -79,7 +79,7 @@
   question.text = wire::EncodeRecord(NewJobRecord(spec));
   if (context_.election.LeaderPeer() == nullptr ||
       context_.recovery.MayAccept()) {
-    co_return co_await context_.forwarder.Ask(
+    co_return co_await context_.forwarder.AskPeers(
         std::move(question), kPeerIntervalSeconds,
         std::min(timeout_seconds, kMaxPeersTimeoutSeconds));
   }
@@ -110,8 +110,8 @@
 
 net::Task<SubmitResult> JobSubmitter::SubmitLocally(
     std::shared_ptr<const JobSpec> spec) {
-  if (!context_.watcher.ever_synced() || context_.zone_coordinator.Apart() ||
-      IsAtCapacity(*spec)) {
+  if (!context_.watcher.ever_synced() ||
+      context_.zone_coordinator.IsIsolated() || IsAtCapacity(*spec)) {
     co_return SubmitResult::kUnavailable;
   }
   if (!FitsIntoStoreValue(spec)) co_return SubmitResult::kTooLarge;
--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -1,10 +1,11 @@
 #include "app/leader_health_coordinator.h"
 
-#include <spdlog/spdlog.h>
-
+#include <algorithm>
 #include <sstream>
 #include <utility>
 
+#include "logging/structured_log.h"
+
 namespace oxbow::app {
 namespace {
 
@@ -12,13 +13,18 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-constexpr double kProbeRatio = 0.06;       // of the workers' lease
-constexpr double kProbeSocketShare = 0.1;  // of the sockets there are
-// The probes' time and a little for the way. Not more: a peer that is down
-// would hold up the question about machines that have just died.
-constexpr double kWait = 1.3;
-constexpr size_t kMostProbes = 128;
-constexpr size_t kMostAsked = 64;  // in one question; more is not answered
+constexpr double kProbeTimeoutRatio = 0.06;  // of the workers' lease
+constexpr double kProbeSocketShare = 0.1;    // of the sockets there are
+// Of the probes' timeout: the probes and a little for the network. Not more: a
+// peer that is down would delay the survey of machines that have just died.
+constexpr double kSurveyTimeoutRatio = 1.3;
+constexpr size_t kMaxProbes = 128;          // at once
+constexpr size_t kMaxHostsInQuestion = 64;  // more are not answered
+// Fewer machines than that may all be dead.
+constexpr size_t kMinSample = 8;
+// Of the leader lease: long enough for another controller to win the key; not
+// for ever, this one may be the last.
+constexpr double kDeferAfterYieldRatio = 1.5;
 
 }  // namespace
 
@@ -30,28 +36,33 @@
       catalog_(catalog),
       peers_(peers),
       callbacks_(std::move(callbacks)),
-      reach_(loop, std::min(kMostProbes, static_cast<size_t>(
-                                             kProbeSocketShare *
-                                             settings.limits.max_connections))),
-      leadership_transfers_(settings.workers.lease_seconds,
-                            static_cast<int>(tuning.max_leadership_transfers)),
-      probe_seconds_(kProbeRatio * settings.workers.lease_seconds),
+      reach_(loop, std::min(kMaxProbes, static_cast<size_t>(
+                                            kProbeSocketShare *
+                                            settings.limits.max_connections))),
+      transfers_(settings.workers.lease_seconds,
+                 static_cast<int>(tuning.max_leadership_transfers)),
+      probe_timeout_seconds_(kProbeTimeoutRatio *
+                             settings.workers.lease_seconds),
       leader_lease_seconds_(tuning.leader_lease_ratio *
                             settings.workers.lease_seconds) {}
 
+void LeaderHealthCoordinator::FinishOne(Round& round) const {
+  if (--round.pending == 0) round.done.Set();
+}
+
 net::Task<void> LeaderHealthCoordinator::AskSelf(
     std::shared_ptr<Round> round, std::vector<std::string> endpoints,
     uint64_t revision) {
   clients::ReachClient::Result found =
-      co_await reach_.Ask(std::move(endpoints), probe_seconds_);
+      co_await reach_.Ask(std::move(endpoints), probe_timeout_seconds_);
   round->answers[0].answered = true;
   round->answers[0].machines = std::move(found.machines);
-  callbacks_.tell(revision, [&](Leader& leader) {
+  callbacks_.deliver(revision, [&](Leader& leader) {
     for (const Heartbeat& heartbeat : found.reports) {
       leader.OnProbeAnswer(heartbeat, loop_.Now());
     }
   });
-  if (--round->left == 0) round->done.Set();
+  FinishOne(*round);
 }
 
 net::Task<void> LeaderHealthCoordinator::AskPeer(std::shared_ptr<Round> round,
@@ -59,22 +70,22 @@
                                                  clients::PeerClient* peer,
                                                  PeerMessage ask,
                                                  size_t count) {
-  const auto answer =
-      co_await peer->Ask(std::move(ask), kWait * probe_seconds_);
+  const auto answer = co_await peer->Ask(
+      std::move(ask), kSurveyTimeoutRatio * probe_timeout_seconds_);
   Reach& reach = round->answers[slot];
   if (answer.ok && IsReachText(answer.message.text, count)) {
     reach.answered = true;
     reach.may_lead = answer.message.answer == PeerAnswer::kYes;
     reach.machines = answer.message.text;
   }
-  if (--round->left == 0) round->done.Set();
+  FinishOne(*round);
 }
 
 net::Task<void> LeaderHealthCoordinator::SurveyReachability(AskReach ask,
                                                             uint64_t revision) {
   auto round = std::make_shared<Round>(loop_);
   round->answers.resize(1 + peers_.size());
-  round->left = 1 + peers_.size();
+  round->pending = 1 + peers_.size();
   round->answers[0].node = settings_.node;
   PeerMessage question;
   question.kind = ask.sample ? PeerKind::kReach : PeerKind::kSilent;
@@ -86,119 +97,135 @@
     net::Spawn(
         AskPeer(round, i + 1, peers_[i].get(), question, ask.hosts.size()));
   }
-  co_await round->done.Wait(kWait * probe_seconds_);
-  // One that answers after this is not looked at any more.
+  co_await round->done.Wait(kSurveyTimeoutRatio * probe_timeout_seconds_);
+  // Later answers are ignored.
   std::vector<Reach> answers = round->answers;
-  callbacks_.tell(revision, [&](Leader& leader) {
+  callbacks_.deliver(revision, [&](Leader& leader) {
     leader.OnReach(ask.round, std::move(answers), loop_.Now());
   });
 }
 
+void LeaderHealthCoordinator::RejectTransfer(const std::string& reason,
+                                             uint64_t revision) {
+  callbacks_.deliver(revision, [&](Leader& leader) {
+    leader.OnTransferRejected(reason, loop_.Now());
+  });
+}
+
+clients::PeerClient* LeaderHealthCoordinator::FindPeer(
+    const std::string& name) const {
+  const auto it =
+      std::find_if(peers_.begin(), peers_.end(),
+                   [&](const auto& peer) { return peer->name() == name; });
+  return it == peers_.end() ? nullptr : it->get();
+}
+
 net::Task<void> LeaderHealthCoordinator::OfferTransfer(
     OfferLeadershipTransfer offer, uint64_t revision) {
-  const auto refused = [&](const std::string& why) {
-    callbacks_.tell(revision, [&](Leader& leader) {
-      leader.OnTransferRejected(why, loop_.Now());
-    });
-  };
-  if (!leadership_transfers_.Allows(loop_.Now())) {
-    refused("too many hand-overs within a lease, though " + offer.why);
+  if (!transfers_.Allows(loop_.Now())) {
+    RejectTransfer(
+        "too many leadership transfers within a lease, though " + offer.why,
+        revision);
     co_return;
   }
-  clients::PeerClient* to = nullptr;
-  for (const auto& peer : peers_) {
-    if (peer->name() == offer.to) to = peer.get();
-  }
-  PeerMessage ask;
-  ask.kind = PeerKind::kOfferLeadershipTransfer;
-  ask.node = settings_.node;
-  ask.text = offer.why;
+  clients::PeerClient* to = FindPeer(offer.to);
+  PeerMessage question;
+  question.kind = PeerKind::kOfferLeadershipTransfer;
+  question.node = settings_.node;
+  question.text = offer.why;
   clients::PeerClient::Answer answer;
-  if (to != nullptr) answer = co_await to->Ask(std::move(ask), probe_seconds_);
+  if (to != nullptr) {
+    answer = co_await to->Ask(std::move(question), probe_timeout_seconds_);
+  }
   if (!answer.ok || answer.message.answer != PeerAnswer::kYes) {
-    refused(offer.to + " does not take over, though " + offer.why);
+    RejectTransfer(offer.to + " does not accept, though " + offer.why,
+                   revision);
     co_return;
   }
-  // The leadership may have ended, and another begun, while it was asked.
-  bool still = false;
-  callbacks_.tell(revision, [&](Leader& leader) {
-    still = true;
+  // The leadership may have ended, and another begun, during the question.
+  bool leads = false;
+  callbacks_.deliver(revision, [&](Leader& leader) {
+    leads = true;
     leader.OnTransferAccepted();
   });
-  if (!still) co_return;
+  if (!leads) co_return;
+  AnnounceTransfer(offer.to);
+  transfers_.Note(loop_.Now());
+  callbacks_.step_down("leadership transfer, " + offer.why);
+}
+
+// The other controllers defer to the one that has accepted.
+void LeaderHealthCoordinator::AnnounceTransfer(const std::string& to) {
   for (const auto& peer : peers_) {
-    if (peer.get() == to) continue;
-    PeerMessage aside;
-    aside.kind = PeerKind::kDeferCandidacy;
-    aside.node = settings_.node;
-    aside.text = offer.to;
-    net::Spawn(peer->Notify(std::move(aside)));
+    if (peer->name() == to) continue;
+    PeerMessage notice;
+    notice.kind = PeerKind::kDeferCandidacy;
+    notice.node = settings_.node;
+    notice.text = to;
+    net::Spawn(peer->Notify(std::move(notice)));
   }
-  leadership_transfers_.Note(loop_.Now());
-  callbacks_.step_down("hands over, " + offer.why);
 }
 
 void LeaderHealthCoordinator::OnLeadershipYielded() {
   const net::Time now = loop_.Now();
   unfit_until_ = now + settings_.workers.lease_seconds;
-  // Long enough for another to win; not for ever, it may be the last one.
-  constexpr double kGrace = 1.5;
-  others_first_until_ = now + kGrace * leader_lease_seconds_;
+  defers_until_ = now + kDeferAfterYieldRatio * leader_lease_seconds_;
 }
 
-net::Task<void> LeaderHealthCoordinator::OnReach(PeerMessage message,
-                                                 PeerMessage* reply) {
+net::Task<void> LeaderHealthCoordinator::OnReachabilityQuestion(
+    PeerMessage message, PeerMessage* reply) {
   std::vector<std::string> endpoints;
   std::istringstream hosts(message.text);
   std::string host;
-  while (endpoints.size() < kMostAsked && std::getline(hosts, host)) {
+  while (endpoints.size() < kMaxHostsInQuestion && std::getline(hosts, host)) {
     // By this controller's own record: an address is not taken from a message.
     const auto it = catalog_.machines().find(host);
     endpoints.push_back(it == catalog_.machines().end() ? std::string()
                                                         : it->second.endpoint);
   }
   clients::ReachClient::Result found =
-      co_await reach_.Ask(std::move(endpoints), probe_seconds_);
-  // What it learns of itself: it lets others go first if it hears nobody.
+      co_await reach_.Ask(std::move(endpoints), probe_timeout_seconds_);
+  // What this controller learns of itself: it defers to others if it reaches no
+  // machine.
   size_t reached = 0;
   size_t asked = 0;
-  for (const char c : found.machines) {
-    asked += c != Reach::kNotAsked;
-    reached += c == Reach::kReached;
+  for (const char result : found.machines) {
+    asked += result != Reach::kNotAsked;
+    reached += result == Reach::kReached;
   }
-  constexpr size_t kSample = 8;  // fewer may all be dead
-  if (message.kind == PeerKind::kReach && asked >= kSample) {
+  if (message.kind == PeerKind::kReach && asked >= kMinSample) {
     unfit_until_ =
-        reached == 0 ? loop_.Now() + settings_.workers.lease_seconds : -1e9;
+        reached == 0 ? loop_.Now() + settings_.workers.lease_seconds : kNever;
   }
   reply->text = std::move(found.machines);
   if (callbacks_.may_lead()) reply->answer = PeerAnswer::kYes;
 }
 
-void LeaderHealthCoordinator::OnOffer(const PeerMessage& message,
-                                      PeerMessage* reply) {
+void LeaderHealthCoordinator::OnTransferOffer(const PeerMessage& message,
+                                              PeerMessage* reply) {
   const net::Time now = loop_.Now();
-  if (!callbacks_.may_lead() || now < unfit_until_ ||
-      !leadership_transfers_.Allows(now)) {
+  if (!callbacks_.may_lead() || now < unfit_until_ || !transfers_.Allows(now)) {
     return;
   }
-  spdlog::info("{} offers the lead: {}", message.node, message.text);
-  leadership_transfers_.Note(now);
-  others_first_until_ = -1e9;
+  logging::Info("leadership transfer accepted",
+                {{"from", message.node}, {"reason", message.text}});
+  transfers_.Note(now);
+  defers_until_ = kNever;
   reply->answer = PeerAnswer::kYes;
 }
 
-void LeaderHealthCoordinator::OnStandAside(const PeerMessage& message) {
+void LeaderHealthCoordinator::OnDeferCandidacy(const PeerMessage& message) {
   const net::Time now = loop_.Now();
-  spdlog::info("{} hands over to {}", message.node, message.text);
-  leadership_transfers_.Note(now);
-  others_first_until_ = now + leader_lease_seconds_ / 2;
+  logging::Info("leadership transfer announced",
+                {{"from", message.node}, {"to", message.text}});
+  transfers_.Note(now);
+  defers_until_ = now + leader_lease_seconds_ / 2;
 }
 
-bool LeaderHealthCoordinator::MaySeek(double free_for) const {
+bool LeaderHealthCoordinator::MaySeek(double free_for_seconds) const {
   const net::Time now = loop_.Now();
-  if (now < others_first_until_) return false;
-  return now >= unfit_until_ || free_for >= leader_lease_seconds_ / 2;
+  if (now < defers_until_) return false;
+  return now >= unfit_until_ || free_for_seconds >= leader_lease_seconds_ / 2;
 }
 
 }  // namespace oxbow::app
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -1,6 +1,10 @@
-// A controller's part in the question of who is fit to lead: the leader's
-// rounds and offers carried out, the other controllers' answered, and who lets
-// whom go first when the key is free. Owns no right to lead: that is the lease.
+// A controller's part in deciding which controller is fit to lead: surveys of
+// which machines each controller reaches, offers of leadership transfers, and
+// which controller defers to which when the leader key is free. Owns no right
+// to lead: that is the lease of the key.
+//
+// Coroutines hold `this` and copies of their arguments: the coordinator must
+// outlive the event loop's run.
 #pragma once
 
 #include <functional>
@@ -19,11 +23,12 @@
  public:
   using Peers = std::vector<std::unique_ptr<clients::PeerClient>>;
   struct Callbacks {
-    // Hands an event to the leader's core, if that leadership still stands.
+    // Hands an event to the leader's core, if that leadership has not ended.
     std::function<void(uint64_t revision, const std::function<void(Leader&)>&)>
-        tell;
+        deliver;
     // Whether this controller could take office now.
     std::function<bool()> may_lead;
+    // Gives the leadership up.
     std::function<void(const std::string& why)> step_down;
   };
 
@@ -32,30 +37,40 @@
                           const Peers& peers, Callbacks callbacks);
 
   // --- as the leader
+  // Asks every controller, this one too, which of the machines it reaches.
   net::Task<void> SurveyReachability(AskReach ask, uint64_t revision);
+  // Steps down if the other controller agrees to lead.
   net::Task<void> OfferTransfer(OfferLeadershipTransfer offer,
                                 uint64_t revision);
-  // It has stepped down as unfit.
+  // This controller has stepped down as unfit.
   void OnLeadershipYielded();
 
   // --- as one who is asked
-  net::Task<void> OnReach(clients::PeerMessage message,
-                          clients::PeerMessage* reply);
-  void OnOffer(const clients::PeerMessage& message,
-               clients::PeerMessage* reply);
-  void OnStandAside(const clients::PeerMessage& message);
+  // `reply` must outlive the task.
+  net::Task<void> OnReachabilityQuestion(clients::PeerMessage message,
+                                         clients::PeerMessage* reply);
+  void OnTransferOffer(const clients::PeerMessage& message,
+                       clients::PeerMessage* reply);
+  void OnDeferCandidacy(const clients::PeerMessage& message);
 
-  // Whether it may go for the free key now. `free_for`: s that nobody has led.
-  // Costs speed only: whoever finds the key free may write it.
-  bool MaySeek(double free_for) const;
+  // Whether this controller may try to take the free leader key now, given for
+  // how long nobody has led. Affects speed only: safety rests on the key.
+  bool MaySeek(double free_for_seconds) const;
 
  private:
+  static constexpr net::Time kNever = -1e9;  // before every time
+
+  // A survey in progress; shared by its coroutines.
   struct Round {
     explicit Round(net::Loop& loop) : done(loop) {}
     net::Event done;
     std::vector<Reach> answers;  // this controller's first
-    size_t left = 0;
+    size_t pending = 0;
   };
+  void FinishOne(Round& round) const;
+  void RejectTransfer(const std::string& reason, uint64_t revision);
+  clients::PeerClient* FindPeer(const std::string& name) const;
+  void AnnounceTransfer(const std::string& to);
   net::Task<void> AskSelf(std::shared_ptr<Round> round,
                           std::vector<std::string> endpoints,
                           uint64_t revision);
@@ -69,11 +84,12 @@
   const Peers& peers_;
   Callbacks callbacks_;
   clients::ReachClient reach_;
-  HandOverLog leadership_transfers_;
-  const double probe_seconds_;         // for a worker's answer
+  HandOverLog transfers_;
+  const double probe_timeout_seconds_;
   const double leader_lease_seconds_;  // of the leader key
-  net::Time unfit_until_ = -1e9;
-  net::Time others_first_until_ = -1e9;
+  // Until then it leads only if nobody else does.
+  net::Time unfit_until_ = kNever;
+  net::Time defers_until_ = kNever;  // to other candidates
 };
 
 }  // namespace oxbow::app
--- a/app/peer_request_handler.cc
+++ b/app/peer_request_handler.cc
@@ -135,7 +135,7 @@
       heartbeat_handler_.ProcessAsLeader(heartbeat);
   if (!response) return;
   std::string body = wire::EncodeReply(*response);
-  if (body.size() > ZoneCoordinator::kMostBytes) return;
+  if (body.size() > ZoneCoordinator::kMaxForwardedBytes) return;
   reply->text = std::move(body);
   reply->answer = PeerAnswer::kYes;
 }
--- a/app/request_forwarder.h
+++ b/app/request_forwarder.h
@@ -1,6 +1,9 @@
-// Hands users' requests to the other controllers: to the leader, and, when this
-// one cannot reach the key-value store, to whoever can tell. Owns no request;
-// decides nothing but whom to ask.
+// Forwards users' requests to the other controllers: to the leader, and, when
+// this one can't reach the key-value store, to whichever can answer. Owns no
+// request; decides only which controllers are asked.
+//
+// Coroutines hold `this` and copies of messages, and may outlive the call that
+// started them: the forwarder must outlive the event loop's run.
 #pragma once
 
 #include <memory>
@@ -20,35 +23,37 @@
                    LeaderElection& election,
                    const LeaderHealthCoordinator::Peers& peers);
 
-  // From one peer after the other, `apart` s apart, until one of them can tell,
-  // for `within` s. kNo: none could. It goes no further than to them.
-  net::Task<clients::PeerMessage> Ask(clients::PeerMessage message,
-                                      double apart, double within);
-  // Asks the leader, unless it rests after a silence. Not ok: no answer.
+  // Asks one peer after the other until one of them can answer. kNo: none
+  // could. Peers do not forward the message any further.
+  net::Task<clients::PeerMessage> AskPeers(clients::PeerMessage message,
+                                           double interval_seconds,
+                                           double timeout_seconds);
+  // Asks the leader, unless it has not answered lately. Not ok: no answer.
   net::Task<clients::PeerClient::Answer> AskLeader(clients::PeerMessage message,
-                                                   double timeout);
+                                                   double timeout_seconds);
 
  private:
-  // A request that is handed on: whom it was given to, and what came of it.
+  // A request that is being forwarded; shared by its coroutines.
   struct Round {
-    explicit Round(net::Loop& loop) : news(loop) {}
-    net::Event news;
-    size_t asked = 0;
-    size_t settled = 0;
-    bool helped = false;
+    explicit Round(net::Loop& loop) : changed(loop) {}
+    net::Event changed;
+    size_t asked = 0;     // peers
+    size_t finished = 0;  // peers, with an answer or without
+    bool answered = false;
     clients::PeerMessage answer;
   };
-  // Whether the peer may be waited for; else sees to it that it is tried.
+  // Whether the peer may be waited for; if not, has it probed now and then.
   bool IsResponsive(size_t peer);
-  net::Task<void> Try(size_t peer);
-  net::Task<void> AskOne(std::shared_ptr<Round> round, size_t peer,
-                         clients::PeerMessage message, double within);
+  net::Task<void> ProbePeer(size_t peer);
+  net::Task<void> AskPeer(std::shared_ptr<Round> round, size_t peer,
+                          clients::PeerMessage message, double timeout_seconds);
+  void RecordOutcome(size_t peer, bool answered);
 
   net::Loop& loop_;
   const Settings& settings_;
   LeaderElection& election_;
   const LeaderHealthCoordinator::Peers& peers_;
-  PeerChoice choice_;  // among peers_
+  PeerChoice choice_;  // by index into peers_
 };
 
 }  // namespace oxbow::app
--- a/app/worker_heartbeat_handler.cc
+++ b/app/worker_heartbeat_handler.cc
@@ -32,7 +32,8 @@
 api::HeartbeatAnswer WorkerHeartbeatHandler::AnswerAsLeader(
     const Heartbeat& heartbeat, uint64_t revision) {
   api::HeartbeatAnswer answer;
-  answer.leader = context_.zone_coordinator.BetterPlaceFor(heartbeat, revision);
+  answer.leader =
+      context_.zone_coordinator.RedirectTargetFor(heartbeat, revision);
   if (!answer.leader.empty()) {
     context_.leader_runtime.Deliver(revision, [&](Leader& leader) {
       leader.OnProbeAnswer(heartbeat, context_.loop.Now());
@@ -56,11 +57,11 @@
   }
   ZoneCoordinator& zone_coordinator = context_.zone_coordinator;
   if (zone_coordinator.MayForward(heartbeat, body.size())) {
-    ZoneCoordinator::Relayed relayed =
-        co_await zone_coordinator.Relay(std::move(body));
-    if (relayed.answered) {
+    ZoneCoordinator::ForwardedAnswer forwarded =
+        co_await zone_coordinator.ForwardToLeader(std::move(body));
+    if (forwarded.answered) {
       api::HeartbeatAnswer answer;
-      answer.forwarded = std::move(relayed.text);
+      answer.forwarded = std::move(forwarded.text);
       answer.result = Result::kForwarded;
       co_return answer;
     }
@@ -101,12 +102,12 @@
       heartbeat.token >> kTokenBits ==
           TermOf(catalog.epoch(), catalog.leader().mod_revision);
   std::string target;
-  if (leader_reaches_worker || !zone_coordinator.CutOff()) {
+  if (leader_reaches_worker || !zone_coordinator.IsCutOff()) {
     target = context_.election.LeaderName();
   }
   if (target.empty() && renewal == Renewal::kNo &&
       heartbeat.zone == context_.settings.zone) {
-    target = zone_coordinator.Neighbour();
+    target = zone_coordinator.DelegateInZone();
   }
   return target;
 }
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -1,7 +1,5 @@
 #include "app/zone_coordinator.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -13,28 +11,30 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-// Shares of the workers' lease. A worker behind a cut has few tries before its
-// lease ends: it must find those inside ready by the first.
-constexpr double kAskEvery = 0.03;
-constexpr double kWait = 0.06;
-constexpr double kNeighbourEvery = 0.05;
-constexpr double kNeighbourHolds = 0.15;
-constexpr double kApartAfter = 0.2;
-constexpr double kRecordEvery = 0.1;
-constexpr double kRecordWait = 0.1;
-constexpr double kUnheard = 0.25;  // since a controller has asked the leader
-constexpr double kAgain = 4;       // until a worker is sent to its zone again
+// Shares of the workers' lease. A worker behind a partition has few attempts
+// before its lease expires: controllers inside must be ready by the first.
+constexpr double kDelegationIntervalRatio = 0.03;
+constexpr double kPeerTimeoutRatio = 0.06;
+constexpr double kNeighbourIntervalRatio = 0.05;
+constexpr double kNeighbourValidityRatio = 0.15;
+constexpr double kIsolationRatio = 0.2;
+// How long a controller counts as active after it has asked the leader.
+constexpr double kPeerActivityRatio = 0.25;
+// The least time between two redirections of one worker.
+constexpr double kRedirectIntervalRatio = 4;
 // Of the 4 s that a worker waits for its answer (protocol, "Workers ->
 // controller nodes"): for the leader, and then for the key-value store.
-constexpr double kRelayWaitSeconds = 1.2;
-constexpr double kRelayLongestSeconds = 3.4;
-constexpr double kProbeWaitSeconds = 1.6;
-constexpr double kLookSeconds = 0.1;
-constexpr int kStays = 2;  // reports answered here first
+constexpr double kFirstWaitSeconds = 1.2;
+constexpr double kForwardTimeoutSeconds = 3.4;
+constexpr double kStoreProbeTimeoutSeconds = 1.6;
+constexpr double kProbePollSeconds = 0.1;
+// Heartbeats of a worker that are answered before it is redirected.
+constexpr int kHeartbeatsBeforeRedirect = 2;
 
 uint32_t Milliseconds(double seconds) {
-  constexpr double kMost = 4e9;
-  return static_cast<uint32_t>(std::clamp(seconds * 1000, 0.0, kMost));
+  constexpr double kMaxMilliseconds = 4e9;  // fits into 32 bits
+  return static_cast<uint32_t>(
+      std::clamp(seconds * 1000, 0.0, kMaxMilliseconds));
 }
 
 double Seconds(uint32_t milliseconds) { return milliseconds / 1000.0; }
@@ -43,30 +43,31 @@
 
 ZoneCoordinator::ZoneCoordinator(net::Loop& loop, const Settings& settings,
                                  const Tuning& tuning,
-                                 clients::KeyValueStoreClient& state,
+                                 clients::KeyValueStoreClient& store,
                                  const LeaderHealthCoordinator::Peers& peers,
                                  std::string process_incarnation,
                                  Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
-      on_(tuning.delegate_to_zones > 0),
-      store_(state),
+      enabled_(tuning.delegate_to_zones > 0),
+      store_(store),
       peers_(peers),
       process_incarnation_(std::move(process_incarnation)),
       started_(loop.Now()),
       callbacks_(std::move(callbacks)),
       delegated_lease_(settings.workers),
-      record_(delegated_lease_),
+      lease_record_writer_(loop, settings, store, process_incarnation_,
+                           delegated_lease_),
       partition_detector_(settings.workers) {}
 
 void ZoneCoordinator::Start() {
-  if (!on_ || DelegatedLeaseTerm(settings_.workers) <= 0) return;
-  net::Spawn(AskLoop());
-  net::Spawn(RecordLoop());
-  net::Spawn(NeighbourLoop());
+  if (!enabled_ || DelegatedLeaseTerm(settings_.workers) <= 0) return;
+  net::Spawn(RequestDelegationLoop());
+  net::Spawn(lease_record_writer_.Run());
+  net::Spawn(ProbeNeighboursLoop());
 }
 
-PeerMessage ZoneCoordinator::Message(PeerKind kind) const {
+PeerMessage ZoneCoordinator::MakeMessage(PeerKind kind) const {
   PeerMessage message;
   message.kind = kind;
   message.node = settings_.node;
@@ -75,156 +76,121 @@
   return message;
 }
 
-net::Task<void> ZoneCoordinator::AskLoop() {
-  const double lease = settings_.workers.lease_seconds;
+net::Task<void> ZoneCoordinator::RequestDelegationLoop() {
+  const double lease_seconds = settings_.workers.lease_seconds;
   for (;;) {
-    const net::Time sent = loop_.Refresh();
-    if (const Leader* core = callbacks_.leading()) {
-      // Whoever leads next takes office after the lease has ended, and counts
-      // what this one may do from then, as if it had been granted.
-      leader_met_ = sent;
-      if (core->ZoneSettled(settings_.zone, sent)) {
-        delegated_lease_.Granted(sent);
-      }
-    } else if (clients::PeerClient* leader = callbacks_.leader()) {
-      const auto answer =
-          co_await leader->Ask(Message(PeerKind::kDelegateZone), kWait * lease);
-      if (answer.ok && answer.message.role == LeaderRole::kLeads) {
-        leader_met_ = sent;
-        if (answer.message.answer == PeerAnswer::kYes) {
-          delegated_lease_.Granted(sent);
-        }
-      } else if (!answer.ok) {
-        leader_missed_ = sent;
+    const net::Time now = loop_.Refresh();
+    if (const Leader* leader = callbacks_.active_leader()) {
+      // The next leader starts after the leader lease has expired, and accounts
+      // for what this one may do from then, as if it had been granted.
+      leader_answered_at_ = now;
+      if (leader->ZoneSettled(settings_.zone, now)) {
+        delegated_lease_.Granted(now);
       }
+    } else if (clients::PeerClient* peer = callbacks_.leader_peer()) {
+      co_await RequestDelegation(peer, now);
     }
-    co_await loop_.Sleep(kAskEvery * lease);
+    co_await loop_.Sleep(kDelegationIntervalRatio * lease_seconds);
   }
 }
 
-net::Task<void> ZoneCoordinator::NeighbourLoop() {
-  const double lease = settings_.workers.lease_seconds;
+net::Task<void> ZoneCoordinator::RequestDelegation(clients::PeerClient* leader,
+                                                   net::Time sent) {
+  const auto answer =
+      co_await leader->Ask(MakeMessage(PeerKind::kDelegateZone),
+                           kPeerTimeoutRatio * settings_.workers.lease_seconds);
+  if (!answer.ok) {
+    leader_failed_at_ = sent;
+    co_return;
+  }
+  if (answer.message.role != LeaderRole::kLeads) co_return;
+  leader_answered_at_ = sent;
+  if (answer.message.answer == PeerAnswer::kYes) delegated_lease_.Granted(sent);
+}
+
+net::Task<void> ZoneCoordinator::ProbeNeighboursLoop() {
+  const double lease_seconds = settings_.workers.lease_seconds;
   for (;;) {
-    cut_since_ =
-        CutOff() ? std::min(cut_since_, loop_.Refresh()) : net::Time{1e18};
-    if (CutOff() || LeaderUnknown()) {
-      for (const auto& peer : peers_) net::Spawn(AskNeighbour(peer.get()));
+    if (!IsCutOff()) {
+      cut_off_since_.reset();
+    } else if (!cut_off_since_) {
+      cut_off_since_ = loop_.Refresh();
+    }
+    if (IsCutOff() || LeaderUnknown()) {
+      for (const auto& peer : peers_) net::Spawn(ProbeNeighbour(peer.get()));
     }
-    co_await loop_.Sleep(kNeighbourEvery * lease);
+    co_await loop_.Sleep(kNeighbourIntervalRatio * lease_seconds);
   }
 }
 
-// The question is the one for the right: from a leader its answer does no harm.
-net::Task<void> ZoneCoordinator::AskNeighbour(clients::PeerClient* peer) {
-  const double lease = settings_.workers.lease_seconds;
+// The question is the request for a delegated lease: a leader that grants it
+// does no harm.
+net::Task<void> ZoneCoordinator::ProbeNeighbour(clients::PeerClient* peer) {
+  const double lease_seconds = settings_.workers.lease_seconds;
   const net::Time sent = loop_.Refresh();
-  const auto answer =
-      co_await peer->Ask(Message(PeerKind::kDelegateZone), kWait * lease);
+  const auto answer = co_await peer->Ask(MakeMessage(PeerKind::kDelegateZone),
+                                         kPeerTimeoutRatio * lease_seconds);
   if (!answer.ok) co_return;
-  peer_heard_ = loop_.Now();
-  const bool near = std::any_of(
-      settings_.peers.begin(), settings_.peers.end(), [&](const auto& p) {
-        return p.name == peer->name() && p.zone == settings_.zone;
-      });
-  if (near && answer.message.done > 0) {
+  peer_answered_at_ = loop_.Now();
+  const bool may_renew = answer.message.done > 0;
+  if (may_renew && IsInZone(peer->name(), settings_.zone)) {
     neighbour_ = peer->name();
-    neighbour_until_ = sent + kNeighbourHolds * lease;
+    neighbour_valid_until_ = sent + kNeighbourValidityRatio * lease_seconds;
   }
 }
 
-std::string ZoneCoordinator::Neighbour() const {
-  const bool wanted = CutOff() || LeaderUnknown();
-  return wanted && loop_.Now() < neighbour_until_ ? neighbour_ : std::string();
+bool ZoneCoordinator::IsInZone(const std::string& peer,
+                               const std::string& zone) const {
+  return std::any_of(settings_.peers.begin(), settings_.peers.end(),
+                     [&](const PeerSettings& settings) {
+                       return settings.name == peer && settings.zone == zone;
+                     });
 }
 
-// One that has just started inside a cut waits in vain for the key-value store:
-// its neighbour knows sooner than it does.
-bool ZoneCoordinator::LeaderUnknown() const {
-  return callbacks_.leader() == nullptr && callbacks_.leading() == nullptr;
+std::string ZoneCoordinator::DelegateInZone() const {
+  const bool needed = IsCutOff() || LeaderUnknown();
+  return needed && loop_.Now() < neighbour_valid_until_ ? neighbour_
+                                                        : std::string();
 }
 
-bool ZoneCoordinator::Apart() const {
-  return !peers_.empty() && CutOff() &&
-         loop_.Now() - std::max(cut_since_, peer_heard_) >
-             kApartAfter * settings_.workers.lease_seconds;
+// A controller that has just started inside a partition waits in vain for the
+// key-value store: its neighbour knows of the partition sooner.
+bool ZoneCoordinator::LeaderUnknown() const {
+  return callbacks_.leader_peer() == nullptr &&
+         callbacks_.active_leader() == nullptr;
 }
 
-net::Task<void> ZoneCoordinator::Probe() {
-  if (!probing_) {
-    probing_ = true;
-    net::Spawn([](ZoneCoordinator* self) -> net::Task<void> {
-      co_await self->store_.Get(std::string(keys::kLeader),
-                                clients::Urgency::kLease);
-      self->probing_ = false;
-    }(this));
-  }
-  // Several may wait for it.
-  const net::Time until = loop_.Now() + kProbeWaitSeconds;
-  while (probing_ && loop_.Now() < until) co_await loop_.Sleep(kLookSeconds);
-  if (probing_) state_missed_ = loop_.Now();
+bool ZoneCoordinator::IsIsolated() const {
+  return !peers_.empty() && IsCutOff() && cut_off_since_ &&
+         loop_.Now() - std::max(*cut_off_since_, peer_answered_at_) >
+             kIsolationRatio * settings_.workers.lease_seconds;
 }
 
-net::Task<void> ZoneCoordinator::RecordLoop() {
-  for (;;) {
-    const RecordStep before = record_.step();
-    co_await RecordOnce();
-    // One step leads to the next; what fails, and what stands, waits a while.
-    const bool on = record_.step() != before && before != RecordStep::kWrite &&
-                    record_.step() != RecordStep::kRenew;
-    if (!on) {
-      co_await loop_.Sleep(kRecordEvery * settings_.workers.lease_seconds);
-    }
-  }
+net::Task<void> ZoneCoordinator::SendStoreProbe() {
+  co_await store_.Get(std::string(keys::kLeader), clients::Urgency::kLease);
+  probing_ = false;
 }
 
-net::Task<void> ZoneCoordinator::RecordOnce() {
-  using clients::StoreResult;
-  using clients::StoreStatus;
-  const net::Time sent = loop_.Refresh();
-  const std::string key = keys::Of(keys::kZone, settings_.node);
-  switch (record_.step()) {
-    case RecordStep::kRead: {
-      const StoreResult read =
-          co_await store_.Get(key, clients::Urgency::kLease);
-      if (read.ok()) record_.WasRead(read.items[0].mod_revision);
-      if (read.status == StoreStatus::kNotFound) record_.WasRead(0);
-      break;
-    }
-    case RecordStep::kLease: {
-      const StoreResult granted = co_await store_.CreateLease(
-          DelegatedLeaseRecordTerm(settings_.workers));
-      if (granted.ok()) record_.LeaseGranted(granted.lease_id, sent);
-      break;
-    }
-    case RecordStep::kWrite: {
-      std::vector<Precondition> preconditions{{key, record_.mod_revision()}};
-      std::vector<Mutation> mutations{
-          {key, LeaderRecord{settings_.node, process_incarnation_, 0, false}}};
-      const StoreResult written =
-          co_await store_.Write(std::move(preconditions), std::move(mutations),
-                                clients::Urgency::kLease, record_.lease_id());
-      if (written.ok()) {
-        record_.Written(loop_.Refresh());
-      } else {
-        record_.NotWritten();
-      }
-      break;
-    }
-    case RecordStep::kRenew: {
-      const StoreResult renewed = co_await store_.Renew(
-          record_.lease_id(), kRecordWait * settings_.workers.lease_seconds);
-      if (renewed.ok()) record_.Renewed(sent);
-      if (renewed.status == StoreStatus::kNotFound) record_.LeaseEnded();
-      break;
-    }
+net::Task<void> ZoneCoordinator::ProbeStore() {
+  if (!probing_) {
+    probing_ = true;
+    net::Spawn(SendStoreProbe());
   }
+  // Several coroutines may wait for one probe.
+  const net::Time deadline = loop_.Now() + kStoreProbeTimeoutSeconds;
+  while (probing_ && loop_.Now() < deadline) {
+    co_await loop_.Sleep(kProbePollSeconds);
+  }
+  if (probing_) store_failed_at_ = loop_.Now();
 }
 
 bool ZoneCoordinator::MayForward(const Heartbeat& heartbeat,
                                  size_t bytes) const {
-  if (!on_ || heartbeat.zone != settings_.zone || bytes > kMostBytes)
+  if (!enabled_ || heartbeat.zone != settings_.zone ||
+      bytes > kMaxForwardedBytes) {
     return false;
-  const clients::PeerClient* leader = callbacks_.leader();
+  }
+  const clients::PeerClient* leader = callbacks_.leader_peer();
   if (leader == nullptr) return false;
   return std::any_of(settings_.peers.begin(), settings_.peers.end(),
                      [&](const PeerSettings& peer) {
@@ -233,142 +199,173 @@
                      });
 }
 
-net::Task<ZoneCoordinator::Relayed> ZoneCoordinator::Relay(std::string body) {
-  Relayed out;
-  clients::PeerClient* leader = callbacks_.leader();
-  if (leader == nullptr || CutOff()) co_return out;
+net::Task<void> ZoneCoordinator::AskLeader(
+    clients::PeerClient* leader, PeerMessage message,
+    std::shared_ptr<PendingAnswer> pending) {
+  pending->answer =
+      co_await leader->Ask(std::move(message), kForwardTimeoutSeconds);
+  pending->done.Set();
+}
+
+net::Task<ZoneCoordinator::ForwardedAnswer> ZoneCoordinator::ForwardToLeader(
+    std::string body) {
+  ForwardedAnswer forwarded;
+  clients::PeerClient* leader = callbacks_.leader_peer();
+  if (leader == nullptr || IsCutOff()) co_return forwarded;
   PeerMessage message;
   message.kind = PeerKind::kReport;
   message.node = settings_.node;
   message.text = std::move(body);
   const net::Time sent = loop_.Refresh();
-  const auto asked = std::make_shared<Handing>(loop_);
-  net::Spawn([](clients::PeerClient* to, PeerMessage what,
-                std::shared_ptr<Handing> handing) -> net::Task<void> {
-    handing->answer = co_await to->Ask(std::move(what), kRelayLongestSeconds);
-    handing->done.Set();
-  }(leader, std::move(message), asked));
-  const bool soon = co_await asked->done.Wait(kRelayWaitSeconds);
-  if (!soon) {
-    // Silence may be a cut round both, or a leader that has much to do: then
-    // the worker is better off waiting than starting anew with it.
-    leader_missed_ = std::max(leader_missed_, sent);
-    co_await Probe();
-    if (CutOff()) co_return out;
-    co_await asked->done.Wait(
-        std::max(0.0, sent + kRelayLongestSeconds - loop_.Refresh()));
+  const auto pending = std::make_shared<PendingAnswer>(loop_);
+  net::Spawn(AskLeader(leader, std::move(message), pending));
+  if (!co_await pending->done.Wait(kFirstWaitSeconds)) {
+    // The cause may be a partition round both zones, or a busy leader: then the
+    // worker had better wait than start anew with the leader itself.
+    leader_failed_at_ = std::max(leader_failed_at_, sent);
+    co_await ProbeStore();
+    if (IsCutOff()) co_return forwarded;
+    co_await pending->done.Wait(
+        std::max(0.0, sent + kForwardTimeoutSeconds - loop_.Refresh()));
   }
-  if (asked->answer.ok) {
-    leader_met_ = loop_.Now();
-    out.answered = asked->answer.message.answer == PeerAnswer::kYes;
-    out.text = std::move(asked->answer.message.text);
-    co_return out;
+  if (!pending->answer.ok) {
+    // A refused connection is noticed at once: the worker reaches the leader
+    // itself, or finds another controller.
+    leader_failed_at_ = std::max(leader_failed_at_, sent);
+    co_return forwarded;
   }
-  // A link that is refused says so at once: the worker reaches the leader by
-  // itself, or finds another.
-  leader_missed_ = std::max(leader_missed_, sent);
-  co_return out;
+  leader_answered_at_ = loop_.Now();
+  forwarded.answered = pending->answer.message.answer == PeerAnswer::kYes;
+  forwarded.text = std::move(pending->answer.message.text);
+  co_return forwarded;
 }
 
-std::string ZoneCoordinator::BetterPlaceFor(const Heartbeat& heartbeat,
-                                            uint64_t revision) {
-  if (!on_ || heartbeat.zone == settings_.zone) return {};
-  if (visited_ != revision) {
-    visited_ = revision;
+std::vector<std::string> ZoneCoordinator::ActiveControllersIn(
+    const std::string& zone) const {
+  const double lease_seconds = settings_.workers.lease_seconds;
+  const net::Time now = loop_.Now();
+  std::vector<std::string> active;
+  for (const PeerSettings& peer : settings_.peers) {
+    const auto asked = peer_asked_at_.find(peer.name);
+    if (peer.zone == zone && asked != peer_asked_at_.end() &&
+        now - asked->second < kPeerActivityRatio * lease_seconds) {
+      active.push_back(peer.name);
+    }
+  }
+  return active;
+}
+
+std::string ZoneCoordinator::RedirectTargetFor(const Heartbeat& heartbeat,
+                                               uint64_t revision) {
+  if (!enabled_ || heartbeat.zone == settings_.zone) return {};
+  if (visitors_revision_ != revision) {
+    visitors_revision_ = revision;
     visitors_.clear();
   }
-  const double lease = settings_.workers.lease_seconds;
   const net::Time now = loop_.Now();
   Visitor& visitor = visitors_[heartbeat.host];
-  // Not before it has been answered here, and not soon again: those in its zone
-  // may have sent it back.
-  if (++visitor.reports < kStays || now - visitor.sent_away < kAgain * lease) {
+  // Not before the worker has been answered here, and not soon again: the
+  // controllers of its zone may have sent it back.
+  if (++visitor.heartbeats < kHeartbeatsBeforeRedirect ||
+      now - visitor.redirected_at <
+          kRedirectIntervalRatio * settings_.workers.lease_seconds) {
     return {};
   }
-  std::vector<const std::string*> there;
-  for (const PeerSettings& peer : settings_.peers) {
-    const auto met = peer_met_.find(peer.name);
-    if (peer.zone == heartbeat.zone && met != peer_met_.end() &&
-        now - met->second < kUnheard * lease) {
-      there.push_back(&peer.name);
-    }
-  }
-  if (there.empty()) return {};
-  visitor.sent_away = now;
-  return *there[std::hash<std::string>{}(heartbeat.host) % there.size()];
+  const std::vector<std::string> active = ActiveControllersIn(heartbeat.zone);
+  if (active.empty()) return {};
+  visitor.redirected_at = now;
+  return active[std::hash<std::string>{}(heartbeat.host) % active.size()];
 }
 
-bool ZoneCoordinator::CutOff() const {
-  const bool state_out = store_.Failing() || state_missed_ > store_.last_good();
-  if (!on_ || !state_out) return false;
-  // Its own name in the key is that of a former life, or of a right that it
-  // could not renew.
-  if (callbacks_.leader() == nullptr) return callbacks_.leading() == nullptr;
-  return leader_missed_ > leader_met_;
+bool ZoneCoordinator::IsCutOff() const {
+  const bool store_unreachable =
+      store_.Failing() || store_failed_at_ > store_.last_good();
+  if (!enabled_ || !store_unreachable) return false;
+  // This controller's own name in the leader key is that of an earlier
+  // incarnation, or of a leadership that it could not renew.
+  if (callbacks_.leader_peer() == nullptr) {
+    return callbacks_.active_leader() == nullptr;
+  }
+  return leader_failed_at_ > leader_answered_at_;
 }
 
 ZoneCoordinator::Renewal ZoneCoordinator::MayRenew(const Heartbeat& heartbeat) {
-  if (!CutOff()) {
+  if (!IsCutOff()) {
     partition_detector_.Clear();
     return Renewal::kNo;
   }
-  if (heartbeat.token == 0 || heartbeat.zone != settings_.zone)
+  if (heartbeat.token == 0 || heartbeat.zone != settings_.zone) {
     return Renewal::kNo;
+  }
   const net::Time now = loop_.Refresh();
-  if (partition_detector_.Redirected(heartbeat, now))
+  if (partition_detector_.Redirected(heartbeat, now)) {
     return Renewal::kRedirected;
+  }
   if (!delegated_lease_.Renew(now)) return Renewal::kNo;
   partition_detector_.Kept(heartbeat, now);
   return Renewal::kYes;
 }
 
-void ZoneCoordinator::RequestYields(const RequestLeaseYield& ask,
+void ZoneCoordinator::RequestYields(const RequestLeaseYield& request,
                                     uint64_t revision) {
   for (const auto& peer : peers_) {
-    if (std::find(ask.peers.begin(), ask.peers.end(), peer->name()) !=
-        ask.peers.end()) {
-      net::Spawn(AskOne(peer.get(), revision));
+    if (std::find(request.peers.begin(), request.peers.end(), peer->name()) !=
+        request.peers.end()) {
+      net::Spawn(RequestYield(peer.get(), revision));
     }
   }
 }
 
-net::Task<void> ZoneCoordinator::AskOne(clients::PeerClient* peer,
-                                        uint64_t revision) {
+net::Task<void> ZoneCoordinator::RequestYield(clients::PeerClient* peer,
+                                              uint64_t revision) {
   const net::Time sent = loop_.Refresh();
   const auto answer =
-      co_await peer->Ask(Message(PeerKind::kRequestLeaseYield),
-                         kWait * settings_.workers.lease_seconds);
-  const PeerMessage& said = answer.message;
-  if (!answer.ok || said.answer != PeerAnswer::kYes) co_return;
-  // One more than the time, 0 for never.
-  const double renewed_ago = said.done == 0 ? -1 : Seconds(said.done - 1);
-  callbacks_.tell(revision, [&](Leader& leader) {
-    leader.OnLeaseYielded(peer->name(), said.text, Seconds(said.running),
-                          renewed_ago, sent, loop_.Now());
+      co_await peer->Ask(MakeMessage(PeerKind::kRequestLeaseYield),
+                         kPeerTimeoutRatio * settings_.workers.lease_seconds);
+  const PeerMessage& message = answer.message;
+  if (!answer.ok || message.answer != PeerAnswer::kYes) co_return;
+  // On the wire one more than the time, 0 for never; the core takes -1 for
+  // never.
+  const double renewed_ago_seconds =
+      message.done == 0 ? -1 : Seconds(message.done - 1);
+  callbacks_.deliver(revision, [&](Leader& leader) {
+    leader.OnLeaseYielded(peer->name(), message.text, Seconds(message.running),
+                          renewed_ago_seconds, sent, loop_.Now());
   });
 }
 
 void ZoneCoordinator::OnPeer(const PeerMessage& message, PeerMessage* reply) {
-  const net::Time now = loop_.Refresh();
   if (message.kind == PeerKind::kRequestLeaseYield) {
-    leader_met_ = now;
-    if (!delegated_lease_.OnYieldRequested(now)) return;
-    const double renewed_ago = delegated_lease_.RenewedAgo(now);
-    reply->done = renewed_ago < 0 ? 0 : Milliseconds(renewed_ago) + 1;
-    reply->running = Milliseconds(now - started_);
-    reply->text = process_incarnation_;
-    reply->answer = PeerAnswer::kYes;
-    return;
+    OnYieldRequest(reply);
+  } else {
+    OnDelegationRequest(message, reply);
   }
-  Leader* core = callbacks_.leading();
-  // One that has forgotten its right sends its workers here.
-  if (core == nullptr) {
-    reply->done = CutOff() && delegated_lease_.Holds(now) ? 1 : 0;
+}
+
+void ZoneCoordinator::OnYieldRequest(PeerMessage* reply) {
+  const net::Time now = loop_.Refresh();
+  leader_answered_at_ = now;
+  if (!delegated_lease_.OnYieldRequested(now)) return;
+  const double renewed_ago_seconds = delegated_lease_.RenewedAgo(now);
+  reply->done =
+      renewed_ago_seconds < 0 ? 0 : Milliseconds(renewed_ago_seconds) + 1;
+  reply->running = Milliseconds(now - started_);
+  reply->text = process_incarnation_;
+  reply->answer = PeerAnswer::kYes;
+}
+
+void ZoneCoordinator::OnDelegationRequest(const PeerMessage& message,
+                                          PeerMessage* reply) {
+  const net::Time now = loop_.Refresh();
+  Leader* leader = callbacks_.active_leader();
+  if (leader == nullptr) {
+    // A neighbour that has restarted may send its workers here.
+    reply->done = IsCutOff() && delegated_lease_.Holds(now) ? 1 : 0;
+    return;
   }
-  if (core != nullptr) peer_met_[message.node] = now;
-  if (core != nullptr &&
-      core->OnDelegationAsked(message.node, message.text,
-                              Seconds(message.running), now)) {
+  peer_asked_at_[message.node] = now;
+  if (leader->OnDelegationAsked(message.node, message.text,
+                                Seconds(message.running), now)) {
     reply->answer = PeerAnswer::kYes;
   }
 }
--- a/app/zone_coordinator.h
+++ b/app/zone_coordinator.h
@@ -1,22 +1,27 @@
-// A controller and the workers of its zone, where the leader is in another one.
-// Their reports are handed on to the leader, so that they stay where they are
-// when the zone is cut off; then they are kept alive by a right that has been
-// asked for before. Gives no orders and leads nothing. See
-// docs/delegated-lease.md.
+// A controller and the workers of its zone while the leader is in another zone.
+// Forwards their heartbeats to the leader, so that they stay with this
+// controller when the zone is cut off; then renews their leases under a
+// delegated lease that the leader has granted before. Sends no commands and
+// leads nothing. See docs/delegated-lease.md.
+//
+// Loops and spawned coroutines hold `this` and copies of their arguments: the
+// coordinator must outlive the event loop's run.
 #pragma once
 
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <unordered_map>
+#include <vector>
 
+#include "app/delegated_lease_record_writer.h"
 #include "app/leader_health_coordinator.h"
 #include "clients/key_value_store.h"
 #include "clients/peer.h"
 #include "core/leader/leader.h"
 #include "core/lease/delegated_lease.h"
-#include "core/lease/delegated_lease_record.h"
 #include "core/lease/partition_detector.h"
 #include "core/model/heartbeat.h"
 #include "net/loop.h"
@@ -26,53 +31,61 @@
 class ZoneCoordinator {
  public:
   struct Callbacks {
-    // The leader as far as is known; null: this one, or nobody.
-    std::function<clients::PeerClient*()> leader;
-    // This controller's core, where it leads by the lease of the key.
-    std::function<Leader*()> leading;
+    // The leader as far as is known; null: this controller, or nobody.
+    std::function<clients::PeerClient*()> leader_peer;
+    // This controller's core, where it leads by the lease of the leader key.
+    std::function<Leader*()> active_leader;
+    // Hands an event to the core, if that leadership has not ended.
     std::function<void(uint64_t revision, const std::function<void(Leader&)>&)>
-        tell;
+        deliver;
   };
 
   ZoneCoordinator(net::Loop& loop, const Settings& settings,
-                  const Tuning& tuning, clients::KeyValueStoreClient& state,
+                  const Tuning& tuning, clients::KeyValueStoreClient& store,
                   const LeaderHealthCoordinator::Peers& peers,
                   std::string process_incarnation, Callbacks callbacks);
+  // Starts the loops, if leases may be delegated to zones; once.
   void Start();
 
-  // --- reports handed on
-  static constexpr size_t kMostBytes = 48 * 1024;  // of one, or of its answer
-  struct Relayed {
+  // --- forwarding heartbeats
+  // Of a forwarded heartbeat, or of its answer.
+  static constexpr size_t kMaxForwardedBytes = 48 * 1024;
+  struct ForwardedAnswer {
     bool answered = false;
-    std::string text;
+    std::string text;  // the leader's answer, as it is to be sent
   };
-  // Whether the heartbeat is one to hand on to the leader.
+  // Whether a heartbeat of that size should be forwarded to the leader.
   bool MayForward(const Heartbeat& heartbeat, size_t bytes) const;
-  // Back within less than a worker waits; by then it is known whether this
+  // Takes less time than a worker waits; by then it is known whether this
   // controller is cut off.
-  net::Task<Relayed> Relay(std::string body);
-  // As the leader: the controller of the worker's own zone it should report to,
-  // empty to stay here. Says so once in a while.
-  std::string BetterPlaceFor(const Heartbeat& heartbeat, uint64_t revision);
+  net::Task<ForwardedAnswer> ForwardToLeader(std::string body);
 
+  // --- the state of this controller
   // Whether neither the key-value store nor the leader can be reached.
-  bool CutOff() const;
-  // A controller of the own zone that may, where this one has forgotten its
-  // right, or never had one; empty if none is known.
-  std::string Neighbour() const;
-  // Whether it has reached neither the key-value store nor any controller for a
-  // while: nothing that a user asks can be answered here.
-  bool Apart() const;
+  bool IsCutOff() const;
+  // Whether neither the key-value store nor any controller has been reached for
+  // a while: no user's request can be answered here.
+  bool IsIsolated() const;
   enum class Renewal : uint8_t {
     kNo,
     kYes,         // the heartbeat may be answered here, without commands
-    kRedirected,  // a leader reaches the worker: it is to look for that one
+    kRedirected,  // a leader reaches the worker: it is to turn to that one
   };
+  // Whether this controller may renew the worker's lease.
   Renewal MayRenew(const Heartbeat& heartbeat);
+  // A controller of this zone that may renew leases where this one may not,
+  // since it has restarted or was never granted a delegated lease; empty if
+  // none is known.
+  std::string DelegateInZone() const;
 
   // --- as the leader
-  void RequestYields(const RequestLeaseYield& ask, uint64_t revision);
+  // The controller of the worker's own zone that it should turn to; empty to
+  // stay here. Given once in a while only.
+  std::string RedirectTargetFor(const Heartbeat& heartbeat, uint64_t revision);
+  // Asks controllers to stop renewing leases for a moment.
+  void RequestYields(const RequestLeaseYield& request, uint64_t revision);
 
+  // --- as one who is asked
   static bool Handles(clients::PeerKind kind) {
     return kind == clients::PeerKind::kDelegateZone ||
            kind == clients::PeerKind::kRequestLeaseYield;
@@ -80,51 +93,65 @@
   void OnPeer(const clients::PeerMessage& message, clients::PeerMessage* reply);
 
  private:
-  struct Handing {
-    explicit Handing(net::Loop& loop) : done(loop) {}
+  static constexpr net::Time kNever = -1e9;  // before every time
+
+  struct PendingAnswer {
+    explicit PendingAnswer(net::Loop& loop) : done(loop) {}
     net::Event done;
     clients::PeerClient::Answer answer;
   };
-  net::Task<void> AskLoop();
-  // Whether the key-value store answers right now, without waiting long.
-  net::Task<void> Probe();
-  // Keeps the record of the right alive, which ends by itself.
-  net::Task<void> RecordLoop();
-  net::Task<void> RecordOnce();
-  // While cut off: who is reached all the same, and who of them may keep.
-  net::Task<void> NeighbourLoop();
+  // A worker of another zone that sends its heartbeats here, to the leader.
+  struct Visitor {
+    int heartbeats = 0;
+    net::Time redirected_at = kNever;
+  };
+
+  net::Task<void> RequestDelegationLoop();
+  net::Task<void> RequestDelegation(clients::PeerClient* leader,
+                                    net::Time sent);
+  // Learns whether the key-value store answers now, in a bounded time.
+  net::Task<void> ProbeStore();
+  net::Task<void> SendStoreProbe();
+  // While cut off: which peers answer, and which of them may renew leases.
+  net::Task<void> ProbeNeighboursLoop();
+  net::Task<void> ProbeNeighbour(clients::PeerClient* peer);
+  net::Task<void> AskLeader(clients::PeerClient* leader,
+                            clients::PeerMessage message,
+                            std::shared_ptr<PendingAnswer> pending);
+  net::Task<void> RequestYield(clients::PeerClient* peer, uint64_t revision);
+  void OnYieldRequest(clients::PeerMessage* reply);
+  void OnDelegationRequest(const clients::PeerMessage& message,
+                           clients::PeerMessage* reply);
   bool LeaderUnknown() const;
-  net::Task<void> AskNeighbour(clients::PeerClient* peer);
-  net::Task<void> AskOne(clients::PeerClient* peer, uint64_t revision);
-  clients::PeerMessage Message(clients::PeerKind kind) const;
+  bool IsInZone(const std::string& peer, const std::string& zone) const;
+  std::vector<std::string> ActiveControllersIn(const std::string& zone) const;
+  clients::PeerMessage MakeMessage(clients::PeerKind kind) const;
 
   net::Loop& loop_;
   const Settings& settings_;
-  const bool on_;
+  const bool enabled_;
   clients::KeyValueStoreClient& store_;
   const LeaderHealthCoordinator::Peers& peers_;
-  const std::string process_incarnation_;  // incarnation of this process
+  const std::string process_incarnation_;
   const net::Time started_;
   Callbacks callbacks_;
   DelegatedLease delegated_lease_;
-  DelegatedLeaseRecord record_;
+  DelegatedLeaseRecordWriter lease_record_writer_;
   PartitionDetector partition_detector_;
-  net::Time leader_met_ = -1e9;     // asked when it answered, or was this one
-  net::Time leader_missed_ = -1e9;  // asked when it did not
-  net::Time state_missed_ = -1e9;   // probed when it did not answer in time
+  // When the last question was sent that the leader answered, or this
+  // controller led; and the last that it did not answer.
+  net::Time leader_answered_at_ = kNever;
+  net::Time leader_failed_at_ = kNever;
+  net::Time store_failed_at_ = kNever;  // a probe was not answered in time
   bool probing_ = false;
-  net::Time cut_since_ = 1e18;   // as far as is known
-  net::Time peer_heard_ = -1e9;  // any of them, while cut off
-  std::string neighbour_;        // in the own zone, that may keep
-  net::Time neighbour_until_ = -1e9;
-  // As the leader.
-  std::map<std::string, net::Time> peer_met_;  // by its asking
-  struct Visitor {
-    int reports = 0;
-    net::Time sent_away = -1e9;
-  };
-  uint64_t visited_ = 0;  // the leadership that the visitors are of
-  std::unordered_map<std::string, Visitor> visitors_;
+  std::optional<net::Time> cut_off_since_;
+  net::Time peer_answered_at_ = kNever;  // any of them, while cut off
+  std::string neighbour_;                // in this zone, may renew leases
+  net::Time neighbour_valid_until_ = kNever;
+  // As the leader: when each controller last asked for a delegated lease.
+  std::map<std::string, net::Time> peer_asked_at_;
+  uint64_t visitors_revision_ = 0;  // of the leadership the visitors belong to
+  std::unordered_map<std::string, Visitor> visitors_;  // by host
 };
 
 }  // namespace oxbow::app
