--- a/api/record_routes.cc
+++ b/api/record_routes.cc
@@ -2,6 +2,8 @@
 
 #include <rapidjson/document.h>
 
+#include <utility>
+
 #include "api/answers.h"
 #include "wire/json.h"
 
@@ -34,13 +36,13 @@
   return TryLater(answer.why.empty() ? "state unknown" : answer.why);
 }
 
-// One to a line: a line of an answer has a greatest length.
-net::HttpResponse ListOf(const RecordService::Named& records) {
+// One to a line, since clients limit the length of a line.
+net::HttpResponse ListOf(const std::vector<NamedRecord>& records) {
   net::HttpResponse response;
   response.body = "{\"records\":[";
   for (size_t i = 0; i < records.size(); ++i) {
     response.body += i == 0 ? "\n" : ",\n";
-    response.body += wire::OperatorBody(records[i].first, records[i].second);
+    response.body += wire::OperatorBody(records[i].name, records[i].record);
   }
   response.body += "]}\n";
   return response;
@@ -49,7 +51,7 @@
 }  // namespace
 
 bool RecordRoutes::Matches(std::string_view path) {
-  return path == kPath || path.starts_with(kPastPath) ||
+  return path == kPath || path.starts_with(kVersionsPath) ||
          (path.starts_with(kPath) && path.size() > kPath.size() &&
           path[kPath.size()] == '/');
 }
@@ -65,22 +67,29 @@
   co_return ResponseOf(name, answer);
 }
 
+net::Task<net::HttpResponse> RecordRoutes::HandleVersions(std::string name) {
+  if (!ValidRecordName(name)) co_return Error(404, "no such record");
+  const auto versions = co_await service_.ListVersions(std::move(name));
+  if (!versions) co_return TryLater("state unknown");
+  co_return ListOf(*versions);
+}
+
+net::HttpResponse RecordRoutes::List(const std::string& prefix) {
+  const auto records = service_.List(prefix);
+  if (!records) return TryLater("state unknown");
+  return ListOf(*records);
+}
+
 net::Task<net::HttpResponse> RecordRoutes::Handle(net::HttpRequest request) {
   const std::string path(request.path());
   const bool get = request.method == "GET";
-  if (path.starts_with(kPastPath)) {
+  if (path.starts_with(kVersionsPath)) {
     if (!get) co_return WrongMethod("GET");
-    const std::string name = path.substr(kPastPath.size());
-    if (!ValidRecordName(name)) co_return Error(404, "no such record");
-    const auto past = co_await service_.Past(name);
-    if (!past) co_return TryLater("state unknown");
-    co_return ListOf(*past);
+    co_return co_await HandleVersions(path.substr(kVersionsPath.size()));
   }
   if (path.size() <= kPath.size() + 1) {
     if (!get) co_return WrongMethod("GET");
-    const auto all = service_.List(std::string(request.query("prefix")));
-    if (!all) co_return TryLater("state unknown");
-    co_return ListOf(*all);
+    co_return List(std::string(request.query("prefix")));
   }
   const std::string name = path.substr(kPath.size() + 1);
   if (!ValidRecordName(name)) co_return Error(404, "no such record");
--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -1,11 +1,10 @@
 #include "app/controller_node.h"
 
-#include <spdlog/spdlog.h>
-
 #include <random>
 #include <utility>
 
 #include "app/calendar_records.h"
+#include "logging/structured_log.h"
 #include "wire/calendar_json.h"
 #include "wire/tiers_json.h"
 
@@ -16,10 +15,11 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
+// The text is valid: it was checked when the settings were read.
 net::Address AddressOf(const std::string& text) {
-  net::Address out;
-  net::ParseAddress(text, &out);  // checked with the settings
-  return out;
+  net::Address address;
+  net::ParseAddress(text, &address);
+  return address;
 }
 
 LeaderHealthCoordinator::Peers PeersOf(net::Loop& loop,
@@ -37,8 +37,8 @@
   return std::to_string((static_cast<uint64_t>(device()) << 32) | device());
 }
 
-// The kinds of operators' records, one place for each subsystem to bring its
-// own.
+// The kinds of operators' records: each subsystem that uses one is registered
+// here with its validation.
 std::vector<RecordKind> RecordKinds(const Settings& settings,
                                     const Tuning& tuning,
                                     const Catalog& catalog,
@@ -65,10 +65,10 @@
 
 net::HttpServer::Limits ServerLimits(const Settings& settings) {
   net::HttpServer::Limits limits;
-  // A part of the sockets stays for what this controller opens itself.
-  constexpr double kServed = 0.75;
+  // The rest of the sockets is for connections that this controller opens.
+  constexpr double kServedShare = 0.75;
   limits.connections =
-      static_cast<size_t>(kServed * settings.limits.max_connections);
+      static_cast<size_t>(kServedShare * settings.limits.max_connections);
   return limits;
 }
 
@@ -183,8 +183,9 @@
               }) {}
 
 void ControllerNode::Start() {
-  spdlog::info("{} in {} starts, users at {}", settings_.node, settings_.zone,
-               settings_.listen);
+  logging::Info("controller starting", {{"node", settings_.node},
+                                        {"zone", settings_.zone},
+                                        {"listen", settings_.listen}});
   net::Spawn(server_.Run());
   net::Spawn(peer_server_.Run());
   watcher_.Start();
--- a/app/controller_node.h
+++ b/app/controller_node.h
@@ -1,8 +1,11 @@
-// One controller: the rooms of which it is made, and who may call whom.
+// One controller: owns its parts and connects them. Calls run down:
 //
-//   Users -> LeaderRuntime -> Election -> Follower
-//   LeaderHealthCoordinator, RecoveryCoordinator, RolloutCoordinator: reached
-//   by the others, reach back through seams that are wired here.
+//   Api -> JobRequestHandler -> LeaderRuntime -> LeaderElection -> StoreWatcher
+//
+// The coordinators are called by these and call back through callbacks that
+// are wired here. Parts are constructed in the order of the members; each may
+// keep references to those before it, and uses callbacks to later ones only
+// once the controller has started. Not movable: its parts refer to each other.
 #pragma once
 
 #include <memory>
@@ -32,8 +35,10 @@
   ControllerNode(net::Loop& loop, const Settings& settings,
                  const Tuning& tuning);
 
-  // Starts everything; the loop does the rest.
+  // Starts all parts; the event loop does the rest. The controller must outlive
+  // the loop's run.
   void Start();
+  // Null while the machine types are unknown.
   const std::map<std::string, MachineType>* Types() {
     return job_request_handler_.MachineTypes();
   }
@@ -45,7 +50,8 @@
   Catalog catalog_;
   clients::KeyValueStoreClient store_;
   clients::CloudClient cloud_;
-  const std::string process_incarnation_;  // incarnation of this process
+  // Distinguishes this process from earlier ones of the same controller.
+  const std::string process_incarnation_;
   LeaderHealthCoordinator::Peers peers_;
   StoreWatcher watcher_;
   LeaderHealthCoordinator leader_health_coordinator_;
--- a/app/record_client.cc
+++ b/app/record_client.cc
@@ -141,7 +141,7 @@
 }
 
 bool RecordClient::Past(const std::string& name, Named* out) {
-  return ReadMany(std::string(api::RecordRoutes::kPastPath) + name, out);
+  return ReadMany(std::string(api::RecordRoutes::kVersionsPath) + name, out);
 }
 
 int RecordClient::Explain(const Answer& answer) {
--- a/app/record_coordinator.cc
+++ b/app/record_coordinator.cc
@@ -11,14 +11,16 @@
 namespace oxbow::app {
 namespace {
 
+using api::NamedRecord;
 using api::RecordAnswer;
 using clients::StoreResult;
 using clients::StoreStatus;
 using clients::Urgency;
 using Result = RecordAnswer::Result;
 
-constexpr size_t kMostRecords = 1000;  // withdrawn ones too
-constexpr uint64_t kVersionsKept = 20;
+constexpr size_t kMaxRecords = 1000;  // withdrawn ones too
+constexpr uint64_t kMaxVersionsKept = 20;
+// How long a withdrawn record is kept, so that its versions are not used again.
 constexpr double kTombstoneSeconds = 24 * 3600;
 
 RecordAnswer MakeAnswer(Result result, std::string why = {}) {
@@ -37,12 +39,12 @@
 
 RecordCoordinator::RecordCoordinator(const Settings& settings,
                                      const Catalog& catalog,
-                                     clients::KeyValueStoreClient& state,
+                                     clients::KeyValueStoreClient& store,
                                      std::vector<RecordKind> kinds,
                                      Callbacks callbacks)
     : settings_(settings),
       catalog_(catalog),
-      store_(state),
+      store_(store),
       kinds_(std::move(kinds)),
       callbacks_(std::move(callbacks)) {}
 
@@ -61,15 +63,16 @@
   const StoreResult read = co_await store_.Get(key, Urgency::kUser);
   if (read.ok()) {
     const auto* record = std::get_if<OperatorRecord>(&read.items[0].record);
-    if (record == nullptr)
+    if (record == nullptr) {
       co_return MakeAnswer(Result::kTryLater, "unreadable");
+    }
     callbacks_.apply(key, *record, read.items[0].mod_revision);
     RecordAnswer answer = MakeAnswer(Result::kOk);
     answer.record = *record;
     answer.record.mod_revision = read.items[0].mod_revision;
     co_return answer;
   }
-  // What a service that has lost data does not hold may be remembered.
+  // A record that a store which has lost data lacks may be retained in memory.
   if (read.status == StoreStatus::kNotFound && callbacks_.may_write() &&
       !catalog_.pending_writes().contains(key)) {
     co_return MakeAnswer(Result::kNotFound);
@@ -77,31 +80,34 @@
   co_return MakeAnswer(Result::kTryLater, "state unknown");
 }
 
-std::optional<RecordCoordinator::Named> RecordCoordinator::List(
+std::optional<std::vector<NamedRecord>> RecordCoordinator::List(
     const std::string& prefix) {
   if (!callbacks_.synced()) return std::nullopt;
-  Named out;
+  std::vector<NamedRecord> records;
   for (const auto& [name, record] : catalog_.operators()) {
-    if (name.starts_with(prefix)) out.emplace_back(name, record);
+    if (name.starts_with(prefix)) records.push_back({name, record});
   }
-  std::sort(out.begin(), out.end(),
-            [](const auto& a, const auto& b) { return a.first < b.first; });
-  return out;
+  std::sort(records.begin(), records.end(),
+            [](const NamedRecord& a, const NamedRecord& b) {
+              return a.name < b.name;
+            });
+  return records;
 }
 
-net::Task<std::optional<RecordCoordinator::Named>> RecordCoordinator::Past(
-    std::string name) {
+net::Task<std::optional<std::vector<NamedRecord>>>
+RecordCoordinator::ListVersions(std::string name) {
   const std::string prefix = keys::Of(keys::kOperatorPast, name) + "/";
   const StoreResult read = co_await store_.List(prefix, "");
   if (!read.ok()) co_return std::nullopt;
-  Named out;
+  std::vector<NamedRecord> versions;
   for (OperatorRecord& record : JoinPieces(read.items)) {
-    out.emplace_back(name, std::move(record));
+    versions.push_back({name, std::move(record)});
   }
-  std::sort(out.begin(), out.end(), [](const auto& a, const auto& b) {
-    return a.second.version > b.second.version;
-  });
-  co_return out;
+  std::sort(versions.begin(), versions.end(),
+            [](const NamedRecord& a, const NamedRecord& b) {
+              return a.record.version > b.record.version;
+            });
+  co_return versions;
 }
 
 RecordAnswer RecordCoordinator::Check(const std::string& name,
@@ -116,24 +122,25 @@
     return MakeAnswer(Result::kImpossible, "the record is too large");
   }
   const auto& known = catalog_.operators();
-  if (!known.contains(name) && known.size() >= kMostRecords) {
+  if (!known.contains(name) && known.size() >= kMaxRecords) {
     return MakeAnswer(Result::kTooMany, "as many records as are allowed stand");
   }
   return MakeAnswer(Result::kOk);
 }
 
-void RecordCoordinator::AddSweep(const std::string& but,
-                                 std::vector<Precondition>* preconditions,
-                                 std::vector<Mutation>* mutations) const {
-  if (!settings_.store.FitsTransaction(mutations->size() + 1)) return;
+void RecordCoordinator::AddTombstoneRemoval(const std::string& changed_name,
+                                            Transaction* transaction) const {
+  if (!settings_.store.FitsTransaction(transaction->mutations.size() + 1)) {
+    return;
+  }
   for (const auto& [name, record] : catalog_.operators()) {
-    if (name == but || !record.withdrawn || record.mod_revision == 0 ||
+    if (name == changed_name || !record.withdrawn || record.mod_revision == 0 ||
         net::WallNow() - record.changed_wall < kTombstoneSeconds) {
       continue;
     }
     const std::string key = keys::Of(keys::kOperator, name);
-    preconditions->push_back({key, record.mod_revision});
-    mutations->push_back({key, {}});
+    transaction->preconditions.push_back({key, record.mod_revision});
+    transaction->mutations.push_back({key, {}});
     return;
   }
 }
@@ -143,21 +150,21 @@
          settings_.store.most_value_bytes();
 }
 
-// Before the change itself, and under the version that it replaces: whatever
-// becomes of the change, what is written here is true.
-net::Task<bool> RecordCoordinator::KeepInPieces(std::string name,
-                                                OperatorRecord record) {
+// Written before the change itself, on condition of the version that the change
+// replaces: whatever becomes of the change, these pieces are correct.
+net::Task<bool> RecordCoordinator::WritePieces(std::string name,
+                                               OperatorRecord record) {
   const std::vector<HistoryEntry> pieces =
       PiecesOf(name, record, settings_.store.most_value_bytes());
-  const auto at_once = static_cast<size_t>(settings_.store.txn_ops);
-  for (size_t from = 0; from < pieces.size(); from += at_once) {
+  const auto max_operations = static_cast<size_t>(settings_.store.txn_ops);
+  for (size_t from = 0; from < pieces.size(); from += max_operations) {
     std::vector<Precondition> preconditions{
         {keys::Of(keys::kOperator, name), record.mod_revision}};
     callbacks_.add_guard(&preconditions);
     std::vector<Mutation> mutations;
-    const size_t end = std::min(pieces.size(), from + at_once);
+    const size_t end = std::min(pieces.size(), from + max_operations);
     for (size_t i = from; i < end; ++i) {
-      mutations.push_back({pieces[i].first, pieces[i].second});
+      mutations.push_back({pieces[i].key, pieces[i].record});
     }
     const StoreResult written = co_await store_.Write(
         std::move(preconditions), std::move(mutations), Urgency::kUser);
@@ -166,97 +173,137 @@
   co_return true;
 }
 
-// Of a version too old to be kept. What a failure leaves does no harm.
-net::Task<void> RecordCoordinator::DropPieces(std::string name,
-                                              uint64_t version) {
-  const StoreResult there =
+// For a version too old to be kept. Pieces that a failure leaves do no harm.
+net::Task<void> RecordCoordinator::RemovePieces(std::string name,
+                                                uint64_t version) {
+  const StoreResult pieces =
       co_await store_.List(PiecesPrefix(name, version), "");
-  const auto at_once = static_cast<size_t>(settings_.store.txn_ops);
-  for (size_t from = 0; from < there.items.size(); from += at_once) {
+  const auto max_operations = static_cast<size_t>(settings_.store.txn_ops);
+  for (size_t from = 0; from < pieces.items.size(); from += max_operations) {
     std::vector<Precondition> preconditions;
     callbacks_.add_guard(&preconditions);
     std::vector<Mutation> mutations;
-    const size_t end = std::min(there.items.size(), from + at_once);
+    const size_t end = std::min(pieces.items.size(), from + max_operations);
     for (size_t i = from; i < end; ++i) {
-      mutations.push_back({there.items[i].key, {}});
+      mutations.push_back({pieces.items[i].key, {}});
     }
-    const StoreResult dropped = co_await store_.Write(
+    const StoreResult removed = co_await store_.Write(
         std::move(preconditions), std::move(mutations), Urgency::kBackground);
-    if (!dropped.ok()) co_return;
+    if (!removed.ok()) co_return;
   }
 }
 
-net::Task<RecordAnswer> RecordCoordinator::Change(std::string name,
-                                                  wire::OperatorChange change) {
-  if (!callbacks_.synced() || !callbacks_.may_write()) {
-    co_return MakeAnswer(Result::kTryLater, "state unknown");
-  }
+OperatorRecord RecordCoordinator::NextVersion(
+    const std::string& name, wire::OperatorChange change) const {
   const RecordKind* kind = KindOf(name);
   OperatorRecord next = std::move(change.record);
   next.kind = kind == nullptr ? "" : kind->kind;
   next.version = change.version + 1;
   next.changed_wall = net::WallNow();
+  return next;
+}
+
+std::optional<RecordAnswer> RecordCoordinator::AnswerWithoutWrite(
+    const RecordAnswer& present, const OperatorRecord& next) {
+  const bool absent = present.result == Result::kNotFound;
+  if (present.result != Result::kOk && !absent) return present;
+  // The request is a repeated one.
+  if (!absent && SameContent(present.record, next)) return present;
+  const uint64_t present_version = absent ? 0 : present.record.version;
+  if (present_version == next.version - 1) return std::nullopt;
+  RecordAnswer conflict = present;
+  if (!absent) conflict.result = Result::kConflict;
+  return conflict;
+}
+
+net::Task<RecordAnswer> RecordCoordinator::Change(std::string name,
+                                                  wire::OperatorChange change) {
+  if (!callbacks_.synced() || !callbacks_.may_write()) {
+    co_return MakeAnswer(Result::kTryLater, "state unknown");
+  }
+  OperatorRecord next = NextVersion(name, std::move(change));
   RecordAnswer checked = Check(name, next);
   if (checked.result != Result::kOk) co_return checked;
-  // The answer to "what stands?" is asked for afresh: of two operators who
-  // started from the same version the second is told so.
-  RecordAnswer now = co_await Get(name);
-  const bool absent = now.result == Result::kNotFound;
-  if (now.result != Result::kOk && !absent) co_return now;
-  if (!absent && SameContent(now.record, next)) co_return now;  // a repeat
-  if ((absent ? 0 : now.record.version) != change.version) {
-    if (absent) co_return MakeAnswer(Result::kNotFound);
-    now.result = Result::kConflict;
-    co_return now;
-  }
+  // The present version is read afresh: of two operators who started from the
+  // same version the second gets a conflict.
+  const RecordAnswer current = co_await Get(name);
+  std::optional<RecordAnswer> answer = AnswerWithoutWrite(current, next);
+  if (answer) co_return *std::move(answer);
+  std::optional<OperatorRecord> present;
+  if (current.result == Result::kOk) present = current.record;
   if (next.withdrawn) {
-    next.text = now.record.text;
+    next.text = current.record.text;
     // Recorded when larger values were taken; the version before keeps it.
     if (!Fits(next)) next.text.clear();
   }
-  const std::string key = keys::Of(keys::kOperator, name);
-  std::vector<Precondition> preconditions{
-      {key, absent ? 0 : now.record.mod_revision}};
-  std::vector<Mutation> mutations{{key, next}};
-  if (!absent && Fits(now.record)) {
-    mutations.push_back({PastKey(name, now.record.version), now.record});
-  } else if (!absent) {
-    const bool kept = co_await KeepInPieces(name, now.record);
-    if (!kept)
-      co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
-  }
-  if (now.record.version > kVersionsKept) {
-    mutations.push_back(
-        {PastKey(name, now.record.version - kVersionsKept), {}});
-    net::Spawn(DropPieces(name, now.record.version - kVersionsKept));
+  std::optional<Transaction> transaction =
+      co_await BuildTransaction(name, std::move(present), next);
+  if (!transaction) {
+    co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
-  AddSweep(name, &preconditions, &mutations);
-  callbacks_.add_guard(&preconditions);
-  const StoreResult written = co_await store_.Write(
-      std::move(preconditions), std::move(mutations), Urgency::kUser);
-  if (written.ok()) {
-    callbacks_.apply(key, next, written.revision);
-    RecordAnswer answer = MakeAnswer(Result::kWritten);
-    answer.record = next;
-    co_return answer;
+  co_return co_await WriteChange(std::move(name), std::move(next),
+                                 *std::move(transaction));
+}
+
+net::Task<std::optional<RecordCoordinator::Transaction>>
+RecordCoordinator::BuildTransaction(std::string name,
+                                    std::optional<OperatorRecord> present,
+                                    OperatorRecord next) {
+  const std::string key = keys::Of(keys::kOperator, name);
+  Transaction transaction;
+  transaction.preconditions.push_back(
+      {key, present ? present->mod_revision : 0});
+  transaction.mutations.push_back({key, std::move(next)});
+  if (present && Fits(*present)) {
+    transaction.mutations.push_back(
+        {PastKey(name, present->version), *present});
+  } else if (present) {
+    const bool kept = co_await WritePieces(name, *present);
+    if (!kept) co_return std::nullopt;
   }
-  if (written.status == StoreStatus::kRefused) {
-    co_return MakeAnswer(Result::kImpossible, "the record is too large");
+  if (present && present->version > kMaxVersionsKept) {
+    const uint64_t expired = present->version - kMaxVersionsKept;
+    transaction.mutations.push_back({PastKey(name, expired), {}});
+    net::Spawn(RemovePieces(name, expired));
   }
-  if (written.status != StoreStatus::kConflict &&
-      written.status != StoreStatus::kUnknown) {
-    co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
+  AddTombstoneRemoval(name, &transaction);
+  callbacks_.add_guard(&transaction.preconditions);
+  co_return transaction;
+}
+
+net::Task<RecordAnswer> RecordCoordinator::WriteChange(
+    std::string name, OperatorRecord next, Transaction transaction) {
+  const StoreResult written =
+      co_await store_.Write(std::move(transaction.preconditions),
+                            std::move(transaction.mutations), Urgency::kUser);
+  switch (written.status) {
+    case StoreStatus::kOk: {
+      callbacks_.apply(keys::Of(keys::kOperator, name), next, written.revision);
+      RecordAnswer answer = MakeAnswer(Result::kWritten);
+      answer.record = std::move(next);
+      co_return answer;
+    }
+    case StoreStatus::kRefused:
+      co_return MakeAnswer(Result::kImpossible, "the record is too large");
+    case StoreStatus::kConflict:
+    case StoreStatus::kUnknown:
+      co_return co_await ReadOutcome(std::move(name), std::move(next));
+    default:
+      co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
-  // Somebody else was first, or the outcome is unknown: look before anything
-  // is said.
-  now = co_await Get(name);
-  if (now.result != Result::kOk) {
+}
+
+// Another change was first, or the outcome is unknown: read before answering.
+net::Task<RecordAnswer> RecordCoordinator::ReadOutcome(std::string name,
+                                                       OperatorRecord next) {
+  RecordAnswer current = co_await Get(std::move(name));
+  if (current.result != Result::kOk) {
     co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
-  if (SameContent(now.record, next)) co_return now;
-  if (now.record.version > change.version) {
-    now.result = Result::kConflict;
-    co_return now;
+  if (SameContent(current.record, next)) co_return current;
+  if (current.record.version >= next.version) {
+    current.result = Result::kConflict;
+    co_return current;
   }
   co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
 }
--- a/app/record_history.h
+++ b/app/record_history.h
@@ -1,12 +1,11 @@
 // Earlier versions of operators' records, as the key-value store keeps them:
-// each under a key of its own, or, where it takes no value of that size any
-// more, in pieces under keys below that one.
+// each under a key of its own, or, if the store takes no value of that size any
+// more, in pieces under keys below that one. Functions without state.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "clients/key_value_store.h"
@@ -14,17 +13,21 @@
 
 namespace oxbow::app {
 
-using HistoryEntry = std::pair<std::string, OperatorRecord>;  // key, value
+struct HistoryEntry {
+  std::string key;
+  OperatorRecord record;
+};
 
+// The key of an earlier version.
 std::string PastKey(const std::string& name, uint64_t version);
-// Below which the pieces of that version stand.
+// The prefix of the keys of that version's pieces.
 std::string PiecesPrefix(const std::string& name, uint64_t version);
 
-// The version in values of at most so many bytes each: one if it fits.
+// The version in values of at most `max_bytes` each: one if it fits.
 std::vector<HistoryEntry> PiecesOf(const std::string& name,
                                    const OperatorRecord& record,
-                                   size_t most_bytes);
-// The versions whose values, in the order of their keys, are these.
+                                   size_t max_bytes);
+// The versions whose values are these, sorted by key.
 std::vector<OperatorRecord> JoinPieces(
     const std::vector<clients::KeyValue>& items);
 
