--- a/api/answers.cc
+++ b/api/answers.cc
@@ -6,10 +6,10 @@
 
 net::HttpResponse Error(int status, std::string_view text) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Field(w, "error", text);
-  w.EndObject();
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Field(writer, "error", text);
+  writer.EndObject();
   net::HttpResponse response;
   response.status = status;
   response.body = json::Text(buffer);
@@ -17,9 +17,9 @@
 }
 
 net::HttpResponse TryLater(std::string_view why, int status) {
-  constexpr int kRetryAfter = 1;  // s
+  constexpr int kRetryAfterSeconds = 1;
   net::HttpResponse response = Error(status, why);
-  response.retry_after_seconds = kRetryAfter;
+  response.retry_after_seconds = kRetryAfterSeconds;
   return response;
 }
 
--- a/api/answers.h
+++ b/api/answers.h
@@ -1,4 +1,4 @@
-// Answers that every route gives in the same form.
+// HTTP responses that every route gives in the same form.
 #pragma once
 
 #include <string_view>
@@ -7,10 +7,12 @@
 
 namespace oxbow::api {
 
+// {"error": text}
 net::HttpResponse Error(int status, std::string_view text);
-// At once, with the time to come back: a request is never held back so that
-// its user does not ask again.
+// With the time after which the user may ask again (Retry-After). Sent at once:
+// a request is never delayed to limit the load.
 net::HttpResponse TryLater(std::string_view why, int status = 503);
+// 405 with the methods that the route has.
 net::HttpResponse WrongMethod(std::string_view allowed);
 
 }  // namespace oxbow::api
--- a/api/rollout_routes.cc
+++ b/api/rollout_routes.cc
@@ -54,6 +54,22 @@
   co_return ResponseOf(co_await service_.Declare(std::move(spec)));
 }
 
+net::HttpResponse RolloutRoutes::List() {
+  const auto states = service_.List();
+  if (!states) return TryLater("state unknown");
+  // One to a line, since clients limit the length of a line.
+  net::HttpResponse response;
+  response.body = "{\"rollouts\":[";
+  for (size_t i = 0; i < states->size(); ++i) {
+    const RolloutState& state = (*states)[i];
+    response.body += i == 0 ? "\n" : ",\n";
+    response.body += wire::RolloutBody(state.record,
+                                       state.counts ? &*state.counts : nullptr);
+  }
+  response.body += "]}\n";
+  return response;
+}
+
 net::Task<net::HttpResponse> RolloutRoutes::Handle(net::HttpRequest request) {
   const std::string path(request.path());
   const bool get = request.method == "GET";
@@ -61,19 +77,7 @@
   if (path.size() == kPath.size()) {
     if (post) co_return co_await Declare(std::move(request.body));
     if (!get) co_return WrongMethod("GET, POST");
-    const auto all = service_.List();
-    if (!all) co_return TryLater("state unknown");
-    // One to a line: a line of an answer has a greatest length.
-    net::HttpResponse response;
-    response.body = "{\"rollouts\":[";
-    for (size_t i = 0; i < all->size(); ++i) {
-      const RolloutState& state = (*all)[i];
-      response.body += i == 0 ? "\n" : ",\n";
-      response.body += wire::RolloutBody(
-          state.record, state.counts ? &*state.counts : nullptr);
-    }
-    response.body += "]}\n";
-    co_return response;
+    co_return List();
   }
   std::string id = path.substr(kPath.size() + 1);
   const size_t slash = id.find('/');
@@ -84,13 +88,13 @@
   }
   const std::string verb = id.substr(slash + 1);
   id.resize(slash);
-  RolloutRequest asked_for = RolloutRequest::kNone;
-  if (!wire::TermOf(wire::kRolloutRequests, verb, &asked_for) ||
-      asked_for == RolloutRequest::kNone || !wire::ValidRolloutId(id)) {
+  RolloutRequest requested = RolloutRequest::kNone;
+  if (!wire::TermOf(wire::kRolloutRequests, verb, &requested) ||
+      requested == RolloutRequest::kNone || !wire::ValidRolloutId(id)) {
     co_return Error(404, "no such route");
   }
   if (!post) co_return WrongMethod("POST");
-  co_return ResponseOf(co_await service_.Request(std::move(id), asked_for));
+  co_return ResponseOf(co_await service_.Request(std::move(id), requested));
 }
 
 }  // namespace oxbow::api
--- a/api/rollout_routes.h
+++ b/api/rollout_routes.h
@@ -1,8 +1,10 @@
-// The routes of rollouts: /v2/rollouts and below.
+// The HTTP routes of rollouts: /v2/rollouts and below.
 #pragma once
 
+#include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "core/rollout/rollout.h"
@@ -11,16 +13,18 @@
 
 namespace oxbow::api {
 
+// A rollout as it is shown to users.
 struct RolloutState {
   RolloutRecord record;
   std::optional<RolloutCounts> counts;  // where the leader answers itself
 };
 
+// The result of a request about one rollout; rendered by RolloutRoutes.
 struct RolloutAnswer {
   enum class Result {
     kOk,
     kDeclared,
-    kConflict,    // 409: known otherwise, or its job is
+    kConflict,    // 409: its id or one of its jobs is in use
     kImpossible,  // 422
     kNotFound,    // after a fresh read
     kTooMany,     // 429
@@ -31,6 +35,7 @@
   RolloutState state;
 };
 
+// What answers the requests. The service must outlive the tasks.
 class RolloutService {
  public:
   virtual ~RolloutService() = default;
@@ -41,7 +46,7 @@
   virtual net::Task<RolloutAnswer> Get(std::string id) = 0;
   virtual net::Task<RolloutAnswer> Request(std::string id,
                                            RolloutRequest request) = 0;
-  // Nothing while the state has not been read.
+  // Sorted by id; nothing while the store has not been read.
   virtual std::optional<std::vector<RolloutState>> List() = 0;
 };
 
@@ -52,9 +57,11 @@
   explicit RolloutRoutes(RolloutService& service) : service_(service) {}
   // Whether the path is one of these routes.
   bool Matches(std::string_view path) const;
+  // Answers one request. The routes must outlive the task.
   net::Task<net::HttpResponse> Handle(net::HttpRequest request);
 
  private:
+  net::HttpResponse List();
   net::Task<net::HttpResponse> Declare(std::string body);
 
   RolloutService& service_;
--- a/app/retries.cc
+++ b/app/retries.cc
@@ -5,11 +5,11 @@
 namespace oxbow::app {
 namespace {
 
-constexpr net::Time kTimeout = 5;  // s, of one try
-constexpr net::Time kPause = 1;    // s, between two tries, at least
-constexpr int kTries = 30;
+constexpr net::Time kTimeoutSeconds = 5;   // of one attempt
+constexpr net::Time kMinPauseSeconds = 1;  // between two attempts
+constexpr int kMaxAttempts = 30;
 
-bool MustRetry(const net::ClientResult& answer) {
+bool ShouldRetry(const net::ClientResult& answer) {
   return answer.outcome != net::Outcome::kAnswered || answer.status == 503 ||
          answer.status == 429;
 }
@@ -22,12 +22,11 @@
                                             std::string path,
                                             std::string body) {
   net::ClientResult answer;
-  for (int i = 0; i < kTries; ++i) {
-    answer = co_await http.Request(method, path, body, kTimeout);
-    if (!MustRetry(answer)) break;
-    const net::Time pause =
-        std::max<net::Time>(kPause, answer.retry_after_seconds);
-    co_await loop.Sleep(pause);
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    answer = co_await http.Request(method, path, body, kTimeoutSeconds);
+    if (!ShouldRetry(answer)) break;
+    co_await loop.Sleep(
+        std::max<net::Time>(kMinPauseSeconds, answer.retry_after_seconds));
   }
   co_return answer;
 }
--- a/app/retries.h
+++ b/app/retries.h
@@ -1,5 +1,5 @@
 // Requests of the command-line clients to a controller, repeated while it
-// cannot take them, as a user of the protocol does.
+// can't accept them, as a user of the protocol does.
 #pragma once
 
 #include <string>
--- a/app/rollout_coordinator.cc
+++ b/app/rollout_coordinator.cc
@@ -16,6 +16,10 @@
 using clients::Urgency;
 using Result = RolloutAnswer::Result;
 
+// Each step rewrites the record, with a reason.
+constexpr size_t kRecordGrowthBytes = 256;
+constexpr int kMaxAttempts = 3;
+
 RolloutAnswer MakeAnswer(Result result, std::string why) {
   RolloutAnswer answer;
   answer.result = result;
@@ -28,12 +32,12 @@
 RolloutCoordinator::RolloutCoordinator(const Settings& settings,
                                        const Tuning& tuning,
                                        const Catalog& catalog,
-                                       clients::KeyValueStoreClient& state,
+                                       clients::KeyValueStoreClient& store,
                                        Callbacks callbacks)
     : settings_(settings),
       tuning_(tuning),
       catalog_(catalog),
-      store_(state),
+      store_(store),
       callbacks_(std::move(callbacks)) {}
 
 RolloutState RolloutCoordinator::StateOf(const RolloutRecord& record) const {
@@ -50,27 +54,28 @@
 
 std::optional<std::vector<RolloutState>> RolloutCoordinator::List() {
   if (!callbacks_.synced()) return std::nullopt;
-  std::vector<RolloutState> out;
+  std::vector<RolloutState> states;
   for (const auto& [id, record] : catalog_.rollouts()) {
-    out.push_back(StateOf(record));
+    states.push_back(StateOf(record));
   }
-  std::sort(out.begin(), out.end(),
+  std::sort(states.begin(), states.end(),
             [](const RolloutState& a, const RolloutState& b) {
               return a.record.spec->id < b.record.spec->id;
             });
-  return out;
+  return states;
 }
 
-net::Task<RolloutAnswer> RolloutCoordinator::FreshRead(std::string id) {
-  // An end moves from live to ended in one step, so in this order none is
-  // missed.
+net::Task<RolloutAnswer> RolloutCoordinator::ReadFresh(std::string id) {
+  // A rollout changes from the live to the terminal record in one transaction,
+  // so in this order none is missed.
   for (const std::string_view prefix : {keys::kRollout, keys::kRolloutEnd}) {
     const std::string key = keys::Of(prefix, id);
     const StoreResult read = co_await store_.Get(key, Urgency::kUser);
     if (read.ok()) {
       const auto* record = std::get_if<RolloutRecord>(&read.items[0].record);
-      if (record == nullptr)
+      if (record == nullptr) {
         co_return MakeAnswer(Result::kTryLater, "unreadable");
+      }
       RolloutAnswer answer;
       answer.result = Result::kOk;
       answer.state.record = *record;
@@ -95,48 +100,57 @@
     answer.state = StateOf(it->second);
     co_return answer;
   }
-  co_return co_await FreshRead(std::move(id));
+  co_return co_await ReadFresh(std::move(id));
 }
 
-net::Task<RolloutAnswer> RolloutCoordinator::Declare(
-    std::shared_ptr<const RolloutSpec> spec) {
-  if (!callbacks_.synced())
-    co_return MakeAnswer(Result::kTryLater, "state unknown");
-  const JobRecord* from = catalog_.FindJob(spec->from);
+std::optional<RolloutAnswer> RolloutCoordinator::RejectDeclaration(
+    const RolloutSpec& spec) const {
+  const JobRecord* from = catalog_.FindJob(spec.from);
   if (from == nullptr || from->terminal_state != TerminalState::kNone) {
-    co_return MakeAnswer(Result::kImpossible,
-                         spec->from + " is no job that runs");
+    return MakeAnswer(Result::kImpossible, spec.from + " is no job that runs");
   }
   if (from->spec->kind != JobKind::kService) {
-    co_return MakeAnswer(Result::kImpossible, spec->from + " is no service");
+    return MakeAnswer(Result::kImpossible, spec.from + " is no service");
   }
-  const std::string why = wire::WhyNoRollout(*spec, from->spec->tasks);
-  if (!why.empty()) co_return MakeAnswer(Result::kImpossible, why);
+  const std::string invalid = wire::WhyNoRollout(spec, from->spec->tasks);
+  if (!invalid.empty()) return MakeAnswer(Result::kImpossible, invalid);
+  return RejectBesideOthers(spec);
+}
+
+std::optional<RolloutAnswer> RolloutCoordinator::RejectBesideOthers(
+    const RolloutSpec& spec) const {
   const auto& known = catalog_.rollouts();
-  if (!known.contains(spec->id)) {
-    for (const auto& [id, other] : known) {
-      for (const std::string& job : {other.spec->from, other.spec->to}) {
-        if (job == spec->from || job == spec->to) {
-          co_return MakeAnswer(Result::kConflict,
-                               job + " is part of roll-out " + id);
-        }
+  if (known.contains(spec.id)) return std::nullopt;
+  for (const auto& [id, other] : known) {
+    for (const std::string& job : {other.spec->from, other.spec->to}) {
+      if (job == spec.from || job == spec.to) {
+        return MakeAnswer(Result::kConflict,
+                          job + " is part of roll-out " + id);
       }
     }
-    if (static_cast<double>(known.size()) >= tuning_.rollouts_at_once) {
-      co_return MakeAnswer(Result::kTooMany,
-                           "as many roll-outs as are allowed run");
-    }
   }
+  if (static_cast<double>(known.size()) >= tuning_.rollouts_at_once) {
+    return MakeAnswer(Result::kTooMany, "as many roll-outs as are allowed run");
+  }
+  return std::nullopt;
+}
+
+net::Task<RolloutAnswer> RolloutCoordinator::Declare(
+    std::shared_ptr<const RolloutSpec> spec) {
+  if (!callbacks_.synced()) {
+    co_return MakeAnswer(Result::kTryLater, "state unknown");
+  }
+  std::optional<RolloutAnswer> rejection = RejectDeclaration(*spec);
+  if (rejection) co_return *std::move(rejection);
   RolloutRecord record;
   record.spec = spec;
   record.declared_wall = net::WallNow();
-  // Each step rewrites it, with a reason.
-  constexpr size_t kGrowth = 256;
-  if (wire::EncodeRecord(record).size() + kGrowth >
+  if (wire::EncodeRecord(record).size() + kRecordGrowthBytes >
       settings_.store.most_value_bytes()) {
     co_return MakeAnswer(Result::kImpossible, "the declaration is too large");
   }
   const std::string key = keys::Of(keys::kRollout, spec->id);
+  const JobRecord* from = catalog_.FindJob(spec->from);
   std::vector<Precondition> preconditions{
       {key, 0},
       {keys::Of(keys::kRolloutEnd, spec->id), 0},
@@ -145,7 +159,7 @@
       {keys::Of(keys::kJob, spec->from), from->mod_revision}};
   std::vector<Mutation> mutations{{key, record}};
   callbacks_.add_guard(&preconditions);
-  const StoreResult written = co_await store_.Write(
+  StoreResult written = co_await store_.Write(
       std::move(preconditions), std::move(mutations), Urgency::kUser);
   if (written.ok()) {
     callbacks_.apply(key, record, written.revision);
@@ -154,22 +168,27 @@
     answer.state.record = record;
     co_return answer;
   }
+  co_return co_await ReadOutcome(std::move(spec), std::move(written));
+}
+
+net::Task<RolloutAnswer> RolloutCoordinator::ReadOutcome(
+    std::shared_ptr<const RolloutSpec> spec, StoreResult written) {
   if (written.status != StoreStatus::kConflict &&
       written.status != StoreStatus::kUnknown) {
     co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
   // Known already, perhaps by this very request: its state is the answer. A
-  // rollout of that name which says something else is a conflict.
-  RolloutAnswer seen = co_await FreshRead(spec->id);
-  if (seen.result == Result::kOk) {
-    const RolloutSpec& theirs = *seen.state.record.spec;
-    if (theirs.from != spec->from || theirs.to != spec->to) {
+  // rollout of that id with other jobs is a conflict.
+  RolloutAnswer current = co_await ReadFresh(spec->id);
+  if (current.result == Result::kOk) {
+    const RolloutSpec& recorded = *current.state.record.spec;
+    if (recorded.from != spec->from || recorded.to != spec->to) {
       co_return MakeAnswer(Result::kConflict,
                            spec->id + " is another roll-out");
     }
-    co_return seen;
+    co_return current;
   }
-  if (seen.result == Result::kNotFound &&
+  if (current.result == Result::kNotFound &&
       written.status == StoreStatus::kConflict) {
     for (const std::string& failed : written.failed) {
       if (failed.ends_with(spec->to)) {
@@ -182,20 +201,19 @@
 
 net::Task<RolloutAnswer> RolloutCoordinator::Request(std::string id,
                                                      RolloutRequest request) {
-  constexpr int kTries = 3;
-  for (int i = 0; i < kTries; ++i) {
-    RolloutAnswer now = co_await FreshRead(id);
-    if (now.result != Result::kOk) co_return now;
-    RolloutRecord record = now.state.record;
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    RolloutAnswer current = co_await ReadFresh(id);
+    if (current.result != Result::kOk) co_return current;
+    RolloutRecord record = current.state.record;
     if (Ended(record.step)) {
       co_return MakeAnswer(Result::kConflict, id + " has ended");
     }
     if (request == RolloutRequest::kResume &&
         record.step != RolloutStep::kPaused &&
         record.request != RolloutRequest::kPause) {
-      co_return now;  // nothing to resume
+      co_return current;  // nothing to resume
     }
-    if (record.request == request) co_return now;
+    if (record.request == request) co_return current;
     const std::string key = keys::Of(keys::kRollout, id);
     std::vector<Precondition> preconditions{{key, record.mod_revision}};
     callbacks_.add_guard(&preconditions);
@@ -205,16 +223,16 @@
         std::move(preconditions), std::move(mutations), Urgency::kUser);
     if (written.ok()) {
       callbacks_.apply(key, record, written.revision);
-      now.state.record = record;
-      co_return now;
+      current.state.record = record;
+      co_return current;
     }
     if (written.status == StoreStatus::kRefused) {
       co_return MakeAnswer(
           Result::kImpossible,
           "the record is larger than the state service takes now");
     }
-    // The leader has recorded a step meanwhile, or the outcome is unknown:
-    // look again before anything else is said.
+    // The leader has recorded a step meanwhile, or the outcome is unknown: read
+    // again before answering.
     if (written.status == StoreStatus::kNotExecuted) break;
   }
   co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
--- a/app/rollout_coordinator.h
+++ b/app/rollout_coordinator.h
@@ -1,10 +1,16 @@
-// What a controller does for users' rollouts: declarations and wishes go into
-// the key-value store by its own conditional writes; the leader sees them
-// there.
+// Declares users' rollouts and records their requests (pause, resume, abort) by
+// this controller's own compare-and-swaps in the key-value store; the leader
+// sees them there and carries them out.
+//
+// Coroutines hold `this` and copies of their arguments: the coordinator must
+// outlive the event loop's run.
 #pragma once
 
 #include <functional>
+#include <memory>
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "api/rollout_routes.h"
 #include "clients/key_value_store.h"
@@ -15,21 +21,21 @@
 class RolloutCoordinator : public api::RolloutService {
  public:
   struct Callbacks {
-    // Takes a record that was read or written into the picture.
+    // Takes a record that was read or written into the catalog.
     std::function<void(const std::string& key, const Record&,
                        uint64_t mod_revision)>
         apply;
     std::function<bool()> synced;
-    // Makes a write one of the epoch that is known.
+    // Ties a write to the store epoch that is known.
     std::function<void(std::vector<Precondition>*)> add_guard;
-    // The leader's brain, where this controller leads; null elsewhere.
+    // The leader's core, where this controller leads; null elsewhere.
     std::function<const Leader*()> leader;
-    std::function<double()> now;
+    std::function<double()> now;  // s, steady clock
   };
 
   RolloutCoordinator(const Settings& settings, const Tuning& tuning,
                      const Catalog& catalog,
-                     clients::KeyValueStoreClient& state, Callbacks callbacks);
+                     clients::KeyValueStoreClient& store, Callbacks callbacks);
 
   bool Enabled() const override { return tuning_.rollouts_at_once >= 1; }
   net::Task<api::RolloutAnswer> Declare(
@@ -40,8 +46,17 @@
   std::optional<std::vector<api::RolloutState>> List() override;
 
  private:
-  // Reads live, then ended; says not found only after both.
-  net::Task<api::RolloutAnswer> FreshRead(std::string id);
+  // Reads the live record, then the terminal one; kNotFound only after both.
+  net::Task<api::RolloutAnswer> ReadFresh(std::string id);
+  // Why the rollout can't be declared, by what is known here.
+  std::optional<api::RolloutAnswer> RejectDeclaration(
+      const RolloutSpec& spec) const;
+  // Why it can't run beside the other rollouts.
+  std::optional<api::RolloutAnswer> RejectBesideOthers(
+      const RolloutSpec& spec) const;
+  // After a conflict or an unknown outcome of the declaration's write.
+  net::Task<api::RolloutAnswer> ReadOutcome(
+      std::shared_ptr<const RolloutSpec> spec, clients::StoreResult written);
   api::RolloutState StateOf(const RolloutRecord& record) const;
 
   const Settings& settings_;
