--- a/app/main.cc
+++ b/app/main.cc
@@ -8,12 +8,10 @@
 #include <cstdlib>
 #include <string>
 
-#include "app/calendar_cli.h"
 #include "app/controller_node.h"
 #include "app/options.h"
-#include "app/rollout_cli.h"
 #include "app/settings.h"
-#include "app/tiers_cli.h"
+#include "cli/command_line.h"
 #include "core/model/timeouts.h"
 #include "net/http_client.h"
 #include "net/loop.h"
@@ -121,53 +119,19 @@
   return exit;
 }
 
-CLI::App* AddCalendar(CLI::App& cli, CalendarCommand* command) {
-  CLI::App* all =
-      cli.add_subcommand("calendar", "windows and peaks for heavy work");
-  all->require_subcommand(1);
-  const auto add = [&](const char* verb, const char* help, bool id) {
-    CLI::App* sub = all->add_subcommand(verb, help);
-    sub->add_option("--address", command->address, "any controller, IP:PORT")
-        ->required();
-    if (id) sub->add_option("id", command->id, "the booking's id")->required();
-    sub->callback([command, verb] { command->verb = verb; });
-    return sub;
-  };
-  const auto mutations = [&](CLI::App* sub) {
-    sub->add_option("--author", command->author, "who changes it")->required();
-    sub->add_option("--note", command->note, "why");
-    sub->add_option("--notice", command->notice_seconds,
-                    "what a rule has sooner is left out, s");
-    return sub;
-  };
-  const auto declares = [&](CLI::App* sub) {
-    sub->add_option("file", command->file, "a declaration")->required();
-    return sub;
-  };
-  const auto replaces = [&](CLI::App* sub) {
-    sub->add_option("--version", command->version,
-                    "the version that it replaces; -1: whichever is there");
-  };
-  replaces(declares(mutations(add("book", "book, or change a booking", true))));
-  replaces(mutations(add("cancel", "cancel a booking", true)));
-  mutations(add("extend", "work the rules' times out further ahead", false));
-  add("list", "all bookings", false);
-  add("show", "one booking, with its times", true);
-  CLI::App* check = declares(add("check", "look at a declaration only", true));
-  check->add_option("--config", command->config,
-                    "the platform's settings file (JSON): checks names too");
-  CLI::App* next = add("next", "when work may start", false);
-  next->add_option("--class", command->job_class, "of the work");
-  next->add_option("--team", command->team, "of the work");
-  next->add_option("--cores", command->cores, "of all its tasks");
-  next->add_option("--accelerators", command->accelerators, "of all its tasks");
-  next->add_option("--run", command->run_seconds, "of one task, s");
-  return all;
+int RunTiers(const cli::TiersCommand& command, const std::string& config) {
+  Settings settings;
+  if (!config.empty()) {
+    Tuning tuning;
+    const int error = Load(config, "", &settings, &tuning);
+    if (error != 0) return error;
+  }
+  return cli::RunTiers(command, settings);
 }
 
 int Main(int argc, char** argv) {
-  CLI::App cli("A cluster scheduler for services, training and batch work.");
-  cli.require_subcommand(1);
+  CLI::App parser("A cluster scheduler for services, training and batch work.");
+  parser.require_subcommand(1);
   std::string config;
   std::string tuning_path;
   const auto with_config = [&](CLI::App* sub) {
@@ -178,78 +142,21 @@
     return sub;
   };
   const CLI::App* serve =
-      with_config(cli.add_subcommand("serve", "run a controller"));
+      with_config(parser.add_subcommand("serve", "run a controller"));
   const CLI::App* check = with_config(
-      cli.add_subcommand("check-config", "check the settings and end"));
+      parser.add_subcommand("check-config", "check the settings and end"));
   with_config(
-      cli.add_subcommand("status", "ask the controller if it is ready"));
-  RolloutCommand rollout;
-  CLI::App* rollouts =
-      cli.add_subcommand("rollout", "replace a service, held to a floor");
-  rollouts->require_subcommand(1);
-  const auto add = [&](const char* verb, const char* help, const char* subject,
-                       bool required) {
-    CLI::App* sub = rollouts->add_subcommand(verb, help);
-    sub->add_option("--address", rollout.address, "any controller, IP:PORT")
-        ->required();
-    sub->add_flag("--json", rollout.json, "print answers as they came");
-    CLI::Option* option =
-        sub->add_option(subject, rollout.subject, "the roll-out's id");
-    if (std::string(subject) == "file") option->description("a declaration");
-    if (required) option->required();
-    sub->callback([&rollout, verb] { rollout.verb = verb; });
-  };
-  add("start", "declare a roll-out", "file", true);
-  add("status", "show one or all", "id", false);
-  add("watch", "follow one to its end", "id", true);
-  add("pause", "hold one where it is", "id", true);
-  add("resume", "let a paused one go on", "id", true);
-  add("abort", "take one back", "id", true);
-  TiersCommand tiers_command;
-  CLI::App* tiers = cli.add_subcommand("tiers", "priority tiers of jobs");
-  tiers->require_subcommand(1);
-  const auto add_tiers = [&](const char* verb, const char* help) {
-    CLI::App* sub = tiers->add_subcommand(verb, help);
-    const std::string name = verb;
-    const bool file = name == "check" || name == "set";
-    const bool mutations = name == "set" || name == "withdraw";
-    sub->add_option("--config", config,
-                    "the settings that a file is checked against");
-    if (file) sub->add_option("file", tiers_command.file)->required();
-    if (name != "check") {
-      sub->add_option("--address", tiers_command.address,
-                      "any controller, IP:PORT")
-          ->required();
-      sub->add_flag("--json", tiers_command.json, "print texts as they came");
-    }
-    if (mutations) {
-      sub->add_option("--version", tiers_command.version,
-                      "the version that is replaced; 0: there is none")
-          ->required();
-      sub->add_option("--author", tiers_command.author, "who changes it");
-      sub->add_option("--note", tiers_command.note, "why");
-    }
-    sub->callback([&tiers_command, verb] { tiers_command.verb = verb; });
-  };
-  add_tiers("show", "the tiers as recorded");
-  add_tiers("check", "check a file and show what it means");
-  add_tiers("set", "record a file's tiers");
-  add_tiers("withdraw", "go back to the built-in order");
-  add_tiers("history", "the versions that are kept");
-  CalendarCommand calendar;
-  CLI::App* calendars = AddCalendar(cli, &calendar);
-  CLI11_PARSE(cli, argc, argv);
-  if (calendars->parsed()) return RunCalendar(calendar);
-  if (tiers->parsed()) {
-    Settings settings;
-    if (!config.empty()) {
-      Tuning tuning;
-      const int error = Load(config, "", &settings, &tuning);
-      if (error != 0) return error;
-    }
-    return RunTiers(tiers_command, settings);
-  }
-  if (rollouts->parsed()) return RunRollout(rollout);
+      parser.add_subcommand("status", "ask the controller if it is ready"));
+  cli::RolloutCommand rollout;
+  const CLI::App* rollouts = cli::AddRollout(parser, &rollout);
+  cli::TiersCommand tiers_command;
+  const CLI::App* tiers = cli::AddTiers(parser, &tiers_command, &config);
+  cli::CalendarCommand calendar;
+  const CLI::App* calendars = cli::AddCalendar(parser, &calendar);
+  CLI11_PARSE(parser, argc, argv);
+  if (calendars->parsed()) return cli::RunCalendar(calendar);
+  if (tiers->parsed()) return RunTiers(tiers_command, config);
+  if (rollouts->parsed()) return cli::RunRollout(rollout);
   if (!SetUpLog()) return kBadSettings;
   Settings settings;
   Tuning tuning;
--- a/app/calendar_cli.cc
+++ b/cli/calendar_command.cc
@@ -1,4 +1,4 @@
-#include "app/calendar_cli.h"
+#include "cli/calendar_command.h"
 
 #include <dlfcn.h>
 #include <fmt/chrono.h>
@@ -11,15 +11,15 @@
 #include <iterator>
 #include <memory>
 
-#include "app/record_client.h"
-#include "app/recurrence.h"
 #include "app/settings.h"
+#include "cli/record_client.h"
+#include "cli/recurrence.h"
 #include "core/maintenance/maintenance_calendar.h"
 #include "core/maintenance/window_validation.h"
 #include "net/loop.h"
 #include "wire/calendar_json.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 namespace {
 
 constexpr double kHorizon = 400 * 86400.0;  // s
@@ -103,12 +103,12 @@
 }
 
 bool Bookings(RecordClient& client, std::vector<MaintenanceWindow>* out,
-              RecordClient::Named* records) {
+              std::vector<NamedRecord>* records) {
   if (!client.List(std::string(wire::kCalendarPrefix), records)) {
     std::fprintf(stderr, "no answer\n");
     return false;
   }
-  std::erase_if(*records, [](const auto& r) { return r.second.withdrawn; });
+  std::erase_if(*records, [](const auto& r) { return r.record.withdrawn; });
   for (const auto& [name, record] : *records) {
     MaintenanceWindow booking;
     const std::string wrong =
@@ -124,7 +124,7 @@
 
 int List(RecordClient& client) {
   std::vector<MaintenanceWindow> bookings;
-  RecordClient::Named records;
+  std::vector<NamedRecord> records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
   const double wall = net::WallNow();
   for (size_t i = 0; i < bookings.size(); ++i) {
@@ -134,7 +134,7 @@
                      [&](const UtcInterval& t) { return t.to > wall; });
     std::printf("%s: %s, version %llu, %s%s%s\n", b.id.c_str(),
                 b.kind == BookingKind::kPeak ? "peak" : "window",
-                static_cast<unsigned long long>(records[i].second.version),
+                static_cast<unsigned long long>(records[i].record.version),
                 next == b.times.end() ? "no time is left"
                 : next->from <= wall  ? "open now, until "
                                       : "next from ",
@@ -240,12 +240,12 @@
   PrintTimes(booking, 10);
   if (command.config.empty()) return kRecordOk;
   Settings settings;
-  wrong = LoadSettings(command.config, &settings);
+  wrong = app::LoadSettings(command.config, &settings);
   if (!wrong.empty()) return BadUse(wrong);
   BookingContext context;
   context.settings = &settings;
   context.wall = wall;
-  RecordClient::Named records;
+  std::vector<NamedRecord> records;
   if (!Bookings(client, &context.others, &records)) return kRecordRefused;
   std::erase_if(context.others,
                 [&](const MaintenanceWindow& b) { return b.id == booking.id; });
@@ -257,7 +257,7 @@
 
 int Next(RecordClient& client, const CalendarCommand& command) {
   std::vector<MaintenanceWindow> bookings;
-  RecordClient::Named records;
+  std::vector<NamedRecord> records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
   MaintenanceCalendar calendar(1, 0);
   calendar.Confirmed(0, 0);
@@ -287,7 +287,7 @@
 // Works the times of every rule out anew, as far ahead as a record holds.
 int Extend(RecordClient& client, const CalendarCommand& command) {
   std::vector<MaintenanceWindow> bookings;
-  RecordClient::Named records;
+  std::vector<NamedRecord> records;
   if (!Bookings(client, &bookings, &records)) return kRecordRefused;
   int worst = kRecordOk;
   for (size_t i = 0; i < bookings.size(); ++i) {
@@ -304,7 +304,7 @@
     }
     if (b.known_until <= before && b.known_until > 0) continue;
     const RecordClient::Answer answer =
-        client.Put(NameOf(b.id), records[i].second.version,
+        client.Put(NameOf(b.id), records[i].record.version,
                    wire::WriteBooking(b), command.author, "extended");
     if (answer.result == RecordClient::Result::kOk) {
       std::printf("%s: known until %s\n", b.id.c_str(),
@@ -332,4 +332,4 @@
   return Extend(client, command);
 }
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/calendar_cli.h
+++ b/cli/calendar_command.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
 struct CalendarCommand {
   std::string verb;     // book, list, show, cancel, check, next, extend
@@ -27,7 +27,7 @@
   double run_seconds = 0;
 };
 
-// Exit codes are those of app/record_client.h.
+// Exit codes are those of cli/record_client.h.
 int RunCalendar(const CalendarCommand& command);
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/record_client.cc
+++ b/cli/record_client.cc
@@ -1,26 +1,18 @@
-#include "app/record_client.h"
+#include "cli/record_client.h"
 
 #include <cstdio>
 
 #include "api/record_routes.h"
-#include "app/retries.h"
+#include "cli/controller_client.h"
 #include "net/http_client.h"
-#include "net/loop.h"
 #include "wire/json.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 namespace {
 
-constexpr size_t kLimit = 16 * 1024 * 1024;
+constexpr size_t kMaxAnswerBytes = 16 * 1024 * 1024;
 
-net::Task<void> AskAndStop(net::Loop& loop, net::HttpClient& http,
-                           std::string method, std::string path,
-                           std::string body, net::ClientResult* out) {
-  *out = co_await AskWithRetries(loop, http, method, path, body);
-  loop.Stop();
-}
-
-OperatorRecord RecordIn(const rapidjson::Value& value) {
+OperatorRecord ParseRecord(const rapidjson::Value& value) {
   OperatorRecord record;
   record.kind = json::GetString(value, "kind");
   record.version = json::GetUint(value, "version");
@@ -30,8 +22,8 @@
   record.withdrawn = json::GetBool(value, "withdrawn");
   if (const auto* text = json::Find(value, "text")) {
     rapidjson::StringBuffer buffer;
-    json::Writer w(buffer);
-    text->Accept(w);
+    json::Writer writer(buffer);
+    text->Accept(writer);
     record.text = json::Text(buffer);
   }
   return record;
@@ -41,25 +33,25 @@
                        const std::string& author, const std::string& note,
                        bool withdrawn) {
   rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  json::Key(w, "version");
-  w.Uint64(version);
-  if (!author.empty()) json::Field(w, "author", author);
-  if (!note.empty()) json::Field(w, "note", note);
+  json::Writer writer(buffer);
+  writer.StartObject();
+  json::Key(writer, "version");
+  writer.Uint64(version);
+  if (!author.empty()) json::Field(writer, "author", author);
+  if (!note.empty()) json::Field(writer, "note", note);
   if (withdrawn) {
-    json::Key(w, "withdrawn");
-    w.Bool(true);
+    json::Key(writer, "withdrawn");
+    writer.Bool(true);
   } else {
-    json::Key(w, "text");
+    json::Key(writer, "text");
     rapidjson::Document doc;
     if (json::Parse(text, &doc)) {
-      doc.Accept(w);
+      doc.Accept(writer);
     } else {
-      w.Null();
+      writer.Null();
     }
   }
-  w.EndObject();
+  writer.EndObject();
   return json::Text(buffer);
 }
 
@@ -67,13 +59,11 @@
 
 int RecordClient::Ask(const std::string& method, const std::string& path,
                       const std::string& body, std::string* answer) {
-  net::Address address;
-  if (!net::ParseAddress(address_, &address)) return 0;
-  net::Loop loop;
-  net::HttpClient http(loop, address, kLimit);
   net::ClientResult result;
-  net::Spawn(AskAndStop(loop, http, method, path, body, &result));
-  loop.Run();
+  const auto command = [&](ControllerClient& client) -> net::Task<void> {
+    result = co_await client.Ask(method, path, body);
+  };
+  if (!RunWithController(address_, kMaxAnswerBytes, command)) return 0;
   if (result.outcome != net::Outcome::kAnswered) return 0;
   *answer = std::move(result.body);
   return result.status;
@@ -89,12 +79,12 @@
   if (status == 0 || !json::Parse(answer.body, &doc)) return answer;
   if (status == 200 || status == 201) {
     answer.result = Result::kOk;
-    answer.record = RecordIn(doc);
+    answer.record = ParseRecord(doc);
   } else if (status == 404) {
     answer.result = Result::kNotFound;
   } else if (status == 409) {
     answer.result = Result::kConflict;
-    answer.record = RecordIn(doc);
+    answer.record = ParseRecord(doc);
   } else if (status != 503 && status != 429) {
     answer.result = Result::kRefused;
     answer.why = json::GetString(doc, "error");
@@ -121,7 +111,8 @@
   return Change(name, ChangeBody(version, "", author, note, true));
 }
 
-bool RecordClient::ReadMany(const std::string& path, Named* out) {
+bool RecordClient::ReadMany(const std::string& path,
+                            std::vector<NamedRecord>* out) {
   std::string body;
   rapidjson::Document doc;
   if (Ask("GET", path, "", &body) != 200 || !json::Parse(body, &doc)) {
@@ -130,17 +121,19 @@
   const auto* records = json::Find(doc, "records");
   if (records == nullptr || !records->IsArray()) return false;
   for (const auto& one : records->GetArray()) {
-    out->emplace_back(json::GetString(one, "name"), RecordIn(one));
+    out->push_back({json::GetString(one, "name"), ParseRecord(one)});
   }
   return true;
 }
 
-bool RecordClient::List(const std::string& prefix, Named* out) {
+bool RecordClient::List(const std::string& prefix,
+                        std::vector<NamedRecord>* out) {
   return ReadMany(std::string(api::RecordRoutes::kPath) + "?prefix=" + prefix,
                   out);
 }
 
-bool RecordClient::Past(const std::string& name, Named* out) {
+bool RecordClient::ListVersions(const std::string& name,
+                                std::vector<NamedRecord>* out) {
   return ReadMany(std::string(api::RecordRoutes::kVersionsPath) + name, out);
 }
 
@@ -169,4 +162,4 @@
   return kRecordRefused;
 }
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/record_client.h
+++ b/cli/record_client.h
@@ -1,39 +1,41 @@
-// What the command line asks of a deployment about the operators' records.
-// Blocks: for commands, not for controllers.
+// Reads and changes the operators' records of a deployment through one of its
+// controllers. Blocks: for commands, not for controllers.
 #pragma once
 
 #include <rapidjson/document.h>
 
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "core/model/operator_record.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
 // Exit codes of commands that change or show records.
 inline constexpr int kRecordOk = 0;
 inline constexpr int kRecordRefused = 1;  // or no answer in time
-inline constexpr int kRecordBadUse = 2;   // bad words, or a bad file
+inline constexpr int kRecordBadUse = 2;   // bad arguments, or a bad file
 inline constexpr int kRecordConflict = 3;
 
+struct NamedRecord {
+  std::string name;
+  OperatorRecord record;
+};
+
 class RecordClient {
  public:
   enum class Result { kOk, kNotFound, kConflict, kRefused, kNoAnswer };
   struct Answer {
     Result result = Result::kNoAnswer;
-    std::string why;        // refused: as the service says
-    OperatorRecord record;  // as it stands; on a conflict too
-    std::string body;       // as it came
+    std::string why;        // refused: the reason that the controller gives
+    OperatorRecord record;  // the present one; on a conflict too
+    std::string body;       // of the response, as it was received
   };
-  using Named = std::vector<std::pair<std::string, OperatorRecord>>;
 
   // `address`: of any controller, IPv4 and a port.
   explicit RecordClient(std::string address) : address_(std::move(address)) {}
 
-  // Repeats what could not be taken, as a user of the protocol does, for half a
-  // minute.
+  // Each request is repeated while it is not accepted (ControllerClient::Ask).
   Answer Get(const std::string& name);
   // Replaces the version (0: there is none). `text`: JSON.
   Answer Put(const std::string& name, uint64_t version, const std::string& text,
@@ -41,11 +43,11 @@
   Answer Withdraw(const std::string& name, uint64_t version,
                   const std::string& author, const std::string& note);
   // False when there is no answer.
-  bool List(const std::string& prefix, Named* out);
-  bool Past(const std::string& name, Named* out);
+  bool List(const std::string& prefix, std::vector<NamedRecord>* out);
+  bool ListVersions(const std::string& name, std::vector<NamedRecord>* out);
 
-  // The exit code for an answer, after one line on standard error for what is
-  // no success.
+  // The exit code for an answer; writes one line to standard error for a
+  // failure.
   static int Explain(const Answer& answer);
 
  private:
@@ -53,9 +55,9 @@
   int Ask(const std::string& method, const std::string& path,
           const std::string& body, std::string* answer);
   Answer Change(const std::string& name, const std::string& body);
-  bool ReadMany(const std::string& path, Named* out);
+  bool ReadMany(const std::string& path, std::vector<NamedRecord>* out);
 
   std::string address_;
 };
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/recurrence.cc
+++ b/cli/recurrence.cc
@@ -1,4 +1,4 @@
-#include "app/recurrence.h"
+#include "cli/recurrence.h"
 
 #include <date/date.h>
 #include <date/tz.h>
@@ -12,7 +12,7 @@
 #include <set>
 #include <sstream>
 
-namespace oxbow::app {
+namespace oxbow::cli {
 namespace {
 
 using Local = date::local_seconds;
@@ -209,4 +209,4 @@
   *wrong = WorkOutTimes(*horizon, booking);
 }
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/recurrence.h
+++ b/cli/recurrence.h
@@ -7,7 +7,7 @@
 
 #include "core/maintenance/maintenance_window.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
 struct Horizon {
   double from = 0;    // what ends before it is left out, s since 1970
@@ -24,4 +24,4 @@
 using WorkOutTimesCall = void (*)(const Horizon*, MaintenanceWindow*,
                                   std::string*);
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/rollout_cli.cc
+++ b/cli/rollout_command.cc
@@ -1,4 +1,4 @@
-#include "app/rollout_cli.h"
+#include "cli/rollout_command.h"
 
 #include <rapidjson/document.h>
 
@@ -7,16 +7,15 @@
 #include <iterator>
 
 #include "api/rollout_routes.h"
-#include "app/retries.h"
+#include "cli/controller_client.h"
 #include "net/http_client.h"
-#include "net/loop.h"
 #include "wire/json.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 namespace {
 
-constexpr size_t kLimit = 1024 * 1024;
-constexpr net::Time kWatchPause = 1;  // s, between two looks
+constexpr size_t kMaxAnswerBytes = 1024 * 1024;
+constexpr net::Time kWatchIntervalSeconds = 1;
 
 unsigned Count(const rapidjson::Value& value, const char* key) {
   return static_cast<unsigned>(json::GetUint(value, key));
@@ -54,19 +53,14 @@
   if (many->Empty()) std::printf("no roll-out is under way\n");
 }
 
-class WorkerIncarnation {
+// One run of the command.
+class RolloutRun {
  public:
-  WorkerIncarnation(net::Loop& loop, const RolloutCommand& command,
-                    const net::Address& address)
-      : loop_(loop), command_(command), http_(loop, address, kLimit) {}
+  RolloutRun(const RolloutCommand& command, ControllerClient& client)
+      : command_(command), client_(client) {}
 
-  net::Task<void> Run(int* exit) {
-    *exit = co_await Go();
-    loop_.Stop();
-  }
-
- private:
-  net::Task<int> Go() {
+  // Returns the exit code.
+  net::Task<int> Execute() {
     const std::string base(api::RolloutRoutes::kPath);
     if (command_.verb == "start") {
       std::ifstream file(command_.subject);
@@ -87,9 +81,9 @@
         "POST", base + "/" + command_.subject + "/" + command_.verb, "");
   }
 
+ private:
   net::Task<int> Ask(std::string method, std::string path, std::string body) {
-    const net::ClientResult answer =
-        co_await AskWithRetries(loop_, http_, method, path, body);
+    const net::ClientResult answer = co_await client_.Ask(method, path, body);
     if (answer.outcome != net::Outcome::kAnswered) {
       std::fprintf(stderr, "%s: no answer\n", command_.address.c_str());
       co_return kRolloutRefused;
@@ -110,8 +104,7 @@
         std::string(api::RolloutRoutes::kPath) + "/" + command_.subject;
     std::string last;
     for (;;) {
-      const net::ClientResult answer =
-          co_await AskWithRetries(loop_, http_, "GET", path, "");
+      const net::ClientResult answer = co_await client_.Ask("GET", path, "");
       if (!answer.ok()) {
         std::fprintf(stderr, "%s: no answer\n", command_.address.c_str());
         co_return kRolloutRefused;
@@ -124,30 +117,28 @@
       const std::string step = json::GetString(doc, "step");
       if (step == "done") co_return kRolloutOk;
       if (step == "rolled_back" || step == "failed") co_return kRolloutNotDone;
-      co_await loop_.Sleep(kWatchPause);
+      co_await client_.Sleep(kWatchIntervalSeconds);
     }
   }
 
-  net::Loop& loop_;
   const RolloutCommand& command_;
-  net::HttpClient http_;
+  ControllerClient& client_;
 };
 
 }  // namespace
 
 int RunRollout(const RolloutCommand& command) {
-  net::Address address;
-  if (!net::ParseAddress(command.address, &address)) {
+  int exit_code = kRolloutRefused;
+  const auto run = [&](ControllerClient& client) -> net::Task<void> {
+    RolloutRun rollout(command, client);
+    exit_code = co_await rollout.Execute();
+  };
+  if (!RunWithController(command.address, kMaxAnswerBytes, run)) {
     std::fprintf(stderr, "--address: %s is not IPv4 and a port\n",
                  command.address.c_str());
     return kRolloutBadUse;
   }
-  net::Loop loop;
-  int exit = kRolloutRefused;
-  WorkerIncarnation incarnation(loop, command, address);
-  net::Spawn(incarnation.Run(&exit));
-  loop.Run();
-  return exit;
+  return exit_code;
 }
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/rollout_cli.h
+++ b/cli/rollout_command.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
 struct RolloutCommand {
   std::string verb;     // start, status, watch, pause, resume, abort
@@ -21,4 +21,4 @@
 
 int RunRollout(const RolloutCommand& command);
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/tiers_cli.cc
+++ b/cli/tiers_command.cc
@@ -1,16 +1,16 @@
-#include "app/tiers_cli.h"
+#include "cli/tiers_command.h"
 
 #include <cstdio>
 #include <ctime>
 #include <fstream>
 #include <iterator>
 
-#include "app/record_client.h"
+#include "cli/record_client.h"
 #include "core/priority_tiers/tier_set.h"
 #include "wire/names.h"
 #include "wire/tiers_json.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 namespace {
 
 using Result = RecordClient::Result;
@@ -109,10 +109,10 @@
 }
 
 int History(const TiersCommand& command, RecordClient& client) {
-  RecordClient::Named past;
+  std::vector<NamedRecord> past;
   const RecordClient::Answer answer = client.Get(kName);
   if (answer.result != Result::kOk) return RecordClient::Explain(answer);
-  if (!client.Past(kName, &past)) {
+  if (!client.ListVersions(kName, &past)) {
     std::fprintf(stderr, "%s: no answer\n", command.address.c_str());
     return kRecordRefused;
   }
@@ -148,4 +148,4 @@
   return RecordClient::Explain(answer);
 }
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- a/app/tiers_cli.h
+++ b/cli/tiers_command.h
@@ -6,7 +6,7 @@
 
 #include "core/model/settings.h"
 
-namespace oxbow::app {
+namespace oxbow::cli {
 
 struct TiersCommand {
   std::string verb;      // show, check, set, withdraw, history
@@ -18,8 +18,8 @@
   bool json = false;
 };
 
-// Returns the exit code (app/record_client.h). `settings`: what a file is
+// Returns the exit code (cli/record_client.h). `settings`: what a file is
 // checked against before it is sent; the deployment's own word is the last.
 int RunTiers(const TiersCommand& command, const Settings& settings);
 
-}  // namespace oxbow::app
+}  // namespace oxbow::cli
--- /dev/null
+++ b/tests/lint/bad/up/cli/empty.h
@@ -0,0 +1,1 @@
+// Nothing.
--- a/tests/maintenance_calendar_test.cc
+++ b/tests/maintenance_calendar_test.cc
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "app/recurrence.h"
+#include "cli/recurrence.h"
 #include "core/maintenance/window_validation.h"
 #include "wire/calendar_json.h"
 
@@ -33,7 +33,7 @@
 
 std::string Expand(MaintenanceWindow& b, double from = kMarch,
                    double length = 300 * kDay, size_t most = 300) {
-  return app::WorkOutTimes({from, length, most}, &b);
+  return cli::WorkOutTimes({from, length, most}, &b);
 }
 
 TEST(Recurrence, DaysOfTwentyThreeAndTwentyFiveHours) {
