--- a/api/api.h
+++ b/api/api.h
@@ -27,6 +27,7 @@
   uint32_t running = 0;  // tasks
 };
 
+// What became of a submission.
 enum class SubmitResult : uint8_t {
   kUnavailable,  // 503: can't be recorded now
   kAccepted,
@@ -35,6 +36,7 @@
   kUnknownDependency,  // it names a job that was never accepted
 };
 
+// How a heartbeat is answered.
 struct HeartbeatAnswer {
   enum class Result : uint8_t {
     kUnavailable,
@@ -81,6 +83,7 @@
   virtual LeaderView CurrentLeader() = 0;
 };
 
+// Routes requests, parses them and renders the answers.
 class Api {
  public:
   // `rollouts` and `records` may be null; then their routes do not exist.
--- a/api/record_routes.h
+++ b/api/record_routes.h
@@ -29,6 +29,7 @@
   OperatorRecord record;  // the present one; on a conflict too
 };
 
+// A record with the name it is stored under.
 struct NamedRecord {
   std::string name;
   OperatorRecord record;
@@ -51,6 +52,7 @@
       std::string name) = 0;
 };
 
+// Parses requests about records and renders their answers.
 class RecordRoutes {
  public:
   static constexpr std::string_view kPath = "/v2/records";
--- a/api/rollout_routes.h
+++ b/api/rollout_routes.h
@@ -50,6 +50,7 @@
   virtual std::optional<std::vector<RolloutState>> List() = 0;
 };
 
+// Parses requests about rollouts and renders their answers.
 class RolloutRoutes {
  public:
   static constexpr std::string_view kPath = "/v2/rollouts";
--- a/app/action_executor.h
+++ b/app/action_executor.h
@@ -50,6 +50,7 @@
   bool unfit = false;         // resigns because others are fitter to lead
 };
 
+// Executes the actions of this controller's leaderships.
 class ActionExecutor {
  public:
   struct Callbacks {
--- a/app/controller_node.h
+++ b/app/controller_node.h
@@ -30,6 +30,7 @@
 
 namespace oxbow::app {
 
+// One controller of a deployment, as a process runs it.
 class ControllerNode {
  public:
   ControllerNode(net::Loop& loop, const Settings& settings,
--- a/app/delegated_lease_record_writer.h
+++ b/app/delegated_lease_record_writer.h
@@ -16,6 +16,7 @@
 
 namespace oxbow::app {
 
+// Writes the record of one delegated lease.
 class DelegatedLeaseRecordWriter {
  public:
   DelegatedLeaseRecordWriter(net::Loop& loop, const Settings& settings,
--- a/app/dependency_admission.h
+++ b/app/dependency_admission.h
@@ -40,6 +40,7 @@
   bool waits = false;  // for its dependencies
 };
 
+// Decides whether a job may be accepted by its dependencies.
 class DependencyAdmission {
  public:
   struct Callbacks {
--- a/app/job_canceller.h
+++ b/app/job_canceller.h
@@ -15,6 +15,7 @@
 
 namespace oxbow::app {
 
+// Cancels jobs; one per controller.
 class JobCanceller {
  public:
   JobCanceller(const RequestContext& context, JobStatusReader& status_reader)
--- a/app/job_request_handler.h
+++ b/app/job_request_handler.h
@@ -26,6 +26,7 @@
 
 namespace oxbow::app {
 
+// Answers the HTTP interface; one per controller.
 class JobRequestHandler : public api::Service {
  public:
   explicit JobRequestHandler(const RequestContext& context);
--- a/app/job_status_reader.h
+++ b/app/job_status_reader.h
@@ -26,6 +26,7 @@
   api::JobStatus status;
 };
 
+// Reads and resolves the status of jobs; one per controller.
 class JobStatusReader {
  public:
   // What the leader has answered about a job before a fresh read.
--- a/app/job_submitter.h
+++ b/app/job_submitter.h
@@ -18,6 +18,7 @@
 
 namespace oxbow::app {
 
+// Accepts submitted jobs; one per controller.
 class JobSubmitter {
  public:
   JobSubmitter(const RequestContext& context, JobStatusReader& status_reader);
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -19,6 +19,7 @@
 
 namespace oxbow::app {
 
+// Surveys reachability and transfers leadership; one per controller.
 class LeaderHealthCoordinator {
  public:
   using Peers = std::vector<std::unique_ptr<clients::PeerClient>>;
--- a/app/leader_runtime.h
+++ b/app/leader_runtime.h
@@ -22,6 +22,7 @@
 
 namespace oxbow::app {
 
+// Runs this controller's leaderships, one after the other.
 class LeaderRuntime {
  public:
   LeaderRuntime(const LeaderServices& services, const Tuning& tuning);
--- a/app/peer_request_handler.h
+++ b/app/peer_request_handler.h
@@ -18,6 +18,7 @@
 
 namespace oxbow::app {
 
+// Answers other controllers; one per controller.
 class PeerRequestHandler {
  public:
   PeerRequestHandler(const RequestContext& context,
--- a/app/record_coordinator.h
+++ b/app/record_coordinator.h
@@ -29,6 +29,7 @@
       check;
 };
 
+// Reads and changes operators' records for the HTTP interface.
 class RecordCoordinator : public api::RecordService {
  public:
   struct Callbacks {
--- a/app/record_history.h
+++ b/app/record_history.h
@@ -13,6 +13,7 @@
 
 namespace oxbow::app {
 
+// One key of the store and the record, or piece of it, at that key.
 struct HistoryEntry {
   std::string key;
   OperatorRecord record;
--- a/app/request_context.h
+++ b/app/request_context.h
@@ -17,6 +17,7 @@
 
 namespace oxbow::app {
 
+// The parts of one controller that requests are answered from.
 struct RequestContext {
   net::Loop& loop;
   const Settings& settings;
--- a/app/request_forwarder.h
+++ b/app/request_forwarder.h
@@ -17,6 +17,7 @@
 
 namespace oxbow::app {
 
+// Asks other controllers on behalf of users; one per controller.
 class RequestForwarder {
  public:
   RequestForwarder(net::Loop& loop, const Settings& settings,
--- a/app/rollout_coordinator.h
+++ b/app/rollout_coordinator.h
@@ -18,6 +18,7 @@
 
 namespace oxbow::app {
 
+// Declares and changes rollouts for the HTTP interface.
 class RolloutCoordinator : public api::RolloutService {
  public:
   struct Callbacks {
--- a/app/terminal_state_waiters.h
+++ b/app/terminal_state_waiters.h
@@ -13,6 +13,7 @@
 
 namespace oxbow::app {
 
+// The waiters of one leader's runtime, by job.
 class TerminalStateWaiters {
  public:
   struct Waiter {
--- a/app/worker_heartbeat_handler.h
+++ b/app/worker_heartbeat_handler.h
@@ -18,6 +18,7 @@
 
 namespace oxbow::app {
 
+// Answers heartbeats; one per controller.
 class WorkerHeartbeatHandler {
  public:
   explicit WorkerHeartbeatHandler(const RequestContext& context)
--- a/app/zone_coordinator.h
+++ b/app/zone_coordinator.h
@@ -28,6 +28,7 @@
 
 namespace oxbow::app {
 
+// Handles heartbeats across zones; one per controller.
 class ZoneCoordinator {
  public:
   struct Callbacks {
--- a/cli/calendar_command.h
+++ b/cli/calendar_command.h
@@ -1,4 +1,4 @@
-// `oxbowbank calendar ...`: what operators say to the calendar.
+// `oxbowbank calendar ...`: the operators' maintenance windows and peaks.
 #pragma once
 
 #include <string>
@@ -6,6 +6,7 @@
 
 namespace oxbow::cli {
 
+// The arguments of the command.
 struct CalendarCommand {
   std::string verb;     // book, list, show, cancel, check, next, extend
   std::string address;  // of any controller
--- a/cli/record_client.h
+++ b/cli/record_client.h
@@ -17,11 +17,13 @@
 inline constexpr int kRecordBadUse = 2;   // bad arguments, or a bad file
 inline constexpr int kRecordConflict = 3;
 
+// A record with the name it is stored under.
 struct NamedRecord {
   std::string name;
   OperatorRecord record;
 };
 
+// Asks about records; each call is one request and blocks.
 class RecordClient {
  public:
   enum class Result { kOk, kNotFound, kConflict, kRefused, kNoAnswer };
--- a/cli/recurrence.cc
+++ b/cli/recurrence.cc
@@ -18,7 +18,7 @@
 using Local = date::local_seconds;
 
 // Steps of the iterator, those before the horizon included.
-constexpr int kMostSteps = 20'000;
+constexpr int kMaxSteps = 20'000;
 
 std::optional<Local> ParseLocal(const std::string& text) {
   std::istringstream in(text);
@@ -80,116 +80,24 @@
   return days && !icaltime_is_null_time(icalrecur_iterator_next(days.get()));
 }
 
+// The times of one maintenance window, computed once.
 class Expansion {
  public:
   Expansion(const Horizon& horizon, MaintenanceWindow* booking)
       : horizon_(horizon), booking_(*booking) {}
 
-  std::string Run() {
-    booking_.times.clear();
-    booking_.known_until = 0;
-    try {
-      zone_ = date::locate_zone(booking_.zone);
-    } catch (const std::exception&) {
-      return "zone: " + booking_.zone + " is not known here";
-    }
-    const auto first = ParseLocal(booking_.starts);
-    if (!first) {
-      return "starts: " + booking_.starts +
-             " is not like 2026-12-02T01:00:00, local time";
-    }
-    for (const std::string& text : booking_.except) {
-      const auto at = ParseLocal(text);
-      if (!at) return "except: " + text + " is not like 2026-12-02T01:00:00";
-      except_.insert(*at);
-    }
-    if (booking_.rule.empty()) {
-      Add(*first);
-      return booking_.times.empty() && !past_
-                 ? "starts: " + booking_.starts + " does not exist in " +
-                       booking_.zone
-                 : std::string();
-    }
-    return Recur(*first);
-  }
+  // What is wrong with the window, in one line; empty if nothing is.
+  std::string Run();
 
  private:
-  // In doubt a window is the shorter of two, a peak the longer.
-  UtcInterval Of(Local from) const {
-    const bool window = booking_.kind == BookingKind::kWindow;
-    const auto length =
-        std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds));
-    return {ToUtc(*zone_, from,
-                  window ? date::choose::latest : date::choose::earliest),
-            ToUtc(*zone_, from + length,
-                  window ? date::choose::earliest : date::choose::latest)};
-  }
-
-  void Add(Local from) {
-    const UtcInterval t = Of(from);
-    if (!(t.from < t.to)) return;  // all of it in a missing hour
-    if (t.to <= horizon_.from) {
-      past_ = true;
-      return;
-    }
-    std::vector<UtcInterval>& times = booking_.times;
-    if (!times.empty() && t.from <= times.back().to) {
-      times.back().to = std::max(times.back().to, t.to);
-    } else {
-      times.push_back(t);
-    }
-  }
-
-  std::string Recur(Local first) {
-    // What repeats more often would be told by millions of times, and the
-    // library looks for a moment that never comes second by second.
-    const icalrecurrencetype rule =
-        icalrecurrencetype_from_string(booking_.rule.c_str());
-    if (rule.freq == ICAL_NO_RECURRENCE) {
-      return "rule: " + booking_.rule + " is no RRULE";
-    }
-    if (rule.freq == ICAL_SECONDLY_RECURRENCE ||
-        rule.freq == ICAL_MINUTELY_RECURRENCE) {
-      return "rule: " + booking_.rule + " repeats more often than HOURLY";
-    }
-    if (!MayMatch(rule, first)) {
-      return "rule: " + booking_.rule + " never matches";
-    }
-    const Iterator next(icalrecur_iterator_new(rule, ToIcal(first)));
-    if (!next) return "rule: " + booking_.rule + " can't be followed";
-    // Far behind its beginning, the steps up to now are skipped; a count has
-    // to be counted.
-    const Local now{std::chrono::seconds(static_cast<int64_t>(horizon_.from))};
-    const auto back =
-        std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds)) +
-        date::days(2);
-    if (rule.count == 0 && first < now - back) {
-      icalrecur_iterator_set_start(next.get(), ToIcal(now - back));
-    }
-    const double end = horizon_.from + horizon_.length;
-    for (int steps = 0; steps < kMostSteps; ++steps) {
-      const icaltimetype t = icalrecur_iterator_next(next.get());
-      if (icaltime_is_null_time(t)) {
-        return booking_.times.empty() && !past_
-                   ? "rule: " + booking_.rule + " never matches"
-                   : std::string();
-      }
-      const Local at = FromIcal(t);
-      if (at < first || except_.contains(at)) continue;
-      const double from = Of(at).from;
-      std::vector<UtcInterval>& times = booking_.times;
-      const bool past_end = from > end && !times.empty();
-      const bool touches = !times.empty() && from <= times.back().to;
-      if (past_end || (times.size() >= horizon_.most && !touches)) {
-        times.back().to = std::min(times.back().to, from);
-        booking_.known_until = from;
-        return {};
-      }
-      Add(at);
-    }
-    return "rule: " + booking_.rule + " does not come to an end within " +
-           std::to_string(kMostSteps) + " steps";
-  }
+  // The interval that begins at that local time. Where a change of the clocks
+  // makes it ambiguous, a window is the shorter interval, a peak the longer.
+  UtcInterval Of(Local from) const;
+  void Add(Local from);
+  std::string Recur(Local first);
+  std::string CheckRule(const icalrecurrencetype& rule, Local first) const;
+  // Adds the times that the iterator gives, as far as the horizon.
+  std::string AddAll(icalrecur_iterator* next, Local first);
 
   const Horizon& horizon_;
   MaintenanceWindow& booking_;
@@ -198,6 +106,121 @@
   bool past_ = false;  // some time was left out since it is over
 };
 
+std::string Expansion::Run() {
+  booking_.times.clear();
+  booking_.known_until = 0;
+  try {
+    zone_ = date::locate_zone(booking_.zone);
+  } catch (const std::exception&) {
+    return "zone: " + booking_.zone + " is not known here";
+  }
+  const auto first = ParseLocal(booking_.starts);
+  if (!first) {
+    return "starts: " + booking_.starts +
+           " is not like 2026-12-02T01:00:00, local time";
+  }
+  for (const std::string& text : booking_.except) {
+    const auto at = ParseLocal(text);
+    if (!at) return "except: " + text + " is not like 2026-12-02T01:00:00";
+    except_.insert(*at);
+  }
+  if (booking_.rule.empty()) {
+    Add(*first);
+    return booking_.times.empty() && !past_
+               ? "starts: " + booking_.starts + " does not exist in " +
+                     booking_.zone
+               : std::string();
+  }
+  return Recur(*first);
+}
+
+UtcInterval Expansion::Of(Local from) const {
+  const bool window = booking_.kind == BookingKind::kWindow;
+  const auto length =
+      std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds));
+  return {ToUtc(*zone_, from,
+                window ? date::choose::latest : date::choose::earliest),
+          ToUtc(*zone_, from + length,
+                window ? date::choose::earliest : date::choose::latest)};
+}
+
+void Expansion::Add(Local from) {
+  const UtcInterval t = Of(from);
+  if (!(t.from < t.to)) return;  // all of it in a missing hour
+  if (t.to <= horizon_.from) {
+    past_ = true;
+    return;
+  }
+  std::vector<UtcInterval>& times = booking_.times;
+  if (!times.empty() && t.from <= times.back().to) {
+    times.back().to = std::max(times.back().to, t.to);
+  } else {
+    times.push_back(t);
+  }
+}
+
+std::string Expansion::CheckRule(const icalrecurrencetype& rule,
+                                 Local first) const {
+  if (rule.freq == ICAL_NO_RECURRENCE) {
+    return "rule: " + booking_.rule + " is no RRULE";
+  }
+  // A more frequent rule would give millions of times, and the library looks
+  // for a moment that never comes second by second.
+  if (rule.freq == ICAL_SECONDLY_RECURRENCE ||
+      rule.freq == ICAL_MINUTELY_RECURRENCE) {
+    return "rule: " + booking_.rule + " repeats more often than HOURLY";
+  }
+  if (!MayMatch(rule, first)) {
+    return "rule: " + booking_.rule + " never matches";
+  }
+  return {};
+}
+
+std::string Expansion::Recur(Local first) {
+  const icalrecurrencetype rule =
+      icalrecurrencetype_from_string(booking_.rule.c_str());
+  const std::string wrong = CheckRule(rule, first);
+  if (!wrong.empty()) return wrong;
+  const Iterator next(icalrecur_iterator_new(rule, ToIcal(first)));
+  if (!next) return "rule: " + booking_.rule + " can't be followed";
+  // If the rule began long ago, the steps up to now are skipped, unless the
+  // rule limits their number: then they are counted.
+  const Local now{std::chrono::seconds(static_cast<int64_t>(horizon_.from))};
+  const auto back =
+      std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds)) +
+      date::days(2);
+  if (rule.count == 0 && first < now - back) {
+    icalrecur_iterator_set_start(next.get(), ToIcal(now - back));
+  }
+  return AddAll(next.get(), first);
+}
+
+std::string Expansion::AddAll(icalrecur_iterator* next, Local first) {
+  const double end = horizon_.from + horizon_.length;
+  for (int steps = 0; steps < kMaxSteps; ++steps) {
+    const icaltimetype t = icalrecur_iterator_next(next);
+    if (icaltime_is_null_time(t)) {
+      return booking_.times.empty() && !past_
+                 ? "rule: " + booking_.rule + " never matches"
+                 : std::string();
+    }
+    const Local at = FromIcal(t);
+    if (at < first || except_.contains(at)) continue;
+    const double from = Of(at).from;
+    std::vector<UtcInterval>& times = booking_.times;
+    const bool past_end = from > end && !times.empty();
+    const bool touches = !times.empty() && from <= times.back().to;
+    if (past_end || (times.size() >= horizon_.most && !touches)) {
+      times.back().to = std::min(times.back().to, from);
+      booking_.known_until = from;
+      return {};
+    }
+    Add(at);
+  }
+  return "rule: " + booking_.rule + " does not come to an end within " +
+         std::to_string(kMaxSteps) + " steps";
+}
+
 }  // namespace
 
 std::string WorkOutTimes(const Horizon& horizon, MaintenanceWindow* booking) {
--- a/cli/recurrence.h
+++ b/cli/recurrence.h
@@ -1,6 +1,6 @@
-// Works out the times of a booking from its rule and its time zone: the one
-// place that uses the libraries for them. The command line alone needs it, so
-// it stands in a module of its own that the controllers never load.
+// Computes the times of a maintenance window from its recurrence rule and its
+// time zone: the one place that uses the libraries for them. Only the command
+// line needs it, so it is a module of its own that controllers never load.
 #pragma once
 
 #include <string>
@@ -9,6 +9,7 @@
 
 namespace oxbow::cli {
 
+// Up to when times are worked out.
 struct Horizon {
   double from = 0;    // what ends before it is left out, s since 1970
   double length = 0;  // s; a rule that has no time in it gets its next one
--- a/cli/rollout_command.cc
+++ b/cli/rollout_command.cc
@@ -53,6 +53,11 @@
   if (many->Empty()) std::printf("no roll-out is under way\n");
 }
 
+std::string ReadFile(const std::string& path) {
+  std::ifstream file(path);
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
 // One run of the command.
 class RolloutRun {
  public:
@@ -60,71 +65,81 @@
       : command_(command), client_(client) {}
 
   // Returns the exit code.
-  net::Task<int> Execute() {
-    const std::string base(api::RolloutRoutes::kPath);
-    if (command_.verb == "start") {
-      std::ifstream file(command_.subject);
-      const std::string body{std::istreambuf_iterator<char>(file), {}};
-      if (!file || body.empty()) {
-        std::fprintf(stderr, "cannot read %s\n", command_.subject.c_str());
-        co_return kRolloutBadUse;
-      }
-      co_return co_await Ask("POST", base, body);
-    }
-    if (command_.verb == "watch") co_return co_await Watch();
-    if (command_.verb == "status") {
-      co_return co_await Ask(
-          "GET",
-          command_.subject.empty() ? base : base + "/" + command_.subject, "");
-    }
-    co_return co_await Ask(
-        "POST", base + "/" + command_.subject + "/" + command_.verb, "");
-  }
+  net::Task<int> Execute();
 
  private:
-  net::Task<int> Ask(std::string method, std::string path, std::string body) {
-    const net::ClientResult answer = co_await client_.Ask(method, path, body);
-    if (answer.outcome != net::Outcome::kAnswered) {
-      std::fprintf(stderr, "%s: no answer\n", command_.address.c_str());
-      co_return kRolloutRefused;
-    }
-    if (answer.status != 200 && answer.status != 201) {
-      rapidjson::Document doc;
-      std::string why;
-      if (json::Parse(answer.body, &doc)) why = json::GetString(doc, "error");
-      std::fprintf(stderr, "refused (%d): %s\n", answer.status, why.c_str());
-      co_return kRolloutRefused;
-    }
-    Print(answer.body, command_.json);
-    co_return kRolloutOk;
-  }
-
-  net::Task<int> Watch() {
-    const std::string path =
-        std::string(api::RolloutRoutes::kPath) + "/" + command_.subject;
-    std::string last;
-    for (;;) {
-      const net::ClientResult answer = co_await client_.Ask("GET", path, "");
-      if (!answer.ok()) {
-        std::fprintf(stderr, "%s: no answer\n", command_.address.c_str());
-        co_return kRolloutRefused;
-      }
-      if (answer.body != last) Print(answer.body, command_.json);
-      last = answer.body;
-      std::fflush(stdout);
-      rapidjson::Document doc;
-      json::Parse(answer.body, &doc);
-      const std::string step = json::GetString(doc, "step");
-      if (step == "done") co_return kRolloutOk;
-      if (step == "rolled_back" || step == "failed") co_return kRolloutNotDone;
-      co_await client_.Sleep(kWatchIntervalSeconds);
-    }
-  }
+  net::Task<int> Start();
+  // Sends one request and prints its answer.
+  net::Task<int> Ask(std::string method, std::string path, std::string body);
+  // Prints the rollout whenever it changes, until it has ended.
+  net::Task<int> Watch();
+  int ReportNoAnswer() const;
 
   const RolloutCommand& command_;
   ControllerClient& client_;
 };
 
+net::Task<int> RolloutRun::Execute() {
+  const std::string base(api::RolloutRoutes::kPath);
+  if (command_.verb == "start") co_return co_await Start();
+  if (command_.verb == "watch") co_return co_await Watch();
+  if (command_.verb == "status") {
+    const std::string path =
+        command_.subject.empty() ? base : base + "/" + command_.subject;
+    co_return co_await Ask("GET", path, "");
+  }
+  co_return co_await Ask(
+      "POST", base + "/" + command_.subject + "/" + command_.verb, "");
+}
+
+net::Task<int> RolloutRun::Start() {
+  const std::string body = ReadFile(command_.subject);
+  if (body.empty()) {
+    std::fprintf(stderr, "cannot read %s\n", command_.subject.c_str());
+    co_return kRolloutBadUse;
+  }
+  co_return co_await Ask("POST", std::string(api::RolloutRoutes::kPath), body);
+}
+
+int RolloutRun::ReportNoAnswer() const {
+  std::fprintf(stderr, "%s: no answer\n", command_.address.c_str());
+  return kRolloutRefused;
+}
+
+net::Task<int> RolloutRun::Ask(std::string method, std::string path,
+                               std::string body) {
+  const net::ClientResult answer = co_await client_.Ask(method, path, body);
+  if (answer.outcome != net::Outcome::kAnswered) co_return ReportNoAnswer();
+  if (answer.status != 200 && answer.status != 201) {
+    rapidjson::Document doc;
+    std::string reason;
+    if (json::Parse(answer.body, &doc)) reason = json::GetString(doc, "error");
+    std::fprintf(stderr, "refused (%d): %s\n", answer.status, reason.c_str());
+    co_return kRolloutRefused;
+  }
+  Print(answer.body, command_.json);
+  co_return kRolloutOk;
+}
+
+net::Task<int> RolloutRun::Watch() {
+  const std::string path =
+      std::string(api::RolloutRoutes::kPath) + "/" + command_.subject;
+  std::string last;
+  for (;;) {
+    const net::ClientResult answer = co_await client_.Ask("GET", path, "");
+    if (!answer.ok()) co_return ReportNoAnswer();
+    if (answer.body != last) Print(answer.body, command_.json);
+    last = answer.body;
+    std::fflush(stdout);
+    rapidjson::Document doc;
+    json::Parse(answer.body, &doc);
+    const std::string step = json::GetString(doc, "step");
+    if (step == "done") co_return kRolloutOk;
+    if (step == "rolled_back" || step == "failed") co_return kRolloutNotDone;
+    co_await client_.Sleep(kWatchIntervalSeconds);
+  }
+}
+
 }  // namespace
 
 int RunRollout(const RolloutCommand& command) {
--- a/cli/rollout_command.h
+++ b/cli/rollout_command.h
@@ -1,15 +1,16 @@
-// `oxbowbank rollout ...`: what operators and users say to a deployment.
+// `oxbowbank rollout ...`: declares, shows and steers rollouts.
 #pragma once
 
 #include <string>
 
 namespace oxbow::cli {
 
+// The arguments of the command.
 struct RolloutCommand {
   std::string verb;     // start, status, watch, pause, resume, abort
   std::string address;  // of any controller
-  std::string
-      subject;  // a file for start, else the id; may be empty for status
+  // A file for start, else the id; may be empty for status.
+  std::string subject;
   bool json = false;
 };
 
@@ -19,6 +20,7 @@
 inline constexpr int kRolloutBadUse = 2;
 inline constexpr int kRolloutNotDone = 3;  // watch: rolled back or failed
 
+// Blocks; returns the exit code.
 int RunRollout(const RolloutCommand& command);
 
 }  // namespace oxbow::cli
--- a/cli/tiers_command.h
+++ b/cli/tiers_command.h
@@ -8,6 +8,7 @@
 
 namespace oxbow::cli {
 
+// The arguments of the command.
 struct TiersCommand {
   std::string verb;      // show, check, set, withdraw, history
   std::string address;   // of any controller; not for check
