--- a/app/job_request_handler.h
+++ b/app/job_request_handler.h
@@ -51,7 +51,7 @@
   // How a request that is answered by a job's status is forwarded.
   struct StatusRequest {
     clients::PeerKind relay_kind;
-    double timeout_seconds;        // until the user is told to come again
+    double timeout_seconds;        // until the user is answered to try again
     double peer_interval_seconds;  // between the peers that are asked
   };
   static const StatusRequest kStatusRequest;
--- a/cli/calendar_command.cc
+++ b/cli/calendar_command.cc
@@ -23,8 +23,7 @@
 namespace {
 
 constexpr double kHorizon = 400 * 86400.0;  // s
-// Leaves room for what stands round the text within the key-value store's
-// value.
+// The key-value store's value also holds the version, author and note.
 constexpr size_t kMostText = 5000;
 
 std::string Utc(double wall) {
@@ -37,7 +36,7 @@
   return std::string(wire::kCalendarPrefix) + id;
 }
 
-// The module stands beside the program.
+// The module is a file beside the program.
 std::string WorkOut(const Horizon& horizon, MaintenanceWindow* booking) {
   std::error_code error;
   const auto program = std::filesystem::read_symlink("/proc/self/exe", error);
