--- a/core/autoscaler/autoscaler.h
+++ b/core/autoscaler/autoscaler.h
@@ -20,6 +20,8 @@
 class TierManager;
 class MachineLifecycle;
 
+// One per leadership. Called by the leader at each tick and when the cloud or
+// the store responds.
 class Autoscaler {
  public:
   // The modules that it calls.
--- a/core/autoscaler/consolidation.h
+++ b/core/autoscaler/consolidation.h
@@ -13,6 +13,7 @@
 class MachineHealth;
 class MachineLifecycle;
 
+// Called by the autoscaler, after scale-in.
 class Consolidator {
  public:
   // All must outlive it.
--- a/core/rebalancing/rebalancer.h
+++ b/core/rebalancing/rebalancer.h
@@ -15,6 +15,7 @@
 
 namespace oxbow {
 
+// How far a move is; see the table of changes in rebalancer.cc.
 enum class ReplicaMoveState : uint8_t {
   kPlanned,   // the claim is being recorded; nothing has been stopped
   kClaimed,   // recorded: the capacity on the target is reserved
@@ -84,6 +85,7 @@
   bool (*read)(const std::string& text, MoveClaim* out) = nullptr;
 };
 
+// What the owner of a move has to do.
 enum class ReplicaMoveAction : uint8_t { kNone, kStop };
 
 // The operators' limits on moves.
@@ -109,6 +111,8 @@
   double fetch_seconds = 0;  // until the target has the image; 0: it has it
 };
 
+// All moves of one leadership, within the operators' limits. Copyable: a plan
+// is tried on a copy.
 class Rebalancer {
  public:
   struct Move {
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -275,7 +275,7 @@
   MovePlanInput input = PlanInputFor(waiting, now);
   input.usable = usable;
   const std::vector<PlannedMove> plan = PlanMoves(input);
-  // The moves off one machine stand together in the plan.
+  // The moves off one machine are adjacent in the plan.
   for (auto first = plan.begin(); first != plan.end();) {
     const auto last = std::find_if(
         first, plan.end(),
--- a/core/rebalancing/rebalancing_manager.h
+++ b/core/rebalancing/rebalancing_manager.h
@@ -19,6 +19,7 @@
 class CommandDispatcher;
 class RolloutManager;
 
+// One per leadership. Does nothing until UseMoves enables it.
 class RebalancingManager {
  public:
   // The modules that it calls.
--- a/core/rollout/build_assessment.h
+++ b/core/rollout/build_assessment.h
@@ -10,12 +10,14 @@
 
 namespace oxbow {
 
+// What follows for the rollout.
 enum class BuildVerdict : uint8_t {
   kAcceptable,
   kUnclear,  // failures that may not be the new build's: pause
   kBad,      // roll back
 };
 
+// A verdict and its reason.
 struct BuildAssessment {
   BuildVerdict verdict = BuildVerdict::kAcceptable;
   std::string reason;  // for people; empty if acceptable
@@ -27,6 +29,7 @@
   LatencyHistogram new_build;
 };
 
+// Assesses the new build by all replicas of both jobs.
 BuildAssessment AssessBuild(const ReplicaHealthMap& replicas,
                             const CheckLatencies& latencies,
                             const CheckPolicy& policy, Time now);
--- a/core/rollout/latency.h
+++ b/core/rollout/latency.h
@@ -6,6 +6,7 @@
 
 namespace oxbow {
 
+// From 0.1 ms to 100 s; what is outside counts in the outermost bins.
 class LatencyHistogram {
  public:
   void Add(double seconds) {
--- a/core/rollout/replica_health.h
+++ b/core/rollout/replica_health.h
@@ -38,6 +38,7 @@
   double interval_seconds;  // between two checks of one replica
 };
 
+// State of one replica: unknown, healthy or failing, by rows of equal results.
 class ReplicaHealth {
  public:
   void Observe(const ReplicaObservation& observed, Time now);
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -50,6 +50,8 @@
   uint32_t max_old = 0;
 };
 
+// One rollout under one leader. Its owner reviews it regularly, makes the
+// checks that are due, and has the steps that it decides recorded.
 class Rollout {
  public:
   // Assumes nothing about health: a new leader stops nothing and advances
--- a/core/rollout/rollout_manager.h
+++ b/core/rollout/rollout_manager.h
@@ -18,6 +18,7 @@
 class CommandDispatcher;
 class JobLifecycle;
 
+// One per leadership. Other modules ask it before they start or stop replicas.
 class RolloutManager {
  public:
   // The modules that it calls.
--- a/core/rollout/rollout_record.h
+++ b/core/rollout/rollout_record.h
@@ -9,6 +9,8 @@
 
 namespace oxbow {
 
+// Where a rollout is; changed by class Rollout's owner alone, and recorded
+// first.
 enum class RolloutStep : uint8_t {
   kDeclared,     // the new job has not been submitted yet
   kAdvancing,    // new replicas start, old ones stop as the floor allows
