--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -83,7 +83,7 @@
       peers_(PeersOf(loop, settings)),
       watcher_(loop, settings, store_, cloud_, catalog_,
                {[this](const std::string& key) {
-                  if (key == keys::kEpoch) recovery_.EpochSeen();
+                  if (key == keys::kEpoch) recovery_.OnEpochRecord();
                   leader_runtime_.RecordTaken(key);
                 },
                 [this] { leader_runtime_.ExecuteActions(); },
@@ -113,15 +113,16 @@
            [this](uint64_t revision, const auto& event) {
              leader_runtime_.Deliver(revision, event);
            }}),
-      recovery_(
-          loop, settings, tuning, catalog_, store_, watcher_, peers_,
-          {[this] { election_.StateLost(); },
-           [this] { election_.OtherEpoch(); },
-           [this] { return leader_runtime_.ActiveLeader() != nullptr; },
-           [this](uint64_t mod_revision) { election_.Orphaned(mod_revision); },
-           [this](uint64_t revision, const auto& event) {
-             leader_runtime_.Deliver(revision, event);
-           }}),
+      recovery_(loop, settings, tuning, catalog_, store_, watcher_, peers_,
+                {[this] { election_.OnStoreLoss(); },
+                 [this] { election_.OnLaterEpoch(); },
+                 [this] { return leader_runtime_.ActiveLeader() != nullptr; },
+                 [this](uint64_t mod_revision) {
+                   election_.OnOrphanedKey(mod_revision);
+                 },
+                 [this](uint64_t revision, const auto& event) {
+                   leader_runtime_.Deliver(revision, event);
+                 }}),
       election_(loop, settings, tuning, store_, catalog_, watcher_,
                 leader_health_coordinator_, peers_, recovery_,
                 process_incarnation_,
@@ -220,7 +221,7 @@
       break;
     }
     case PeerKind::kDelegationOver:
-      election_.DelegationReleased(message);
+      election_.OnDelegationReleased(message);
       break;
     case PeerKind::kReach:
     case PeerKind::kSilent:
--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -187,7 +187,7 @@
   leader_runtime_.ExecuteActions();
   // Released or ended since, by what is known here.
   if (catalog_.FindWaiting(id) == nullptr) co_return Accepted::kNo;
-  co_return recovery_.MayTellLive(read.items[0].mod_revision)
+  co_return recovery_.MayReportLive(read.items[0].mod_revision)
       ? Accepted::kYes
       : Accepted::kCannotTell;
 }
@@ -229,12 +229,12 @@
     if (job == nullptr) co_return StatusAsRead(id, RecordRead::kUnclear);
     // The end of this record, or one that beats it.
     if (catalog_.FindTerminalState(id) == TerminalState::kNone) {
-      if (recovery_.on() && catalog_.FindJob(id) == nullptr) {
+      if (recovery_.IsEnabled() && catalog_.FindJob(id) == nullptr) {
         // The watch has passed it, and it was deleted: an older copy is back.
         recovery_.ReportDataLoss(DataLossIndication::kStepBack);
         co_return api::Status{};
       }
-      if (!recovery_.MayTellLive(live.items[0].mod_revision))
+      if (!recovery_.MayReportLive(live.items[0].mod_revision))
         co_return api::Status{};
     }
     co_return StatusAsRead(id, RecordRead::kLive);
@@ -264,14 +264,16 @@
   api::Status status;
   const StatusDecision decision =
       ResolveStatus(id, RecordRead::kMissing, &status);
-  if (!recovery_.on() || decision != StatusDecision::kDenial) co_return status;
+  if (!recovery_.IsEnabled() || decision != StatusDecision::kDenial)
+    co_return status;
   status = api::Status{};
   if (catalog_.Accepted(id) || !recovery_.MayDeny()) {
     co_return status;
   }
-  const StoreCheck says = co_await recovery_.Check();
+  const StoreCheck says = co_await recovery_.CheckEpoch();
   if (says != StoreCheck::kStands || !recovery_.MayDeny()) co_return status;
-  const RecoveryCoordinator::Known known = co_await recovery_.AnybodyKnows(id);
+  const RecoveryCoordinator::Known known =
+      co_await recovery_.AskPeersForJob(id);
   if (known == RecoveryCoordinator::Known::kYes || !recovery_.MayDeny()) {
     recovery_.ReportDataLoss(DataLossIndication::kRecordMissing,
                              keys::Of(keys::kJob, id));
@@ -279,7 +281,7 @@
   }
   // After a rebuild that may lack something, a task of it may still be seen by
   // the leader, or the one that remembers it be away.
-  if (recovery_.SomeoneMayTell() &&
+  if (recovery_.MayBeKnownElsewhere() &&
       (!unseen || known != RecoveryCoordinator::Known::kNobody)) {
     co_return status;
   }
@@ -574,7 +576,7 @@
     Heartbeat heartbeat, std::string body) {
   using Result = api::HeartbeatAnswer::Result;
   api::HeartbeatAnswer out;
-  recovery_.TermSeen(heartbeat.token >> kTokenBits);
+  recovery_.OnObservedTerm(heartbeat.token >> kTokenBits);
   if (const Leader* leading = leader_runtime_.ActiveLeader()) {
     out.leader =
         zone_coordinator_.BetterPlaceFor(heartbeat, leading->revision());
--- a/app/leader_election.h
+++ b/app/leader_election.h
@@ -1,13 +1,28 @@
-// Who leads: seeks the key when it is free, renews its lease, asks for and
-// gives promises in an outage. Owns the right to lead and nothing that is done
-// with it; whoever acts as the leader asks Valid() at that moment.
+// Who leads: seeks the leader key when it is free, renews its lease, asks for
+// and gives promises in an outage of the store. Owns the right to lead and
+// nothing that is done with it; whoever acts as the leader asks Valid() at that
+// moment.
+//
+// Coroutines: Start() spawns detached loops that use this object, which
+// therefore lives as long as the event loop. A task that is returned is awaited
+// by its caller.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <optional>
+#include <random>
 #include <set>
 #include <string>
+#include <utility>
 
+#include "app/election/delegation_requester.h"
+#include "app/election/election_context.h"
+#include "app/election/epoch_election.h"
+#include "app/election/leader_key_writer.h"
+#include "app/election/lease_renewer.h"
+#include "app/election/peer_role_survey.h"
+#include "app/election/promise_exchange.h"
 #include "app/leader_health_coordinator.h"
 #include "app/recovery_coordinator.h"
 #include "app/store_watcher.h"
@@ -23,15 +38,17 @@
  public:
   struct Callbacks {
     std::function<bool()> is_leading;
-    // With the controllers that may hold a right to keep their zone's workers,
-    // as read after the key was won; nothing if that is not known.
+    // With the controllers that may hold a right to renew their zone's workers'
+    // leases, as read after the key was won; nothing if that is not known.
     std::function<void(uint64_t revision,
                        const std::optional<std::set<std::string>>& delegates)>
         start_leading;
     std::function<void()> stop_leading;
   };
+  // All arguments by reference must outlive this object. `incarnation`: of this
+  // process.
   LeaderElection(net::Loop& loop, const Settings& settings,
-                 const Tuning& tuning, clients::KeyValueStoreClient& state,
+                 const Tuning& tuning, clients::KeyValueStoreClient& store,
                  const Catalog& catalog, StoreWatcher& watcher,
                  const LeaderHealthCoordinator& leader_health_coordinator,
                  const LeaderHealthCoordinator::Peers& peers,
@@ -40,36 +57,47 @@
   void Start();
 
   // Whether this controller may act as the leader at this moment.
-  bool Valid() { return leadership_.Valid(loop_.Refresh()); }
+  bool Valid() { return context_.IsValidLeader(); }
+  // Whether the right to lead rests on the lease of the key, not on promises.
+  bool ByLease() {
+    return Valid() && leadership_.state() == LeaderState::kLeading;
+  }
+  // Whether it could lead, were the key free.
+  bool MayLead();
   // The lease of the leader key of that revision; 0 if it is not held any more.
   uint64_t LeaseOf(uint64_t revision) const {
     return leadership_.revision() == revision ? leadership_.lease_id() : 0;
   }
-  void StepDown(const std::string& why);
-  // The key-value store has lost data: whoever leads by it has to be waited
-  // for.
-  void StateLost();
-  // Another controller has opened a new epoch.
-  void OtherEpoch();
-  // The leader key of that stamp has outlived its lease.
-  void Orphaned(uint64_t mod_revision) {
-    orphaned_key_mod_revision_ = mod_revision;
-  }
-  // Whether it could take office, were the key free.
-  bool MayLead();
-  // Empty when not known; null when it is this controller or not known.
+  // Empty when not known.
   std::string LeaderName() const;
+  // Null when it is this controller or not known.
   clients::PeerClient* LeaderPeer();
 
-  // Whose right to keep a zone's workers is recorded; nothing if not known.
+  // `reason`: for the log.
+  void StepDown(const std::string& reason);
+  // The store has lost data: whoever leads by it has to be waited for.
+  void OnStoreLoss();
+  // Another controller has opened a new epoch.
+  void OnLaterEpoch();
+  // The leader key of that revision has outlived its lease.
+  void OnOrphanedKey(uint64_t mod_revision) {
+    orphaned_key_revision_ = mod_revision;
+  }
+
+  // Who has a recorded right to renew a zone's workers' leases; nothing if that
+  // is not known.
   net::Task<std::optional<std::set<std::string>>> ReadDelegates();
 
-  // --- as one who is asked
-  LeaderRole Role() const { return leadership_.Role(loop_.Now()); }
-  net::Task<bool> Promise();
-  net::Task<bool> PromiseToDelegate(const clients::PeerMessage& ask);
-  void DelegationReleased(const clients::PeerMessage& over) {
-    leadership_.DelegationReleased(over.node, over.text, over.mod_revision);
+  // --- requests of other controllers
+  LeaderRole Role() const { return leadership_.Role(context_.loop.Now()); }
+  // Whether this controller promises not to seek leadership for a while.
+  net::Task<bool> Promise() { return promise_exchange_.Promise(); }
+  net::Task<bool> PromiseToDelegate(clients::PeerMessage request) {
+    return promise_exchange_.PromiseToDelegate(std::move(request));
+  }
+  void OnDelegationReleased(const clients::PeerMessage& release) {
+    leadership_.DelegationReleased(release.node, release.text,
+                                   release.mod_revision);
   }
 
   // --- renewing workers' leases while nobody leads
@@ -77,62 +105,40 @@
   // answered here, without commands. Being asked is what makes a controller
   // seek the others' promises.
   bool MayRenew(uint64_t term);
-  // Whether the right to lead rests on the lease of the key, not on promises.
-  bool ByLease() {
-    return leadership_.Valid(loop_.Refresh()) &&
-           leadership_.state() == LeaderState::kLeading;
-  }
 
  private:
+  // What to do about a leader key that may be taken.
+  struct SeekPlan {
+    bool seeks = false;
+    bool may_lead = false;  // it is proven that it may, as far as is known
+  };
+
   net::Task<void> Run();
-  // `leads`: it is proven that it may, as far as is known now.
-  net::Task<void> Seek(bool leads);
-  // Asks for the delegation while it is wanted, and lets go once it is not.
-  void AskForDelegation(net::Time now);
-  net::Task<void> AskToDelegate(clients::PeerClient* peer, uint64_t number,
-                                net::Time sent);
-  // Opens a new epoch and takes the key in it.
-  net::Task<void> Reopen();
-  net::Task<bool> CloseEpochs(const RecoveryCoordinator::Opening& opening,
-                              std::vector<Mutation>* mutations);
-  // Whether the transaction that was sent has made this controller leader.
-  // Looks, if it was not answered; `before` is the stamp that the key had.
-  net::Task<clients::StoreResult> Take(std::vector<Precondition> preconditions,
-                                       std::vector<Mutation> mutations,
-                                       uint64_t lease_id, uint64_t before);
-  net::Task<void> Renew();
-  // The lease is lost, and the right stands: the key is written again.
-  net::Task<bool> Retake();
-  bool LeaseLost(uint64_t lease_id);
-  net::Task<void> AskPromise(clients::PeerClient* peer);
-  net::Task<void> MeetPeers();
-  net::Task<void> ProbeState();
+  // One round of the loop; seconds until the next, or nothing: at once.
+  net::Task<std::optional<double>> RunRound();
+  // The round of a leader whose right is valid.
+  net::Task<void> Lead(net::Time now);
+  void UpdateKeyFreeSince(net::Time now);
+  bool MayAttemptToSeek(net::Time now) const;
+  SeekPlan PlanSeek(net::Time now) const;
+  net::Task<void> Seek(bool may_lead);
+  void OnKeyWon(uint64_t revision, const LeaderRecord& record,
+                const EpochOpening& founding);
+  net::Task<void> EndLease(uint64_t lease_id);
 
-  net::Loop& loop_;
-  const Settings& settings_;
-  const std::string incarnation_;  // of this process
-  const double lease_seconds_;     // of the leader key
-  clients::KeyValueStoreClient& store_;
-  const Catalog& catalog_;
-  StoreWatcher& watcher_;
   const LeaderHealthCoordinator& leader_health_coordinator_;
-  const LeaderHealthCoordinator::Peers& peers_;
-  RecoveryCoordinator& recovery_;
-  Callbacks callbacks_;
+  const Callbacks callbacks_;
   Leadership leadership_;
-  net::Time met_from_;  // when the others began to be asked who leads
-  uint64_t orphaned_key_mod_revision_ = 0;  // of a leader key that is nobody's
-  uint64_t lease_missing_ = 0;  // once: a lease that ended before its time
-  bool meeting_ = false;
-  bool reopening_ = false;
-  bool renewing_ = false;
-  bool probing_ = false;
-  net::Time next_renewal_ = 0;
-  net::Time next_promise_ = 0;
-  net::Time key_free_since_ = 1e18;
-  bool met_once_ = false;        // every other controller has been asked
-  net::Time wanted_until_ = -1;  // workers ask here that nobody answers
-  net::Time next_delegation_ = 0;
+  const ElectionContext context_;
+  LeaderKeyWriter key_writer_;
+  PromiseExchange promise_exchange_;
+  LeaseRenewer lease_renewer_;
+  EpochElection epoch_election_;
+  PeerRoleSurvey peer_role_survey_;
+  DelegationRequester delegation_requester_;
+  std::mt19937 random_{std::random_device{}()};
+  uint64_t orphaned_key_revision_ = 0;  // of a leader key that is nobody's
+  std::optional<net::Time> key_free_since_;
 };
 
 }  // namespace oxbow::app
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -234,7 +234,7 @@
       } else if (std::holds_alternative<ReadDelegates>(action)) {
         net::Spawn(ReadZoneDelegates(revision));
       } else if (auto* job = std::get_if<RequestJobRecord>(&action)) {
-        net::Spawn(recovery_.AskAboutJob(std::move(job->id)));
+        net::Spawn(recovery_.CheckUnknownJob(std::move(job->id)));
       } else if (auto* end = std::get_if<ReadTerminalState>(&action)) {
         net::Spawn(ReadJobTerminalState(std::move(end->id), revision));
       } else if (auto* gone = std::get_if<DeleteMachines>(&action)) {
@@ -336,12 +336,12 @@
       // Believed while the epoch stands: what a service that has lost data
       // does not hold may be remembered here alone.
       StoreCheck says = StoreCheck::kStands;
-      if (recovery_.on()) says = co_await recovery_.Check();
+      if (recovery_.IsEnabled()) says = co_await recovery_.CheckEpoch();
       if (says == StoreCheck::kGone)
         recovery_.ReportDataLoss(DataLossIndication::kEpochMissing);
       // A job's record goes only with its end: one that is missing alone is
       // lost, and a leader that believes it forgets the job.
-      if (says == StoreCheck::kStands && recovery_.on()) {
+      if (says == StoreCheck::kStands && recovery_.IsEnabled()) {
         says = co_await recovery_.IsDeleted(key);
       }
       if (says != StoreCheck::kStands) {
--- a/app/recovery_coordinator.cc
+++ b/app/recovery_coordinator.cc
@@ -1,220 +1,204 @@
 #include "app/recovery_coordinator.h"
 
-#include <spdlog/spdlog.h>
-
-#include <algorithm>
 #include <utility>
 
-#include "app/recovery_limits.h"
+#include "logging/structured_log.h"
 
 namespace oxbow::app {
 namespace {
 
 using clients::PeerAnswer;
+using clients::PeerKind;
 using clients::PeerMessage;
 
-// Worker leases from a rebuild that may lack something, until an id that nobody
-// knows is denied again. From the first on every machine has reported to who
-// leads, or its tasks have ended; one that is still away then is waited for up
-// to the second, which is below the 75 s that the users' rule has.
-constexpr double kToldRatio = 2;
-
-constexpr double kForgottenRatio = 7;
-
 }  // namespace
 
 RecoveryCoordinator::RecoveryCoordinator(
     net::Loop& loop, const Settings& settings, const Tuning& tuning,
-    Catalog& catalog, clients::KeyValueStoreClient& state,
+    Catalog& catalog, clients::KeyValueStoreClient& store,
     StoreWatcher& watcher, const LeaderHealthCoordinator::Peers& peers,
     Callbacks callbacks)
-    : loop_(loop),
-      settings_(settings),
-      tuning_(tuning),
-      catalog_(catalog),
-      store_(state),
-      watcher_(watcher),
-      peers_(peers),
-      callbacks_(std::move(callbacks)) {}
+    : context_{loop,  settings, tuning, catalog,
+               store, watcher,  peers,  callbacks.is_leading},
+      callbacks_(std::move(callbacks)),
+      history_(settings.workers.lease_seconds),
+      broadcast_(context_),
+      inspector_(context_),
+      detector_(context_, inspector_, broadcast_, callbacks_.on_loss),
+      leader_key_monitor_(context_, callbacks_.on_orphaned_key),
+      epoch_opener_(context_, inspector_, detector_, leader_key_monitor_),
+      collector_(context_, history_, callbacks_.deliver_to_leader),
+      provider_(context_, history_, broadcast_),
+      retained_records_writer_(context_, inspector_, detector_, collector_),
+      bootstrapper_(context_, inspector_, detector_, broadcast_, collector_),
+      auditor_(context_, inspector_, detector_) {}
 
 void RecoveryCoordinator::Start() {
-  if (!on()) return;
-  store_.on_step_back = [this] {
+  if (!IsEnabled()) return;
+  context_.store.on_step_back = [this] {
     ReportDataLoss(DataLossIndication::kStepBack);
   };
-  leader_heard_ = loop_.Now();
-  net::Spawn(Bootstrap());
+  leader_key_monitor_.Start();
+  bootstrapper_.Start();
   net::Spawn(CheckLoop());
-  if (tuning_.recovery_pages > 0) net::Spawn(AuditLoop());
+  if (context_.tuning.recovery_pages > 0) auditor_.Start();
 }
 
-bool RecoveryCoordinator::MayDeny() const {
-  if (!on()) return true;
-  // A first epoch may have been founded in a service that has lost everything,
-  // together with all controllers: the workers would tell within a lease.
-  const double lease = settings_.workers.lease_seconds;
-  return verification_.MayDeny() && loop_.Now() > founded_ + lease &&
-         (catalog_.epoch().whole ||
-          (rebuilt_epoch_ == catalog_.epoch().number &&
-           loop_.Now() > rebuilt_since_ + kToldRatio * lease));
+bool RecoveryCoordinator::MaySeek() const {
+  return !IsEnabled() ||
+         (bootstrapper_.IsComplete() && verification().MaySeek());
 }
 
-bool RecoveryCoordinator::SomeoneMayTell() const {
-  return on() && !catalog_.epoch().whole &&
-         !(rebuilt_epoch_ == catalog_.epoch().number &&
-           loop_.Now() > rebuilt_since_ +
-                             kForgottenRatio * settings_.workers.lease_seconds);
+bool RecoveryCoordinator::MayDeny() const {
+  return !IsEnabled() || (verification().MayDeny() &&
+                          history_.AllWorkersHaveReported(
+                              context_.catalog.epoch(), context_.loop.Now()));
 }
 
-void RecoveryCoordinator::AddGuard(
-    std::vector<Precondition>* preconditions) const {
-  if (!on()) return;
-  auto [key, mod_revision] = catalog_.Guard();
-  preconditions->push_back({std::move(key), mod_revision});
+bool RecoveryCoordinator::MayBeKnownElsewhere() const {
+  return IsEnabled() && history_.MayBeKnownElsewhere(context_.catalog.epoch(),
+                                                     context_.loop.Now());
 }
 
-bool RecoveryCoordinator::GuardFailed(const std::vector<std::string>& failed) {
-  if (!on()) return false;
-  const auto [key, mod_revision] = catalog_.Guard();
-  if (std::find(failed.begin(), failed.end(), key) == failed.end()) {
-    return false;
-  }
-  if (catalog_.epoch().number > 0)
-    ReportDataLoss(DataLossIndication::kEpochMissing);
-  return true;
+bool RecoveryCoordinator::MayReportLive(uint64_t mod_revision) const {
+  if (!IsEnabled()) return true;
+  if (!bootstrapper_.IsComplete()) return false;
+  const StoreVerificationState state = verification().state();
+  return state == StoreVerificationState::kVerified ||
+         (state == StoreVerificationState::kRebuilding &&
+          mod_revision > context_.catalog.opened());
 }
 
-// --- signs
-
-void RecoveryCoordinator::ReportDataLoss(DataLossIndication sign,
-                                         const std::string& key) {
-  // Nothing was ever known that could be missing.
-  if (!on() || catalog_.epoch().number == 0) return;
-  if (!verification_.Note(sign)) return;
-  sign_key_ = key;
-  spdlog::info("the state service may have lost data: {}{}{}", NameOf(sign),
-               key.empty() ? "" : ", ", key);
-  net::Spawn(Settle());
+bool RecoveryCoordinator::MayAccept() const {
+  return !IsEnabled() || verification().MayAccept(callbacks_.is_leading());
 }
 
-void RecoveryCoordinator::TermSeen(uint64_t term) {
-  if (!on() || term <= foreign_term_) return;
-  foreign_term_ = term;
-  if (catalog_.epoch().number > 0 && term > HighestTerm()) {
-    net::Spawn(LookAtTerm());
+net::Task<RecoveryCoordinator::Known> RecoveryCoordinator::AskPeersForJob(
+    std::string id) {
+  PeerMessage request;
+  request.kind = PeerKind::kKnown;
+  request.node = context_.settings.node;
+  request.job_id = std::move(id);
+  const std::vector<PeerMessage> answers = co_await broadcast_.Ask(
+      std::move(request), PeerBroadcast::WaitFor::kResponsivePeers);
+  for (const PeerMessage& answer : answers) {
+    if (answer.answer == PeerAnswer::kYes) co_return Known::kYes;
   }
+  co_return answers.size() == context_.peers.size() ? Known::kNobody
+                                                    : Known::kNoAnswerFromSome;
 }
 
-// Mostly a leader that has just won, of which this controller has not read.
-net::Task<void> RecoveryCoordinator::LookAtTerm() {
-  const StoreCheck says = co_await Check();
-  if (says == StoreCheck::kStands && foreign_term_ > HighestTerm()) {
-    ReportDataLoss(DataLossIndication::kTermAbove);
-  }
-}
-
-net::Task<void> RecoveryCoordinator::AskAboutJob(std::string id) {
-  const StoreCheck says = co_await LookForJob(id);
-  // Where jobs may have been lost it is no news.
-  if (says == StoreCheck::kGone && verification_.MayDeny() &&
-      catalog_.epoch().whole) {
+net::Task<void> RecoveryCoordinator::CheckUnknownJob(std::string id) {
+  const StoreCheck result = co_await inspector_.CheckJob(id);
+  // Where jobs may have been lost it indicates no further loss.
+  if (result == StoreCheck::kGone && verification().MayDeny() &&
+      context_.catalog.epoch().whole) {
     ReportDataLoss(DataLossIndication::kUnknownTask, id);
   }
 }
 
 net::Task<StoreCheck> RecoveryCoordinator::IsDeleted(std::string key) {
-  const std::string id = JobOf(key);
+  const std::string id = JobIdOfKey(key);
   if (id.empty()) co_return StoreCheck::kStands;
-  if (catalog_.pending_writes().contains(key)) {
-    // It was never there; but it may have ended, which its write stumbles over.
-    const StoreCheck found = co_await LookForJob(id);
+  if (context_.catalog.pending_writes().contains(key)) {
+    // It was never in the store; but the job may have ended, which is why its
+    // write conflicts.
+    const StoreCheck found = co_await inspector_.CheckJob(id);
     co_return found == StoreCheck::kNoAnswer ? found : StoreCheck::kStands;
   }
-  if (catalog_.VersionOf(key).mod_revision == 0) co_return StoreCheck::kStands;
-  const StoreCheck says = co_await LookForJob(id);
-  if (says == StoreCheck::kGone)
-    ReportDataLoss(DataLossIndication::kRecordMissing, key);
-  co_return says;
-}
-
-uint64_t RecoveryCoordinator::HighestTerm() const {
-  return TermOf(catalog_.epoch(), store_.highest());
-}
-
-void RecoveryCoordinator::EpochSeen() {
-  const StoreEpoch& epoch = catalog_.epoch();
-  if (!on() || epoch.number == 0) return;
-  const StoreVerificationState before = verification_.state();
-  if (epoch.number != seen_epoch_) {
-    const bool first = seen_epoch_ == 0;
-    seen_epoch_ = epoch.number;
-    whole_before_ = whole_now_;
-    if (first) {
-      first_epoch_ = epoch.number;
-      if (net::WallNow() - epoch.opened_wall <
-          settings_.workers.lease_seconds) {
-        founded_ = loop_.Now();
-      }
-    } else {
-      spdlog::info("epoch {} of the state service, terms from {} on",
-                   epoch.number, epoch.base);
-      store_.Restart(epoch.mod_revision);
-      collected_term_ = 0;
-      callbacks_.other_epoch();
-      watcher_.Reread();
-    }
-  }
-  whole_now_ = epoch.whole;
-  if (epoch.rebuilt && rebuilt_epoch_ != epoch.number) {
-    rebuilt_epoch_ = epoch.number;
-    rebuilt_since_ = loop_.Now();
+  if (context_.catalog.VersionOf(key).mod_revision == 0) {
+    co_return StoreCheck::kStands;
   }
-  verification_.OnEpoch(epoch.number, epoch.rebuilt);
-  if (epoch.rebuilt && !catalog_.pending_writes().empty() &&
-      !callbacks_.leading() && writing_retained_for_ != epoch.number) {
-    writing_retained_for_ = epoch.number;
-    // One that has just been met is read anew already.
-    if (before == StoreVerificationState::kRebuilding) watcher_.Reread();
-    net::Spawn(WriteRetainedRecords(epoch.number));
+  const StoreCheck result = co_await inspector_.CheckJob(id);
+  if (result == StoreCheck::kGone) {
+    ReportDataLoss(DataLossIndication::kRecordMissing, key);
   }
+  co_return result;
 }
 
-net::Task<void> RecoveryCoordinator::Settle() {
+net::Task<void> RecoveryCoordinator::CheckLoop() {
   const double pause =
-      kRoundPause * settings_.workers.heartbeat_interval_seconds;
-  while (verification_.state() == StoreVerificationState::kSuspected) {
-    const StoreCheck mine = co_await Examine();
-    bool others_stand = false;
-    const bool whole_service =
-        verification_.sign() == DataLossIndication::kStepBack ||
-        verification_.sign() == DataLossIndication::kEpochMissing;
-    if (mine == StoreCheck::kGone && whole_service) {
-      const std::vector<PeerMessage> answers = co_await AskAll();
-      others_stand = std::any_of(
-          answers.begin(), answers.end(),
-          [](const auto& a) { return a.answer == PeerAnswer::kYes; });
+      context_.settings.workers.lease_seconds / context_.tuning.recovery_checks;
+  for (;;) {
+    co_await context_.loop.Sleep(pause);
+    if (context_.catalog.epoch().number == 0) continue;
+    const StoreVerificationState state = verification().state();
+    if (state == StoreVerificationState::kSuspected) continue;
+    if (state == StoreVerificationState::kLost) {
+      co_await detector_.ReexamineLoss();
+      continue;
     }
-    const bool stepped = verification_.sign() == DataLossIndication::kStepBack;
-    verification_.OnRound(mine, others_stand);
-    if (stepped && verification_.MaySeek()) {
-      catalog_.RestartWatch();
-      watcher_.Reread();
+    const StoreCheck result = co_await CheckEpoch();
+    if (result == StoreCheck::kGone) {
+      ReportDataLoss(DataLossIndication::kEpochMissing);
     }
-    if (verification_.state() == StoreVerificationState::kSuspected) {
-      co_await loop_.Sleep(pause);
+    if (result == StoreCheck::kStands && !callbacks_.is_leading()) {
+      co_await leader_key_monitor_.CheckLeader();
     }
   }
-  if (verification_.state() == StoreVerificationState::kLost) {
-    net::Spawn(SpreadWord());
-    spdlog::error("the state service has lost data: {}",
-                  NameOf(verification_.sign()));
-    callbacks_.lost();
-  } else {
-    spdlog::info("the state service stands");
+}
+
+void RecoveryCoordinator::OnEpochRecord() {
+  const StoreEpoch& epoch = context_.catalog.epoch();
+  if (!IsEnabled() || epoch.number == 0) return;
+  const StoreVerificationState state_before = verification().state();
+  const auto change =
+      history_.OnNumber(epoch, context_.loop.Now(), net::WallNow());
+  if (change == EpochHistory::Change::kLaterEpoch) OnLaterEpoch(epoch);
+  history_.OnFacts(epoch, context_.loop.Now());
+  detector_.OnEpoch(epoch.number, epoch.rebuilt);
+  WriteRetainedRecords(epoch, state_before);
+}
+
+void RecoveryCoordinator::OnLaterEpoch(const StoreEpoch& epoch) {
+  logging::Info("observed a later store epoch",
+                {{"epoch", epoch.number}, {"base_term", epoch.base}});
+  context_.store.Restart(epoch.mod_revision);
+  collector_.OnLaterEpoch();
+  callbacks_.on_later_epoch();
+  context_.watcher.Reread();
+}
+
+void RecoveryCoordinator::WriteRetainedRecords(
+    const StoreEpoch& epoch, StoreVerificationState state_before) {
+  if (!epoch.rebuilt || context_.catalog.pending_writes().empty() ||
+      callbacks_.is_leading() ||
+      retained_records_writer_.HasStarted(epoch.number)) {
+    return;
+  }
+  // An epoch that has just been observed is being read anew already.
+  if (state_before == StoreVerificationState::kRebuilding) {
+    context_.watcher.Reread();
   }
+  retained_records_writer_.Start(epoch.number);
+}
+
+bool RecoveryCoordinator::Handles(PeerKind kind) {
+  return kind == PeerKind::kLedger || kind == PeerKind::kMemory ||
+         kind == PeerKind::kEnded || kind == PeerKind::kKnown;
 }
 
-// Whoever leads may have nothing that tells it.
-net::Task<void> RecoveryCoordinator::SpreadWord() { co_await AskAll(); }
+net::Task<void> RecoveryCoordinator::OnPeer(PeerMessage message,
+                                            PeerMessage* reply) {
+  if (!IsEnabled()) co_return;
+  switch (message.kind) {
+    case PeerKind::kLedger:
+      co_await detector_.AnswerVerification(std::move(message), reply);
+      break;
+    case PeerKind::kKnown:
+      if (context_.catalog.Accepted(message.job_id)) {
+        reply->answer = PeerAnswer::kYes;
+      }
+      break;
+    case PeerKind::kMemory:
+      provider_.FillRetainedRecords(message, reply);
+      break;
+    case PeerKind::kEnded:
+      provider_.FillTerminalStates(message, reply);
+      break;
+    default:
+      break;
+  }
+}
 
 }  // namespace oxbow::app
--- a/clients/retained_records_page.cc
+++ b/clients/retained_records_page.cc
@@ -8,53 +8,55 @@
 namespace oxbow::clients {
 namespace {
 
-constexpr uint32_t kMostText = 64 * 1024;
-constexpr uint32_t kMostEntries = 4096;
+constexpr uint32_t kMaxTextBytes = 64 * 1024;
+constexpr uint32_t kMaxRecords = 4096;
 
 template <class Archive>
-void Text(Archive& archive, std::string& text) {
-  // The length is checked before it is believed.
+void ArchiveText(Archive& archive, std::string& text) {
+  // The length is checked before anything is allocated for it.
   auto length = static_cast<uint32_t>(text.size());
   archive(length);
-  if (length > kMostText) throw cereal::Exception("text too long");
+  if (length > kMaxTextBytes) throw cereal::Exception("text too long");
   text.resize(length);
   archive(cereal::binary_data(text.data(), length));
 }
 
 template <class Archive>
-void Entry(Archive& archive, Memory& memory) {
-  Text(archive, memory.key);
-  archive(memory.version.epoch, memory.version.mod_revision);
-  Text(archive, memory.record);
+void ArchiveRecord(Archive& archive, RetainedRecord& retained) {
+  ArchiveText(archive, retained.key);
+  archive(retained.version.epoch, retained.version.mod_revision);
+  ArchiveText(archive, retained.record);
 }
 
 }  // namespace
 
-std::string EncodeMemory(const std::vector<Memory>& page) {
+std::string EncodeRetainedRecords(const std::vector<RetainedRecord>& page) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
     archive(static_cast<uint32_t>(page.size()));
-    for (Memory memory : page) Entry(archive, memory);
+    for (RetainedRecord retained : page) ArchiveRecord(archive, retained);
   }
   return std::move(out).str();
 }
 
-bool DecodeMemory(const std::string& bytes, std::vector<Memory>* out) {
+std::optional<std::vector<RetainedRecord>> DecodeRetainedRecords(
+    const std::string& bytes) {
   std::istringstream in(bytes);
   try {
     cereal::PortableBinaryInputArchive archive(in);
     uint32_t count = 0;
     archive(count);
-    if (count > kMostEntries) return false;
+    if (count > kMaxRecords) return std::nullopt;
+    std::vector<RetainedRecord> page;
     for (uint32_t i = 0; i < count; ++i) {
-      Memory memory;
-      Entry(archive, memory);
-      out->push_back(std::move(memory));
+      RetainedRecord retained;
+      ArchiveRecord(archive, retained);
+      page.push_back(std::move(retained));
     }
-    return true;
+    return page;
   } catch (const std::exception&) {
-    return false;
+    return std::nullopt;
   }
 }
 
--- a/clients/retained_records_page.h
+++ b/clients/retained_records_page.h
@@ -1,6 +1,9 @@
-// What one controller remembers, in pages for another: see docs/recovery.md.
+// The records that one controller retains, in pages for another: see
+// docs/recovery.md.
 #pragma once
 
+#include <cstddef>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -8,17 +11,18 @@
 
 namespace oxbow::clients {
 
-struct Memory {
+struct RetainedRecord {
   std::string key;
   Version version;
   std::string record;  // JSON, as the key-value store holds it
 };
 
-// A page fits a frame with room to spare.
-inline constexpr size_t kMemoryPage = 40 * 1024;
+// A page of this size fits a frame between controllers with a margin.
+inline constexpr size_t kRetainedRecordsPageBytes = 40 * 1024;
 
-std::string EncodeMemory(const std::vector<Memory>& page);
-// False when the bytes are no such page.
-bool DecodeMemory(const std::string& bytes, std::vector<Memory>* out);
+std::string EncodeRetainedRecords(const std::vector<RetainedRecord>& page);
+// Nothing when the bytes are no such page.
+std::optional<std::vector<RetainedRecord>> DecodeRetainedRecords(
+    const std::string& bytes);
 
 }  // namespace oxbow::clients
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -318,19 +318,19 @@
             kMost);
 }
 
-TEST(MemoryPage, ComesBackAsItWasAndRefusesWhatIsBroken) {
-  const std::vector<clients::Memory> page = {
+TEST(RetainedRecordsPage, DecodesWhatWasEncodedAndRefusesATruncatedPage) {
+  const std::vector<clients::RetainedRecord> page = {
       {"ob/live/j/job-000001", {1, 10}, R"({"t":1.0})"},
       {"ob/live/m/n-1", {2, 0}, "{}"}};
-  const std::string bytes = clients::EncodeMemory(page);
-  std::vector<clients::Memory> out;
-  ASSERT_TRUE(clients::DecodeMemory(bytes, &out));
-  ASSERT_EQ(out.size(), 2U);
-  EXPECT_EQ(out[0].record, page[0].record);
-  EXPECT_EQ(out[1].version, page[1].version);
+  const std::string bytes = clients::EncodeRetainedRecords(page);
+  const auto decoded = clients::DecodeRetainedRecords(bytes);
+  ASSERT_TRUE(decoded.has_value());
+  ASSERT_EQ(decoded->size(), 2U);
+  EXPECT_EQ((*decoded)[0].record, page[0].record);
+  EXPECT_EQ((*decoded)[1].version, page[1].version);
   for (size_t cut = 0; cut < bytes.size(); cut += 3) {
-    out.clear();
-    EXPECT_FALSE(clients::DecodeMemory(bytes.substr(0, cut), &out));
+    EXPECT_FALSE(
+        clients::DecodeRetainedRecords(bytes.substr(0, cut)).has_value());
   }
 }
 
