--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -73,7 +73,7 @@
       zone_coordinator_(zone_coordinator),
       recovery_(recovery),
       versions_(versions),
-      admission_(catalog, {[this] { return versions_.Open(); },
+      admission_(catalog, {[this] { return versions_.IsOpen(); },
                            [this](std::string id) {
                              return WasAccepted(std::move(id));
                            }}),
@@ -271,7 +271,7 @@
     co_return status;
   }
   const StoreCheck says = co_await recovery_.CheckEpoch();
-  if (says != StoreCheck::kStands || !recovery_.MayDeny()) co_return status;
+  if (says != StoreCheck::kIntact || !recovery_.MayDeny()) co_return status;
   const RecoveryCoordinator::Known known =
       co_await recovery_.AskPeersForJob(id);
   if (known == RecoveryCoordinator::Known::kYes || !recovery_.MayDeny()) {
@@ -392,7 +392,7 @@
   if (here.result != Result::kTryLater || left <= 0) co_return here;
   const bool chain = !spec->dependencies.empty();
   // One that runs an earlier version might be asked.
-  if (chain && !versions_.Open()) co_return here;
+  if (chain && !versions_.IsOpen()) co_return here;
   PeerMessage relay =
       RelayOf(chain ? PeerKind::kRelayChain : PeerKind::kRelaySubmit, spec->id);
   relay.text = wire::EncodeRecord(
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -335,16 +335,16 @@
     } else if (result.status == StoreStatus::kNotFound) {
       // Believed while the epoch stands: what a service that has lost data
       // does not hold may be remembered here alone.
-      StoreCheck says = StoreCheck::kStands;
+      StoreCheck says = StoreCheck::kIntact;
       if (recovery_.IsEnabled()) says = co_await recovery_.CheckEpoch();
-      if (says == StoreCheck::kGone)
+      if (says == StoreCheck::kMissing)
         recovery_.ReportDataLoss(DataLossIndication::kEpochMissing);
       // A job's record goes only with its end: one that is missing alone is
       // lost, and a leader that believes it forgets the job.
-      if (says == StoreCheck::kStands && recovery_.IsEnabled()) {
+      if (says == StoreCheck::kIntact && recovery_.IsEnabled()) {
         says = co_await recovery_.IsDeleted(key);
       }
-      if (says != StoreCheck::kStands) {
+      if (says != StoreCheck::kIntact) {
         ok = false;
         break;
       }
--- a/app/recovery/bootstrapper.cc
+++ b/app/recovery/bootstrapper.cc
@@ -57,7 +57,7 @@
     const bool has_other_epoch = answer.done == epoch.number &&
                                  answer.done > 0 && answer.text != epoch.id;
     const bool misses_records =
-        answer.running == static_cast<uint32_t>(StoreCheck::kGone);
+        answer.running == static_cast<uint32_t>(StoreCheck::kMissing);
     view.remembers_other_store = view.remembers_other_store ||
                                  has_later_epoch || has_other_epoch ||
                                  misses_records;
@@ -74,7 +74,7 @@
     co_return;
   }
   const StoreCheck result = co_await inspector_.CheckEpoch();
-  if (result == StoreCheck::kStands &&
+  if (result == StoreCheck::kIntact &&
       highest_peer_term > context_.HighestTerm()) {
     context_.store.Restart(highest_peer_term - epoch.base);
     detector_.Report(DataLossIndication::kStepBack);
--- a/app/recovery/data_loss_detector.cc
+++ b/app/recovery/data_loss_detector.cc
@@ -34,7 +34,7 @@
                               const std::string& key) {
   // Without an epoch nothing was ever known that could be missing.
   if (!context_.IsEnabled() || context_.catalog.epoch().number == 0) return;
-  if (!verification_.Note(indication)) return;
+  if (!verification_.OnIndication(indication)) return;
   suspected_key_ = key;
   logging::Info("the key-value store may have lost data",
                 {{"indication", NameOf(indication)}, {"key", key}});
@@ -52,7 +52,7 @@
 // Mostly a leader that has just won, of which this controller has not read.
 net::Task<void> DataLossDetector::CheckObservedTerm() {
   const StoreCheck result = co_await inspector_.CheckEpoch();
-  if (result == StoreCheck::kStands && foreign_term_ > context_.HighestTerm()) {
+  if (result == StoreCheck::kIntact && foreign_term_ > context_.HighestTerm()) {
     Report(DataLossIndication::kTermAbove);
   }
 }
@@ -74,13 +74,14 @@
 net::Task<void> DataLossDetector::SettleSuspicion() {
   while (verification_.state() == StoreVerificationState::kSuspected) {
     const StoreCheck mine = co_await Examine();
-    bool others_find_it_intact = false;
-    if (mine == StoreCheck::kGone && ConcernsWholeStore(verification_.sign())) {
-      others_find_it_intact = co_await PeersFindStoreIntact();
+    auto peers = PeerFinding::kNone;
+    if (mine == StoreCheck::kMissing &&
+        ConcernsWholeStore(verification_.indication())) {
+      peers = co_await AskPeersFinding();
     }
     const bool stepped_back =
-        verification_.sign() == DataLossIndication::kStepBack;
-    verification_.OnRound(mine, others_find_it_intact);
+        verification_.indication() == DataLossIndication::kStepBack;
+    verification_.OnRound(mine, peers);
     if (stepped_back && verification_.MaySeek()) {
       context_.catalog.RestartWatch();
       context_.watcher.Reread();
@@ -95,29 +96,30 @@
   }
   net::Spawn(NotifyPeers());
   logging::Error("the key-value store has lost data",
-                 {{"indication", NameOf(verification_.sign())}});
+                 {{"indication", NameOf(verification_.indication())}});
   on_loss_();
 }
 
-net::Task<bool> DataLossDetector::PeersFindStoreIntact() {
+net::Task<PeerFinding> DataLossDetector::AskPeersFinding() {
   const std::vector<PeerMessage> answers = co_await AskPeers();
-  co_return std::any_of(answers.begin(), answers.end(),
-                        [](const PeerMessage& answer) {
-                          return answer.answer == PeerAnswer::kYes;
-                        });
+  const bool is_intact = std::any_of(answers.begin(), answers.end(),
+                                     [](const PeerMessage& answer) {
+                                       return answer.answer == PeerAnswer::kYes;
+                                     });
+  co_return is_intact ? PeerFinding::kIntact : PeerFinding::kNone;
 }
 
 net::Task<StoreCheck> DataLossDetector::Examine() {
   const std::string key = suspected_key_;
   const StoreCheck epoch = co_await inspector_.CheckEpoch();
-  if (epoch != StoreCheck::kStands) co_return epoch;
-  switch (verification_.sign()) {
+  if (epoch != StoreCheck::kIntact) co_return epoch;
+  switch (verification_.indication()) {
     case DataLossIndication::kTermAbove:
-      co_return foreign_term_ > context_.HighestTerm() ? StoreCheck::kGone
-                                                       : StoreCheck::kStands;
+      co_return foreign_term_ > context_.HighestTerm() ? StoreCheck::kMissing
+                                                       : StoreCheck::kIntact;
     case DataLossIndication::kOtherEpoch:
-      co_return IsOtherEpochRemembered() ? StoreCheck::kGone
-                                         : StoreCheck::kStands;
+      co_return IsOtherEpochRemembered() ? StoreCheck::kMissing
+                                         : StoreCheck::kIntact;
     case DataLossIndication::kUnknownTask:
       co_return co_await inspector_.CheckJob(key);
     case DataLossIndication::kRecordMissing:
@@ -126,7 +128,7 @@
     case DataLossIndication::kEpochMissing:
       co_return co_await CheckNewestRecords();
     default:
-      co_return StoreCheck::kStands;
+      co_return StoreCheck::kIntact;
   }
 }
 
@@ -138,7 +140,7 @@
 net::Task<StoreCheck> DataLossDetector::CheckNewestRecords() {
   const NewestRecordsCheck check = co_await inspector_.CheckNewestRecords();
   // The other controllers are asked about the same record.
-  if (check.result == StoreCheck::kGone) suspected_key_ = check.missing_key;
+  if (check.result == StoreCheck::kMissing) suspected_key_ = check.missing_key;
   co_return check.result;
 }
 
@@ -147,7 +149,7 @@
   co_await NotifyPeers();
   const StoreCheck result = co_await Examine();
   if (verification_.state() == StoreVerificationState::kLost) {
-    verification_.OnRound(result, /*others_stand=*/false);
+    verification_.OnRound(result, PeerFinding::kNone);
   }
 }
 
@@ -159,7 +161,7 @@
   message.text = context_.catalog.epoch().id;
   message.term = foreign_term_;
   if (verification_.MaySeek()) return message;
-  message.running = static_cast<uint32_t>(verification_.sign());
+  message.running = static_cast<uint32_t>(verification_.indication());
   message.job_id = suspected_key_;
   // Only a record that is as new counts as found: a controller that knows an
   // older copy would vouch for it, and the suspicion of the one that remembers
@@ -182,7 +184,7 @@
   ReportPeersIndication(request);
   OnObservedTerm(request.term);
   const StoreCheck result = co_await VerifyFor(std::move(request));
-  if (result == StoreCheck::kGone) Report(DataLossIndication::kStepBack);
+  if (result == StoreCheck::kMissing) Report(DataLossIndication::kStepBack);
   FillReply(result, reply);
 }
 
@@ -208,13 +210,13 @@
   // A controller that suspects a loss asks for more than a revision, which may
   // have grown past what was lost.
   const auto indication = static_cast<DataLossIndication>(request.running);
-  if (result == StoreCheck::kStands &&
+  if (result == StoreCheck::kIntact &&
       indication != DataLossIndication::kNone) {
     result = co_await CheckNewestRecords();
   }
   // A controller that has just started does not know what is missing, and may
   // have read as far by now: it vouches only for what it finds.
-  if (result == StoreCheck::kStands && !request.job_id.empty()) {
+  if (result == StoreCheck::kIntact && !request.job_id.empty()) {
     const bool found =
         co_await inspector_.Contains(request.job_id, request.mod_revision);
     if (!found) result = StoreCheck::kNoAnswer;
@@ -224,7 +226,7 @@
 
 void DataLossDetector::FillReply(StoreCheck result, PeerMessage* reply) const {
   const StoreEpoch& epoch = context_.catalog.epoch();
-  if (result == StoreCheck::kStands) reply->answer = PeerAnswer::kYes;
+  if (result == StoreCheck::kIntact) reply->answer = PeerAnswer::kYes;
   reply->done = static_cast<uint32_t>(epoch.number);
   reply->running = static_cast<uint32_t>(result);
   reply->text = epoch.id;
--- a/app/recovery/data_loss_detector.h
+++ b/app/recovery/data_loss_detector.h
@@ -66,7 +66,7 @@
   net::Task<void> SettleSuspicion();
   // Whether another controller finds nothing wrong with the store. Asked only
   // about what concerns the store as a whole.
-  net::Task<bool> PeersFindStoreIntact();
+  net::Task<PeerFinding> AskPeersFinding();
   // Looks again at what raised the suspicion.
   net::Task<StoreCheck> Examine();
   net::Task<StoreCheck> CheckNewestRecords();
--- a/app/recovery/retained_records_writer.cc
+++ b/app/recovery/retained_records_writer.cc
@@ -122,7 +122,7 @@
   }
   // The job is in the store, or has ended.
   const StoreCheck result = co_await inspector_.CheckRecord(key);
-  co_return result == StoreCheck::kStands ? WriteOutcome::kNotNeeded
+  co_return result == StoreCheck::kIntact ? WriteOutcome::kNotNeeded
                                           : WriteOutcome::kRetry;
 }
 
--- a/app/recovery/store_auditor.cc
+++ b/app/recovery/store_auditor.cc
@@ -58,7 +58,7 @@
   if (!id.empty()) {
     // The job may have been released or have ended at this moment.
     const StoreCheck result = co_await inspector_.CheckJob(std::move(id));
-    if (result != StoreCheck::kGone) co_return;
+    if (result != StoreCheck::kMissing) co_return;
   }
   detector_.Report(DataLossIndication::kRecordMissing, missing_key);
 }
@@ -114,7 +114,7 @@
   const std::string id = JobWithMissingState();
   if (id.empty()) co_return;
   const StoreCheck result = co_await inspector_.CheckJob(id);
-  if (result == StoreCheck::kGone) {
+  if (result == StoreCheck::kMissing) {
     detector_.Report(DataLossIndication::kRecordMissing,
                      keys::Of(keys::kJob, id));
   }
--- a/app/recovery/store_inspector.cc
+++ b/app/recovery/store_inspector.cc
@@ -25,7 +25,7 @@
   const StoreResult guard = co_await context_.store.Write(
       std::move(preconditions), {}, Urgency::kLease);
   if (guard.ok() || known_number == 0) {
-    co_return guard.ok() ? StoreCheck::kStands : StoreCheck::kNoAnswer;
+    co_return guard.ok() ? StoreCheck::kIntact : StoreCheck::kNoAnswer;
   }
   if (guard.status != StoreStatus::kConflict && !guard.stepped_back) {
     co_return StoreCheck::kNoAnswer;
@@ -37,16 +37,16 @@
   const StoreResult stored =
       co_await context_.store.Get(std::string(keys::kEpoch), Urgency::kLease);
   if (context_.catalog.epoch().number != known_number) {
-    co_return StoreCheck::kStands;
+    co_return StoreCheck::kIntact;
   }
   if (!stored.ok()) {
-    co_return IsAnsweredOrSteppedBack(stored) ? StoreCheck::kGone
+    co_return IsAnsweredOrSteppedBack(stored) ? StoreCheck::kMissing
                                               : StoreCheck::kNoAnswer;
   }
   const clients::KeyValue& item = stored.items[0];
   const auto* epoch = std::get_if<StoreEpoch>(&item.record);
   if (epoch == nullptr || epoch->number <= known_number) {
-    co_return StoreCheck::kGone;
+    co_return StoreCheck::kMissing;
   }
   const StoreResult mark = co_await context_.store.Get(
       keys::Of(keys::kEpochMark, epoch->id), Urgency::kLease);
@@ -58,7 +58,7 @@
                            mark.items[0].mod_revision);
   }
   context_.watcher.Apply(item.key, item.record, item.mod_revision);
-  co_return StoreCheck::kStands;
+  co_return StoreCheck::kIntact;
 }
 
 net::Task<StoreCheck> StoreInspector::CheckJob(std::string id) {
@@ -77,7 +77,7 @@
   const bool is_revived =
       job != nullptr && job->terminal_state == TerminalState::kNone &&
       context_.catalog.FindTerminalState(id) != TerminalState::kNone;
-  co_return is_revived ? StoreCheck::kGone : StoreCheck::kStands;
+  co_return is_revived ? StoreCheck::kMissing : StoreCheck::kIntact;
 }
 
 net::Task<StoreCheck> StoreInspector::CheckTerminalState(std::string id) {
@@ -88,9 +88,9 @@
     if (terminal != nullptr) {
       context_.catalog.RememberTerminalState(id, *terminal);
     }
-    co_return StoreCheck::kStands;
+    co_return StoreCheck::kIntact;
   }
-  co_return stored.status == StoreStatus::kNotFound ? StoreCheck::kGone
+  co_return stored.status == StoreStatus::kNotFound ? StoreCheck::kMissing
                                                     : StoreCheck::kNoAnswer;
 }
 
@@ -108,11 +108,11 @@
   }
   const uint64_t known_revision = context_.catalog.VersionOf(key).mod_revision;
   // The leader has deleted it since, and the watch has delivered that.
-  if (known_revision == 0) co_return StoreCheck::kStands;
+  if (known_revision == 0) co_return StoreCheck::kIntact;
   if (!IsAnswered(stored)) co_return StoreCheck::kNoAnswer;
   co_return stored.ok() && stored.items[0].mod_revision >= known_revision
-      ? StoreCheck::kStands
-      : StoreCheck::kGone;
+      ? StoreCheck::kIntact
+      : StoreCheck::kMissing;
 }
 
 net::Task<bool> StoreInspector::Contains(std::string key,
@@ -153,7 +153,7 @@
   NewestRecordsCheck all;
   for (const std::string& key : checked) {
     const StoreCheck result = co_await CheckRecord(key);
-    if (result == StoreCheck::kGone) {
+    if (result == StoreCheck::kMissing) {
       NewestRecordsCheck missing{result, key};
       co_return missing;
     }
--- a/app/recovery/store_inspector.h
+++ b/app/recovery/store_inspector.h
@@ -15,8 +15,8 @@
 
 // Whether the records that changed last are in the store.
 struct NewestRecordsCheck {
-  StoreCheck result = StoreCheck::kStands;
-  std::string missing_key;  // with kGone
+  StoreCheck result = StoreCheck::kIntact;
+  std::string missing_key;  // with kMissing
 };
 
 class StoreInspector {
@@ -32,7 +32,7 @@
   // Whether the store holds the epoch that is known here, or a later one, which
   // is then taken into the catalog.
   net::Task<StoreCheck> CheckEpoch();
-  // kGone: the job has neither a live record nor a terminal state, or is
+  // kMissing: the job has neither a live record nor a terminal state, or is
   // recorded as live though its terminal state is known.
   net::Task<StoreCheck> CheckJob(std::string id);
   // Whether the store holds a record that is known here, at least as new.
--- a/app/recovery_coordinator.cc
+++ b/app/recovery_coordinator.cc
@@ -91,7 +91,7 @@
 net::Task<void> RecoveryCoordinator::CheckUnknownJob(std::string id) {
   const StoreCheck result = co_await inspector_.CheckJob(id);
   // Where jobs may have been lost it indicates no further loss.
-  if (result == StoreCheck::kGone && verification().MayDeny() &&
+  if (result == StoreCheck::kMissing && verification().MayDeny() &&
       context_.catalog.epoch().whole) {
     ReportDataLoss(DataLossIndication::kUnknownTask, id);
   }
@@ -99,18 +99,18 @@
 
 net::Task<StoreCheck> RecoveryCoordinator::IsDeleted(std::string key) {
   const std::string id = JobIdOfKey(key);
-  if (id.empty()) co_return StoreCheck::kStands;
+  if (id.empty()) co_return StoreCheck::kIntact;
   if (context_.catalog.pending_writes().contains(key)) {
     // It was never in the store; but the job may have ended, which is why its
     // write conflicts.
     const StoreCheck found = co_await inspector_.CheckJob(id);
-    co_return found == StoreCheck::kNoAnswer ? found : StoreCheck::kStands;
+    co_return found == StoreCheck::kNoAnswer ? found : StoreCheck::kIntact;
   }
   if (context_.catalog.VersionOf(key).mod_revision == 0) {
-    co_return StoreCheck::kStands;
+    co_return StoreCheck::kIntact;
   }
   const StoreCheck result = co_await inspector_.CheckJob(id);
-  if (result == StoreCheck::kGone) {
+  if (result == StoreCheck::kMissing) {
     ReportDataLoss(DataLossIndication::kRecordMissing, key);
   }
   co_return result;
@@ -129,10 +129,10 @@
       continue;
     }
     const StoreCheck result = co_await CheckEpoch();
-    if (result == StoreCheck::kGone) {
+    if (result == StoreCheck::kMissing) {
       ReportDataLoss(DataLossIndication::kEpochMissing);
     }
-    if (result == StoreCheck::kStands && !callbacks_.is_leading()) {
+    if (result == StoreCheck::kIntact && !callbacks_.is_leading()) {
       co_await leader_key_monitor_.CheckLeader();
     }
   }
--- a/app/store_watcher.cc
+++ b/app/store_watcher.cc
@@ -1,11 +1,11 @@
 #include "app/store_watcher.h"
 
-#include <spdlog/spdlog.h>
-
 #include <algorithm>
 #include <unordered_set>
 #include <utility>
 
+#include "logging/structured_log.h"
+
 namespace oxbow::app {
 namespace {
 
@@ -17,19 +17,19 @@
 }  // namespace
 
 StoreWatcher::StoreWatcher(net::Loop& loop, const Settings& settings,
-                           clients::KeyValueStoreClient& state,
+                           clients::KeyValueStoreClient& store,
                            clients::CloudClient& cloud, Catalog& catalog,
                            Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
-      store_(state),
+      store_(store),
       cloud_(cloud),
       catalog_(catalog),
       callbacks_(std::move(callbacks)) {}
 
 void StoreWatcher::Start() {
   net::Spawn(WatchLoop(generation_));
-  net::Spawn(TypesLoop());
+  net::Spawn(MachineTypesLoop());
 }
 
 void StoreWatcher::Apply(const std::string& key, const Record& record,
@@ -39,24 +39,24 @@
     return;
   }
   catalog_.Put(key, record, mod_revision);
-  callbacks_.taken(key);
+  callbacks_.on_record(key);
 }
 
 void StoreWatcher::Reread() {
-  // The watch under way waits for revisions that may never come.
+  // The watch in flight waits for revisions that may never come.
   ++generation_;
   synced_ = false;
   net::Spawn(WatchLoop(generation_));
 }
 
 // The keys of an epoch come before all others, so the first page holds them.
-// Without this a controller that reads an empty key-value store would take its
-// own memory, perhaps the last one there is, for outdated.
-bool StoreWatcher::OfThisEpoch(
-    const std::vector<clients::KeyValue>& first) const {
+// Without this check a controller that reads an empty store would take its
+// retained records, perhaps the last ones there are, for outdated.
+bool StoreWatcher::IsOfKnownEpoch(
+    const std::vector<clients::KeyValue>& first_page) const {
   const StoreEpoch& known = catalog_.epoch();
   if (known.number == 0) return true;
-  for (const clients::KeyValue& item : first) {
+  for (const clients::KeyValue& item : first_page) {
     if (const auto* epoch = std::get_if<StoreEpoch>(&item.record)) {
       return epoch->number > known.number ||
              (epoch->number == known.number && epoch->id == known.id);
@@ -65,81 +65,96 @@
   return false;
 }
 
+StoreWatcher::ApplyOutcome StoreWatcher::ApplyAll(
+    const std::vector<clients::KeyValue>& items, uint64_t generation) {
+  for (const clients::KeyValue& item : items) {
+    Apply(item.key, item.record, item.mod_revision);
+    if (generation != generation_) return ApplyOutcome::kGenerationPassed;
+  }
+  return ApplyOutcome::kApplied;
+}
+
 net::Task<bool> StoreWatcher::Resync(uint64_t generation) {
-  const net::Time asked = loop_.Refresh();
-  std::string after;
+  const net::Time asked_at = loop_.Refresh();
+  std::string last_key;
   uint64_t revision = 0;
   std::unordered_set<std::string> listed;
   for (;;) {
-    StoreResult page = co_await store_.List(std::string(keys::kLive), after);
+    const StoreResult page =
+        co_await store_.List(std::string(keys::kLive), last_key);
     if (!page.ok() || generation != generation_) co_return false;
-    if (revision == 0 && !OfThisEpoch(page.items)) {
-      callbacks_.other_epoch();
+    if (revision == 0 && !IsOfKnownEpoch(page.items)) {
+      callbacks_.on_other_epoch();
       co_return false;
     }
-    // The watch goes on from the first page: what changed between the pages
-    // is told again.
+    // The watch goes on from the first page: what changed between the pages is
+    // delivered again.
     if (revision == 0) revision = page.revision;
-    for (const clients::KeyValue& item : page.items) {
-      listed.insert(item.key);
-      Apply(item.key, item.record, item.mod_revision);
-      after = item.key;
-      // It told of a new epoch, of which another round reads everything.
-      if (generation != generation_) co_return false;
+    for (const clients::KeyValue& item : page.items) listed.insert(item.key);
+    if (!page.items.empty()) last_key = page.items.back().key;
+    if (ApplyAll(page.items, generation) == ApplyOutcome::kGenerationPassed) {
+      co_return false;
     }
     if (!page.more || page.items.empty()) break;
   }
   catalog_.EraseMissing(listed, revision);
   catalog_.AdvanceWatch(revision);
   synced_ = ever_synced_ = true;
-  confirmed_ = asked;
-  spdlog::info("state read up to revision {}: {} jobs, {} machines", revision,
-               catalog_.jobs().size(), catalog_.machines().size());
-  callbacks_.caught_up();
+  confirmed_ = asked_at;
+  logging::Info("read all live records",
+                {{"revision", revision},
+                 {"jobs", catalog_.jobs().size()},
+                 {"machines", catalog_.machines().size()}});
+  callbacks_.on_caught_up();
   co_return true;
 }
 
 net::Task<void> StoreWatcher::WatchLoop(uint64_t generation) {
-  const double pause = 0.2 * settings_.workers.heartbeat_interval_seconds;
-  const double lease = settings_.workers.lease_seconds;
   while (generation == generation_) {
-    if (!synced_) {
-      const bool ok = co_await Resync(generation);
-      if (!ok) co_await loop_.Sleep(pause);
+    if (synced_) {
+      co_await Watch(generation);
       continue;
     }
-    // The answer is as old as its question at the most.
-    const net::Time asked = loop_.Refresh();
-    StoreResult news = co_await store_.Watch(
-        std::string(keys::kLive), catalog_.watched_revision(),
-        std::min(kWatchBlockSeconds, lease));
-    if (generation != generation_) co_return;
-    if (news.status == StoreStatus::kTooOld) {
-      synced_ = false;
-    } else if (news.ok()) {
-      for (const clients::KeyValue& item : news.items) {
-        Apply(item.key, item.record, item.mod_revision);
-        if (generation != generation_) co_return;
-      }
-      catalog_.AdvanceWatch(news.revision);
-      confirmed_ = asked;
-      callbacks_.caught_up();
-    } else {
-      co_await loop_.Sleep(pause);
-    }
+    const bool is_complete = co_await Resync(generation);
+    if (!is_complete) co_await loop_.Sleep(RetryPauseSeconds());
+  }
+}
+
+net::Task<void> StoreWatcher::Watch(uint64_t generation) {
+  // The answer is at most as old as its request.
+  const net::Time asked_at = loop_.Refresh();
+  const StoreResult changes = co_await store_.Watch(
+      std::string(keys::kLive), catalog_.watched_revision(),
+      std::min(kWatchBlockSeconds, settings_.workers.lease_seconds));
+  if (generation != generation_) co_return;
+  if (changes.status == StoreStatus::kTooOld) {
+    synced_ = false;
+    co_return;
+  }
+  if (!changes.ok()) {
+    co_await loop_.Sleep(RetryPauseSeconds());
+    co_return;
+  }
+  if (ApplyAll(changes.items, generation) == ApplyOutcome::kGenerationPassed) {
+    co_return;
   }
+  catalog_.AdvanceWatch(changes.revision);
+  confirmed_ = asked_at;
+  callbacks_.on_caught_up();
 }
 
-net::Task<void> StoreWatcher::TypesLoop() {
-  const double soon = 0.5 * settings_.workers.heartbeat_interval_seconds;
-  const double later = 6 * settings_.workers.lease_seconds;  // prices move
+net::Task<void> StoreWatcher::MachineTypesLoop() {
+  const double retry_seconds =
+      0.5 * settings_.workers.heartbeat_interval_seconds;
+  // Prices change.
+  const double refresh_seconds = 6 * settings_.workers.lease_seconds;
   for (;;) {
     const clients::CloudClient::Types answer = co_await cloud_.GetTypes();
     if (answer.ok) {
       for (const MachineType& type : answer.types) types_[type.name] = type;
-      callbacks_.types(answer.types);
+      callbacks_.on_machine_types(answer.types);
     }
-    co_await loop_.Sleep(types_.empty() ? soon : later);
+    co_await loop_.Sleep(types_.empty() ? retry_seconds : refresh_seconds);
   }
 }
 
--- a/app/store_watcher.h
+++ b/app/store_watcher.h
@@ -1,6 +1,11 @@
-// What a controller knows of the world outside: the live records of the state
-// service, followed with one watch, and the cloud's machine types. Owns the
-// writing side of the catalog; everything else reads it. Decides nothing.
+// Keeps the catalog up to date with the live records of the key-value store,
+// by a listing and then one watch, and reads the cloud's machine types. Only
+// this class writes the catalog's records; everything else reads them. Decides
+// nothing.
+//
+// Coroutines: Start() and Reread() spawn detached loops that use this object,
+// which therefore lives as long as the event loop. A loop whose generation has
+// passed ends at its next resumption.
 #pragma once
 
 #include <functional>
@@ -17,38 +22,53 @@
 class StoreWatcher {
  public:
   struct Callbacks {
-    std::function<void(const std::string& key)> taken;  // a record, as news
-    std::function<void()> caught_up;  // with what the service has told
-    std::function<void(const std::vector<MachineType>&)> types;
-    // A listing that is not of the epoch that is known.
-    std::function<void()> other_epoch;
+    // A record has been taken into the catalog.
+    std::function<void(const std::string& key)> on_record;
+    // The catalog is as new as the latest answer of the store.
+    std::function<void()> on_caught_up;
+    std::function<void(const std::vector<MachineType>&)> on_machine_types;
+    // A listing is not of the epoch that is known.
+    std::function<void()> on_other_epoch;
   };
   StoreWatcher(net::Loop& loop, const Settings& settings,
-               clients::KeyValueStoreClient& state, clients::CloudClient& cloud,
+               clients::KeyValueStoreClient& store, clients::CloudClient& cloud,
                Catalog& catalog, Callbacks callbacks);
   void Start();
 
-  // Takes in a record that was read or written, whoever did it. monostate: the
-  // key does not exist.
+  // Takes a record that was read or written into the catalog, whoever did it.
+  // monostate: the key does not exist.
   void Apply(const std::string& key, const Record& record,
              uint64_t mod_revision);
 
-  // A new epoch: everything is read from the beginning.
+  // Reads everything from the beginning, as for a new epoch.
   void Reread();
 
-  bool synced() const { return synced_; }  // and the watch goes on
+  // Whether the watch goes on from a complete listing.
+  bool synced() const { return synced_; }
   bool ever_synced() const { return ever_synced_; }
-  // All that the key-value store held at this moment has been taken in.
+  // All that the store held at that time has been taken into the catalog.
   net::Time confirmed() const { return confirmed_; }
   const std::map<std::string, MachineType>& types() const { return types_; }
 
  private:
-  // Ends once another has been started.
+  enum class ApplyOutcome : uint8_t { kApplied, kGenerationPassed };
+
   net::Task<void> WatchLoop(uint64_t generation);
+  // One listing of everything; whether it was complete.
   net::Task<bool> Resync(uint64_t generation);
+  // One request of the watch.
+  net::Task<void> Watch(uint64_t generation);
+  // A record of a new epoch starts another generation, which reads everything
+  // again.
+  ApplyOutcome ApplyAll(const std::vector<clients::KeyValue>& items,
+                        uint64_t generation);
   // Whether a listing that begins with these is of the epoch that is known.
-  bool OfThisEpoch(const std::vector<clients::KeyValue>& first) const;
-  net::Task<void> TypesLoop();
+  bool IsOfKnownEpoch(const std::vector<clients::KeyValue>& first_page) const;
+  net::Task<void> MachineTypesLoop();
+  double RetryPauseSeconds() const {
+    constexpr double kHeartbeatIntervals = 0.2;
+    return kHeartbeatIntervals * settings_.workers.heartbeat_interval_seconds;
+  }
 
   net::Loop& loop_;
   const Settings& settings_;
@@ -60,6 +80,7 @@
   uint64_t generation_ = 0;
   bool synced_ = false;
   bool ever_synced_ = false;
+  // Before the first listing: long ago.
   net::Time confirmed_ = -1e9;
 };
 
--- a/app/version_coordinator.cc
+++ b/app/version_coordinator.cc
@@ -1,16 +1,16 @@
 #include "app/version_coordinator.h"
 
-#include <spdlog/spdlog.h>
-
 #include <utility>
 
+#include "logging/structured_log.h"
+
 namespace oxbow::app {
 namespace {
 
 using clients::StoreResult;
 using clients::Urgency;
 
-constexpr double kLookAgain = 0.5;  // of the heartbeat interval
+constexpr double kRoundIntervals = 0.5;  // heartbeat intervals
 
 std::vector<std::string> NamesOf(const Settings& settings) {
   std::vector<std::string> names;
@@ -23,32 +23,33 @@
 VersionCoordinator::VersionCoordinator(net::Loop& loop,
                                        const Settings& settings,
                                        const Catalog& catalog,
-                                       clients::KeyValueStoreClient& state,
+                                       clients::KeyValueStoreClient& store,
                                        Callbacks callbacks)
     : loop_(loop),
       settings_(settings),
       catalog_(catalog),
-      store_(state),
+      store_(store),
       callbacks_(std::move(callbacks)),
       gate_(settings.node, NamesOf(settings),
             static_cast<size_t>(settings.nodes)) {}
 
 void VersionCoordinator::Start() { net::Spawn(RecordLoop()); }
 
-bool VersionCoordinator::Open() {
-  gate_.See(catalog_.versions());
+bool VersionCoordinator::IsOpen() {
+  gate_.Update(catalog_.versions());
   return gate_.open();
 }
 
 net::Task<void> VersionCoordinator::RecordLoop() {
   for (;;) {
-    co_await loop_.Sleep(kLookAgain *
+    co_await loop_.Sleep(kRoundIntervals *
                          settings_.workers.heartbeat_interval_seconds);
     if (!callbacks_.synced() || !callbacks_.may_write()) continue;
-    const bool open = gate_.open();
-    gate_.See(catalog_.versions());
-    if (gate_.open() && !open) {
-      spdlog::info("all controllers run a version that knows jobs that wait");
+    const bool was_open = gate_.open();
+    gate_.Update(catalog_.versions());
+    if (gate_.open() && !was_open) {
+      logging::Info(
+          "all controllers run a version that supports job dependencies");
     }
     if (gate_.RequiredWrite() != GateWrite::kNothing) {
       co_await Record(gate_.RequiredWrite());
@@ -56,10 +57,11 @@
   }
 }
 
-// What comes of it the watch tells, also when another was first.
-net::Task<void> VersionCoordinator::Record(GateWrite what) {
+// A write that fails needs no handling: the watch shows what the store holds,
+// also when another controller was first.
+net::Task<void> VersionCoordinator::Record(GateWrite required) {
   const std::string key =
-      keys::Of(keys::kVersion, what == GateWrite::kOwn
+      keys::Of(keys::kVersion, required == GateWrite::kOwn
                                    ? settings_.node
                                    : std::string(VersionGate::kMark));
   const VersionRecord record{kRecordsVersion, 0};
--- a/app/version_coordinator.h
+++ b/app/version_coordinator.h
@@ -1,5 +1,9 @@
-// Records the version of this controller, and the mark once all have recorded
-// theirs. Writes only what is missing: once for each process and data set.
+// Records the version of the records that this controller writes, and the mark
+// once all controllers have recorded theirs. Writes only what is missing: once
+// for each process and store epoch.
+//
+// Coroutines: Start() spawns a detached loop that uses this object, which
+// therefore lives as long as the event loop.
 #pragma once
 
 #include <functional>
@@ -19,7 +23,7 @@
  public:
   struct Callbacks {
     std::function<bool()> synced;
-    // Whether what is written now stands in the epoch that is known.
+    // Whether what is written now is of the epoch that is known.
     std::function<bool()> may_write;
     std::function<void(std::vector<Precondition>*)> add_guard;
     std::function<void(const std::string& key, const Record& record,
@@ -28,15 +32,16 @@
   };
   VersionCoordinator(net::Loop& loop, const Settings& settings,
                      const Catalog& catalog,
-                     clients::KeyValueStoreClient& state, Callbacks callbacks);
+                     clients::KeyValueStoreClient& store, Callbacks callbacks);
   void Start();
 
   // Whether records may be written that an earlier version can't act on.
-  bool Open();
+  bool IsOpen();
 
  private:
   net::Task<void> RecordLoop();
-  net::Task<void> Record(GateWrite what);
+  // Writes what the gate requires.
+  net::Task<void> Record(GateWrite required);
 
   net::Loop& loop_;
   const Settings& settings_;
--- a/clients/budget.h
+++ b/clients/budget.h
@@ -1,4 +1,5 @@
-// Shares of a service's request rate.
+// A token bucket over a share of a service's request rate. The more urgent a
+// request, the more of the bucket it may take.
 #pragma once
 
 #include <algorithm>
@@ -7,40 +8,49 @@
 
 namespace oxbow::clients {
 
-// What a request is for, the most important first. Lease renewals pass always.
+// What a request is for, the most important first. Requests for leases always
+// pass, and are paid back by the others.
 enum class Urgency { kLease, kUser, kLeader, kBackground };
 
 // Not thread-safe; times in seconds of the steady clock.
 class Budget {
  public:
-  // `burst_s`: seconds' worth that may be saved up.
+  // `burst_seconds`: for how long unused requests are saved up.
   Budget(double per_second, double burst_seconds)
-      : rate_(per_second), most_(per_second * burst_seconds), tokens_(most_) {}
-
-  // An amount larger than what can be saved up passes when nearly everything
-  // is there, and is paid back afterwards: refused, it would be refused for
-  // ever, as a transaction of `txn_ops` changes was for a leader whose share
-  // of `write_rps` came to less.
+      : rate_(per_second),
+        capacity_(per_second * burst_seconds),
+        tokens_(capacity_) {}
+
+  // Whether the request may be sent now; takes its tokens if so. An amount
+  // larger than the bucket passes when that is nearly full, and is paid back
+  // afterwards: otherwise it would never pass. A transaction of `txn_ops`
+  // changes is such an amount for a controller whose share of `write_rps` is
+  // less.
   bool Take(Urgency urgency, double amount, net::Time now) {
-    tokens_ = std::min(most_, tokens_ + (now - last_) * rate_);
-    last_ = now;
-    // The less urgent, the more has to stay behind for others.
-    constexpr double kReserve = 0.15;
-    constexpr double kNearlyAll = 0.9;
-    const double keep =
-        urgency == Urgency::kLease
-            ? -1e9
-            : kReserve * most_ * (static_cast<int>(urgency) - 1);
-    if (tokens_ < std::min(keep + amount, kNearlyAll * most_)) return false;
+    tokens_ = std::min(capacity_, tokens_ + (now - refilled_at_) * rate_);
+    refilled_at_ = now;
+    if (urgency != Urgency::kLease && tokens_ < Required(urgency, amount)) {
+      return false;
+    }
     tokens_ -= amount;
     return true;
   }
 
  private:
-  double rate_;
-  double most_;
-  double tokens_;
-  net::Time last_ = 0;
+  // The tokens that have to be there: the less urgent a request, the more it
+  // has to leave for others.
+  double Required(Urgency urgency, double amount) const {
+    constexpr double kReserve = 0.15;
+    constexpr double kNearlyFull = 0.9;
+    const double reserve =
+        kReserve * capacity_ * (static_cast<int>(urgency) - 1);
+    return std::min(reserve + amount, kNearlyFull * capacity_);
+  }
+
+  double rate_;  // tokens a second
+  double capacity_;
+  double tokens_;  // negative while an amount is paid back
+  net::Time refilled_at_ = 0;
 };
 
 }  // namespace oxbow::clients
--- a/clients/key_value_store.cc
+++ b/clients/key_value_store.cc
@@ -1,7 +1,9 @@
 #include "clients/key_value_store.h"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
+#include <variant>
 
 #include "wire/json.h"
 #include "wire/records.h"
@@ -9,13 +11,25 @@
 namespace oxbow::clients {
 namespace {
 
-constexpr size_t kAnswerLimit = 768 * 1024;  // a listing holds 512 KiB
-constexpr size_t kWatchLimit = 4 * 1024 * 1024;
-constexpr std::string_view kNoLease = "no such lease";
-constexpr size_t kBodyLimit = 64 * 1024;
-constexpr int kPage = 500;
+constexpr size_t kMaxAnswerBytes = 768 * 1024;  // a listing holds 512 KiB
+constexpr size_t kMaxWatchBytes = 4 * 1024 * 1024;
+constexpr size_t kMaxRequestBytes = 64 * 1024;
+constexpr int kConnections = 8;
+constexpr int kWatchConnections = 1;
+constexpr std::string_view kNoSuchLease = "no such lease";
+constexpr int kListPageKeys = 500;
 // Of this controller's share of the requests a second.
 constexpr double kRetryShare = 0.1;
+// Of the workers' lease.
+constexpr double kTimeoutRatio = 0.15;
+// A listing may take so many times as long as another request.
+constexpr double kListTimeouts = 4;
+// A watch is given so many timeouts beyond the time that it may block.
+constexpr double kWatchTimeouts = 2;
+
+std::string Milliseconds(double seconds) {
+  return std::to_string(static_cast<int64_t>(seconds * 1000));
+}
 
 void ReadItem(const rapidjson::Value& item, StoreResult* out) {
   KeyValue entry;
@@ -39,51 +53,100 @@
   out->items.push_back(std::move(entry));
 }
 
-// Empty when a value or the whole is larger than the service takes.
-std::string EncodeTransaction(const std::vector<Precondition>& preconditions,
-                              const std::vector<Mutation>& mutations,
-                              uint64_t lease_id, size_t most_value_bytes) {
-  rapidjson::StringBuffer buffer;
-  json::Writer w(buffer);
-  w.StartObject();
-  w.Key("if");
-  w.StartArray();
+bool IsAttachedToLease(const std::string& key) {
+  return key == keys::kLeader || key.starts_with(keys::kZone) ||
+         key.starts_with(keys::kFence);
+}
+
+void WritePreconditions(const std::vector<Precondition>& preconditions,
+                        json::Writer& writer) {
+  writer.Key("if");
+  writer.StartArray();
   for (const Precondition& precondition : preconditions) {
-    w.StartObject();
-    json::Field(w, "key", precondition.key);
-    w.Key("stamp");
-    w.Uint64(precondition.mod_revision);
-    w.EndObject();
+    writer.StartObject();
+    json::Field(writer, "key", precondition.key);
+    writer.Key("stamp");
+    writer.Uint64(precondition.mod_revision);
+    writer.EndObject();
   }
-  w.EndArray();
-  w.Key("then");
-  w.StartArray();
-  for (const Mutation& change : mutations) {
-    w.StartObject();
-    if (std::holds_alternative<std::monostate>(change.record)) {
-      json::Field(w, "delete", change.key);
-    } else {
-      json::Field(w, "set", change.key);
-      w.Key("v");
-      const std::string value = wire::EncodeRecord(change.record);
-      if (value.size() > most_value_bytes) return {};
-      w.RawValue(value.data(), value.size(), rapidjson::kObjectType);
-      if (lease_id != 0 &&
-          (change.key == keys::kLeader || change.key.starts_with(keys::kZone) ||
-           change.key.starts_with(keys::kFence))) {
-        w.Key("permit");
-        w.Uint64(lease_id);
-      }
-    }
-    w.EndObject();
+  writer.EndArray();
+}
+
+enum class Encoding : uint8_t { kDone, kTooLarge };
+
+Encoding WriteMutation(const Mutation& mutation, uint64_t lease_id,
+                       size_t max_value_bytes, json::Writer& writer) {
+  if (std::holds_alternative<std::monostate>(mutation.record)) {
+    json::Field(writer, "delete", mutation.key);
+    return Encoding::kDone;
+  }
+  json::Field(writer, "set", mutation.key);
+  const std::string value = wire::EncodeRecord(mutation.record);
+  if (value.size() > max_value_bytes) return Encoding::kTooLarge;
+  writer.Key("v");
+  writer.RawValue(value.data(), value.size(), rapidjson::kObjectType);
+  if (lease_id != 0 && IsAttachedToLease(mutation.key)) {
+    writer.Key("permit");
+    writer.Uint64(lease_id);
+  }
+  return Encoding::kDone;
+}
+
+// Nothing when a value or the whole is larger than the store takes.
+std::optional<std::string> EncodeTransaction(
+    const std::vector<Precondition>& preconditions,
+    const std::vector<Mutation>& mutations, uint64_t lease_id,
+    size_t max_value_bytes) {
+  rapidjson::StringBuffer buffer;
+  json::Writer writer(buffer);
+  writer.StartObject();
+  WritePreconditions(preconditions, writer);
+  writer.Key("then");
+  writer.StartArray();
+  for (const Mutation& mutation : mutations) {
+    writer.StartObject();
+    const Encoding encoding =
+        WriteMutation(mutation, lease_id, max_value_bytes, writer);
+    if (encoding == Encoding::kTooLarge) return std::nullopt;
+    writer.EndObject();
   }
-  w.EndArray();
-  w.EndObject();
+  writer.EndArray();
+  writer.EndObject();
   std::string body = json::Text(buffer);
-  if (body.size() > kBodyLimit) return {};
+  if (body.size() > kMaxRequestBytes) return std::nullopt;
   return body;
 }
 
+StoreStatus StatusOfCode(int http_status) {
+  switch (http_status) {
+    case 200:
+      return StoreStatus::kOk;
+    case 404:
+      return StoreStatus::kNotFound;
+    case 400:
+      return StoreStatus::kRefused;
+    case 409:
+      return StoreStatus::kConflict;
+    case 410:
+      return StoreStatus::kTooOld;
+    case 429:
+    case 503:
+      return StoreStatus::kNotExecuted;
+    default:
+      return StoreStatus::kUnknown;
+  }
+}
+
+std::vector<std::string> FailedKeys(const rapidjson::Document& document) {
+  std::vector<std::string> failed_keys;
+  const auto* failed = json::Find(document, "failed");
+  if (failed == nullptr || !failed->IsArray()) return failed_keys;
+  for (const auto& key : failed->GetArray()) {
+    if (key.IsString()) failed_keys.emplace_back(json::View(key));
+  }
+  return failed_keys;
+}
+
 }  // namespace
 
 KeyValueStoreClient::KeyValueStoreClient(net::Loop& loop,
@@ -91,108 +154,108 @@
                                          const Settings& settings)
     : loop_(loop),
       // The right to lead rests on its answers.
-      http_(loop, address, kAnswerLimit, 8, /*urgent=*/true),
-      watch_(loop, address, kWatchLimit, 1),
+      http_(loop, address, kMaxAnswerBytes, kConnections, /*urgent=*/true),
+      watch_(loop, address, kMaxWatchBytes, kWatchConnections),
       limits_(settings.store),
-      // The controllers share the service's limits in equal parts.
+      // The controllers share the store's limits in equal parts.
       requests_(settings.store.rps / settings.nodes, 1.0),
       writes_(settings.store.write_rps / settings.nodes, 1.0),
       retries_(kRetryShare * settings.store.rps / settings.nodes, 1.0),
-      round_trip_(0.15 * settings.workers.lease_seconds),
-      timeout_seconds_(0.15 * settings.workers.lease_seconds) {}
-
-net::Task<StoreResult> KeyValueStoreClient::Call(
-    std::string method, std::string target, std::string body,
-    double timeout_seconds, rapidjson::Document* doc, Kind kind) {
-  const bool watch = kind == Kind::kWatch;
-  StoreResult result;
-  net::HttpClient& client = watch ? watch_ : http_;
-  const uint64_t highest = highest_;
-  const uint64_t generation = generation_;
-  const net::Time sent = loop_.Now();
+      round_trip_(kTimeoutRatio * settings.workers.lease_seconds),
+      timeout_seconds_(kTimeoutRatio * settings.workers.lease_seconds) {}
+
+net::Task<KeyValueStoreClient::Response> KeyValueStoreClient::Call(
+    Request request) {
+  const Kind kind = request.kind;
+  net::HttpClient& client = kind == Kind::kWatch ? watch_ : http_;
+  const KnownWhenSent known{highest_, generation_, loop_.Now()};
   const net::ClientResult answer = co_await client.Request(
-      std::move(method), std::move(target), std::move(body), timeout_seconds);
+      std::move(request.method), std::move(request.target),
+      std::move(request.body), request.timeout_seconds);
+  Response response = Decode(answer);
+  RecordOutcome(answer, response.result.status, kind, known.sent_at);
+  CheckRevision(kind, known, &response.result);
+  co_return response;
+}
+
+KeyValueStoreClient::Response KeyValueStoreClient::Decode(
+    const net::ClientResult& answer) {
+  Response response;
+  StoreResult& result = response.result;
+  rapidjson::Document& document = response.document;
   if (answer.outcome == net::Outcome::kUnknown) {
     result.status = StoreStatus::kUnknown;
   } else if (answer.outcome == net::Outcome::kAnswered) {
-    switch (answer.status) {
-      case 200:
-        result.status = StoreStatus::kOk;
-        break;
-      case 404:
-        result.status = StoreStatus::kNotFound;
-        break;
-      case 400:
-        result.status = StoreStatus::kRefused;
-        break;
-      case 409:
-        result.status = StoreStatus::kConflict;
-        break;
-      case 410:
-        result.status = StoreStatus::kTooOld;
-        break;
-      case 429:
-      case 503:
-        result.status = StoreStatus::kNotExecuted;
-        break;
-      default:
-        result.status = StoreStatus::kUnknown;
-        break;
-    }
-    if (answer.status != 429 && answer.status != 503 &&
-        !json::Parse(answer.body, doc)) {
+    result.status = StatusOfCode(answer.status);
+    if (result.status != StoreStatus::kNotExecuted &&
+        !json::Parse(answer.body, &document)) {
       result.status = StoreStatus::kUnknown;
     }
   }
+  if (!document.IsObject()) return response;
   // A lease that has ended is refused in the same way as what is too large.
-  if (result.status == StoreStatus::kRefused && doc->IsObject() &&
-      json::GetString(*doc, "error") == kNoLease) {
+  if (result.status == StoreStatus::kRefused &&
+      json::GetString(document, "error") == kNoSuchLease) {
     result.status = StoreStatus::kConflict;
   }
-  const bool bad =
-      result.status == StoreStatus::kUnknown ||
-      (result.status == StoreStatus::kNotExecuted && answer.status != 429);
-  // A lost answer among others that came tells nothing of the service.
-  const bool lost_alone =
-      answer.outcome == net::Outcome::kUnknown && last_good_ > sent;
-  if (!bad) {
+  result.revision = json::GetUint(document, "ledger_no");
+  return response;
+}
+
+void KeyValueStoreClient::RecordOutcome(const net::ClientResult& answer,
+                                        StoreStatus status, Kind kind,
+                                        net::Time sent_at) {
+  constexpr int kTooManyRequests = 429;
+  const bool has_failed =
+      status == StoreStatus::kUnknown || (status == StoreStatus::kNotExecuted &&
+                                          answer.status != kTooManyRequests);
+  if (!has_failed) {
     last_good_ = loop_.Now();
-    if (kind == Kind::kChange) round_trip_.Answered(last_good_ - sent);
-  } else if (!watch && !lost_alone) {
-    last_bad_ = loop_.Now();
+    if (kind == Kind::kChange) round_trip_.OnAnswer(last_good_ - sent_at);
+    return;
   }
-  if (doc->IsObject()) result.revision = json::GetUint(*doc, "ledger_no");
-  if (result.revision == 0 || watch || generation != generation_) {
-    co_return result;
+  // One lost answer among others that came says nothing about the store.
+  const bool is_lost_alone =
+      answer.outcome == net::Outcome::kUnknown && last_good_ > sent_at;
+  if (kind != Kind::kWatch && !is_lost_alone) last_bad_ = loop_.Now();
+}
+
+void KeyValueStoreClient::CheckRevision(Kind kind, const KnownWhenSent& known,
+                                        StoreResult* result) {
+  if (result->revision == 0 || kind == Kind::kWatch ||
+      known.generation != generation_) {
+    return;
   }
-  // A change takes a new revision; whatever else is told is as of one that is
-  // no lower. A late answer is judged by what was known when it was asked for.
-  const bool applied = kind == Kind::kChange && result.ok();
-  if (result.revision < highest || (applied && result.revision == highest)) {
-    SteppedBack(applied, &result);
+  // A change takes a new revision; any other answer is as of one that is no
+  // lower.
+  const bool is_applied = kind == Kind::kChange && result->ok();
+  if (result->revision < known.highest ||
+      (is_applied && result->revision == known.highest)) {
+    MarkSteppedBack(is_applied, result);
   } else {
-    highest_ = std::max(highest_, result.revision);
+    highest_ = std::max(highest_, result->revision);
   }
-  co_return result;
 }
 
-void KeyValueStoreClient::SteppedBack(bool applied, StoreResult* result) {
+void KeyValueStoreClient::MarkSteppedBack(bool is_applied,
+                                          StoreResult* result) {
   result->stepped_back = true;
-  result->status = applied ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
+  result->status =
+      is_applied ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
   if (on_step_back) on_step_back();
 }
 
 net::Task<StoreResult> KeyValueStoreClient::Get(std::string key,
                                                 Urgency urgency) {
   if (!requests_.Take(urgency, 1, loop_.Now())) co_return StoreResult{};
-  rapidjson::Document doc;
-  StoreResult result =
-      co_await Call("GET", "/kv/" + key, "", timeout_seconds_, &doc);
+  Request request{"GET", "/kv/" + key, "", timeout_seconds_};
+  Response response = co_await Call(std::move(request));
+  StoreResult& result = response.result;
   if (result.ok()) {
-    ReadItem(doc, &result);
+    ReadItem(response.document, &result);
     highest_ = std::max(highest_, result.items[0].mod_revision);
   }
-  co_return result;
+  co_return std::move(result);
 }
 
 net::Task<StoreResult> KeyValueStoreClient::List(std::string prefix,
@@ -202,19 +265,22 @@
   }
   std::string target = "/kv?prefix=" + prefix;
   if (!after.empty()) target += "&after=" + after;
-  target += "&page=" + std::to_string(kPage);
-  rapidjson::Document doc;
-  StoreResult result =
-      co_await Call("GET", std::move(target), "", 4 * timeout_seconds_, &doc);
-  if (!result.ok()) co_return result;
-  const auto* pairs = json::Find(doc, "pairs");
+  target += "&page=" + std::to_string(kListPageKeys);
+  Request request{"GET", std::move(target), "",
+                  kListTimeouts * timeout_seconds_};
+  Response response = co_await Call(std::move(request));
+  StoreResult& result = response.result;
+  if (!result.ok()) co_return std::move(result);
+  const auto* pairs = json::Find(response.document, "pairs");
   if (pairs != nullptr && pairs->IsArray()) {
     for (const auto& item : pairs->GetArray()) ReadItem(item, &result);
   }
-  result.more = json::GetBool(doc, "has_next");
-  co_return result;
+  result.more = json::GetBool(response.document, "has_next");
+  co_return std::move(result);
 }
 
+// --- transactions
+
 net::Task<StoreResult> KeyValueStoreClient::Write(
     std::vector<Precondition> preconditions, std::vector<Mutation> mutations,
     Urgency urgency, uint64_t lease_id, WhenUnanswered then) {
@@ -222,96 +288,103 @@
   const auto amount = static_cast<double>(mutations.size());
   StoreResult refused;
   refused.status = StoreStatus::kRefused;
-  // Whatever the service takes today, it may take less from any moment on.
+  // Whatever the store takes today, it may take less from any moment on.
   if (!limits_.FitsTransaction(mutations.size())) co_return refused;
   if (!writes_.Take(urgency, amount, now) || !requests_.Take(urgency, 1, now)) {
     co_return StoreResult{};
   }
-  auto sending = std::make_shared<Sending>(loop_);
-  sending->kind = mutations.empty() ? Kind::kRead : Kind::kChange;
-  sending->mutations = amount;
-  sending->body = EncodeTransaction(preconditions, mutations, lease_id,
-                                    limits_.most_value_bytes());
-  if (sending->body.empty()) co_return refused;
-  const net::Time until = now + timeout_seconds_;
-  sending->retry.Sent();
-  net::Spawn(Send(sending, timeout_seconds_));
-  bool hurried = then != WhenUnanswered::kWait;
-  while (!sending->retry.decided() && !sending->retry.silent()) {
-    const double left = until - loop_.Now();
+  std::optional<std::string> body = EncodeTransaction(
+      preconditions, mutations, lease_id, limits_.most_value_bytes());
+  if (!body) co_return refused;
+  auto transaction = std::make_shared<Transaction>(loop_);
+  transaction->kind = mutations.empty() ? Kind::kRead : Kind::kChange;
+  transaction->mutations = amount;
+  transaction->body = std::move(*body);
+  transaction->retry.OnSent();
+  net::Spawn(Send(transaction, timeout_seconds_));
+  co_await AwaitDecision(transaction, then, now + timeout_seconds_);
+  StoreResult result = transaction->result;
+  if (!transaction->retry.decided()) result.status = StoreStatus::kUnknown;
+  co_return result;
+}
+
+net::Task<void> KeyValueStoreClient::AwaitDecision(
+    std::shared_ptr<Transaction> transaction, WhenUnanswered then,
+    net::Time deadline) {
+  WriteRetry& retry = transaction->retry;
+  bool may_send_again = then != WhenUnanswered::kWait;
+  while (!retry.decided() && !retry.silent()) {
+    const double left = deadline - loop_.Now();
     if (left <= 0) break;
-    const double timeout = hurried ? round_trip_.SilenceTimeout() : left;
-    sending->news.Clear();
-    co_await sending->news.Wait(std::min(left, timeout));
-    const bool missed = !sending->news.IsSet() && timeout < left;
-    if (!hurried || !(missed || sending->retry.silent())) continue;
-    if (missed) round_trip_.Missed();
-    if (!sending->retry.MaySendAgain() || !TakeRetry(*sending)) {
-      hurried = false;
+    const double timeout = may_send_again ? round_trip_.TimeoutSeconds() : left;
+    transaction->answered.Clear();
+    co_await transaction->answered.Wait(std::min(left, timeout));
+    const bool is_overdue = !transaction->answered.IsSet() && timeout < left;
+    if (!may_send_again || !(is_overdue || retry.silent())) continue;
+    if (is_overdue) round_trip_.OnTimeout();
+    if (!retry.MaySendAgain() || !TakeRetry(*transaction)) {
+      may_send_again = false;
       continue;
     }
-    if (then == WhenUnanswered::kGiveUp || sending->retry.refused()) break;
-    sending->retry.Sent();
-    net::Spawn(Send(sending, until - loop_.Now()));
+    if (then == WhenUnanswered::kGiveUp || retry.refused()) break;
+    retry.OnSent();
+    net::Spawn(Send(transaction, deadline - loop_.Now()));
   }
-  StoreResult result = sending->result;
-  if (!sending->retry.decided()) result.status = StoreStatus::kUnknown;
-  co_return result;
 }
 
-bool KeyValueStoreClient::TakeRetry(const Sending& sending) {
-  // As the least urgent: what the users and the leader need stays behind.
+bool KeyValueStoreClient::TakeRetry(const Transaction& transaction) {
+  // As the least urgent: what the users and the leader need is left for them.
   const net::Time now = loop_.Now();
   return retries_.Take(Urgency::kUser, 1, now) &&
-         writes_.Take(Urgency::kBackground, sending.mutations, now) &&
+         writes_.Take(Urgency::kBackground, transaction.mutations, now) &&
          requests_.Take(Urgency::kBackground, 1, now);
 }
 
-net::Task<void> KeyValueStoreClient::Send(std::shared_ptr<Sending> sending,
-                                          double timeout_seconds) {
-  rapidjson::Document doc;
-  StoreResult result = co_await Call("POST", "/txn", sending->body,
-                                     timeout_seconds, &doc, sending->kind);
+net::Task<void> KeyValueStoreClient::Send(
+    std::shared_ptr<Transaction> transaction, double timeout_seconds) {
+  Request request{"POST", "/txn", transaction->body, timeout_seconds,
+                  transaction->kind};
+  Response response = co_await Call(std::move(request));
+  StoreResult& result = response.result;
   if (result.status == StoreStatus::kConflict) {
-    const auto* failed = json::Find(doc, "failed");
-    if (failed != nullptr && failed->IsArray()) {
-      for (const auto& key : failed->GetArray()) {
-        if (key.IsString()) result.failed.emplace_back(json::View(key));
-      }
-    }
+    result.failed = FailedKeys(response.document);
   }
-  if (sending->retry.decided()) co_return;
-  sending->retry.OnAnswer(result.status);
-  sending->result = std::move(result);
-  sending->news.Set();
+  if (transaction->retry.decided()) co_return;
+  transaction->retry.OnAnswer(result.status);
+  transaction->result = std::move(result);
+  transaction->answered.Set();
 }
 
+// --- leases and the watch
+
 net::Task<StoreResult> KeyValueStoreClient::CreateLease(double ttl_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
-  rapidjson::Document doc;
-  StoreResult result = co_await Call(
-      "POST", "/leases",
-      "{\"ttl_ms\":" +
-          std::to_string(static_cast<int64_t>(ttl_seconds * 1000)) + "}",
-      timeout_seconds_, &doc);
-  if (result.ok()) result.lease_id = json::GetUint(doc, "permit");
-  co_return result;
+  Request request{"POST", "/leases",
+                  "{\"ttl_ms\":" + Milliseconds(ttl_seconds) + "}",
+                  timeout_seconds_};
+  Response response = co_await Call(std::move(request));
+  StoreResult& result = response.result;
+  if (result.ok()) {
+    result.lease_id = json::GetUint(response.document, "permit");
+  }
+  co_return std::move(result);
 }
 
 net::Task<StoreResult> KeyValueStoreClient::Renew(uint64_t lease_id,
                                                   double timeout_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
-  rapidjson::Document doc;
-  co_return co_await Call("POST",
-                          "/leases/" + std::to_string(lease_id) + "/extend",
-                          "{}", timeout_seconds, &doc);
+  Request request{"POST", "/leases/" + std::to_string(lease_id) + "/extend",
+                  "{}", timeout_seconds};
+  Response response = co_await Call(std::move(request));
+  co_return std::move(response.result);
 }
 
 net::Task<StoreResult> KeyValueStoreClient::EndLease(uint64_t lease_id) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
-  rapidjson::Document doc;
-  co_return co_await Call("DELETE", "/leases/" + std::to_string(lease_id), "",
-                          timeout_seconds_, &doc);
+  Request request{"DELETE", "/leases/" + std::to_string(lease_id), "",
+                  timeout_seconds_};
+  Response response = co_await Call(std::move(request));
+  co_return std::move(response.result);
 }
 
 net::Task<StoreResult> KeyValueStoreClient::Watch(std::string prefix,
@@ -319,23 +392,23 @@
                                                   double block_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
   const uint64_t generation = generation_;
-  rapidjson::Document doc;
-  StoreResult result = co_await Call(
+  Request request{
       "GET",
       "/follow?prefix=" + prefix + "&after=" + std::to_string(after) +
-          "&block_ms=" +
-          std::to_string(static_cast<int64_t>(block_seconds * 1000)),
-      "", block_seconds + 2 * timeout_seconds_, &doc, Kind::kWatch);
-  if (!result.ok()) co_return result;
+          "&block_ms=" + Milliseconds(block_seconds),
+      "", block_seconds + kWatchTimeouts * timeout_seconds_, Kind::kWatch};
+  Response response = co_await Call(std::move(request));
+  StoreResult& result = response.result;
+  if (!result.ok()) co_return std::move(result);
   if (result.revision < after && generation == generation_) {
-    SteppedBack(/*applied=*/false, &result);
-    co_return result;
+    MarkSteppedBack(/*is_applied=*/false, &result);
+    co_return std::move(result);
   }
-  const auto* log = json::Find(doc, "log");
+  const auto* log = json::Find(response.document, "log");
   if (log != nullptr && log->IsArray()) {
     for (const auto& event : log->GetArray()) ReadEvent(event, &result);
   }
-  co_return result;
+  co_return std::move(result);
 }
 
 }  // namespace oxbow::clients
--- a/clients/write_retry.cc
+++ b/clients/write_retry.cc
@@ -9,7 +9,8 @@
 
 namespace oxbow::clients {
 
-void RoundTrip::Answered(double took_seconds) {
+void RoundTrip::OnAnswer(double took_seconds) {
+  // The weights of RFC 6298 for the newest measurement.
   constexpr double kNewest = 1.0 / 8;
   constexpr double kNewestVariation = 1.0 / 4;
   backoff_ = 1;
@@ -18,16 +19,16 @@
     variation_seconds_ = took_seconds / 2;
     return;
   }
-  const double off = std::abs(took_seconds - smoothed_seconds_);
-  variation_seconds_ += kNewestVariation * (off - variation_seconds_);
+  const double deviation = std::abs(took_seconds - smoothed_seconds_);
+  variation_seconds_ += kNewestVariation * (deviation - variation_seconds_);
   smoothed_seconds_ += kNewest * (took_seconds - smoothed_seconds_);
 }
 
-void RoundTrip::Missed() {
-  if (SilenceTimeout() < most_seconds_) backoff_ *= 2;
+void RoundTrip::OnTimeout() {
+  if (TimeoutSeconds() < most_seconds_) backoff_ *= 2;
 }
 
-double RoundTrip::SilenceTimeout() const {
+double RoundTrip::TimeoutSeconds() const {
   if (smoothed_seconds_ <= 0) return most_seconds_;
   constexpr double kVariations = 4;
   constexpr double kLeastRoundTrips = 8;
@@ -69,7 +70,7 @@
   }
   if (answered_ < sent_) return;
   if (unanswered_) return Change(Phase::kSilent);
-  // Refused, all of them: nothing can come late.
+  // All copies were refused: none can be carried out later.
   status_ = too_large_ ? StoreStatus::kRefused : StoreStatus::kNotExecuted;
   Change(Phase::kDecided);
 }
--- a/clients/write_retry.h
+++ b/clients/write_retry.h
@@ -12,24 +12,25 @@
   kOk,
   kNotFound,
   kConflict,
-  kRefused,      // too large, or malformed: refused again, sent as it is
-  kTooOld,       // the watch has fallen behind what the service keeps
+  kRefused,      // too large, or malformed: it would be refused again
+  kTooOld,       // the watch has fallen behind what the store keeps
   kNotExecuted,  // refused or never sent
   kUnknown,      // sent, no answer
 };
 
 // How long answers take, smoothed as TCP does for its retransmissions
-// (RFC 6298): a service that grows slow is given more time at once, one that
+// (RFC 6298): a store that grows slow is given more time at once, one that
 // stays silent twice as much each time.
 class RoundTrip {
  public:
-  // `most_s`: the timeout while nothing has been measured, and the longest.
+  // `most_seconds`: the timeout while nothing has been measured, and the
+  // longest.
   explicit RoundTrip(double most_seconds) : most_seconds_(most_seconds) {}
 
-  void Answered(double took_seconds);
+  void OnAnswer(double took_seconds);
   // No answer within the timeout.
-  void Missed();
-  double SilenceTimeout() const;
+  void OnTimeout();
+  double TimeoutSeconds() const;
 
  private:
   double most_seconds_;
@@ -38,23 +39,23 @@
   double backoff_ = 1;
 };
 
-// A transaction and the copies of it that have been sent under the same
-// conditions, which hold for the first that arrives only. So one answer that
-// says what became of a copy says enough of all:
+// A transaction and the copies of it that have been sent with the same
+// preconditions, which hold for the first copy that arrives only. So one answer
+// that says what became of a copy says enough about all of them:
 // - kOk: this copy was carried out, and no other will be;
-// - kConflict: something stands that refuses them all, this transaction itself,
-//   carried out before, or another. Its sender has to treat both alike;
+// - kConflict: a record in the store refuses them all, that of this transaction
+//   itself, carried out before, or another. The sender has to treat both alike;
 // - kNotExecuted, kRefused: this copy was not carried out, another may be, also
-//   one that came before the service lowered its limits.
+//   one that arrived before the store lowered its limits.
 class WriteRetry {
  public:
   enum class Phase : uint8_t {
-    kWaiting,  // for the answer to a copy under way
-    kSilent,   // none is under way, and an answer is missing
+    kWaiting,  // for the answer to a copy in flight
+    kSilent,   // none is in flight, and an answer is missing
     kDecided,
   };
 
-  void Sent() {
+  void OnSent() {
     ++sent_;
     Change(Phase::kWaiting);
   }
@@ -63,7 +64,7 @@
   // A copy is worth sending: whatever was sent may yet arrive.
   bool MaySendAgain() const { return !decided() && sent_ < kMostCopies; }
   bool decided() const { return phase_ == Phase::kDecided; }
-  // One was refused: to send more is no use now.
+  // A copy was refused: sending more is of no use now.
   bool refused() const { return refused_; }
   bool silent() const { return phase_ == Phase::kSilent; }
   // What is known now; kUnknown until it is decided.
@@ -71,7 +72,7 @@
 
  private:
   static constexpr int kMostCopies = 4;
-  // The one function for a change.
+  // The only function that changes the phase.
   void Change(Phase next);
 
   Phase phase_ = Phase::kSilent;
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_choice.h
@@ -1,6 +1,5 @@
-// Which of the other controllers is asked on a user's behalf, and when one
-// that gives no answer is asked again. Without I/O: whoever asks tells what
-// came of it.
+// Which of the other controllers a user's request is forwarded to, and when one
+// that gives no answer is asked again. No I/O: the caller reports the outcomes.
 #pragma once
 
 #include <cstddef>
@@ -14,35 +13,36 @@
 
 enum class PeerState : uint8_t {
   kAnswers,  // as far as is known
-  kResting,  // gave none: nobody waits for it until its rest is over
-  kOnTrial,  // the rest is over, and a question finds out
+  kResting,  // gave no answer: no request waits for it until its rest is over
+  kOnTrial,  // the rest is over, and a request of its own finds out
 };
 
 enum class PeerEvent : uint8_t { kAnswer, kSilence, kTrial };
 
 class PeerChoice {
  public:
-  // `rest_s`: after the first silence; doubled with each up to `most_rest_s`.
-  // `vain_per_second`: requests a second that may be handed on though the one
-  // before was of no use.
-  PeerChoice(size_t peers, double rest_seconds, double most_rest_seconds,
-             double vain_per_second);
+  // `rest_seconds`: after the first silence; doubled with each further one up
+  // to `max_rest_seconds`. `fruitless_per_second`: how many requests a second
+  // may be forwarded though none of the earlier ones was answered.
+  PeerChoice(size_t peers, double rest_seconds, double max_rest_seconds,
+             double fruitless_per_second);
 
-  // Whether a request may be handed on. In an outage that all share asking
-  // around for each would only add to the load. Limited by their number and
-  // not by a pause: a pause that every request without an answer renews can
-  // keep out, for ever, the one to which another has the answer.
+  // Whether a request may be forwarded. In an outage that all controllers
+  // share, forwarding each would only add to the load. Limited by their number
+  // and not by a pause: a pause that is renewed by every unanswered request can
+  // keep out, for ever, the one that another controller could answer.
   bool MayAskAround(Time now);
   // All peers, the one that helped last first: a request asks one after the
-  // other, so that what one can tell does not hang on whose turn it is.
+  // other, so that an answer does not depend on whose turn it is.
   std::vector<size_t> PreferenceOrder() const;
   // Whether a request may wait for this one.
   bool IsResponsive(size_t peer) const {
     return peers_[peer].state == PeerState::kAnswers;
   }
-  // Whether to find out, on nobody's behalf, if one whose rest is over is back.
-  // True begins the trial: its answer or its silence has to be told. A user who
-  // waited for it would have each of its questions be the trial.
+  // Whether to find out, on nobody's behalf, if a peer whose rest is over
+  // answers again. True begins the trial: Answered() or Silent() has to follow.
+  // If users waited for trials, each request of an unlucky one could be a
+  // trial.
   bool MayTry(size_t peer, Time now);
   void Answered(size_t peer);
   void Silent(size_t peer, Time now);
@@ -55,18 +55,18 @@
   struct Peer {
     PeerState state = PeerState::kAnswers;
     Time until = 0;
-    double rest_seconds = 0;  // of the next rest
+    double rest_seconds = 0;  // the length of the next rest
   };
-  // The one function for a change.
+  // The only function that changes a state.
   void Change(Peer& peer, PeerEvent event);
 
   std::vector<Peer> peers_;
   const double rest_seconds_;
-  const double most_rest_seconds_;
-  const double vain_per_seconds_;
-  double vain_;  // that may be handed on now
-  Time counted_ = 0;
-  size_t first_ = 0;
+  const double max_rest_seconds_;
+  const double fruitless_per_second_;
+  double fruitless_allowance_;  // requests that may be forwarded now
+  Time allowance_updated_at_ = 0;
+  size_t preferred_ = 0;  // the peer that helped last
 };
 
 }  // namespace oxbow
--- a/core/recovery/store_verification.cc
+++ b/core/recovery/store_verification.cc
@@ -17,12 +17,12 @@
 };
 
 // Rounds that must agree: one answer from a stale copy is no loss.
-constexpr int kRounds = 2;
+constexpr int kRequiredRounds = 2;
 
 }  // namespace
 
-std::string_view NameOf(DataLossIndication sign) {
-  switch (sign) {
+std::string_view NameOf(DataLossIndication indication) {
+  switch (indication) {
     case DataLossIndication::kNone:
       return "nothing";
     case DataLossIndication::kStepBack:
@@ -44,68 +44,70 @@
 void StoreVerification::Change(StoreVerificationEvent event) {
   const StoreVerificationState settled = rebuilt_ ? kVerified : kRebuilding;
   switch (event) {
-    case StoreVerificationEvent::kSign:
+    case StoreVerificationEvent::kIndication:
       return CheckedChange(state_, kSuspected, kChanges, "store verification");
     case StoreVerificationEvent::kCleared:
       return CheckedChange(state_, settled, kChanges, "store verification");
     case StoreVerificationEvent::kConfirmed:
       return CheckedChange(state_, kLost, kChanges, "store verification");
-    case StoreVerificationEvent::kOpened:
+    case StoreVerificationEvent::kEpochOpened:
       return CheckedChange(state_, kRebuilding, kChanges, "store verification");
-    case StoreVerificationEvent::kCompleteReconciliation:
+    case StoreVerificationEvent::kReconciliationComplete:
       return CheckedChange(state_, kVerified, kChanges, "store verification");
   }
 }
 
-bool StoreVerification::Note(DataLossIndication sign) {
+bool StoreVerification::OnIndication(DataLossIndication indication) {
   if (state_ == kSuspected || state_ == kLost) return false;
-  Change(StoreVerificationEvent::kSign);
-  sign_ = sign;
-  agreeing_ = 0;
+  Change(StoreVerificationEvent::kIndication);
+  indication_ = indication;
+  agreeing_rounds_ = 0;
   return true;
 }
 
-void StoreVerification::OnRound(StoreCheck mine, bool others_stand) {
+void StoreVerification::OnRound(StoreCheck mine, PeerFinding peers) {
   if (mine == StoreCheck::kNoAnswer) return;
-  if (state_ == kLost && mine == StoreCheck::kStands) {
+  if (state_ == kLost && mine == StoreCheck::kIntact) {
     // What was missing is there: it was this controller's view that lacked it.
     Change(StoreVerificationEvent::kCleared);
     return;
   }
   if (state_ != kSuspected) return;
-  if (mine == StoreCheck::kStands) {
+  if (mine == StoreCheck::kIntact) {
     Change(StoreVerificationEvent::kCleared);
     return;
   }
-  // Only this controller is shown a hole: it reads a stale copy, and keeps from
-  // judging until it reads what the others do.
-  if (others_stand) {
-    agreeing_ = 0;
+  // Only this controller misses something: it reads a stale copy, and stays
+  // undecided until it reads what the others do.
+  if (peers == PeerFinding::kIntact) {
+    agreeing_rounds_ = 0;
     return;
   }
-  if (++agreeing_ >= kRounds) Change(StoreVerificationEvent::kConfirmed);
+  if (++agreeing_rounds_ >= kRequiredRounds)
+    Change(StoreVerificationEvent::kConfirmed);
 }
 
 void StoreVerification::OnEpoch(uint64_t number, bool rebuilt) {
   if (number < epoch_) return;
-  const bool later = number > epoch_;
-  const bool first = epoch_ == 0;
+  const bool is_later = number > epoch_;
+  const bool is_first = epoch_ == 0;
   epoch_ = number;
   rebuilt_ = rebuilt;
-  if (later && !first) {
+  if (is_later && !is_first) {
     if (rebuilt) {
       if (state_ != kVerified)
-        Change(StoreVerificationEvent::kCompleteReconciliation);
+        Change(StoreVerificationEvent::kReconciliationComplete);
     } else if (state_ != kRebuilding) {
-      Change(StoreVerificationEvent::kOpened);
+      Change(StoreVerificationEvent::kEpochOpened);
     }
     return;
   }
   // A suspicion about this epoch is for the checks to settle.
   if (state_ == kRebuilding && rebuilt) {
-    Change(StoreVerificationEvent::kCompleteReconciliation);
+    Change(StoreVerificationEvent::kReconciliationComplete);
   }
-  if (state_ == kVerified && !rebuilt) Change(StoreVerificationEvent::kOpened);
+  if (state_ == kVerified && !rebuilt)
+    Change(StoreVerificationEvent::kEpochOpened);
 }
 
 }  // namespace oxbow
--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -1,7 +1,7 @@
-// Whether this controller may believe what the key-value store says. A missing
-// record proves something only while it may. Signs of a loss raise a
-// suspicion, which is settled by fresh checks, this controller's and the
-// others'.
+// Whether this controller may believe what the key-value store says. Only then
+// does a missing record prove anything. An indication of data loss raises a
+// suspicion, which is settled by fresh checks of this and the other
+// controllers. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,72 +13,82 @@
 namespace oxbow {
 
 enum class StoreVerificationState : uint8_t {
-  kVerified,    // what it does not hold is not there
-  kSuspected,   // a sign of a loss is being looked at
+  kVerified,    // a record that it does not hold does not exist
+  kSuspected,   // an indication of a loss is being examined
   kLost,        // it has lost data; a new epoch has to be opened
-  kRebuilding,  // one is open, and what is remembered is being written back
+  kRebuilding,  // one is open, and retained records are being written back
 };
 
+// Sent between controllers by number: new ones go to the end.
 enum class DataLossIndication : uint8_t {
   kNone,
-  kStepBack,       // a lower revision than an earlier answer's
+  kStepBack,       // a lower revision than in an earlier answer
   kEpochMissing,   // the epoch's records are not there, or are another's
   kRecordMissing,  // a record that nobody deleted
   kTermAbove,      // a worker shows a token that no leader here can have given
   kUnknownTask,    // a task runs whose job has no record
   kOtherEpoch,     // another controller remembers another epoch
 };
-std::string_view NameOf(DataLossIndication sign);
+// In words, for the log.
+std::string_view NameOf(DataLossIndication indication);
 
-// What a fresh look at the key-value store says, with everything that the sign
-// asks for looked at again.
-enum class StoreCheck : uint8_t { kNoAnswer, kStands, kGone };
+// The result of a fresh read of what an indication is about. Sent between
+// controllers by number.
+enum class StoreCheck : uint8_t {
+  kNoAnswer,
+  kIntact,   // the store holds it
+  kMissing,  // it does not, or holds an older copy
+};
+
+// What another controller that read the store at the same moment found.
+enum class PeerFinding : uint8_t { kNone, kIntact };
 
 enum class StoreVerificationEvent : uint8_t {
-  kSign,
+  kIndication,
   kCleared,
   kConfirmed,
-  kOpened,  // a later epoch that is not yet rebuilt has been seen
-  kCompleteReconciliation,  // one that is
+  kEpochOpened,  // a later epoch that is not yet rebuilt was observed
+  kReconciliationComplete,  // one that is rebuilt
 };
 
 class StoreVerification {
  public:
   StoreVerificationState state() const { return state_; }
-  DataLossIndication sign() const { return sign_; }
+  // What raised the latest suspicion.
+  DataLossIndication indication() const { return indication_; }
 
-  // A sign was seen. True when it is news: the suspicion has to be settled.
-  bool Note(DataLossIndication sign);
-  // A round of checks is over, while suspected, or later while nobody has
-  // opened a new epoch. `others_stand`: another controller that looked at the
-  // same moment finds nothing wrong.
-  void OnRound(StoreCheck mine, bool others_stand);
+  // True if it raises a suspicion, which then has to be settled by rounds;
+  // false while one is being settled or a loss is certain.
+  bool OnIndication(DataLossIndication indication);
+  // A round of checks is over, while a loss is suspected, or later while nobody
+  // has opened a new epoch.
+  void OnRound(StoreCheck mine, PeerFinding peers);
   // The epoch as recorded now.
   void OnEpoch(uint64_t number, bool rebuilt);
 
-  // A record that nobody remembers was never there, and may be denied.
+  // Whether a record that nobody remembers never existed, and may be denied.
   bool MayDeny() const { return state_ == StoreVerificationState::kVerified; }
-  // A submission may be accepted: by anybody, or, while the memory is being
-  // written back, by the leader, which holds all of it.
-  bool MayAccept(bool leading) const {
+  // Whether a submission may be accepted: by anybody, or, while retained
+  // records are being written back, by the leader, which has all of them.
+  bool MayAccept(bool is_leading) const {
     return state_ == StoreVerificationState::kVerified ||
-           (state_ == StoreVerificationState::kRebuilding && leading);
+           (state_ == StoreVerificationState::kRebuilding && is_leading);
   }
-  // The free leader key means that nobody leads.
+  // Whether a free leader key means that nobody leads.
   bool MaySeek() const {
     return state_ == StoreVerificationState::kVerified ||
            state_ == StoreVerificationState::kRebuilding;
   }
 
  private:
-  // The one function for a change.
+  // The only function that changes the state.
   void Change(StoreVerificationEvent event);
 
   StoreVerificationState state_ = StoreVerificationState::kVerified;
-  DataLossIndication sign_ = DataLossIndication::kNone;
+  DataLossIndication indication_ = DataLossIndication::kNone;
   uint64_t epoch_ = 0;
   bool rebuilt_ = true;
-  int agreeing_ = 0;  // rounds in a row that found it gone
+  int agreeing_rounds_ = 0;  // in a row that found something missing
 };
 
 }  // namespace oxbow
--- a/core/recovery/terminal_state_index.cc
+++ b/core/recovery/terminal_state_index.cc
@@ -7,15 +7,15 @@
 namespace {
 
 constexpr std::string_view kPrefix = "job-";
-constexpr size_t kDigits = 6;  // at least
+constexpr size_t kMinDigits = 6;
 
 }  // namespace
 
 std::optional<uint32_t> TerminalStateIndex::NumberOf(std::string_view id) {
   if (!id.starts_with(kPrefix)) return std::nullopt;
   id.remove_prefix(kPrefix.size());
-  // One form for each number, or two jobs would share an end.
-  if (id.size() < kDigits || (id.size() > kDigits && id[0] == '0')) {
+  // One form for each number, or two jobs would share an entry.
+  if (id.size() < kMinDigits || (id.size() > kMinDigits && id[0] == '0')) {
     return std::nullopt;
   }
   uint32_t number = 0;
@@ -27,7 +27,8 @@
 
 std::string TerminalStateIndex::IdOf(uint32_t number) {
   std::string digits = std::to_string(number);
-  if (digits.size() < kDigits) digits.insert(0, kDigits - digits.size(), '0');
+  if (digits.size() < kMinDigits)
+    digits.insert(0, kMinDigits - digits.size(), '0');
   return std::string(kPrefix) + digits;
 }
 
@@ -48,12 +49,12 @@
 
 void TerminalStateIndex::ForEachMissing(
     const TerminalStateIndex& other,
-    const std::function<void(const std::string& id, TerminalState state)>& what)
-    const {
+    const std::function<void(const std::string& id, TerminalState state)>&
+        visit) const {
   for (const TerminalState state :
        {TerminalState::kDone, TerminalState::kAborted}) {
     const Roaring missing = Part(state) - (other.done_ | other.aborted_);
-    for (const uint32_t number : missing) what(IdOf(number), state);
+    for (const uint32_t number : missing) visit(IdOf(number), state);
   }
 }
 
@@ -67,11 +68,11 @@
 
 bool TerminalStateIndex::Merge(TerminalState part, const std::string& bytes) {
   try {
-    const Roaring told = Roaring::readSafe(bytes.data(), bytes.size());
+    const Roaring merged = Roaring::readSafe(bytes.data(), bytes.size());
     if (part == TerminalState::kDone) {
-      done_ |= told - aborted_;
+      done_ |= merged - aborted_;
     } else {
-      aborted_ |= told - done_;
+      aborted_ |= merged - done_;
     }
     return true;
   } catch (const std::exception&) {
--- a/core/upgrade/version_gate.cc
+++ b/core/upgrade/version_gate.cc
@@ -11,8 +11,8 @@
 
 using enum GateState;
 
-// None leads back from kOpen. What was seen and not marked yet may be lost with
-// the key-value store's data, and is recorded anew.
+// kOpen is final. A version that was recorded and not marked yet may be lost
+// with the store's data, and is recorded again.
 constexpr std::array kChanges = {
     std::pair{kClosed, kAllSeen},
     std::pair{kClosed, kOpen},
@@ -26,7 +26,7 @@
   return it == versions.end() ? nullptr : &it->second;
 }
 
-bool Present(const VersionRecord* record) {
+bool IsPresentVersion(const VersionRecord* record) {
   return record != nullptr && record->version >= kRecordsVersion;
 }
 
@@ -43,28 +43,28 @@
 }
 
 bool VersionGate::AllSeen(const Versions& versions) const {
-  const auto present = [&](const std::string& name) {
-    return Present(Find(versions, name));
+  const auto is_present = [&](const std::string& name) {
+    return IsPresentVersion(Find(versions, name));
   };
-  // The settings may count a controller that they don't name.
+  // The settings may count a controller that they do not name.
   return names_.size() >= nodes_ &&
-         std::all_of(names_.begin(), names_.end(), present);
+         std::all_of(names_.begin(), names_.end(), is_present);
 }
 
-void VersionGate::See(const Versions& versions) {
+void VersionGate::Update(const Versions& versions) {
   const VersionRecord* own = Find(versions, self_);
   const VersionRecord* mark = Find(versions, kMark);
   const bool all = AllSeen(versions);
-  if (Present(mark)) {
+  if (IsPresentVersion(mark)) {
     Change(kOpen);
   } else if (!open()) {
     Change(all ? kAllSeen : kClosed);
   }
   required_write_ = GateWrite::kNothing;
-  if (!Present(own)) {
+  if (!IsPresentVersion(own)) {
     required_write_ = GateWrite::kOwn;
     replaces_ = own == nullptr ? 0 : own->mod_revision;
-  } else if (!Present(mark) && (all || open())) {
+  } else if (!IsPresentVersion(mark) && (all || open())) {
     required_write_ = GateWrite::kMark;
     replaces_ = mark == nullptr ? 0 : mark->mod_revision;
   }
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -74,43 +74,44 @@
   StoreVerification verification_;
 };
 
-TEST_F(SuspectedDataLoss, ASignAloneIsNoLoss) {
-  EXPECT_TRUE(verification_.Note(DataLossIndication::kStepBack));
-  EXPECT_FALSE(verification_.Note(
-      DataLossIndication::kEpochMissing));  // looked at already
+TEST_F(SuspectedDataLoss, AnIndicationAloneIsNoLoss) {
+  EXPECT_TRUE(verification_.OnIndication(DataLossIndication::kStepBack));
+  EXPECT_FALSE(verification_.OnIndication(
+      DataLossIndication::kEpochMissing));  // examined already
   EXPECT_FALSE(verification_.MayDeny());
-  verification_.OnRound(StoreCheck::kStands, false);
+  verification_.OnRound(StoreCheck::kIntact, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kVerified);
   EXPECT_TRUE(verification_.MayDeny());
 }
 
-TEST_F(SuspectedDataLoss, ALossTakesRoundsThatAgree) {
-  verification_.Note(DataLossIndication::kEpochMissing);
-  verification_.OnRound(StoreCheck::kGone, false);
+TEST_F(SuspectedDataLoss, ALossIsCertainAfterTwoRoundsThatAgree) {
+  verification_.OnIndication(DataLossIndication::kEpochMissing);
+  verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kSuspected);
   verification_.OnRound(StoreCheck::kNoAnswer,
-                        false);  // an outage settles nothing
+                        PeerFinding::kNone);  // an outage settles nothing
   EXPECT_EQ(verification_.state(), kSuspected);
-  verification_.OnRound(StoreCheck::kGone, false);
+  verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kLost);
   EXPECT_FALSE(verification_.MayAccept(true));
   EXPECT_FALSE(verification_.MaySeek());
 }
 
-// It reads a stale copy: the others find everything in its place.
-TEST_F(SuspectedDataLoss, AHoleThatOnlyOneSeesIsNoLoss) {
-  verification_.Note(DataLossIndication::kStepBack);
-  for (int i = 0; i < 20; ++i) verification_.OnRound(StoreCheck::kGone, true);
+// It reads a stale copy: the others find the store intact.
+TEST_F(SuspectedDataLoss, ARecordThatOnlyThisControllerMissesIsNoLoss) {
+  verification_.OnIndication(DataLossIndication::kStepBack);
+  for (int i = 0; i < 20; ++i)
+    verification_.OnRound(StoreCheck::kMissing, PeerFinding::kIntact);
   EXPECT_EQ(verification_.state(), kSuspected);
   EXPECT_FALSE(verification_.MaySeek());
-  verification_.OnRound(StoreCheck::kStands, true);
+  verification_.OnRound(StoreCheck::kIntact, PeerFinding::kIntact);
   EXPECT_EQ(verification_.state(), kVerified);
 }
 
-TEST_F(SuspectedDataLoss, DuringTheRebuildOnlyTheLeaderAccepts) {
-  verification_.Note(DataLossIndication::kEpochMissing);
-  verification_.OnRound(StoreCheck::kGone, false);
-  verification_.OnRound(StoreCheck::kGone, false);
+TEST_F(SuspectedDataLoss, DuringReconciliationOnlyTheLeaderAccepts) {
+  verification_.OnIndication(DataLossIndication::kEpochMissing);
+  verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
+  verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   verification_.OnEpoch(2, false);
   EXPECT_EQ(verification_.state(), kRebuilding);
   EXPECT_TRUE(verification_.MayAccept(true));
@@ -120,18 +121,18 @@
   EXPECT_EQ(verification_.state(), kVerified);
 }
 
-TEST_F(SuspectedDataLoss, LostAgainInMidRebuild) {
+TEST_F(SuspectedDataLoss, ALossDuringReconciliationIsDetected) {
   verification_.OnEpoch(2, false);
-  EXPECT_TRUE(verification_.Note(DataLossIndication::kStepBack));
-  verification_.OnRound(StoreCheck::kGone, false);
-  verification_.OnRound(StoreCheck::kGone, false);
+  EXPECT_TRUE(verification_.OnIndication(DataLossIndication::kStepBack));
+  verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
+  verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kLost);
   verification_.OnEpoch(3, false);
   EXPECT_EQ(verification_.state(), kRebuilding);
 }
 
-// An epoch's record read late tells nothing of the one that stands.
-TEST_F(SuspectedDataLoss, AnEarlierEpochIsNoNews) {
+// An epoch's record that is read late says nothing about the present epoch.
+TEST_F(SuspectedDataLoss, AnEarlierEpochIsIgnored) {
   verification_.OnEpoch(2, false);
   verification_.OnEpoch(1, true);
   EXPECT_EQ(verification_.state(), kRebuilding);
--- a/tests/version_gate_test.cc
+++ b/tests/version_gate_test.cc
@@ -1,4 +1,4 @@
-// From when on jobs may wait for others.
+// When records of job dependencies may be written.
 
 #include "core/upgrade/version_gate.h"
 
@@ -15,48 +15,48 @@
   return versions;
 }
 
-TEST(VersionGate, OpensOnlyWhenAllHaveRecordedTheVersion) {
+TEST(VersionGate, OpensOnlyWhenAllControllersHaveRecordedTheVersion) {
   VersionGate gate("a", {"b", "c"}, 3);
-  gate.See({});
+  gate.Update({});
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kOwn);
   EXPECT_EQ(gate.replaces(), 0U);
   auto versions = With({"a", "b", "stranger"});
-  gate.See(versions);
+  gate.Update(versions);
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kNothing);
   // One that runs an earlier version, should it ever record it.
   versions["c"] = {kRecordsVersion - 1, 8};
-  gate.See(versions);
+  gate.Update(versions);
   EXPECT_EQ(gate.state(), GateState::kClosed);
   versions["c"].version = kRecordsVersion;
-  gate.See(versions);
+  gate.Update(versions);
   EXPECT_EQ(gate.state(), GateState::kAllSeen);
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kMark);
   versions[VersionGate::kMark] = {kRecordsVersion, 9};
-  gate.See(versions);
+  gate.Update(versions);
   EXPECT_TRUE(gate.open());
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kNothing);
 }
 
-TEST(VersionGate, NeverClosesAgainAndRecordsAnewWhatIsLost) {
+TEST(VersionGate, NeverClosesAgainAndRecordsLostVersionsAgain) {
   VersionGate gate("a", {"b"}, 2);
-  gate.See(With({VersionGate::kMark}));
+  gate.Update(With({VersionGate::kMark}));
   EXPECT_TRUE(gate.open());
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kOwn);
-  gate.See({});  // the key-value store has lost its data
+  gate.Update({});  // the key-value store has lost its data
   EXPECT_TRUE(gate.open());
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kOwn);
-  gate.See(With({"a"}));
+  gate.Update(With({"a"}));
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kMark);
-  // What was seen and not marked may be lost as well.
+  // A version that was recorded and not marked may be lost as well.
   VersionGate unmarked("a", {"b"}, 2);
-  unmarked.See(With({"a", "b"}));
-  unmarked.See(With({"a"}));
+  unmarked.Update(With({"a", "b"}));
+  unmarked.Update(With({"a"}));
   EXPECT_EQ(unmarked.state(), GateState::kClosed);
 }
 
-TEST(VersionGate, StaysClosedForAControllerThatIsNotNamed) {
+TEST(VersionGate, StaysClosedWhileTheSettingsCountAnUnnamedController) {
   VersionGate gate("a", {"b"}, 3);
-  gate.See(With({"a", "b"}));
+  gate.Update(With({"a", "b"}));
   EXPECT_EQ(gate.state(), GateState::kClosed);
 }
 
--- a/tests/write_retry_test.cc
+++ b/tests/write_retry_test.cc
@@ -11,66 +11,66 @@
 
 using enum StoreStatus;
 
-TEST(RoundTrip, AFewOfThemAreWaitedForMoreWhenTheyVary) {
+TEST(RoundTrip, TimeoutIsAFewRoundTripsAndGrowsWhenTheyVary) {
   RoundTrip steady(3);
-  EXPECT_EQ(steady.SilenceTimeout(), 3);  // nothing is known
-  for (int i = 0; i < 50; ++i) steady.Answered(0.004);
-  EXPECT_GT(steady.SilenceTimeout(), 4 * 0.004);
-  EXPECT_LT(steady.SilenceTimeout(), 10 * 0.004);
+  EXPECT_EQ(steady.TimeoutSeconds(), 3);  // nothing is known
+  for (int i = 0; i < 50; ++i) steady.OnAnswer(0.004);
+  EXPECT_GT(steady.TimeoutSeconds(), 4 * 0.004);
+  EXPECT_LT(steady.TimeoutSeconds(), 10 * 0.004);
   RoundTrip varied = steady;
-  varied.Answered(0.3);
-  EXPECT_GT(varied.SilenceTimeout(), 0.3);
+  varied.OnAnswer(0.3);
+  EXPECT_GT(varied.TimeoutSeconds(), 0.3);
 }
 
-TEST(RoundTrip, SilenceDoublesThePatienceUntilThereIsAnAnswer) {
+TEST(RoundTrip, EachTimeoutDoublesTheNextUntilAnAnswer) {
   RoundTrip trip(3);
-  trip.Answered(0.01);
-  const double usual = trip.SilenceTimeout();
-  trip.Missed();
-  EXPECT_DOUBLE_EQ(trip.SilenceTimeout(), 2 * usual);
-  for (int i = 0; i < 100; ++i) trip.Missed();
-  EXPECT_EQ(trip.SilenceTimeout(), 3);
-  trip.Answered(0.01);
-  EXPECT_LE(trip.SilenceTimeout(), usual);
+  trip.OnAnswer(0.01);
+  const double usual = trip.TimeoutSeconds();
+  trip.OnTimeout();
+  EXPECT_DOUBLE_EQ(trip.TimeoutSeconds(), 2 * usual);
+  for (int i = 0; i < 100; ++i) trip.OnTimeout();
+  EXPECT_EQ(trip.TimeoutSeconds(), 3);
+  trip.OnAnswer(0.01);
+  EXPECT_LE(trip.TimeoutSeconds(), usual);
 }
 
 // Every order of answers to up to three copies: only what is certain of all of
-// them is told.
-TEST(WriteRetry, TellsOnlyWhatHoldsWhicheverCopyArrives) {
+// them is reported.
+TEST(WriteRetry, ReportsOnlyWhatHoldsWhicheverCopyArrives) {
   const std::vector<StoreStatus> all = {kOk, kConflict, kRefused, kNotExecuted,
                                         kUnknown};
   for (const StoreStatus first : all) {
     for (const StoreStatus second : all) {
       for (const StoreStatus third : all) {
         WriteRetry retry;
-        for (int i = 0; i < 3; ++i) retry.Sent();
-        StoreStatus told = kUnknown;
+        for (int i = 0; i < 3; ++i) retry.OnSent();
+        StoreStatus expected = kUnknown;
         bool silent = false;
         bool too_large = false;
         for (const StoreStatus answer : {first, second, third}) {
-          if (told == kUnknown && (answer == kOk || answer == kConflict)) {
-            told = answer;
+          if (expected == kUnknown && (answer == kOk || answer == kConflict)) {
+            expected = answer;
           }
           silent = silent || answer == kUnknown;
           too_large = too_large || answer == kRefused;
           retry.OnAnswer(answer);
           EXPECT_EQ(retry.MaySendAgain(), !retry.decided());
         }
-        if (told == kUnknown && !silent) {
-          told = too_large ? kRefused : kNotExecuted;
+        if (expected == kUnknown && !silent) {
+          expected = too_large ? kRefused : kNotExecuted;
         }
-        EXPECT_EQ(retry.status(), told);
-        EXPECT_EQ(retry.decided(), told != kUnknown);
-        EXPECT_EQ(retry.silent(), told == kUnknown);
+        EXPECT_EQ(retry.status(), expected);
+        EXPECT_EQ(retry.decided(), expected != kUnknown);
+        EXPECT_EQ(retry.silent(), expected == kUnknown);
       }
     }
   }
 }
 
-TEST(WriteRetry, IsBounded) {
+TEST(WriteRetry, SendsABoundedNumberOfCopies) {
   WriteRetry retry;
   int copies = 0;
-  for (; retry.MaySendAgain(); ++copies) retry.Sent();
+  for (; retry.MaySendAgain(); ++copies) retry.OnSent();
   EXPECT_EQ(copies, 4);
   EXPECT_FALSE(retry.decided());
 }
