--- a/app/election/delegation_requester.h
+++ b/app/election/delegation_requester.h
@@ -12,6 +12,7 @@
 
 namespace oxbow::app {
 
+// The side of the delegate; a Leadership says what a delegation permits.
 class DelegationRequester {
  public:
   // `context` must outlive this object, and this object the event loop: the
--- a/app/election/election_context.h
+++ b/app/election/election_context.h
@@ -17,6 +17,7 @@
 
 namespace oxbow::app {
 
+// References to the rest of the controller, and what follows from them.
 struct ElectionContext {
   net::Loop& loop;
   const Settings& settings;
--- a/app/election/epoch_election.h
+++ b/app/election/epoch_election.h
@@ -12,6 +12,7 @@
 
 namespace oxbow::app {
 
+// One attempt at a time, by the loop of the LeaderElection.
 class EpochElection {
  public:
   // Both references must outlive this object. `on_key_written` is called when
--- a/app/election/leader_key_writer.h
+++ b/app/election/leader_key_writer.h
@@ -26,6 +26,7 @@
   net::Time sent_at = 0;  // the request that the lease counts from
 };
 
+// Stateless; several writes may be in flight.
 class LeaderKeyWriter {
  public:
   // `context` must outlive this object.
--- a/app/election/lease_renewer.h
+++ b/app/election/lease_renewer.h
@@ -13,6 +13,7 @@
 
 namespace oxbow::app {
 
+// Renews for the present leader key, one renewal at a time.
 class LeaseRenewer {
  public:
   // Both references must outlive this object, and this object the event loop:
--- a/app/election/peer_role_survey.h
+++ b/app/election/peer_role_survey.h
@@ -12,6 +12,7 @@
 
 namespace oxbow::app {
 
+// One survey at a time; it is prolonged rather than repeated.
 class PeerRoleSurvey {
  public:
   // The references must outlive this object, and this object the event loop:
--- a/app/election/promise_exchange.h
+++ b/app/election/promise_exchange.h
@@ -10,6 +10,7 @@
 
 namespace oxbow::app {
 
+// Both sides of a promise; a Leadership says what it permits.
 class PromiseExchange {
  public:
   // `context` must outlive this object, and this object the event loop: the
--- a/app/leader_election.cc
+++ b/app/leader_election.cc
@@ -11,15 +11,14 @@
 
 // How long a promise lasts, as a share of the workers' lease.
 constexpr double kPromiseRatio = 0.6;
-// Shares of the leader's lease.
 // How long a controller that could only hold the key leaves it to those that
-// may lead.
+// may lead, as a share of the leader's lease.
 constexpr double kLeadersFirstRatio = 0.1;
 constexpr double kRoundsPerLease = 50;
 // A random pause after an attempt that failed, so that not all try again at the
-// same moment.
-constexpr double kLeastJitterRatio = 0.02;
-constexpr double kMostJitterRatio = 0.1;
+// same moment, as a share of the leader's lease.
+constexpr double kMinJitterRatio = 0.02;
+constexpr double kMaxJitterRatio = 0.1;
 
 std::vector<std::string> PeerNames(const Settings& settings) {
   std::vector<std::string> names;
@@ -171,15 +170,13 @@
       co_return std::nullopt;
     }
     lease_renewer_.RenewIfDue(now);
-  } else if (MayAttemptToSeek(now)) {
-    const SeekPlan plan = PlanSeek(now);
-    if (plan.seeks) {
-      co_await Seek(plan.may_lead);
-      if (leadership_.state() != LeaderState::kFollower) co_return std::nullopt;
-      std::uniform_real_distribution<double> jitter(kLeastJitterRatio,
-                                                    kMostJitterRatio);
-      co_return context_.lease_seconds* jitter(random_);
-    }
+  } else if (const SeekPlan plan = PlanSeek(now); plan.seeks) {
+    co_await Seek(plan.may_lead);
+    if (leadership_.state() != LeaderState::kFollower) co_return std::nullopt;
+    std::uniform_real_distribution<double> jitter(kMinJitterRatio,
+                                                  kMaxJitterRatio);
+    const double jitter_ratio = jitter(random_);
+    co_return context_.lease_seconds* jitter_ratio;
   }
   if (leadership_.state() == LeaderState::kFollower) {
     delegation_requester_.Update(now);
@@ -227,13 +224,12 @@
 
 // --- seeking the key
 
-bool LeaderElection::MayAttemptToSeek(net::Time now) const {
-  return context_.watcher.synced() && context_.recovery.MaySeek() &&
-         (leadership_.MaySeek(now) || leadership_.MayTakeKey(now));
-}
-
 LeaderElection::SeekPlan LeaderElection::PlanSeek(net::Time now) const {
   const bool is_proven = leadership_.MaySeek(now);
+  if (!context_.watcher.synced() || !context_.recovery.MaySeek() ||
+      !(is_proven || leadership_.MayTakeKey(now))) {
+    return {};
+  }
   const LeaderRecord& leader = context_.catalog.leader();
   const bool is_there = leader.mod_revision > 0;
   // The key names an earlier process of this controller, which has certainly
--- a/app/leader_election.h
+++ b/app/leader_election.h
@@ -34,6 +34,7 @@
 
 namespace oxbow::app {
 
+// The part of one controller in the election.
 class LeaderElection {
  public:
   struct Callbacks {
@@ -119,7 +120,6 @@
   // The round of a leader whose right is valid.
   net::Task<void> Lead(net::Time now);
   void UpdateKeyFreeSince(net::Time now);
-  bool MayAttemptToSeek(net::Time now) const;
   SeekPlan PlanSeek(net::Time now) const;
   net::Task<void> Seek(bool may_lead);
   void OnKeyWon(uint64_t revision, const LeaderRecord& record,
--- a/app/recovery/bootstrapper.h
+++ b/app/recovery/bootstrapper.h
@@ -14,6 +14,7 @@
 
 namespace oxbow::app {
 
+// Runs once for each process.
 class Bootstrapper {
  public:
   // All arguments must outlive this object, and this object the event loop:
--- a/app/recovery/data_loss_detector.h
+++ b/app/recovery/data_loss_detector.h
@@ -18,6 +18,7 @@
 
 namespace oxbow::app {
 
+// The one state machine of the suspicion, see StoreVerification.
 class DataLossDetector {
  public:
   // All arguments but the last must outlive this object, and this object the
@@ -32,7 +33,8 @@
 
   // Something indicates a loss; `key` is the record that is missing, if it is
   // one. Starts to settle the suspicion unless that is under way.
-  void Report(DataLossIndication indication, const std::string& key = {});
+  void Report(DataLossIndication indication,
+              const std::string& key = std::string());
   // A term that a worker or a peer has shown.
   void OnObservedTerm(uint64_t term);
   // As above, while an epoch is opened that is above that term.
--- a/app/recovery/epoch_history.h
+++ b/app/recovery/epoch_history.h
@@ -10,6 +10,7 @@
 
 namespace oxbow::app {
 
+// Fed with every epoch record that is read or written here.
 class EpochHistory {
  public:
   enum class Change : uint8_t { kNone, kFirstEpoch, kLaterEpoch };
--- a/app/recovery/epoch_opener.h
+++ b/app/recovery/epoch_opener.h
@@ -31,6 +31,8 @@
 // Whether a controller that opens an epoch has led until now.
 enum class OpenedBy : uint8_t { kLeader, kCandidate };
 
+// Composes the transaction and announces the epoch; see EpochElection for who
+// sends it.
 class EpochOpener {
  public:
   // All arguments must outlive this object.
--- a/app/recovery/leader_key_monitor.h
+++ b/app/recovery/leader_key_monitor.h
@@ -13,6 +13,7 @@
 
 namespace oxbow::app {
 
+// Observes one leader key at a time.
 class LeaderKeyMonitor {
  public:
   using OrphanedKeyHandler = std::function<void(uint64_t mod_revision)>;
--- a/app/recovery/peer_broadcast.h
+++ b/app/recovery/peer_broadcast.h
@@ -15,6 +15,7 @@
 
 namespace oxbow::app {
 
+// Several questions may be in flight.
 class PeerBroadcast {
  public:
   // Which peers a question waits for. All of them are asked in either case.
--- a/app/recovery/peer_state_collector.h
+++ b/app/recovery/peer_state_collector.h
@@ -20,6 +20,7 @@
 
 namespace oxbow::app {
 
+// The asking side of a PeerStateProvider.
 class PeerStateCollector {
  public:
   // Calls the function with the leader of that revision if there is one.
--- a/app/recovery/peer_state_provider.h
+++ b/app/recovery/peer_state_provider.h
@@ -14,6 +14,7 @@
 
 namespace oxbow::app {
 
+// The answering side of a PeerStateCollector.
 class PeerStateProvider {
  public:
   // All arguments must outlive this object. Nothing here suspends.
--- a/app/recovery/recovery_context.h
+++ b/app/recovery/recovery_context.h
@@ -18,6 +18,7 @@
 
 namespace oxbow::app {
 
+// References to the rest of the controller, and what follows from them.
 struct RecoveryContext {
   net::Loop& loop;
   const Settings& settings;
--- a/app/recovery/retained_records_writer.h
+++ b/app/recovery/retained_records_writer.h
@@ -16,6 +16,7 @@
 
 namespace oxbow::app {
 
+// Writes once for each epoch.
 class RetainedRecordsWriter {
  public:
   // All arguments must outlive this object, and this object the event loop: the
--- a/app/recovery/store_auditor.h
+++ b/app/recovery/store_auditor.h
@@ -13,6 +13,7 @@
 
 namespace oxbow::app {
 
+// Audits live records and terminal states in turn.
 class StoreAuditor {
  public:
   // All arguments must outlive this object, and this object the event loop:
--- a/app/recovery/store_inspector.h
+++ b/app/recovery/store_inspector.h
@@ -19,6 +19,7 @@
   std::string missing_key;  // with kMissing
 };
 
+// Stateless; several reads may be in flight.
 class StoreInspector {
  public:
   // `context` must outlive this object, and this object the event loop. Keys
--- a/app/recovery_coordinator.h
+++ b/app/recovery_coordinator.h
@@ -36,6 +36,7 @@
 
 namespace oxbow::app {
 
+// The face of the recovery to the rest of a controller.
 class RecoveryCoordinator {
  public:
   struct Callbacks {
@@ -94,7 +95,7 @@
 
   // --- indications of a loss
   void ReportDataLoss(DataLossIndication indication,
-                      const std::string& key = {}) {
+                      const std::string& key = std::string()) {
     detector_.Report(indication, key);
   }
   // The upper part of a fencing token that a worker has shown.
--- a/app/store_watcher.h
+++ b/app/store_watcher.h
@@ -19,6 +19,7 @@
 
 namespace oxbow::app {
 
+// Follows the store and the cloud for one controller.
 class StoreWatcher {
  public:
   struct Callbacks {
--- a/app/version_coordinator.h
+++ b/app/version_coordinator.h
@@ -19,6 +19,7 @@
 
 namespace oxbow::app {
 
+// Owns the gate and writes what it requires.
 class VersionCoordinator {
  public:
   struct Callbacks {
--- a/clients/key_value_store.h
+++ b/clients/key_value_store.h
@@ -25,6 +25,7 @@
 
 namespace oxbow::clients {
 
+// A key as it was read.
 struct KeyValue {
   std::string key;
   Record record;  // monostate: deleted, or of no kind we know
@@ -55,6 +56,7 @@
   kSendAgain,  // a copy is sent with the same preconditions, see WriteRetry
 };
 
+// The client of one controller.
 class KeyValueStoreClient {
  public:
   KeyValueStoreClient(net::Loop& loop, const net::Address& address,
--- a/clients/retained_records_page.h
+++ b/clients/retained_records_page.h
@@ -11,6 +11,7 @@
 
 namespace oxbow::clients {
 
+// A record with the epoch and revision at which it was last known.
 struct RetainedRecord {
   std::string key;
   Version version;
--- a/clients/write_retry.h
+++ b/clients/write_retry.h
@@ -8,6 +8,7 @@
 
 namespace oxbow::clients {
 
+// What is known of a request to the store.
 enum class StoreStatus {
   kOk,
   kNotFound,
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_choice.h
@@ -11,14 +11,17 @@
 
 namespace oxbow {
 
+// Whether requests wait for a peer.
 enum class PeerState : uint8_t {
   kAnswers,  // as far as is known
   kResting,  // gave no answer: no request waits for it until its rest is over
   kOnTrial,  // the rest is over, and a request of its own finds out
 };
 
+// What changes that.
 enum class PeerEvent : uint8_t { kAnswer, kSilence, kTrial };
 
+// Peers are numbered from 0, in the order of the caller.
 class PeerChoice {
  public:
   // `rest_seconds`: after the first silence; doubled with each further one up
--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -12,6 +12,7 @@
 
 namespace oxbow {
 
+// What the store may be believed.
 enum class StoreVerificationState : uint8_t {
   kVerified,    // a record that it does not hold does not exist
   kSuspected,   // an indication of a loss is being examined
@@ -43,6 +44,7 @@
 // What another controller that read the store at the same moment found.
 enum class PeerFinding : uint8_t { kNone, kIntact };
 
+// What changes that.
 enum class StoreVerificationEvent : uint8_t {
   kIndication,
   kCleared,
@@ -51,6 +53,7 @@
   kReconciliationComplete,  // one that is rebuilt
 };
 
+// The state machine; the owner carries out the checks.
 class StoreVerification {
  public:
   StoreVerificationState state() const { return state_; }
--- a/core/recovery/terminal_state_index.h
+++ b/core/recovery/terminal_state_index.h
@@ -14,6 +14,7 @@
 
 namespace oxbow {
 
+// A value type; copies are cheap for what they hold.
 class TerminalStateIndex {
  public:
   // The number of a job id in its usual form, `job-000412`; nothing for another
--- a/core/upgrade/version_gate.h
+++ b/core/upgrade/version_gate.h
@@ -23,6 +23,7 @@
   uint64_t mod_revision = 0;  // of the record in the store
 };
 
+// How far the controllers have recorded the present version.
 enum class GateState : uint8_t {
   kClosed,   // some controller may run an earlier version
   kAllSeen,  // all have recorded this one; the mark is still to be written
@@ -32,6 +33,7 @@
 // The record that a controller has to write next: none, its own, or the mark.
 enum class GateWrite : uint8_t { kNothing, kOwn, kMark };
 
+// The view of one controller; the owner writes what it requires.
 class VersionGate {
  public:
   // The name of the mark among those of the controllers, none of which can have
