--- a/app/recovery_coordinator.h
+++ b/app/recovery_coordinator.h
@@ -94,10 +94,13 @@
   }
 
   // --- indications of a loss
-  void ReportDataLoss(DataLossIndication indication,
-                      const std::string& key = std::string()) {
+  // `key`: the record that is missing.
+  void ReportDataLoss(DataLossIndication indication, const std::string& key) {
     detector_.Report(indication, key);
   }
+  void ReportDataLoss(DataLossIndication indication) {
+    detector_.Report(indication);
+  }
   // The upper part of a fencing token that a worker has shown.
   void OnObservedTerm(uint64_t term) { detector_.OnObservedTerm(term); }
   // A task runs whose job the leader does not know: reads its record, or how it
--- a/tests/election_exploration_test.cc
+++ b/tests/election_exploration_test.cc
@@ -1,11 +1,12 @@
-// Every controller ends at every step of a search, a take-over, a leadership
-// transfer, an outage bridged by promises or by delegates, and is back within a
-// fraction of a second; then a second one ends as well, before, while and after
-// the first is back. All of them are played, not drawn: a plan names them.
+// Restarts every controller at every step of an election, a failover, a
+// leadership transfer, and an outage bridged by promises or by delegates; each
+// is back within a fraction of a second. The long form restarts a second
+// controller as well: before, while and after the first is back. The plans are
+// enumerated, not random.
 //
-// What must hold: never two leaders at once, no leader takes an incarnation for
-// over that somebody keeps alive, and a while after the last trouble somebody
-// leads.
+// What must hold: there are never two leaders at once, no leader takes a worker
+// incarnation for expired that another controller keeps alive, and some time
+// after the last fault somebody leads.
 
 #include <gtest/gtest.h>
 
@@ -19,53 +20,60 @@
 namespace oxbow::test::leadership {
 namespace {
 
-constexpr double kFrom = 12;   // when the event begins, s
-constexpr double kWindow = 9;  // how long after it somebody may end, s
-constexpr double kUntil = 52;  // when the account is closed, s
-constexpr std::array kAway = {0.05, 0.2, 0.5};
+constexpr double kEventSeconds = 12;  // when the event begins
+constexpr double kWindowSeconds = 9;  // how long after it restarts begin
+constexpr double kUntilSeconds = 52;  // when the simulation ends
+constexpr std::array kAwaySeconds = {0.05, 0.2, 0.5};
 
 enum class Event {
-  kStart,           // all controllers begin
-  kLeaderGone,      // the leader ends for ten seconds
-  kHandOver,        // the leader lets go of the key
-  kOutage,          // bridged by promises
-  kOutageNoLeader,  // the leader ends in it: delegates by promises
-  kAllGone,  // all end and are back one after the other: a delegate by key
-  kLeaderRefused,  // by the key-value store alone
-  kLeaderApart,    // from key-value store and peers, not from workers
-  kFollowersApart,
-  kLeaderLeftOut,  // after an outage the service is back, but not for it
-  kOneLetIn,       // after one without a leader, for one of three alone
+  kStart,               // all controllers start
+  kLeaderDown,          // the leader is away for ten seconds
+  kLeadershipTransfer,  // the leader releases the key
+  kOutage,              // of the store, bridged by promises
+  kOutageNoLeader,      // the leader ends in it: delegates by promises
+  kAllDown,             // all end and return one after the other: by the key
+  kLeaderRefused,       // by the store alone
+  kLeaderIsolated,      // from the store and the peers, not from workers
+  kFollowersIsolated,
+  kOutageLastsForLeader,  // the store is back, but not for the leader
+  kOutageEndsForOne,      // without a leader: back for one of three alone
 };
-constexpr std::array kEvents = {
-    Event::kStart,         Event::kLeaderGone,     Event::kHandOver,
-    Event::kOutage,        Event::kOutageNoLeader, Event::kAllGone,
-    Event::kLeaderRefused, Event::kLeaderApart,    Event::kFollowersApart,
-    Event::kLeaderLeftOut, Event::kOneLetIn};
+constexpr std::array kEvents = {Event::kStart,
+                                Event::kLeaderDown,
+                                Event::kLeadershipTransfer,
+                                Event::kOutage,
+                                Event::kOutageNoLeader,
+                                Event::kAllDown,
+                                Event::kLeaderRefused,
+                                Event::kLeaderIsolated,
+                                Event::kFollowersIsolated,
+                                Event::kOutageLastsForLeader,
+                                Event::kOutageEndsForOne};
 
-struct Ending {
+// A controller ends and is started again.
+struct Restart {
   int node = 0;
-  double at = 0;  // s
-  double away = 0;
+  double at_seconds = 0;
+  double away_seconds = 0;
 };
 
 class Exploration : public Simulation {
  public:
-  Exploration(Event event, std::vector<Ending> endings)
+  Exploration(Event event, std::vector<Restart> restarts)
       : Simulation(1, /*calm=*/true),
         event_(event),
-        endings_(std::move(endings)) {
-    begins_ = event == Event::kStart ? 0 : kFrom;
+        restarts_(std::move(restarts)) {
+    begins_ = event == Event::kStart ? 0 : kEventSeconds;
   }
   double begins() const { return begins_; }
-  // Somebody leads in the end.
-  bool led_at_last() { return Leader() >= 0; }
-  // Which states the controllers that ended were in.
-  const std::set<LeaderState>& met() const { return met_; }
+  // Whether somebody leads at the end.
+  bool HasLeader() { return Leader() >= 0; }
+  // The states in which controllers were restarted.
+  const std::set<LeaderState>& states() const { return states_; }
 
  private:
-  static bool Now(double now, double at) {
-    return now >= at - kStep / 2 && now < at + kStep / 2;
+  bool IsNow(double at) const {
+    return now_ >= at - kStep / 2 && now_ < at + kStep / 2;
   }
   int Leader() {
     for (int i = 0; i < kNodes; ++i) {
@@ -74,17 +82,17 @@
     return -1;
   }
   void Plan() override {
-    if (event_ != Event::kStart && Now(now_, begins_)) Begin();
+    if (event_ != Event::kStart && IsNow(begins_)) Begin();
     const bool no_leader =
-        event_ == Event::kOutageNoLeader || event_ == Event::kOneLetIn;
-    if (no_leader && Now(now_, begins_ + 0.5)) {
+        event_ == Event::kOutageNoLeader || event_ == Event::kOutageEndsForOne;
+    if (no_leader && IsNow(begins_ + 0.5)) {
       const int leader = Leader();
       if (leader >= 0) End(leader, 10);
     }
-    for (const Ending& e : endings_) {
-      if (!Now(now_, e.at) || !nodes_[e.node].right) continue;
-      met_.insert(nodes_[e.node].right->state());
-      End(e.node, e.away);
+    for (const Restart& restart : restarts_) {
+      if (!IsNow(restart.at_seconds) || !nodes_[restart.node].right) continue;
+      states_.insert(nodes_[restart.node].right->state());
+      End(restart.node, restart.away_seconds);
     }
   }
   void Begin() {
@@ -92,10 +100,10 @@
     switch (event_) {
       case Event::kStart:
         break;
-      case Event::kLeaderGone:
+      case Event::kLeaderDown:
         End(leader, 10);
         break;
-      case Event::kHandOver:
+      case Event::kLeadershipTransfer:
         nodes_[leader].right->Lost();
         nodes_[leader].right->Retire();
         nodes_[leader].office = 0;
@@ -105,26 +113,26 @@
       case Event::kOutageNoLeader:
         outage_until_ = now_ + 7;
         break;
-      case Event::kLeaderLeftOut:
+      case Event::kOutageLastsForLeader:
         outage_until_ = now_ + 1.5;
         nodes_[leader].refused_until = now_ + 12;
         break;
-      case Event::kOneLetIn:
+      case Event::kOutageEndsForOne:
         outage_until_ = now_ + 4;
         for (int i = 0; i < kNodes; ++i) {
           if (i != (leader + 1) % kNodes) nodes_[i].refused_until = now_ + 9;
         }
         break;
-      case Event::kAllGone:
+      case Event::kAllDown:
         for (int i = 0; i < kNodes; ++i) End(i, 0.2 + 2 * i);
         break;
       case Event::kLeaderRefused:
         nodes_[leader].refused_until = now_ + 7;
         break;
-      case Event::kLeaderApart:
+      case Event::kLeaderIsolated:
         nodes_[leader].apart_until = now_ + 7;
         break;
-      case Event::kFollowersApart:
+      case Event::kFollowersIsolated:
         for (int i = 0; i < kNodes; ++i) {
           if (i != leader) nodes_[i].apart_until = now_ + 7;
         }
@@ -133,39 +141,40 @@
   }
 
   const Event event_;
-  const std::vector<Ending> endings_;
+  const std::vector<Restart> restarts_;
   double begins_ = 0;
-  std::set<LeaderState> met_;
+  std::set<LeaderState> states_;
 };
 
 class ElectionExploration : public testing::TestWithParam<Event> {};
 
-// One ends, at every step, and in the long form (OXBOW_EXPLORE) a second as
-// well.
-TEST_P(ElectionExploration, EveryStepOfEveryController) {
-  const bool all = std::getenv("OXBOW_EXPLORE") != nullptr;
-  const double step = all ? kStep : 0.25;
-  const double begins = GetParam() == Event::kStart ? 0 : kFrom;
+// One controller is restarted at every step, and in the long form
+// (OXBOW_EXPLORE) a second one as well.
+TEST_P(ElectionExploration, RestartAtEveryStepLeavesOneLeader) {
+  const bool is_long = std::getenv("OXBOW_EXPLORE") != nullptr;
+  const double step = is_long ? kStep : 0.25;
+  const double begins = GetParam() == Event::kStart ? 0 : kEventSeconds;
   int played = 0;
-  std::set<LeaderState> met;
-  const auto play = [&](std::vector<Ending> endings) {
-    Exploration exploration(GetParam(), endings);
-    const std::string wrong = exploration.Play(kUntil);
+  std::set<LeaderState> states;
+  const auto play = [&](std::vector<Restart> restarts) {
+    Exploration exploration(GetParam(), restarts);
+    const std::string violation = exploration.Play(kUntilSeconds);
     ++played;
-    met.insert(exploration.met().begin(), exploration.met().end());
+    states.insert(exploration.states().begin(), exploration.states().end());
     std::string names;
-    for (const Ending& e : endings) {
-      names += fmt::format(" {} at {:.2f} for {:.2f}", e.node, e.at, e.away);
+    for (const Restart& restart : restarts) {
+      names += fmt::format(" {} at {:.2f} for {:.2f}", restart.node,
+                           restart.at_seconds, restart.away_seconds);
     }
-    ASSERT_EQ(wrong, "") << "ended:" << names;
-    ASSERT_TRUE(exploration.led_at_last()) << "ended:" << names;
+    ASSERT_EQ(violation, "") << "restarted:" << names;
+    ASSERT_TRUE(exploration.HasLeader()) << "restarted:" << names;
   };
-  for (double at = begins; at <= begins + kWindow; at += step) {
+  for (double at = begins; at <= begins + kWindowSeconds; at += step) {
     for (int node = 0; node < kNodes; ++node) {
-      for (const double away : kAway) {
+      for (const double away : kAwaySeconds) {
         play({{node, at, away}});
         if (HasFatalFailure()) return;
-        if (!all) continue;
+        if (!is_long) continue;
         for (const double later : {0.0, 0.05, 0.15, 0.3, 0.6, 1.5}) {
           for (int other = 0; other < kNodes; ++other) {
             play({{node, at, away}, {other, at + later, 0.05}});
@@ -176,8 +185,8 @@
       }
     }
   }
-  std::printf("%d ways played; ended in %zu kinds of state\n", played,
-              met.size());
+  std::printf("%d plans played; restarts in %zu kinds of state\n", played,
+              states.size());
   EXPECT_GT(played, 300);
 }
 
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -1,5 +1,6 @@
-// Epochs, the verification of the key-value store, what is remembered against
-// what it holds, and how jobs ended: each by itself.
+// Store epochs, the verification of the key-value store, retained records
+// against what the store holds, terminal states, and the choice of peers: each
+// by itself.
 
 #include <gtest/gtest.h>
 
@@ -39,8 +40,9 @@
 
 // --- terms
 
-// Whatever the service counts from after a loss, a later epoch's leaders are
-// above all that were shown; those of one nobody heard of are within the leap.
+// Whatever revision the store counts from after a loss, the terms of a later
+// epoch are above all that were shown; those that nobody knows of are within
+// the margin.
 TEST(Epoch, TermsOfALaterEpochAreAboveAllBefore) {
   const uint64_t shown = 4711;
   StoreEpoch next;
@@ -138,11 +140,11 @@
   EXPECT_EQ(verification_.state(), kRebuilding);
 }
 
-// --- what is remembered
+// --- retained records
 
-class Remembering : public testing::Test {
+class RetainedRecords : public testing::Test {
  public:
-  Remembering() {
+  RetainedRecords() {
     OpenEpoch(catalog_, 1, 5);
     catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
     catalog_.Put(JobKey("job-000002"), JobOf("job-000002"), 20);
@@ -154,8 +156,8 @@
   Catalog catalog_;
 };
 
-// An empty listing of a new epoch must not erase the last memory there is.
-TEST_F(Remembering, ANewEpochIsOwedEverything) {
+// An empty listing of a new epoch must not erase the last copies there are.
+TEST_F(RetainedRecords, ANewEpochMakesAllRecordsPendingWrites) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.EraseMissing({}, 100);
   EXPECT_EQ(catalog_.pending_writes().size(), 2U);
@@ -166,20 +168,20 @@
   EXPECT_NE(catalog_.FindJob("job-000001"), nullptr);
 }
 
-TEST_F(Remembering, AnOlderCopyIsReplacedUnderItsStamp) {
+TEST_F(RetainedRecords, AnOlderCopyIsReplacedAtItsRevision) {
   OpenEpoch(catalog_, 2, 15);
   EXPECT_FALSE(catalog_.Put(JobKey("job-000002"), JobOf("job-000002"), 8));
   EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000002")));
   EXPECT_EQ(catalog_.FindJob("job-000002")->mod_revision, 8U);
 }
 
-TEST_F(Remembering, WhatTheServiceStillHoldsIsNotOwed) {
+TEST_F(RetainedRecords, ARecordThatTheStoreStillHoldsIsNoPendingWrite) {
   OpenEpoch(catalog_, 2, 15);
   EXPECT_TRUE(catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10));
   EXPECT_FALSE(catalog_.pending_writes().contains(JobKey("job-000001")));
 }
 
-TEST_F(Remembering, AChangeInTheNewEpochBeatsMemory) {
+TEST_F(RetainedRecords, AChangeInTheNewEpochReplacesTheRetainedRecord) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.Put(JobKey("job-000001"),
                JobOf("job-000001", TerminalState::kAborted), 4);
@@ -187,7 +189,7 @@
   EXPECT_FALSE(catalog_.pending_writes().contains(JobKey("job-000001")));
 }
 
-TEST_F(Remembering, AnEndBeatsALaterLiveRecord) {
+TEST_F(RetainedRecords, ATerminalStateWinsOverALaterLiveRecord) {
   // This controller lags behind: another one has seen the cancellation.
   OpenEpoch(catalog_, 2, 3);
   EXPECT_TRUE(catalog_.Remember(JobKey("job-000001"),
@@ -198,7 +200,7 @@
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
 }
 
-TEST_F(Remembering, AJobThatHasEndedIsNotRevivedByAnOlderCopy) {
+TEST_F(RetainedRecords, AJobThatHasEndedIsNotRevivedByAnOlderCopy) {
   catalog_.Put(JobKey("job-000001"),
                JobOf("job-000001", TerminalState::kAborted), 21);
   catalog_.Erase(JobKey("job-000001"), 22);
@@ -206,13 +208,14 @@
   OpenEpoch(catalog_, 2, 15);
   catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
-  // Nor by another controller that remembers it alive.
+  // Nor by another controller that retains it as live.
   EXPECT_FALSE(
       catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 10}));
 }
 
-// One that lagged behind tells its memory before another tells of the end.
-TEST_F(Remembering, AnEndThatOthersKnowOfIsAppliedToWhatLives) {
+// A controller that lags behind sends its records before another sends the
+// terminal state.
+TEST_F(RetainedRecords, ATerminalStateThatOthersKnowIsAppliedToALiveRecord) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.ended().Add("job-000001", TerminalState::kAborted);
   catalog_.ApplyTerminalStates();
@@ -221,9 +224,9 @@
   EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kNone);
 }
 
-// It may have been acted on, or told to its user, in a service that had stepped
+// It may have been acted on, or shown to its user, while the store had stepped
 // back.
-TEST_F(Remembering, AnEndThatWasReadIsNeverSetAside) {
+TEST_F(RetainedRecords, ATerminalStateThatWasReadIsNeverDropped) {
   EXPECT_TRUE(catalog_.Put(JobKey("job-000002"),
                            JobOf("job-000002", TerminalState::kAborted), 15));
   EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kAborted);
@@ -232,9 +235,9 @@
   EXPECT_EQ(catalog_.FindTerminalState("job-000001"), TerminalState::kDone);
 }
 
-// Whoever follows the records has the cancellation before its tasks are gone,
-// and must not tell it: somebody who knows nothing may keep them alive.
-TEST_F(Remembering, ACancellationIsToldOnceItsRecordHasMoved) {
+// Whoever watches the records has the cancellation before its tasks have ended,
+// and must not report it: another controller may still keep them alive.
+TEST_F(RetainedRecords, ACancellationIsTerminalOnceItsRecordHasMoved) {
   catalog_.Put(JobKey("job-000002"),
                JobOf("job-000002", TerminalState::kAborted), 25);
   EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kAborted);
@@ -243,12 +246,12 @@
   catalog_.Erase(JobKey("job-000002"), 26);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalRecord("job-000002").tasks, 1U);
-  // A live record that goes alone tells of no end.
+  // A live record that is deleted alone is no terminal state.
   catalog_.Erase(JobKey("job-000001"), 27);
   EXPECT_EQ(catalog_.FindTerminalState("job-000001"), TerminalState::kNone);
 }
 
-TEST_F(Remembering, WithinAnEpochTheHigherStampWins) {
+TEST_F(RetainedRecords, WithinAnEpochTheHigherRevisionWins) {
   OpenEpoch(catalog_, 2, 3);
   EXPECT_FALSE(
       catalog_.Remember(JobKey("job-000002"), JobOf("job-000002"), {1, 19}));
@@ -257,31 +260,31 @@
   EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000003")));
 }
 
-TEST_F(Remembering, LostTwiceItKeepsTheVersionItIsRememberedBy) {
+TEST_F(RetainedRecords, AfterTwoLossesARecordKeepsItsLastKnownVersion) {
   OpenEpoch(catalog_, 2, 3);
   OpenEpoch(catalog_, 3, 3);
   EXPECT_EQ(catalog_.VersionOf(JobKey("job-000002")), (Version{1, 20}));
   EXPECT_EQ(catalog_.pending_writes().size(), 2U);
 }
 
-TEST_F(Remembering, AnEarlierEpochsRecordIsNotTakenBack) {
+TEST_F(RetainedRecords, AnEarlierEpochIsIgnored) {
   OpenEpoch(catalog_, 2, 3);
   OpenEpoch(catalog_, 1, 50);
   EXPECT_EQ(catalog_.epoch().number, 2U);
 }
 
-// The key's name belongs to the epoch: a write of the one before finds nothing
-// under its condition, even if the stamps come out the same.
-TEST_F(Remembering, TheGuardsOfTwoEpochsNeverMeet) {
+// The key's name belongs to the epoch: a write of the epoch before does not
+// meet its precondition, even if the revisions are the same.
+TEST_F(RetainedRecords, TheGuardsOfTwoEpochsDiffer) {
   const auto before = catalog_.Guard();
   OpenEpoch(catalog_, 2, 5);
   EXPECT_EQ(catalog_.Guard().second, before.second);
   EXPECT_NE(catalog_.Guard().first, before.first);
 }
 
-// --- ends
+// --- terminal states
 
-TEST(TerminalStateIndex, OnlyOneFormOfAnIdIsKnown) {
+TEST(TerminalStateIndex, OnlyOneFormOfAnIdIsIndexed) {
   EXPECT_EQ(TerminalStateIndex::NumberOf("job-000412"), 412U);
   EXPECT_EQ(TerminalStateIndex::NumberOf("job-1234567"), 1234567U);
   for (const char* id : {"job-412", "job-0000412", "job-00041x", "run-000412",
@@ -291,7 +294,7 @@
   EXPECT_EQ(TerminalStateIndex::IdOf(412), "job-000412");
 }
 
-TEST(TerminalStateIndex, AnEndIsNeverTakenBack) {
+TEST(TerminalStateIndex, ATerminalStateIsNeverChanged) {
   TerminalStateIndex index;
   index.Add("job-000001", TerminalState::kAborted);
   index.Add("job-000001", TerminalState::kDone);
@@ -306,7 +309,7 @@
   EXPECT_FALSE(index.Merge(TerminalState::kDone, "no such bytes"));
 }
 
-TEST(TerminalStateIndex, AMillionEndsTakeAFewMegabytes) {
+TEST(TerminalStateIndex, AMillionEntriesTakeAFewMegabytes) {
   TerminalStateIndex index;
   for (uint32_t i = 0; i < 1'000'000; ++i) {
     index.Add(TerminalStateIndex::IdOf(i),
@@ -335,10 +338,10 @@
   }
 }
 
-// --- whom users' requests are handed to
+// --- to whom users' requests are forwarded
 
-// Three that can't tell and one that can: a request meets it, whatever those
-// before it have met.
+// Three peers that have no answer and one that has: a request reaches it,
+// whatever those before it have reached.
 TEST(PeerChoice, EveryRequestMayReachEveryPeerThatAnswers) {
   PeerChoice choice(4, 0.1, 0.5, 5);
   choice.Helped(2);
@@ -347,15 +350,15 @@
     EXPECT_TRUE(choice.IsResponsive(peer));
 }
 
-TEST(PeerChoice, NobodyWaitsForASilentPeerUntilATrialHasFoundIt) {
+TEST(PeerChoice, NoRequestWaitsForASilentPeerUntilATrialSucceeds) {
   PeerChoice choice(2, 0.1, 0.5, 5);
   choice.Silent(0, 1);
-  choice.Silent(0, 1.01);  // another that waited for it
+  choice.Silent(0, 1.01);  // another request that waited for it
   EXPECT_FALSE(choice.IsResponsive(0));
   EXPECT_TRUE(choice.IsResponsive(1));
   EXPECT_FALSE(choice.MayTry(0, 1.05));
   EXPECT_TRUE(choice.MayTry(0, 1.11));
-  EXPECT_FALSE(choice.MayTry(0, 1.12));  // under way
+  EXPECT_FALSE(choice.MayTry(0, 1.12));  // in progress
   EXPECT_FALSE(choice.IsResponsive(0));
   choice.Silent(0, 1.2);
   EXPECT_FALSE(choice.MayTry(0, 1.35));  // twice as long
@@ -365,8 +368,8 @@
   EXPECT_FALSE(choice.MayTry(0, 1.42));
 }
 
-// Never longer than the longest rest, however long it was silent.
-TEST(PeerChoice, ARestHasAnEnd) {
+// A rest is never longer than the maximum, however long the peer was silent.
+TEST(PeerChoice, ARestIsBounded) {
   PeerChoice choice(1, 0.1, 0.5, 5);
   double now = 0;
   for (int i = 0; i < 50; ++i) {
@@ -376,17 +379,17 @@
   }
 }
 
-// Many that nobody can tell of don't keep out one that somebody can: those that
-// are of use cost nothing.
-TEST(PeerChoice, OnlyRequestsInVainAreLimited) {
+// Many requests that nobody can answer don't keep out one that somebody can:
+// those that are answered cost nothing.
+TEST(PeerChoice, OnlyUnansweredRequestsAreLimited) {
   PeerChoice choice(2, 0.1, 0.5, 5);
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(choice.MayAskAround(10)) << i;
     choice.Helped(1);
   }
-  int in_vain = 0;
-  for (int i = 0; i < 100; ++i) in_vain += choice.MayAskAround(10) ? 1 : 0;
-  EXPECT_EQ(in_vain, 5);
+  int unanswered = 0;
+  for (int i = 0; i < 100; ++i) unanswered += choice.MayAskAround(10) ? 1 : 0;
+  EXPECT_EQ(unanswered, 5);
   EXPECT_TRUE(choice.MayAskAround(10.21));
 }
 
@@ -441,9 +444,9 @@
 
 // --- the right to lead
 
-// Who leads by lost data can't be read: the longest right is waited out, unless
-// all others say that they don't lead.
-TEST(LeadershipAfterALoss, EverybodyIsAskedAnew) {
+// Whoever leads by lost data can't be read: the longest right is waited out,
+// unless all others say that they don't lead.
+TEST(LeadershipAfterALoss, AllPeersAreAskedAgain) {
   Leadership leadership({"b", "c"}, 2.5, 6, 0, 0);
   for (const char* peer : {"b", "c"}) leadership.PeerDoesNotLead(peer);
   EXPECT_TRUE(leadership.MaySeek(1));
@@ -457,7 +460,7 @@
   EXPECT_TRUE(leadership.MaySeek(20 + 6.1));
 }
 
-TEST(LeadershipAfterALoss, ARightThatStandsGoesOnUnderTheNewKey) {
+TEST(LeadershipAfterALoss, AValidRightContinuesUnderTheNewKey) {
   Leadership leadership({"b"}, 2.5, 6, 0, -100);
   leadership.SeekStarted(0);
   leadership.Won(41, 1, 0);
