--- a/app/action_executor.cc
+++ b/app/action_executor.cc
@@ -87,7 +87,7 @@
     net::Spawn(executor.ReadZoneDelegates(revision));
   }
   void operator()(RequestJobRecord& job) {
-    net::Spawn(services.recovery.AskAboutJob(std::move(job.id)));
+    net::Spawn(services.recovery.CheckUnknownJob(std::move(job.id)));
   }
   void operator()(ReadTerminalState& job) {
     net::Spawn(executor.ReadJobTerminalState(std::move(job.id), revision));
@@ -202,18 +202,18 @@
 // that a store which has lost data lacks may be retained here alone.
 net::Task<bool> ActionExecutor::IsSurelyDeleted(std::string key) {
   RecoveryCoordinator& recovery = services_.recovery;
-  StoreCheck check = StoreCheck::kStands;
-  if (recovery.on()) check = co_await recovery.Check();
-  if (check == StoreCheck::kGone) {
+  StoreCheck check = StoreCheck::kIntact;
+  if (recovery.IsEnabled()) check = co_await recovery.CheckEpoch();
+  if (check == StoreCheck::kMissing) {
     recovery.ReportDataLoss(DataLossIndication::kEpochMissing);
   }
   // A job's record is deleted only together with the write of its terminal
   // state: one that is missing alone is lost, and a leader that believed it
   // would forget the job.
-  if (check == StoreCheck::kStands && recovery.on()) {
+  if (check == StoreCheck::kIntact && recovery.IsEnabled()) {
     check = co_await recovery.IsDeleted(key);
   }
-  co_return check == StoreCheck::kStands;
+  co_return check == StoreCheck::kIntact;
 }
 
 // The records are read in the order in which a job gets them, so that one that
--- a/app/job_status_reader.cc
+++ b/app/job_status_reader.cc
@@ -201,7 +201,7 @@
   if (context_.catalog.FindWaiting(id) == nullptr) {
     co_return RecordPresence::kMissing;
   }
-  co_return context_.recovery.MayTellLive(read.items[0].mod_revision)
+  co_return context_.recovery.MayReportLive(read.items[0].mod_revision)
       ? RecordPresence::kPresent
       : RecordPresence::kUnknown;
 }
@@ -215,13 +215,13 @@
   // A terminal state known here overrides the record.
   if (context_.catalog.FindTerminalState(id) == TerminalState::kNone) {
     RecoveryCoordinator& recovery = context_.recovery;
-    if (recovery.on() && context_.catalog.FindJob(id) == nullptr) {
+    if (recovery.IsEnabled() && context_.catalog.FindJob(id) == nullptr) {
       // The watch has passed this revision and seen the record deleted: the
       // store serves an older copy of its data.
       recovery.ReportDataLoss(DataLossIndication::kStepBack);
       return {};
     }
-    if (!recovery.MayTellLive(item.mod_revision)) return {};
+    if (!recovery.MayReportLive(item.mod_revision)) return {};
   }
   return StatusAfter(id, RecordRead::kLive);
 }
@@ -249,17 +249,17 @@
   using Known = RecoveryCoordinator::Known;
   RecoveryCoordinator& recovery = context_.recovery;
   ResolvedStatus resolved = Resolve(id, RecordRead::kMissing);
-  if (!recovery.on() || resolved.decision != StatusDecision::kDenial) {
+  if (!recovery.IsEnabled() || resolved.decision != StatusDecision::kDenial) {
     co_return std::move(resolved.status);
   }
   if (context_.catalog.Accepted(id) || !recovery.MayDeny()) {
     co_return api::JobStatus{};
   }
-  const StoreCheck check = co_await recovery.Check();
-  if (check != StoreCheck::kStands || !recovery.MayDeny()) {
+  const StoreCheck check = co_await recovery.CheckEpoch();
+  if (check != StoreCheck::kIntact || !recovery.MayDeny()) {
     co_return api::JobStatus{};
   }
-  const Known known = co_await recovery.AnybodyKnows(id);
+  const Known known = co_await recovery.AskPeersForJob(id);
   if (known == Known::kYes || !recovery.MayDeny()) {
     recovery.ReportDataLoss(DataLossIndication::kRecordMissing,
                             keys::Of(keys::kJob, id));
@@ -267,7 +267,7 @@
   }
   // After an incomplete recovery the leader may still observe a task of the
   // job, or a controller that retains its record may be unreachable.
-  if (recovery.SomeoneMayTell() &&
+  if (recovery.MayBeKnownElsewhere() &&
       (leader_answer != LeaderAnswer::kJobUnknown || known != Known::kNobody)) {
     co_return api::JobStatus{};
   }
--- a/app/job_submitter.cc
+++ b/app/job_submitter.cc
@@ -42,7 +42,7 @@
     : context_(context),
       status_reader_(status_reader),
       admission_(context.catalog,
-                 {[this] { return context_.versions.Open(); },
+                 {[this] { return context_.versions.IsOpen(); },
                   [this](std::string id) {
                     return status_reader_.ReadAcceptance(std::move(id));
                   }}) {}
@@ -55,7 +55,7 @@
   if (local != SubmitResult::kUnavailable || left_seconds <= 0) co_return local;
   const bool has_dependencies = !spec->dependencies.empty();
   // A peer that runs an earlier version might be asked.
-  if (has_dependencies && !context_.versions.Open()) co_return local;
+  if (has_dependencies && !context_.versions.IsOpen()) co_return local;
   const PeerMessage answer = co_await AskPeers(spec, left_seconds);
   switch (answer.answer) {
     case PeerAnswer::kYes:
--- a/app/worker_heartbeat_handler.cc
+++ b/app/worker_heartbeat_handler.cc
@@ -51,7 +51,7 @@
 
 net::Task<api::HeartbeatAnswer> WorkerHeartbeatHandler::Handle(
     Heartbeat heartbeat, std::string body) {
-  context_.recovery.TermSeen(TermOfToken(heartbeat.token));
+  context_.recovery.OnObservedTerm(TermOfToken(heartbeat.token));
   if (const Leader* leader = context_.leader_runtime.ActiveLeader()) {
     co_return AnswerAsLeader(heartbeat, leader->revision());
   }
