--- a/wire/tiers_json.cc
+++ b/wire/tiers_json.cc
@@ -28,7 +28,7 @@
 std::string ReadTerms(const rapidjson::Value& match, const char* key,
                       const Names& names, std::vector<Term>* out) {
   std::vector<std::string> words;
-  const std::string why = ReadWords(match, key, &words);
+  std::string why = ReadWords(match, key, &words);
   if (!why.empty()) return why;
   for (const std::string& word : words) {
     Term term{};
