--- a/core/cluster_state/cluster_state.h
+++ b/core/cluster_state/cluster_state.h
@@ -40,6 +40,8 @@
   TaskAttemptKey key;
 };
 
+// One per leadership. Not thread-safe. The references that it hands out stay
+// valid until the object is removed by the function that says so.
 class ClusterState {
  public:
   // Modules with indices of their own over the attempts. Called within the
--- a/core/command_dispatch/command_dispatcher.h
+++ b/core/command_dispatch/command_dispatcher.h
@@ -13,6 +13,7 @@
 
 class MaintenanceManager;
 
+// One per leadership. Called by every module that starts or stops tasks.
 class CommandDispatcher {
  public:
   // The modules that it calls.
--- a/core/leader_health/leader_health.h
+++ b/core/leader_health/leader_health.h
@@ -14,6 +14,7 @@
 
 namespace oxbow {
 
+// Whether this controller is fit to lead, by the heartbeats that it receives.
 enum class LeaderHealthState : uint8_t {
   kHealthy,   // as many machines send heartbeats as should
   kSuspect,   // too few do: the other controllers are to be asked
@@ -22,6 +23,7 @@
   kYielding,  // it has agreed; this leadership ends
 };
 
+// What may change that.
 enum class LeaderHealthEvent : uint8_t {
   kFewReports,
   kEnoughReports,
@@ -42,6 +44,8 @@
   int silent = 0;  // no message for longer than a heartbeat may take
 };
 
+// Decides when the other controllers are asked and when leadership is offered
+// to one of them. Makes no requests itself.
 class LeaderHealth {
  public:
   struct Limits {
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -15,6 +15,7 @@
 
 namespace oxbow {
 
+// The controller's own right to lead, from seeking the key to its end.
 enum class LeaderState : uint8_t {
   kFollower,  // somebody else leads, or nobody
   kSeeking,   // a lease is asked for, the key is being written
@@ -33,6 +34,9 @@
   kRenewsByPromises,  // relies on short-lived promises
 };
 
+// The state machine of one controller's right to lead, by the lease of the
+// leader key or by promises of the others. Makes no requests; its owner reports
+// what was sent and answered. Times are of the steady clock, s.
 class Leadership {
  public:
   // `peers`: the names of the other controllers. `promise_seconds`: how long a
--- a/core/limits/loss_limiter.h
+++ b/core/limits/loss_limiter.h
@@ -16,6 +16,7 @@
 
 namespace oxbow {
 
+// Why the leader wants to remove capacity or stop using it.
 enum class LossCause : uint8_t {
   kSilent,      // deleted: no message arrives from it
   kUnlisted,    // deleted: neither listed nor sending
@@ -27,6 +28,7 @@
 inline constexpr size_t kLossCauses = 6;
 std::string_view NameOf(LossCause cause);
 
+// Whether a removal is allowed, or which limit forbids it.
 enum class LossDecision : uint8_t {
   kAllowed,
   kFleetLimit,
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -11,6 +11,7 @@
 
 namespace oxbow {
 
+// How far a worker has got with a task.
 enum class TaskPhase : uint8_t {
   kFetching,
   kWaiting,
@@ -19,6 +20,7 @@
   kExited
 };
 
+// Why a task is not running any more, as the worker says.
 enum class ExitReason : uint8_t {
   kNone,
   kDone,
@@ -31,6 +33,7 @@
   kUnknownTask,
 };
 
+// One task attempt as listed in a heartbeat.
 struct TaskStatus {
   std::string job_id;
   uint32_t task = 0;
@@ -40,6 +43,8 @@
   bool saved = false;
 };
 
+// A worker's periodic message: who it is, and everything that is on its
+// machine. Also the answer to a probe or to a batch of commands.
 struct Heartbeat {
   std::string host;
   std::string endpoint;
@@ -56,8 +61,10 @@
   bool forwarded = false;
 };
 
+// What a worker is told to do with a task attempt.
 enum class CommandKind : uint8_t { kStart, kStop, kForget };
 
+// One command to a worker. Commands are idempotent per attempt.
 struct WorkerCommand {
   CommandKind kind = CommandKind::kStart;
   std::string job_id;
--- a/core/model/job.h
+++ b/core/model/job.h
@@ -14,14 +14,19 @@
 
 namespace oxbow {
 
+// An array runs independent tasks, a gang all of them at once, a service until
+// it is cancelled.
 enum class JobKind : uint8_t { kArray, kGang, kService };
 // Highest first.
 enum class Priority : uint8_t { kProduction, kHigh, kNormal, kLow };
 inline constexpr size_t kPriorities = 4;
+// How a job ended; kNone while it has not.
 enum class TerminalState : uint8_t { kNone, kDone, kAborted };
 
 inline constexpr uint32_t kMaxTasks = 100'000;
 
+// Amounts of one machine, task or team: processor cores, accelerators, GB of
+// memory.
 struct Resources {
   double cpus = 0;
   double gpus = 0;
@@ -63,6 +68,7 @@
   }
 };
 
+// A job as its user has described it; never changed after it was accepted.
 struct JobSpec {
   std::string id;
   std::string job_class;
@@ -115,6 +121,7 @@
 JobRecord TerminatedRecord(const JobRecord& record, TerminalState state,
                            bool compact);
 
+// The state of a task's current attempt, as the leader knows it.
 enum class TaskState : uint8_t {
   kPending,   // on no machine, to be placed
   kStarting,  // start sent or queued, not yet seen
@@ -125,6 +132,8 @@
   kDone,
 };
 
+// The life of a job under one leader. The terminal states are entered only once
+// they are recorded.
 enum class JobState : uint8_t {
   kAccepted,
   kRecordingDone,   // all tasks done, the record is being written
@@ -133,6 +142,7 @@
   kAborted,
 };
 
+// One task of a job: its current attempt and where that is.
 struct TaskSlot {
   uint64_t attempt = 0;
   int32_t machine = -1;
--- a/core/model/log_event.h
+++ b/core/model/log_event.h
@@ -10,6 +10,7 @@
 
 namespace oxbow {
 
+// A named value of a log event, already as text.
 struct LogField {
   LogField(std::string_view field_name, std::string_view field_value)
       : name(field_name), value(field_value) {}
@@ -28,6 +29,7 @@
 
 using LogFields = std::vector<LogField>;
 
+// One line of the log.
 struct LogEvent {
   std::string message;  // the same words each time
   LogFields fields = {};
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -21,6 +21,7 @@
 
 namespace oxbow {
 
+// A type that the cloud offers, with the prices and times that it announces.
 struct MachineType {
   std::string name;
   Resources total;
@@ -43,6 +44,7 @@
   uint64_t mod_revision = 0;
 };
 
+// How far a scale-out request has got.
 enum class ScaleOutState : uint8_t {
   kRecording,   // the name is being written down
   kRequesting,  // the cloud has been, or may have been, asked
@@ -58,6 +60,7 @@
   uint64_t mod_revision = 0;
 };
 
+// The life of a machine, from request to deletion.
 enum class MachineState : uint8_t {
   kBooting,
   kUp,
@@ -127,6 +130,9 @@
   bool part = false;
 };
 
+// A machine as the leader sees it. Belongs to ClusterState, which alone changes
+// the capacity accounting and the task attempts; the other fields belong to the
+// modules that are named at them.
 class Machine {
  public:
   Machine(std::string host, const MachineRecord& record, int32_t index,
--- a/core/model/reachability.h
+++ b/core/model/reachability.h
@@ -18,6 +18,7 @@
 inline constexpr double kHeartbeatTimeoutSeconds = 4;
 inline constexpr double kRetryPauseSeconds = 1;
 
+// Whether responses and commands get through to a machine, as far as is proven.
 enum class ReachabilityState : uint8_t {
   kUnproven,   // nothing of this leader has had an effect yet
   kProven,     // something has, and nothing contradicts it since
@@ -26,6 +27,7 @@
   kReceivesNoResponses,  // responses keep having no effect
 };
 
+// What may change that.
 enum class ReachabilityEvent : uint8_t {
   kEffectShown,     // a message shows what only this leader can have caused
   kEffectMissing,   // a heartbeat made after a response lacks its effect
--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -11,6 +11,7 @@
 // Seconds on the steady clock of this process, handed in by the caller.
 using Time = double;
 
+// Another controller, as the platform lists it.
 struct PeerSettings {
   std::string name;
   std::string zone;
@@ -26,6 +27,7 @@
   double gpus_max = 0;
 };
 
+// A service-level objective of a class of jobs, as its users have stated it.
 struct Objective {
   std::string kind;
   std::string job_class;
@@ -34,6 +36,7 @@
   double times = 0;
 };
 
+// Timing of the protocol between controllers and workers, s.
 struct WorkerSettings {
   double heartbeat_interval_seconds = 1;
   double lease_seconds = 10;
@@ -42,6 +45,7 @@
   double cancel_seconds = 40;
 };
 
+// Limits of the key-value store: requests a second, and sizes.
 struct StoreSettings {
   double rps = 250;
   double write_rps = 100;
@@ -60,17 +64,20 @@
   }
 };
 
+// Limits of the cloud's API.
 struct CloudSettings {
   double rps = 8;
   double list_lag_seconds = 5;
 };
 
+// What this process may use. 0: no limit is known.
 struct LimitSettings {
   double cpu_share = 0;
   double memory_mb = 56;
   int max_connections = 700;
 };
 
+// Everything that the platform's settings file says.
 struct Settings {
   std::string node;
   std::string zone;
--- a/core/model/worker_incarnation.h
+++ b/core/model/worker_incarnation.h
@@ -9,12 +9,14 @@
 
 namespace oxbow {
 
+// What is known of the current incarnation.
 enum class IncarnationState : uint8_t {
   kUnknown,  // which incarnation the worker is in is not known
   kAlive,    // a message has shown it
   kExpired,  // it and every one before it are surely over
 };
 
+// What may change that.
 enum class IncarnationEvent : uint8_t {
   kFailover,  // up to now another leader may have answered a heartbeat
   kShown,  // a message of the worker, of whatever kind, names its incarnation
--- a/core/worker_sessions/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -20,6 +20,7 @@
 
 namespace oxbow {
 
+// One per leadership. Its questions to other controllers leave as actions.
 class LivenessMonitor {
  public:
   using Machines = std::vector<std::unique_ptr<Machine>>;
--- a/core/worker_sessions/machine_health.h
+++ b/core/worker_sessions/machine_health.h
@@ -6,6 +6,7 @@
 
 namespace oxbow {
 
+// One per leadership; const, asked by all modules.
 class MachineHealth {
  public:
   explicit MachineHealth(const LeaderContext& context);
--- a/core/worker_sessions/machine_lifecycle.h
+++ b/core/worker_sessions/machine_lifecycle.h
@@ -16,6 +16,8 @@
 class RolloutManager;
 class Reconciler;
 
+// One per leadership. Called in each tick and by whoever wants a machine
+// removed.
 class MachineLifecycle {
  public:
   // The modules that it calls.
--- a/core/worker_sessions/task_attempt_tracker.h
+++ b/core/worker_sessions/task_attempt_tracker.h
@@ -13,6 +13,7 @@
 class MachineLifecycle;
 class Reconciler;
 
+// One per leadership. Called by WorkerSessions for each task in a heartbeat.
 class TaskAttemptTracker {
  public:
   // The modules that it calls.
--- a/core/worker_sessions/worker_sessions.h
+++ b/core/worker_sessions/worker_sessions.h
@@ -30,6 +30,7 @@
   kWorkerResponse,
 };
 
+// One per leadership. Called by the leader for each heartbeat and in each tick.
 class WorkerSessions {
  public:
   // The modules that it calls.
