--- a/core/priority_tiers/tier_set.cc
+++ b/core/priority_tiers/tier_set.cc
@@ -49,7 +49,10 @@
 }
 
 std::string NotANameText(const std::string& word, const TierBounds& bounds) {
-  return "\"" + word.substr(0, bounds.most_word) + "\" is no name";
+  std::string problem = "\"";
+  problem += word.substr(0, bounds.most_word);
+  problem += "\" is no name";
+  return problem;
 }
 
 MaybeError FindListError(std::string field,
