--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -210,6 +210,7 @@
              : JobObservation::kLive;
 }
 
+// The texts are served over HTTP, so they keep their words.
 std::vector<std::string> Leader::Alarms() const {
   std::vector<std::string> alarms = modules_.liveness.Alarms();
   int orphaned_tasks = 0;
@@ -226,12 +227,12 @@
   }
   if (modules_.writes.refused_for_size() > 0) {
     alarms.push_back(std::to_string(modules_.writes.refused_for_size()) +
-                     " records are larger than the store accepts");
+                     " writes are larger than the state service takes");
   }
   if (!modules_.context.catalog.epoch().whole) {
     alarms.push_back(
-        "jobs may have been lost with the store's data: submit again what is "
-        "missing");
+        "jobs may have been lost with the state service's data: whoever misses "
+        "one submits it again");
   }
   return alarms;
 }
