--- a/app/election/lease_renewer.cc
+++ b/app/election/lease_renewer.cc
@@ -45,20 +45,23 @@
 
 void LeaseRenewer::OnRenewed(const StoreResult& result, uint64_t lease_id,
                              net::Time sent_at) {
-  const double retry_seconds = context_.lease_seconds / kRetriesPerLease;
   if (result.ok()) {
     context_.leadership.RenewGranted(sent_at);
     next_renewal_at_ = sent_at + context_.lease_seconds / kRenewalsPerLease;
-  } else if (result.status != StoreStatus::kNotFound) {
-    next_renewal_at_ = context_.loop.Now() + retry_seconds;
-  } else if (context_.recovery.IsEnabled() && context_.IsValidLeader() &&
-             IsLeaseLost(lease_id)) {
-    // The right is still valid, by what was granted before or by promises; a
-    // new lease comes with the new epoch.
-    next_renewal_at_ = context_.loop.Now() + retry_seconds;
-  } else {
+    return;
+  }
+  const bool is_missing = result.status == StoreStatus::kNotFound;
+  // The right is still valid then, by what was granted before or by promises; a
+  // new lease comes with the new epoch.
+  const bool is_lost_with_epoch = is_missing && context_.recovery.IsEnabled() &&
+                                  context_.IsValidLeader() &&
+                                  IsLeaseLost(lease_id);
+  if (is_missing && !is_lost_with_epoch) {
     on_lease_ended_();
+    return;
   }
+  next_renewal_at_ =
+      context_.loop.Now() + context_.lease_seconds / kRetriesPerLease;
 }
 
 // A lease never ends early, so one that has is lost. If the key is still there
--- a/core/model/job.cc
+++ b/core/model/job.cc
@@ -103,8 +103,8 @@
   CheckedChange(state_, next, kJobChanges, "job");
 }
 
-void Job::ChangeTask(uint32_t i, TaskState next) {
-  TaskSlot& slot = tasks_[i];
+void Job::ChangeTask(uint32_t task, TaskState next) {
+  TaskSlot& slot = tasks_[task];
   if (slot.state == next) return;
   const TaskState before = slot.state;
   CheckedChange(slot.state, next, kTaskChanges, "task");
@@ -117,14 +117,14 @@
     slot.machine = -1;
     if (!slot.queued) {
       slot.queued = true;
-      pending_.push_back(i);
+      pending_.push_back(task);
     }
   }
 }
 
-void Job::Place(uint32_t i, int32_t machine, uint64_t attempt) {
-  tasks_[i].machine = machine;
-  tasks_[i].attempt = attempt;
+void Job::Place(uint32_t task, int32_t machine, uint64_t attempt) {
+  tasks_[task].machine = machine;
+  tasks_[task].attempt = attempt;
 }
 
 void Job::ChangePresence(int32_t machine, int holding, int listed) {
--- a/health_expression/health_expression.cc
+++ b/health_expression/health_expression.cc
@@ -50,7 +50,9 @@
 void PushValue(lua_State* lua, const rapidjson::Value* value) {
   if (value == nullptr) {
     lua_pushnil(lua);
-  } else if (value->IsBool()) {
+    return;
+  }
+  if (value->IsBool()) {
     lua_pushboolean(lua, value->GetBool());
   } else if (value->IsInt64()) {
     lua_pushinteger(lua, value->GetInt64());
--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -49,10 +49,10 @@
 class QueueRankingTest : public ::testing::Test {
  protected:
   QueueRankingTest() {
-    tuning.begin_within_seconds = 240;
-    settings.objectives = {{"wait", "train", 80, 0.9, 0},
-                           {"finished", "train", 350, 0.9, 0},
-                           {"deadline", "sync", 0, 0.8, 1.0}};
+    tuning_.begin_within_seconds = 240;
+    settings_.objectives = {{"wait", "train", 80, 0.9, 0},
+                            {"finished", "train", 350, 0.9, 0},
+                            {"deadline", "sync", 0, 0.8, 1.0}};
   }
   Job Waiting(const char* id, JobKind kind, uint32_t tasks, Time submitted) {
     auto spec = std::make_shared<JobSpec>();
@@ -66,14 +66,14 @@
     return {JobRecord{spec, 0, TerminalState::kNone, 1}, -1, submitted,
             submitted};
   }
-  Settings settings;
-  Tuning tuning;
+  Settings settings_;
+  Tuning tuning_;
 };
 
 // A gang of the largest size behind a stream of small ones, of which there is
 // always one that is quicker.
 TEST_F(QueueRankingTest, TheLargestGangGetsItsTurnAmongSmallOnes) {
-  QueueRanking ranking(settings, tuning);
+  QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kGang, 8, 0);
   const Job small = Waiting("small", JobKind::kGang, 1, 55);
   ranking.Seen(large.spec());
@@ -90,7 +90,7 @@
 }
 
 TEST_F(QueueRankingTest, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
-  QueueRanking ranking(settings, tuning);
+  QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
   const Job small = Waiting("small", JobKind::kArray, 10, 115);
   EXPECT_FALSE(ranking.PositionOf(large, 18, 119)
@@ -102,8 +102,8 @@
 }
 
 TEST_F(QueueRankingTest, WithoutTheRuleNothingGoesOutOfTurn) {
-  tuning.begin_within_seconds = 0;
-  QueueRanking ranking(settings, tuning);
+  tuning_.begin_within_seconds = 0;
+  QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
   EXPECT_FALSE(ranking.PositionOf(large, 18, 1000).by_minimum_share);
 }
