--- a/app/action_executor.cc
+++ b/app/action_executor.cc
@@ -156,7 +156,7 @@
   const TaskAttemptKey key = check.key;
   const CheckOutcome outcome = co_await health_.Check(std::move(check));
   callbacks_.deliver(revision, [&](Leader& leader) {
-    leader.OnHealth(rollout, key, outcome, services_.loop.Now());
+    leader.OnHealthCheckResult(rollout, key, outcome, services_.loop.Now());
   });
 }
 
--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -184,7 +184,7 @@
   view.silent = leader->heartbeats_received().silent;
   view.expired_leases = leader->expired_leases();
   view.alarms = leader->Alarms();
-  view.waiting = leader->WaitingLines();
+  view.waiting = leader->DescribeWaitingJobs();
   return view;
 }
 
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -38,8 +38,9 @@
 }
 
 Leader* LeaderRuntime::ActiveLeader() {
-  return leader_ != nullptr && services_.election.Valid() ? leader_.get()
-                                                          : nullptr;
+  return leader_ != nullptr && services_.election.MayActAsLeader()
+             ? leader_.get()
+             : nullptr;
 }
 
 void LeaderRuntime::StartLeading(
@@ -55,7 +56,7 @@
     PublishMaintenanceWindows(catalog, *leader_, now);
     UpdateClocks();
   }
-  leader_->UseMoves(wire::kMoveCodec, now);
+  leader_->EnableReplicaMoves(wire::kMoveCodec, now);
   leader_->set_log_detail(logging::DebugEnabled());
   if (!services_.watcher.types().empty()) {
     std::vector<MachineType> types;
@@ -168,8 +169,8 @@
   const net::Time before = loop.Refresh();
   const double wall_seconds = net::WallNow();
   const net::Time after = loop.Refresh();
-  leader_->OnClocks({wall_seconds, before, after},
-                    services_.watcher.confirmed(), after);
+  leader_->OnClockReading({wall_seconds, before, after},
+                          services_.watcher.confirmed(), after);
 }
 
 net::Task<void> LeaderRuntime::TickLoop() {
--- a/clients/key_value_store.cc
+++ b/clients/key_value_store.cc
@@ -249,7 +249,7 @@
 
 void KeyValueStoreClient::MarkSteppedBack(bool is_applied,
                                           StoreResult* result) {
-  result->stepped_back = true;
+  result->revision_decreased = true;
   result->status =
       is_applied ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
   if (on_step_back) on_step_back();
--- a/core/autoscaler/consolidation.cc
+++ b/core/autoscaler/consolidation.cc
@@ -63,7 +63,8 @@
     const size_t moved_with_it = moved + machine->task_attempts.size();
     if (moved > 0 && static_cast<double>(moved_with_it) > max_moved) break;
     if (!CanMoveAll(*machine, usable, largest_staying_cpus)) continue;
-    if (!machine_lifecycle_.RemoveMachine(*machine, LossCause::kMoved, now)) {
+    if (!machine_lifecycle_.RemoveMachine(*machine, RemovalCause::kConsolidated,
+                                          now)) {
       break;
     }
     moved = moved_with_it;
@@ -114,7 +115,7 @@
   const Machine* target = nullptr;
   for (const Machine* machine : usable) {
     if (machine == &from || !machine->HasImage(spec.image) ||
-        !Allowed(spec, *machine, zones)) {
+        !ConstraintsAllow(spec, *machine, zones)) {
       continue;
     }
     const Resources capacity =
--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -112,14 +112,14 @@
   const bool wants_empty_batch =
       !machine.confirmed() && !machine.reachability.needs_proof();
   if (machine.queue.empty() && !wants_empty_batch) return false;
-  if (!maintenance_.HasCalendarStart(machine)) return true;
+  if (!maintenance_.HasWindowedStart(machine)) return true;
   // The response to the machine's heartbeat takes everything: what was sent
   // directly now would be in flight, and no start could be in the response.
   if (responding_to_ == &machine) return false;
   const bool all_in_response =
       std::all_of(machine.queue.begin(), machine.queue.end(),
                   [&](const WorkerCommand& command) {
-                    return maintenance_.SentInHeartbeatResponse(command);
+                    return maintenance_.RequiresHeartbeatResponse(command);
                   });
   return !machine.confirmed() || !all_in_response;
 }
@@ -137,13 +137,13 @@
 
 std::vector<WorkerCommand> CommandDispatcher::TakeDirectCommands(
     Machine& machine) {
-  const bool some_in_response = maintenance_.HasCalendarStart(machine);
+  const bool some_in_response = maintenance_.HasWindowedStart(machine);
   std::vector<WorkerCommand> commands;
   std::deque<WorkerCommand> remaining;
   while (!machine.queue.empty() && commands.size() < kMaxCommandsPerBatch) {
     WorkerCommand command = std::move(machine.queue.front());
     machine.queue.pop_front();
-    if (some_in_response && maintenance_.SentInHeartbeatResponse(command)) {
+    if (some_in_response && maintenance_.RequiresHeartbeatResponse(command)) {
       remaining.push_back(std::move(command));
       continue;
     }
@@ -177,7 +177,7 @@
 void CommandDispatcher::FillResponse(Machine& machine,
                                      HeartbeatResponse* response, Time now) {
   const bool direct_path_works = now >= machine.direct_broken_until;
-  if ((direct_path_works && !maintenance_.HasCalendarStart(machine)) ||
+  if ((direct_path_works && !maintenance_.HasWindowedStart(machine)) ||
       machine.batch || !machine.confirmed() || machine.queue.empty()) {
     return;
   }
--- a/core/job_lifecycle/job_lifecycle.cc
+++ b/core/job_lifecycle/job_lifecycle.cc
@@ -49,8 +49,8 @@
     dependencies_.OnTerminalStateKnown(added.id(), record.terminal_state, now);
   }
   cluster_.NoteDemand(now);
-  queue_ranking_.Seen(added.spec());
-  fragmentation_.Note(added.spec(), added.queued_since());
+  queue_ranking_.OnJobAdded(added.spec());
+  fragmentation_.AddJobToMix(added.spec(), added.queued_since());
   cluster_.MarkChanged();
   if (added.spec().priority == Priority::kProduction)
     cluster_.MarkUrgentChange();
@@ -59,7 +59,7 @@
 void JobLifecycle::OnJobRecord(const std::string& id, Time now) {
   const JobRecord* record = catalog_.FindJob(id);
   if (record == nullptr) return;
-  const bool cancelled = dependencies_.StopWaiting(id);
+  const bool cancelled = dependencies_.OnDependentReleased(id);
   const auto it = cluster_.jobs().find(id);
   if (it == cluster_.jobs().end()) {
     AddJob(*record, now);
--- a/core/lease/delegated_lease.cc
+++ b/core/lease/delegated_lease.cc
@@ -26,17 +26,17 @@
   return kShareOfLease * workers.lease_seconds;
 }
 
-void DelegatedLease::Granted(Time sent) {
+void DelegatedLease::OnGranted(Time sent) {
   if (sent < recorded_from_) return;
   expires_at_ = std::max(expires_at_, sent + term_seconds_ * (1 - kDrift));
 }
 
-void DelegatedLease::Recorded(Time sent) {
+void DelegatedLease::OnRecordRenewed(Time sent) {
   recorded_until_ =
       std::max(recorded_until_, sent + record_seconds_ * (1 - kDrift));
 }
 
-void DelegatedLease::RecordedAnew(Time sent, Time now) {
+void DelegatedLease::OnRecordRewritten(Time sent, Time now) {
   recorded_from_ = now;
   recorded_until_ = sent + record_seconds_ * (1 - kDrift);
   expires_at_ = -1e9;
@@ -100,8 +100,8 @@
   NoteProcess(delegate, process_incarnation, age, now);
 }
 
-void DelegatedLeases::RecordsRead(const std::set<std::string>& recorded,
-                                  Time sent, Time now) {
+void DelegatedLeases::OnRecordsRead(const std::set<std::string>& recorded,
+                                    Time sent, Time now) {
   for (auto& [name, peer] : peers_) {
     if (peer.granted_at < sent && !recorded.contains(name)) {
       peer.expires_at = std::min(peer.expires_at, now);
@@ -143,8 +143,8 @@
   });
 }
 
-std::vector<std::string> DelegatedLeases::PeersToAsk(const std::string& zone,
-                                                     Time now) {
+std::vector<std::string> DelegatedLeases::PeersToAskToYield(
+    const std::string& zone, Time now) {
   constexpr double kRepeatAfter =
       0.3;  // of the time for which a delegate yields
   std::vector<std::string> names;
--- a/core/maintenance/maintenance_calendar.cc
+++ b/core/maintenance/maintenance_calendar.cc
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-bool WorkRule::Matches(const JobSpec& spec, const std::string& tier) const {
+bool WorkSelector::Matches(const JobSpec& spec, const std::string& tier) const {
   if (spec.kind == JobKind::kService ||
       spec.priority == Priority::kProduction || !Asks()) {
     return false;
--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -28,7 +28,7 @@
 // Whether the image would come too late for the class's objective.
 bool ImageComesLate(const Machine& machine, const JobSpec& spec,
                     std::optional<double> wait_slo_seconds) {
-  return SecondsToImage(machine, spec) >
+  return SecondsUntilImageCached(machine, spec) >
          kFetchShareOfWaitSlo *
              wait_slo_seconds.value_or(kUnlimitedWaitSeconds);
 }
@@ -109,8 +109,8 @@
   return sum;
 }
 
-bool Allowed(const JobSpec& spec, const Machine& machine,
-             const ZoneSpread& spread) {
+bool ConstraintsAllow(const JobSpec& spec, const Machine& machine,
+                      const ZoneSpread& spread) {
   if (machine.type == nullptr || !spec.AllowsType(machine.type_name) ||
       !spec.AllowsZone(machine.zone) || (machine.spot && !spec.spot)) {
     return false;
@@ -138,7 +138,7 @@
   return !need.FitsIn(machine.total() - machine.staying - more);
 }
 
-double SecondsToImage(const Machine& machine, const JobSpec& spec) {
+double SecondsUntilImageCached(const Machine& machine, const JobSpec& spec) {
   const double own_gb = machine.BytesToFetch(spec.image, spec.image_gb);
   // A fetch may be slower than the nominal rate by a third. What was measured
   // below that shared the bandwidth with other fetches, and those are counted
@@ -155,11 +155,12 @@
     const JobSpec& spec, const Machine& machine,
     std::optional<double> wait_slo_seconds) const {
   if (!CountsFragmentation(spec, machine)) return false;
-  if (fragmentation_->Added(machine, spec.need) > kNoFragmentation) return true;
+  if (fragmentation_->AddedFragmentation(machine, spec.need) > kNoFragmentation)
+    return true;
   // Where lasting work leaves too little, preemption of short work would not
   // help.
   return spec.need.gpus > 0 &&
-         (!spec.need.FitsIn(LastingRoom(machine)) ||
+         (!spec.need.FitsIn(CapacityBesideLongRunning(machine)) ||
           ImageComesLate(machine, spec, wait_slo_seconds));
 }
 
@@ -167,7 +168,8 @@
                                  const Machine& machine) const {
   const JobSpec& spec = request.job.spec();
   const Resources& total = machine.type->total;
-  double cost = fragmentation_->Added(machine, spec.need) / total.gpus;
+  double cost =
+      fragmentation_->AddedFragmentation(machine, spec.need) / total.gpus;
   if (spec.need.gpus <= 0) return cost;
   cost -= kFillBonus * machine.lasting.gpus / total.gpus;
   if (ImageComesLate(machine, spec, request.wait_slo_seconds))
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -91,7 +91,7 @@
       dispatcher_(modules.dispatcher),
       rollout_manager_(modules.rollout_manager) {}
 
-void RebalancingManager::UseMoves(const MoveCodec& codec, Time now) {
+void RebalancingManager::EnableReplicaMoves(const MoveCodec& codec, Time now) {
   if (tuning_.moves_at_once < 1 || tuning_.fragmentation_weight <= 0) return;
   move_codec_ = codec;
   MoveLimits limits;
@@ -217,7 +217,8 @@
     zones.Add(cluster_.FindMachine(move.claim.from)->zone, -1);
   }
   observation.target_usable =
-      machine_health_.Usable(*target, now) && Allowed(spec, *target, zones) &&
+      machine_health_.Usable(*target, now) &&
+      ConstraintsAllow(spec, *target, zones) &&
       spec.need.FitsIn(target->CapacityFor(&job, spec.priority));
 }
 
@@ -237,8 +238,8 @@
       rollout_manager_.RolloutOf(job) == nullptr &&
       rollout_manager_.DisruptionAllowed({claim.job, claim.task, claim.attempt},
                                          job, now) &&
-      liveness_.LossAllowed(*cluster_.FindMachine(claim.from),
-                            LossCause::kMoved, now);
+      liveness_.RemovalAllowed(*cluster_.FindMachine(claim.from),
+                               RemovalCause::kConsolidated, now);
 }
 
 void RebalancingManager::StepMoves(Time now) {
@@ -284,7 +285,7 @@
 }
 
 void RebalancingManager::TickMoves(
-    const std::vector<std::string>& large_waiting, Time now) {
+    const std::vector<std::string>& waiting_accelerator_jobs, Time now) {
   if (!rebalancer_ || now < next_step_) return;
   next_step_ =
       now + settings_.workers.heartbeat_interval_seconds / kStepsPerHeartbeat;
@@ -295,7 +296,7 @@
     return;
   }
   next_plan_ = now + settings_.workers.heartbeat_interval_seconds;
-  for (const std::string& id : large_waiting) {
+  for (const std::string& id : waiting_accelerator_jobs) {
     const Job* job = cluster_.FindJob(id);
     if (job == nullptr || !HasUnplacedTasks(id) ||
         now - job->queued_since() <
@@ -436,7 +437,7 @@
   Machine* machine = cluster_.FindMachine(*host);
   const JobSpec& spec = job.spec();
   if (machine == nullptr || !machine_health_.Usable(*machine, now) ||
-      !Allowed(spec, *machine, zones) ||
+      !ConstraintsAllow(spec, *machine, zones) ||
       !spec.need.FitsIn(machine->CapacityFor(&job, spec.priority))) {
     return nullptr;
   }
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -110,7 +110,7 @@
 // A controller that has just accepted a job notifies the leader ahead of the
 // watch. The rollout that was declared before the job arrives by the watch
 // only: until the watch has caught up, the job could start unrestricted.
-bool RolloutManager::MayBeRestricted(const Job& job) const {
+bool RolloutManager::MayHaveUnseenRollout(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
   }
@@ -150,9 +150,10 @@
                                     {"step", NameOf(record.step)}});
 }
 
-void RolloutManager::OnHealth(const std::string& rollout,
-                              const TaskAttemptKey& key,
-                              const CheckOutcome& outcome, Time now) {
+void RolloutManager::OnHealthCheckResult(const std::string& rollout,
+                                         const TaskAttemptKey& key,
+                                         const CheckOutcome& outcome,
+                                         Time now) {
   --checks_in_flight_;
   const auto it = rollouts_.find(rollout);
   if (it != rollouts_.end()) it->second.OnCheck(key, outcome, now);
--- a/core/scheduler/gang_scheduler.cc
+++ b/core/scheduler/gang_scheduler.cc
@@ -142,13 +142,13 @@
         assignment.fetch_seconds, FetchSeconds(*machine, spec, mean_bandwidth));
     // Charged while the other tasks are chosen, and given back below.
     machine->used += spec.need;
-    tiers_.Take(machine->zone, spec.need);
+    tiers_.TakeCapacity(machine->zone, spec.need);
     spread.Add(machine->zone, 1);
     assignment.machines.push_back(machine);
   }
   for (Machine* machine : assignment.machines) {
     machine->used -= spec.need;
-    tiers_.Give(machine->zone, spec.need);
+    tiers_.ReturnCapacity(machine->zone, spec.need);
   }
   return assignment.machines.size() == tasks ? assignment : Assignment{};
 }
@@ -159,7 +159,7 @@
   const uint32_t tasks = job.unplaced();
   uint32_t capacity = 0;
   for (const Machine* machine : machines) {
-    if (!Allowed(spec, *machine, {})) continue;
+    if (!ConstraintsAllow(spec, *machine, {})) continue;
     capacity +=
         spec.need.TimesIn(machine->CapacityFor(&job, job.priority()), tasks);
   }
@@ -170,11 +170,11 @@
                              const QueuePosition& position, Time now) {
   const uint64_t attempt = context_.NextNumber();
   if (attempt == 0) return;
-  queue_ranking_.Placed(job, position, now);
+  queue_ranking_.RecordPlaced(job, position, now);
   for (Machine* machine : machines) {
     task_starter_.StartNextTask(job, *machine, attempt, now);
   }
-  tiers_.TurnUsed(job, job.tier, now);
+  tiers_.EndTurn(job, job.tier, now);
 }
 
 // Capacity for a gang is reserved whole, in one place, and anew in each pass.
@@ -205,7 +205,8 @@
   const JobSpec& spec = job.spec();
   std::map<std::string, ZoneOffer> offers;
   for (Machine* machine : pass.usable_machines) {
-    if (!Allowed(spec, *machine, {}) || !spec.need.FitsIn(machine->total()))
+    if (!ConstraintsAllow(spec, *machine, {}) ||
+        !spec.need.FitsIn(machine->total()))
       continue;
     ZoneOffer& offer = offers[spec.one_zone ? machine->zone : ""];
     offer.capacity +=
--- a/core/scheduler/scheduler.cc
+++ b/core/scheduler/scheduler.cc
@@ -85,21 +85,21 @@
   pass.now = now;
   pass.all_machines_accounted_for = cluster_.AllMachinesAccountedFor();
   ComputeGuaranteedJobs();
-  maintenance_.CountWindows();
+  maintenance_.CountWindowUse();
   // What is held for jobs that have had their turn is held for the round.
   if (!round_.unfinished()) ResetQuotas();
   // Jobs may have been removed since the round's last pass.
   for (QuotaUsage& team : cluster_.quotas()) team.taking_turns.clear();
   pass.partial_gang_reserved = round_.partial_gang_reserved;
-  context_.fragmentation.Settle(now);
+  context_.fragmentation.UpdateMix(now);
   const std::vector<Job*> jobs = SchedulableJobs(pass);
   if (jobs.empty()) return round_.Finish();
 
   reservations_.DropExpired(now);
   pass.usable_machines = UsableMachines(now);
   pass.mean_bandwidth = MeasuredBandwidth();
-  tier_manager_.BeginTiers(jobs, pass.usable_machines,
-                           pass.all_machines_accounted_for, now);
+  tier_manager_.BeginPass(jobs, pass.usable_machines,
+                          pass.all_machines_accounted_for, now);
   const std::vector<QueuedJob> queue = BuildQueue(jobs, now);
   rebalancing_.ReserveMoveTargets(now);
 
@@ -125,7 +125,7 @@
   }
   round_.Finish();
   // What the other tiers have left is not left idle.
-  tiers_.OthersServed();
+  tiers_.OnOtherTiersServed();
   for (const QueuedJob& queued : queue) {
     if (SchedulingRound::PassIsOver(pass.work)) return;
     if (pass.jobs_over_tier_share.contains(queued.job))
@@ -179,7 +179,7 @@
       pass.now < job.not_before) {
     return false;
   }
-  if (rollout_manager_.MayBeRestricted(job)) return false;
+  if (rollout_manager_.MayHaveUnseenRollout(job)) return false;
   if (!maintenance_.MayStartNow(job, pass.now)) return false;
   if (pass.all_machines_accounted_for) return true;
   // Tasks of a job accepted under this leader are on no machine that has not
--- a/core/scheduler/task_scheduler.cc
+++ b/core/scheduler/task_scheduler.cc
@@ -188,8 +188,8 @@
                                const ZoneSpread& spread) const {
   return job.PeekPending() >= 0 && cluster_.QuotaAllows(job, 1) &&
          maintenance_.WindowAllows(job, 1) &&
-         Allowed(job.spec(), machine, spread) &&
-         tier_manager_.TierAllows(job, machine);
+         ConstraintsAllow(job.spec(), machine, spread) &&
+         tier_manager_.TierAllowsPlacement(job, machine);
 }
 
 }  // namespace oxbow
--- a/core/scheduler/task_starter.cc
+++ b/core/scheduler/task_starter.cc
@@ -31,9 +31,10 @@
       job.team() >= 0 && cluster_.quota(job.team()).holds_for_waiting_jobs();
 
   machine.idle_since = 0;
-  tiers_.Take(machine.zone, spec.need);
-  tiers_.Started(job, job.tier, machine.zone, spec.need,
-                 machine.BytesToFetch(spec.image, spec.image_gb) > 0, now);
+  tiers_.TakeCapacity(machine.zone, spec.need);
+  tiers_.OnTaskStarted(job, job.tier, machine.zone, spec.need,
+                       machine.BytesToFetch(spec.image, spec.image_gb) > 0,
+                       now);
   machine.QueueImage(spec.image, spec.image_gb, now);
   machine.queue.push_back({CommandKind::kStart, spec.id, task, attempt, 0});
   cluster_.AddAttempt(machine, std::move(task_attempt), /*present=*/true);
--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -17,18 +17,19 @@
   LeaderHealth::Limits limits;
   limits.troubled_share = tuning.troubled_share;
   limits.minimum_received_share = tuning.deaf_share;
-  limits.pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
-  limits.longest_pause_seconds = lease / 2;
-  limits.blind_after_seconds = kBlindAfterLeases * lease;
+  limits.survey_pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
+  limits.max_survey_pause_seconds = lease / 2;
+  limits.step_down_after_seconds = kBlindAfterLeases * lease;
   // A new leader's first seconds take all of its processor time: its own probes
   // are late then and prove nothing.
-  limits.settle_seconds =
+  limits.min_leadership_seconds =
       std::max(timeouts.overdue, tuning.leader_lease_ratio * lease);
   return limits;
 }
 
-LossLimiter::Limits LossLimits(const Settings& settings, const Tuning& tuning) {
-  LossLimiter::Limits limits;
+RemovalLimiter::Limits LossLimits(const Settings& settings,
+                                  const Tuning& tuning) {
+  RemovalLimiter::Limits limits;
   limits.window_seconds =
       tuning.limit_window_leases * settings.workers.lease_seconds;
   limits.fleet = {tuning.silent_share,   tuning.unlisted_share,
@@ -61,8 +62,8 @@
 }
 
 // What the removal of the machine takes away from services.
-Loss LossOf(const Machine& machine, LossCause cause) {
-  Loss loss;
+CapacityRemoval LossOf(const Machine& machine, RemovalCause cause) {
+  CapacityRemoval loss;
   loss.cause = cause;
   loss.zone = machine.zone;
   for (const auto& [key, attempt] : machine.task_attempts) {
@@ -111,13 +112,13 @@
   return now - from > timeouts_.overdue;
 }
 
-void LivenessMonitor::Count(Time now) {
+void LivenessMonitor::CountSilentMachines(Time now) {
   heartbeats_received_ = CountReceived(now);
   // An alarm ends when nothing has been refused for a window: there may never
   // be another act of its kind to be allowed.
-  for (size_t i = 0; i < kLossCauses; ++i) {
+  for (size_t i = 0; i < kRemovalCauses; ++i) {
     if (now - refused_at_[i] > limiter_.limits().window_seconds) {
-      refusals_[i] = LossDecision::kAllowed;
+      refusals_[i] = RemovalDecision::kAllowed;
     }
   }
   const LeaderHealthState before = leader_health_.state();
@@ -184,11 +185,11 @@
          std::max(quiet_since, now - timeouts_.give_up);
 }
 
-bool LivenessMonitor::LossAllowed(const Machine& machine, LossCause cause,
-                                  Time now) {
+bool LivenessMonitor::RemovalAllowed(const Machine& machine, RemovalCause cause,
+                                     Time now) {
   // A leader that suspects its own network removes nothing for other reasons
   // either: idle, listed and booted are concluded from what it receives.
-  if (cause != LossCause::kSilent && !leader_health_.healthy()) return false;
+  if (cause != RemovalCause::kSilent && !leader_health_.healthy()) return false;
   int fleet = 0;
   int zone = 0;
   for (const auto& other : machines_) {
@@ -196,21 +197,21 @@
     ++fleet;
     zone += other->zone == machine.zone;
   }
-  const LossDecision decision =
-      limiter_.Ask(LossOf(machine, cause), fleet, zone, now);
+  const RemovalDecision decision =
+      limiter_.RequestRemoval(LossOf(machine, cause), fleet, zone, now);
   const auto index = static_cast<size_t>(cause);
-  if (decision != LossDecision::kAllowed &&
-      refusals_[index] == LossDecision::kAllowed) {
+  if (decision != RemovalDecision::kAllowed &&
+      refusals_[index] == RemovalDecision::kAllowed) {
     Log("alarm: removal of machines is limited",
         {{"cause", NameOf(cause)},
          {"limit", NameOf(decision)},
-         {"removed", limiter_.Asked(cause, now)},
+         {"removed", limiter_.CountInWindow(cause, now)},
          {"window_seconds", limiter_.limits().window_seconds},
          {"machines", fleet}});
   }
   refusals_[index] = decision;
-  if (decision != LossDecision::kAllowed) refused_at_[index] = now;
-  return decision == LossDecision::kAllowed;
+  if (decision != RemovalDecision::kAllowed) refused_at_[index] = now;
+  return decision == RemovalDecision::kAllowed;
 }
 
 std::vector<std::string> LivenessMonitor::Alarms() const {
@@ -222,10 +223,10 @@
         " troubled of " + std::to_string(heartbeats_received_.recorded) +
         " machines");
   }
-  for (size_t i = 0; i < kLossCauses; ++i) {
-    if (refusals_[i] == LossDecision::kAllowed) continue;
+  for (size_t i = 0; i < kRemovalCauses; ++i) {
+    if (refusals_[i] == RemovalDecision::kAllowed) continue;
     alarms.push_back("nothing more taken away as " +
-                     std::string(NameOf(static_cast<LossCause>(i))) + ": " +
+                     std::string(NameOf(static_cast<RemovalCause>(i))) + ": " +
                      std::string(NameOf(refusals_[i])));
   }
   return alarms;
@@ -279,22 +280,22 @@
 // A sample of all machines, silent or not: a controller that reached only what
 // this one does not would be no better leader.
 void LivenessMonitor::SurveySample(Time now) {
-  if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
+  if (settings_.peers.empty() || !leader_health_.IsSurveyDue(now)) return;
   std::vector<Machine*> all;
   for (const auto& machine : machines_) {
     if (Counts(*machine) && !machine->endpoint.empty())
       all.push_back(machine.get());
   }
   std::vector<Machine*> sample;
-  std::sample(all.begin(), all.end(), std::back_inserter(sample), kReachSample,
-              sampling_);
+  std::sample(all.begin(), all.end(), std::back_inserter(sample),
+              kSurveySampleSize, sampling_);
   if (sample.empty()) return;
-  leader_health_.RoundAsked(now);
+  leader_health_.OnSurveyStarted(now);
   health_round_ = StartSurvey(sample, SurveyKind::kSample, now);
 }
 
-bool LivenessMonitor::OnReach(uint64_t round, std::vector<Reach> answers,
-                              Time now) {
+bool LivenessMonitor::OnReachabilityAnswers(
+    uint64_t round, std::vector<ReachabilityAnswer> answers, Time now) {
   const auto it = surveys_.find(round);
   if (it == surveys_.end() || answers.empty()) return true;
   const Survey survey = std::move(it->second);
@@ -306,7 +307,7 @@
   if (round != health_round_) return true;
   health_round_ = 0;
   const LeaderHealth::Decision decision =
-      leader_health_.RoundAnswered(answers, now);
+      leader_health_.OnSurveyAnswered(answers, now);
   switch (decision.kind) {
     case LeaderHealth::Decision::Kind::kStay:
       break;
@@ -321,16 +322,19 @@
 }
 
 void LivenessMonitor::ApplyAnswers(Machine& machine, size_t index,
-                                   Time asked_at, std::vector<Reach>* answers,
+                                   Time asked_at,
+                                   std::vector<ReachabilityAnswer>* answers,
                                    Time now) const {
   if (machine.state() == MachineState::kGone) return;
-  Reach& own = answers->front();
+  ReachabilityAnswer& own = answers->front();
   const bool reached_by_other =
       std::any_of(answers->begin() + 1, answers->end(),
-                  [index](const Reach& other) { return other.Reaches(index); });
+                  [index](const ReachabilityAnswer& other) {
+                    return other.Reaches(index);
+                  });
   if (reached_by_other) {
     machine.reached_by_other = now;
-  } else if (own.Denies(index)) {
+  } else if (own.FailsToReach(index)) {
     // As of the question: a leader that was stalled reads the answer late, and
     // the machine may have come back since.
     machine.reached_by_none = std::max(machine.reached_by_none, asked_at);
@@ -338,7 +342,7 @@
   // A machine whose heartbeats don't arrive does not count as reached, whether
   // or not it answers probes: only heartbeats renew its lease.
   if (own.Reaches(index) && HeartbeatOverdue(machine, now)) {
-    own.machines[index] = Reach::kNotReached;
+    own.machines[index] = ReachabilityAnswer::kNotReached;
   }
 }
 
--- a/core/worker_sessions/machine_lifecycle.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -19,8 +19,8 @@
 // The cloud's name for a machine that has failed.
 constexpr const char* kFailedListState = "failed";
 
-// Indexed by LossCause; for the log.
-constexpr std::array<const char*, kLossCauses> kLossReasons = {
+// Indexed by RemovalCause; for the log.
+constexpr std::array<const char*, kRemovalCauses> kLossReasons = {
     "silent", "neither listed nor sending", "did not boot in time",
     "idle",   "its replicas fit elsewhere", "several jobs failed there"};
 
@@ -106,15 +106,15 @@
   }
 }
 
-bool MachineLifecycle::RemoveMachine(Machine& machine, LossCause cause,
+bool MachineLifecycle::RemoveMachine(Machine& machine, RemovalCause cause,
                                      Time now) {
-  if (!liveness_.LossAllowed(machine, cause, now)) return false;
+  if (!liveness_.RemovalAllowed(machine, cause, now)) return false;
   const char* reason = kLossReasons[static_cast<size_t>(cause)];
-  if (cause == LossCause::kMoved) {
+  if (cause == RemovalCause::kConsolidated) {
     Drain(machine, now, reason);
     return true;
   }
-  if (cause == LossCause::kDistrusted) {
+  if (cause == RemovalCause::kDistrusted) {
     machine.distrusted_until =
         now + kDistrustLeases * settings_.workers.lease_seconds;
     context_.Log("cordoning machine",
@@ -122,7 +122,7 @@
     return true;
   }
   machine.given_up =
-      cause == LossCause::kSilent || cause == LossCause::kUnlisted;
+      cause == RemovalCause::kSilent || cause == RemovalCause::kUnlisted;
   RequestDeletion(machine, now, reason);
   return true;
 }
@@ -169,7 +169,7 @@
   const double boot_seconds =
       machine.type ? machine.type->boot_seconds : unknown_type_boot_seconds;
   if (now - machine.requested_at > tuning_.boot_timeout_ratio * boot_seconds) {
-    RemoveMachine(machine, LossCause::kNeverUp, now);
+    RemoveMachine(machine, RemovalCause::kNeverUp, now);
   }
 }
 
@@ -198,7 +198,7 @@
   return machine.recorded_up && worth_it &&
          liveness_.SilentTooLong(machine, now) &&
          liveness_.MayGiveUp(machine, now) &&
-         RemoveMachine(machine, LossCause::kSilent, now);
+         RemoveMachine(machine, RemovalCause::kSilent, now);
 }
 
 void MachineLifecycle::ReviewAttempts(Machine& machine, Time now) {
@@ -337,7 +337,7 @@
   if (silent && machine.missing_in_list &&
       machine.state() != MachineState::kDeleting &&
       now - machine.reached_by_other > lag) {
-    RemoveMachine(machine, LossCause::kUnlisted, now);
+    RemoveMachine(machine, RemovalCause::kUnlisted, now);
   }
   machine.missing_in_list = true;
 }
--- a/core/worker_sessions/task_attempt_tracker.cc
+++ b/core/worker_sessions/task_attempt_tracker.cc
@@ -300,7 +300,7 @@
   }
   if (failed.size() < kFailedJobsToCordon) return;
   failed.clear();
-  machine_lifecycle_.RemoveMachine(machine, LossCause::kDistrusted, now);
+  machine_lifecycle_.RemoveMachine(machine, RemovalCause::kDistrusted, now);
 }
 
 }  // namespace oxbow
--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -145,7 +145,7 @@
   dispatcher_.SetRespondingTo(&machine);
   ApplyHeartbeat(machine, heartbeat, HeartbeatChannel::kHeartbeat, now);
   dispatcher_.SetRespondingTo(nullptr);
-  maintenance_.DropLateStarts(machine, now);
+  maintenance_.RemoveDisallowedStarts(machine, now);
   if (news) {
     machine.last_heartbeat = now;
     machine.forwarded = heartbeat.forwarded;
@@ -342,7 +342,7 @@
   const double early = 2 * LeaseYieldSeconds(settings_.workers);
   if (now <= expires_at - early) return false;
   const std::vector<std::string> asked =
-      delegated_leases_.PeersToAsk(machine.zone, now);
+      delegated_leases_.PeersToAskToYield(machine.zone, now);
   if (!asked.empty()) actions_.push_back(RequestLeaseYield{asked});
   return now > expires_at && !delegated_leases_.MayBeRenewed(machine.zone, now);
 }
@@ -357,7 +357,7 @@
 
 void WorkerSessions::BeginTick() { incarnations_unsettled_ = false; }
 
-void WorkerSessions::ExpireIfOver(Machine& machine, Time now) {
+void WorkerSessions::ExpireIfLeaseEnded(Machine& machine, Time now) {
   const bool may_have_tasks = !machine.task_attempts.empty() || machine.batch ||
                               (machine.recorded_up && !machine.reported);
   if (!may_have_tasks ||
@@ -387,7 +387,8 @@
 
 // --- delegated leases
 
-bool WorkerSessions::ZoneSettled(const std::string& zone, Time now) const {
+bool WorkerSessions::ZoneMayBeDelegated(const std::string& zone,
+                                        Time now) const {
   for (const auto& machine : cluster_.machines()) {
     // Which tasks it has is not known yet.
     if (machine->zone == zone && machine->recorded_up && !machine->reported &&
@@ -410,12 +411,12 @@
   return true;
 }
 
-bool WorkerSessions::OnDelegationAsked(const std::string& peer,
-                                       const std::string& process_incarnation,
-                                       double age, Time now) {
+bool WorkerSessions::OnDelegationRequested(
+    const std::string& peer, const std::string& process_incarnation, double age,
+    Time now) {
   for (const PeerSettings& settings : settings_.peers) {
     if (settings.name != peer) continue;
-    if (!ZoneSettled(settings.zone, now)) return false;
+    if (!ZoneMayBeDelegated(settings.zone, now)) return false;
     delegated_leases_.Grant(peer, process_incarnation, age, now);
     return true;
   }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -89,7 +89,7 @@
   JobSpec spec;
   spec.tasks = 6;
   spec.need = {1, 0, 1};
-  AutoscalerInput input;
+  ScaleOutInput input;
   input.types = &types;
   input.capacity = {{{"small", "a", false}, {2, 0, 16}}};
   input.demand = {{&spec, 6, {}}};
--- a/tests/simulation/workers.cc
+++ b/tests/simulation/workers.cc
@@ -49,7 +49,7 @@
   const uint64_t revision = leader_->revision();
   const auto answer = [this, check, revision](CheckOutcome outcome) {
     OnLeader(revision, [this, check, outcome] {
-      leader_->OnHealth(check.rollout, check.key, outcome, now_);
+      leader_->OnHealthCheckResult(check.rollout, check.key, outcome, now_);
     });
   };
   for (auto& [host, worker] : workers_) {
