--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -65,7 +65,7 @@
 
 net::HttpServer::Limits ServerLimits(const Settings& settings) {
   net::HttpServer::Limits limits;
-  limits.connections = settings.limits.served_connections();
+  limits.connections = settings.limits.client_connections();
   return limits;
 }
 
--- a/app/job_status_reader.cc
+++ b/app/job_status_reader.cc
@@ -93,7 +93,7 @@
 bool JobStatusReader::IsUnknownToLeaderHere(const std::string& id) {
   JobView view;
   const Leader* leader = context_.leader_runtime.ActiveLeader();
-  return leader != nullptr && leader->AllAccounted() &&
+  return leader != nullptr && leader->AllMachinesAccountedFor() &&
          leader->View(id, &view) == JobObservation::kUnseen;
 }
 
@@ -285,7 +285,7 @@
     }
     co_return std::move(resolved.status);
   }
-  if (context_.catalog.Accepted(id) || !recovery.MayDeny()) {
+  if (context_.catalog.WasAccepted(id) || !recovery.MayDeny()) {
     co_return WithheldStatus(WithheldReason::kStoreUnverified);
   }
   const StoreCheck check = co_await recovery.CheckEpoch();
--- a/app/job_submitter.cc
+++ b/app/job_submitter.cc
@@ -105,7 +105,7 @@
 bool JobSubmitter::FitsIntoStoreValue(
     const std::shared_ptr<const JobSpec>& spec) const {
   return wire::EncodeRecord(NewJobRecord(spec)).size() + kRecordGrowthBytes <=
-         context_.settings.store.most_value_bytes();
+         context_.settings.store.max_value_bytes();
 }
 
 net::Task<SubmitResult> JobSubmitter::SubmitLocally(
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -51,7 +51,7 @@
       std::make_unique<Leader>(services_.settings, tuning_, catalog, revision,
                                now, net::WallNow() - now, revision, delegates);
   UpdateTiers();
-  leader_->UseTiers(tiers_.set());
+  leader_->SetTiers(tiers_.set());
   if (tuning_.calendar_on > 0) {
     PublishMaintenanceWindows(catalog, *leader_, now);
     UpdateClocks();
@@ -74,7 +74,7 @@
 }
 
 void LeaderRuntime::ReadTierRecord() {
-  const auto& records = services_.catalog.operators();
+  const auto& records = services_.catalog.operator_records();
   const auto it = records.find(std::string(wire::kTiersRecord));
   if (it == records.end()) {
     tiers_.OnNoRecord();
@@ -109,7 +109,7 @@
     UpdateTiers();
     if (leader_) {
       Deliver(leader_->revision(),
-              [this](Leader& leader) { leader.UseTiers(tiers_.set()); });
+              [this](Leader& leader) { leader.SetTiers(tiers_.set()); });
     }
   }
   NotifyLeaderOfRecord(key);
@@ -226,7 +226,8 @@
   executing_actions_ = false;
   if (summary.resign_reason.empty()) return;
   services_.election.StepDown(summary.resign_reason);
-  if (summary.unfit) services_.leader_health_coordinator.OnLeadershipYielded();
+  if (summary.prefer_other_candidates)
+    services_.leader_health_coordinator.OnLeadershipYielded();
 }
 
 net::Task<TerminalState> LeaderRuntime::Cancel(std::string id) {
--- a/app/recovery_coordinator.cc
+++ b/app/recovery_coordinator.cc
@@ -66,7 +66,7 @@
   const StoreVerificationState state = verification().state();
   return state == StoreVerificationState::kVerified ||
          (state == StoreVerificationState::kReconciling &&
-          mod_revision > context_.catalog.opened());
+          mod_revision > context_.catalog.epoch_mark_revision());
 }
 
 bool RecoveryCoordinator::MayAccept() const {
@@ -186,7 +186,7 @@
       co_await detector_.AnswerVerification(std::move(message), reply);
       break;
     case PeerKind::kKnown:
-      if (context_.catalog.Accepted(message.job_id)) {
+      if (context_.catalog.WasAccepted(message.job_id)) {
         reply->answer = PeerAnswer::kYes;
       }
       break;
--- a/core/autoscaler/autoscaler.cc
+++ b/core/autoscaler/autoscaler.cc
@@ -103,7 +103,7 @@
     if (!booting && !up) continue;
     // Capacity that is being freed for a job counts as free for it.
     capacity.push_back({{machine->type_name, machine->zone, machine->spot},
-                        machine->free() + machine->leaving});
+                        machine->free() + machine->used_by_stopping});
   }
   AddRequestedCapacity(capacity);
   SortForPacking(capacity);
@@ -205,7 +205,7 @@
 
 bool Autoscaler::BeginScaleOut(const MachinePool& pool, int count) {
   const std::string name = "r-" + std::to_string(context_.term) + "-" +
-                           std::to_string(context_.NextNumber());
+                           std::to_string(context_.NextToken());
   if (context_.resigned) return false;
   ScaleOutRequest& scale_out = scale_outs_[name];
   scale_out.record = {pool.type, pool.zone, pool.spot,
@@ -334,7 +334,7 @@
 }
 
 void Autoscaler::ScaleOutRequest::Change(ScaleOutState next) {
-  CheckedChange(state, next, kScaleOutTransitions, "scale-out");
+  CheckedTransition(state, next, kScaleOutTransitions, "scale-out");
 }
 
 void Autoscaler::Restore(const std::string& name,
--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -94,15 +94,15 @@
 }
 
 void CommandDispatcher::RaiseFencingToken(Machine& machine) {
-  const FencingToken next = context_.NextNumber();
+  const FencingToken next = context_.NextToken();
   if (next > machine.token) machine.token = next;
 }
 
 bool CommandDispatcher::MayDispatch(const Machine& machine, Time now) const {
   return !machine.batch && !machine.endpoint.empty() &&
          machine.incarnation.alive() && !context_.resigned &&
-         now >= machine.direct_broken_until &&
-         machine.state() != MachineState::kGone &&
+         now >= machine.direct_commands_disabled_until &&
+         machine.state() != MachineState::kDeleted &&
          machine.state() != MachineState::kBooting;
 }
 
@@ -169,14 +169,14 @@
   constexpr uint32_t kMaxDoublings = 4;
   const uint32_t doublings = std::min(machine.direct_failures++, kMaxDoublings);
   const double heartbeats = doublings == 0 ? 1 : 1.5 * (1 << doublings);
-  machine.direct_broken_until =
+  machine.direct_commands_disabled_until =
       now + std::min(heartbeats * settings_.workers.heartbeat_interval_seconds,
                      settings_.workers.lease_seconds);
 }
 
 void CommandDispatcher::FillResponse(Machine& machine,
                                      HeartbeatResponse* response, Time now) {
-  const bool direct_path_works = now >= machine.direct_broken_until;
+  const bool direct_path_works = now >= machine.direct_commands_disabled_until;
   if ((direct_path_works && !maintenance_.HasWindowedStart(machine)) ||
       machine.batch || !machine.confirmed() || machine.queue.empty()) {
     return;
--- a/core/dependencies/dependency_coordinator.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -245,7 +245,7 @@
   for (const std::string& id : dependency_graph_.TakeChangedInheritance()) {
     const auto it = cluster_.jobs().find(id);
     if (it == cluster_.jobs().end()) continue;
-    it->second->inherit(dependency_graph_.InheritedBy(id));
+    it->second->set_inherited(dependency_graph_.InheritedBy(id));
     cluster_.MarkChanged();
   }
 }
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -159,7 +159,7 @@
       break;
   }
   if (!modules_.writes.OnAnswer(id, outcome, revision, failed, now)) {
-    modules_.context.GiveUp("the leader key has changed");
+    modules_.context.ResignLeadership("the leader key has changed");
   }
 }
 
@@ -269,7 +269,7 @@
   modules_.liveness.CountSilentMachines(now);
   modules_.worker_sessions.BeginTick();
   for (const auto& machine : modules_.cluster.machines()) {
-    if (machine->state() == MachineState::kGone) continue;
+    if (machine->state() == MachineState::kDeleted) continue;
     if (by_lease) modules_.worker_sessions.ExpireIfLeaseEnded(*machine, now);
     modules_.machine_lifecycle.TickMachine(*machine, now);
   }
@@ -311,8 +311,8 @@
   modules_.cluster.SetMachineTypes(types);
 }
 
-void Leader::UseTiers(std::shared_ptr<const TierSet> set) {
-  modules_.tier_manager.UseTiers(std::move(set));
+void Leader::SetTiers(std::shared_ptr<const TierSet> set) {
+  modules_.tier_manager.SetTiers(std::move(set));
 }
 
 void Leader::EnableReplicaMoves(const MoveCodec& codec, Time now) {
@@ -414,7 +414,7 @@
   modules_.maintenance.OnClockReading(reading, confirmed, now);
 }
 
-bool Leader::AllAccounted() const {
+bool Leader::AllMachinesAccountedFor() const {
   return modules_.cluster.AllMachinesAccountedFor();
 }
 
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -29,7 +29,7 @@
   void OnTypes(const std::vector<MachineType>& types);
   // The tiers in force, at the beginning and whenever they change. Running
   // tasks change their tier with their job.
-  void UseTiers(std::shared_ptr<const TierSet> set);
+  void SetTiers(std::shared_ptr<const TierSet> set);
   // Lets replicas be moved, as far as the operators' settings allow. Takes up
   // the claims that a former leader has recorded; before the first Tick.
   void EnableReplicaMoves(const MoveCodec& codec, Time now);
@@ -117,7 +117,7 @@
   // Fills in `out` unless the job is unseen.
   JobObservation View(const std::string& id, JobView* out) const;
   // Whether every machine has shown what runs on it.
-  bool AllAccounted() const;
+  bool AllMachinesAccountedFor() const;
   // Whether nothing is in a zone that must be gone before a delegated lease for
   // its workers could expire.
   bool ZoneMayBeDelegated(const std::string& zone, Time now) const;
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -71,7 +71,8 @@
       next = kYielding;
       break;
   }
-  if (next != state_) CheckedChange(state_, next, kChanges, "leader health");
+  if (next != state_)
+    CheckedTransition(state_, next, kChanges, "leader health");
 }
 
 bool LeaderHealth::ReceivesTooFew() const {
--- a/core/lease/delegated_lease_record.cc
+++ b/core/lease/delegated_lease_record.cc
@@ -19,7 +19,7 @@
 }  // namespace
 
 void DelegatedLeaseRecord::Change(RecordStep next) {
-  CheckedChange(step_, next, kChanges, "delegated lease record");
+  CheckedTransition(step_, next, kChanges, "delegated lease record");
 }
 
 void DelegatedLeaseRecord::OnKeyRead(uint64_t mod_revision) {
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -29,7 +29,7 @@
       delegation_seconds_(delegation_seconds) {}
 
 void Leadership::Change(LeaderState next) {
-  CheckedChange(state_, next, kChanges, "leadership");
+  CheckedTransition(state_, next, kChanges, "leadership");
 }
 
 Time Leadership::PromisedUntil() const {
@@ -73,7 +73,8 @@
 }
 
 bool Leadership::ForgottenPromisesExpired(Time now) const {
-  if (now >= started_ + promise_seconds_ * (1 + kDrift)) return true;
+  if (now >= started_ + promise_seconds_ * (1 + kMaxClockDriftRate))
+    return true;
   return AllIdle(DelegationsAreOver(now));
 }
 
@@ -82,7 +83,7 @@
 }
 
 bool Leadership::DelegationsAreOver(Time now) const {
-  return now >= started_ + delegation_seconds_ * (1 + kDrift);
+  return now >= started_ + delegation_seconds_ * (1 + kMaxClockDriftRate);
 }
 
 bool Leadership::AllIdle(bool delegations_are_over) const {
@@ -109,7 +110,7 @@
   Change(leads ? kLeading : kRenewing);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
+  lease_until_ = sent + lease_seconds_ * (1 - kMaxClockDriftRate);
   granted_until_.clear();
 }
 
@@ -125,7 +126,7 @@
   if (state_ == kProlonged) Change(kLeading);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
+  lease_until_ = sent + lease_seconds_ * (1 - kMaxClockDriftRate);
   granted_until_.clear();
 }
 
@@ -138,7 +139,8 @@
 
 void Leadership::RenewGranted(Time sent) {
   if (state_ != kLeading && state_ != kProlonged && state_ != kRenewing) return;
-  lease_until_ = std::max(lease_until_, sent + lease_seconds_ * (1 - kDrift));
+  lease_until_ =
+      std::max(lease_until_, sent + lease_seconds_ * (1 - kMaxClockDriftRate));
 }
 
 void Leadership::OnKeyLost() {
@@ -162,14 +164,14 @@
 
 void Leadership::PromiseGranted(const std::string& peer, Time sent) {
   Time& until = granted_until_[peer];
-  until = std::max(until, sent + promise_seconds_ * (1 - kDrift));
+  until = std::max(until, sent + promise_seconds_ * (1 - kMaxClockDriftRate));
 }
 
 bool Leadership::OnPromiseRequested(bool state_fails, Time now) {
   // An attempt to win the key in progress has an unknown outcome: nothing can
   // be promised.
   if (!state_fails || state_ != kFollower) return false;
-  promised_until_ = now + promise_seconds_ * (1 + kDrift);
+  promised_until_ = now + promise_seconds_ * (1 + kMaxClockDriftRate);
   return true;
 }
 
@@ -222,7 +224,8 @@
 void Leadership::DelegationGranted(const std::string& peer, Time sent) {
   if (sent <= delegation_over_) return;
   Time& until = delegation_granted_[peer];
-  until = std::max(until, sent + delegation_seconds_ * (1 - kDrift));
+  until =
+      std::max(until, sent + delegation_seconds_ * (1 - kMaxClockDriftRate));
 }
 
 uint64_t Leadership::EndDelegation(Time now) {
@@ -240,8 +243,8 @@
   DelegationPromise& promise = delegation_promised_[peer];
   promise.process_incarnation = process_incarnation;
   promise.number = number;
-  promise.until =
-      std::max(promise.until, now + delegation_seconds_ * (1 + kDrift));
+  promise.until = std::max(
+      promise.until, now + delegation_seconds_ * (1 + kMaxClockDriftRate));
   return true;
 }
 
--- a/core/maintenance/maintenance_manager.cc
+++ b/core/maintenance/maintenance_manager.cc
@@ -68,7 +68,7 @@
       dispatcher_(modules.dispatcher),
       rollout_manager_(modules.rollout_manager),
       calendar_(context.settings.workers.lease_seconds,
-                context.settings.clock_off_ms / 1000) {}
+                context.settings.clock_error_ms / 1000) {}
 
 void MaintenanceManager::OnClockReading(const WallReading& reading,
                                         Time confirmed, Time now) {
@@ -130,10 +130,10 @@
   for (const std::string& id : calendar_.WindowIds()) window_use_[id];
   if (window_use_.empty()) return;
   for (const auto& [id, job] : cluster_.jobs()) {
-    if (job->holding() == 0) continue;
+    if (job->charged_attempts() == 0) continue;
     const JobSpec& spec = job->spec();
     for (const WindowShare& window : calendar_.SharesFor(spec, TierOf(*job))) {
-      window_use_[window.id] += spec.need * job->holding();
+      window_use_[window.id] += spec.need * job->charged_attempts();
     }
   }
 }
@@ -286,7 +286,7 @@
     if (job->unplaced() > 0) {
       LogAdmissionChange(*job, AdmissionOf(*job, now), now);
     }
-    if (job->holding() > 0) ApplyOverrun(*job, now);
+    if (job->charged_attempts() > 0) ApplyOverrun(*job, now);
   }
 }
 
--- a/core/maintenance/window_validation.cc
+++ b/core/maintenance/window_validation.cc
@@ -261,7 +261,7 @@
 
 double MinimumNoticeSeconds(const Settings& settings) {
   return kNoticeLeases * settings.workers.lease_seconds +
-         2 * settings.clock_off_ms / 1000;
+         2 * settings.clock_error_ms / 1000;
 }
 
 std::optional<WindowError> FindWindowError(
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -126,7 +126,7 @@
 
 // Capacity that is not taken by lasting work.
 inline Resources CapacityBesideLongRunning(const Machine& machine) {
-  return machine.total() - machine.lasting;
+  return machine.total() - machine.used_by_long_running;
 }
 
 // Whether tasks of this shape may be on such a machine.
--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -37,7 +37,7 @@
 double EvictedShareOfCache(const Machine& machine, const JobSpec& spec) {
   const double cache_gb = machine.type->cache_gb;
   const double evicted_gb = machine.image_gb_cached() - cache_gb +
-                            machine.BytesToFetch(spec.image, spec.image_gb);
+                            machine.GbToFetch(spec.image, spec.image_gb);
   if (evicted_gb <= 0 || cache_gb <= 0) return 0;
   return std::min(1.0, evicted_gb / cache_gb);
 }
@@ -71,7 +71,7 @@
                     double mean_bandwidth) {
   const double bandwidth =
       machine.bandwidth > 0 ? machine.bandwidth : mean_bandwidth;
-  return machine.BytesToFetch(spec.image, spec.image_gb) / bandwidth;
+  return machine.GbToFetch(spec.image, spec.image_gb) / bandwidth;
 }
 
 double MeanBandwidth(std::span<Machine* const> machines) {
@@ -135,11 +135,11 @@
                             const Resources& more) {
   // Until the first such task has come, it may need all there is.
   const Resources& need = shape.gpus > 0 ? shape : machine.total();
-  return !need.FitsIn(machine.total() - machine.staying - more);
+  return !need.FitsIn(machine.total() - machine.used_by_services - more);
 }
 
 double SecondsUntilImageCached(const Machine& machine, const JobSpec& spec) {
-  const double own_gb = machine.BytesToFetch(spec.image, spec.image_gb);
+  const double own_gb = machine.GbToFetch(spec.image, spec.image_gb);
   // A fetch may be slower than the nominal rate by a third. What was measured
   // below that shared the bandwidth with other fetches, and those are counted
   // here by themselves.
@@ -171,7 +171,7 @@
   double cost =
       fragmentation_->AddedFragmentation(machine, spec.need) / total.gpus;
   if (spec.need.gpus <= 0) return cost;
-  cost -= kFillBonus * machine.lasting.gpus / total.gpus;
+  cost -= kFillBonus * machine.used_by_long_running.gpus / total.gpus;
   if (ImageComesLate(machine, spec, request.wait_slo_seconds))
     cost += kLateImageCost;
   if (spec.kind == JobKind::kService &&
--- a/core/priority_tiers/tier_manager.cc
+++ b/core/priority_tiers/tier_manager.cc
@@ -19,7 +19,7 @@
       tiers_(context.tiers),
       rollout_manager_(modules.rollout_manager) {}
 
-void TierManager::UseTiers(std::shared_ptr<const TierSet> set) {
+void TierManager::SetTiers(std::shared_ptr<const TierSet> set) {
   if (!tiers_.SetTiers(std::move(set))) return;
   tiers_.ClearUsage();
   for (const auto& [id, job] : cluster_.jobs()) {
@@ -27,7 +27,7 @@
   }
   for (const auto& machine : cluster_.machines()) {
     for (const auto& [key, attempt] : machine->task_attempts) {
-      if (attempt.holds) tiers_.AddUsage(attempt.job->tier, attempt.need);
+      if (attempt.charged) tiers_.AddUsage(attempt.job->tier, attempt.need);
     }
   }
   context_.Log("priority tiers in force",
@@ -97,7 +97,7 @@
                                       const Machine& machine) const {
   const JobSpec& spec = job.spec();
   if (tiers_.MayUse(job, job.tier, machine.zone, spec.need,
-                    machine.BytesToFetch(spec.image, spec.image_gb) > 0)) {
+                    machine.GbToFetch(spec.image, spec.image_gb) > 0)) {
     return true;
   }
   // Capacity that was freed for the job by preemption is its own: if it were
@@ -126,7 +126,7 @@
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->tier != tier) continue;
     for (const auto& [index, presence] : job->presence()) {
-      by_machine[index] += job->spec().need * presence.holding;
+      by_machine[index] += job->spec().need * presence.charged_attempts;
     }
   }
   std::map<std::string, TierUse> by_zone;
--- a/core/priority_tiers/tier_manager.h
+++ b/core/priority_tiers/tier_manager.h
@@ -41,7 +41,7 @@
   void ReserveTierHeadroom(ScaleOutInput& input) const;
   // The tiers in force, at the beginning and whenever they change. Running
   // tasks move to their new tier and are not stopped.
-  void UseTiers(std::shared_ptr<const TierSet> set);
+  void SetTiers(std::shared_ptr<const TierSet> set);
 
  private:
   void ObserveBestTier(Time now, TierObservation& observation) const;
--- a/core/priority_tiers/tier_set.cc
+++ b/core/priority_tiers/tier_set.cc
@@ -242,7 +242,7 @@
 TiersInForce::TiersInForce() : set_(std::make_shared<const TierSet>()) {}
 
 void TiersInForce::Change(TierSource next) {
-  CheckedChange(source_, next, kChanges, "tiers in force");
+  CheckedTransition(source_, next, kChanges, "tiers in force");
   if (next != kBuiltIn) return;
   version_ = 0;
   set_ = std::make_shared<const TierSet>();
--- a/core/read_consistency/read_consistency_gate.cc
+++ b/core/read_consistency/read_consistency_gate.cc
@@ -70,7 +70,7 @@
     case Event::kConfirmed:
       break;
   }
-  CheckedChange(write.state, next, kTransitions, "read consistency gate");
+  CheckedTransition(write.state, next, kTransitions, "read consistency gate");
   if (next == State::kClear) pending_.erase(job);
 }
 
--- a/core/rebalancing/rebalancer.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -81,7 +81,7 @@
 
 void Rebalancer::Change(Move& move, ReplicaMoveState next, Time now,
                         GiveUpReason reason) {
-  CheckedChange(move.state, next, kChanges, "replica move");
+  CheckedTransition(move.state, next, kChanges, "replica move");
   move.state_since = now;
   if (next == kStopping) move.stop_sent_at = now;
   move.reason = reason;
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -47,7 +47,7 @@
   bool ReplacesQueued() const override { return true; }
 
   BuildResult Build(CompareAndSwap* txn) const override {
-    const auto& recorded = context_.catalog.operators();
+    const auto& recorded = context_.catalog.operator_records();
     const auto it = recorded.find(name());
     const bool known = it != recorded.end();
     if (known && it->second.version >= record_.version) {
@@ -105,7 +105,7 @@
   limits.heartbeat_interval_seconds =
       settings_.workers.heartbeat_interval_seconds;
   rebalancer_.emplace(limits);
-  for (const auto& [name, record] : catalog_.operators()) {
+  for (const auto& [name, record] : catalog_.operator_records()) {
     MoveClaim claim;
     if (!name.starts_with(kRecordPrefix) || record.withdrawn ||
         !move_codec_.read(record.text, &claim) ||
@@ -120,7 +120,7 @@
   if (!rebalancer_ || !name.starts_with(kRecordPrefix)) return;
   const std::string id = name.substr(kRecordPrefix.size());
   const auto move = rebalancer_->moves().find(id);
-  const auto record = catalog_.operators().find(name);
+  const auto record = catalog_.operator_records().find(name);
   if (move == rebalancer_->moves().end() ||
       move->second.state != ReplicaMoveState::kPlanned) {
     return;
@@ -128,7 +128,8 @@
   // The watch may bring an older version meanwhile; the outcome of the write
   // itself comes last. A record with other contents is not this claim.
   const bool recorded =
-      record != catalog_.operators().end() && !record->second.withdrawn &&
+      record != catalog_.operator_records().end() &&
+      !record->second.withdrawn &&
       record->second.text == move_codec_.write(move->second.claim);
   if (recorded) rebalancer_->OnRecorded(id, now);
 }
@@ -312,7 +313,7 @@
 void RebalancingManager::PlanMovesFor(const Job& waiting, Time now) {
   std::vector<Machine*> usable;
   for (const auto& machine : cluster_.machines()) {
-    if (machine->state() != MachineState::kGone &&
+    if (machine->state() != MachineState::kDeleted &&
         machine_health_.Usable(*machine, now) && !DrainedByMove(*machine)) {
       usable.push_back(machine.get());
     }
@@ -398,12 +399,13 @@
 
 void RebalancingManager::RecordClaim(const MoveClaim& claim, Time now) {
   const std::string name = RecordName(claim.id);
-  const auto earlier = catalog_.operators().find(name);
+  const auto earlier = catalog_.operator_records().find(name);
   OperatorRecord record;
   record.kind = kRecordKind;
   record.text = move_codec_.write(claim);
-  record.version =
-      earlier == catalog_.operators().end() ? 1 : earlier->second.version + 1;
+  record.version = earlier == catalog_.operator_records().end()
+                       ? 1
+                       : earlier->second.version + 1;
   record.author = settings_.node;
   record.changed_wall = now + context_.wall_minus_steady;
   writes_.Enqueue(std::make_unique<RecordMoveClaimOperation>(
--- a/core/rebalancing/rebalancing_plan.cc
+++ b/core/rebalancing/rebalancing_plan.cc
@@ -122,7 +122,8 @@
     // The image first, then the fullest machine.
     if (best == nullptr || fetch < best_fetch - kEpsilon ||
         (fetch < best_fetch + kEpsilon &&
-         machine->lasting.gpus > best->lasting.gpus)) {
+         machine->used_by_long_running.gpus >
+             best->used_by_long_running.gpus)) {
       best = machine;
       best_fetch = fetch;
     }
@@ -133,7 +134,7 @@
 
 bool MovePlanner::IsMovable(const TaskAttempt& attempt) const {
   if (attempt.phase != TaskPhase::kRunning || attempt.stopping ||
-      attempt.job == nullptr || !attempt.holds) {
+      attempt.job == nullptr || !attempt.charged) {
     return false;
   }
   const JobSpec& spec = attempt.job->spec();
--- a/core/recovery/peer_selector.cc
+++ b/core/recovery/peer_selector.cc
@@ -28,11 +28,11 @@
 void PeerSelector::Change(Peer& peer, PeerEvent event) {
   switch (event) {
     case PeerEvent::kAnswer:
-      return CheckedChange(peer.state, kAnswers, kChanges, "peer");
+      return CheckedTransition(peer.state, kAnswers, kChanges, "peer");
     case PeerEvent::kSilence:
-      return CheckedChange(peer.state, kResting, kChanges, "peer");
+      return CheckedTransition(peer.state, kResting, kChanges, "peer");
     case PeerEvent::kTrial:
-      return CheckedChange(peer.state, kOnTrial, kChanges, "peer");
+      return CheckedTransition(peer.state, kOnTrial, kChanges, "peer");
   }
 }
 
--- a/core/recovery/store_verification.cc
+++ b/core/recovery/store_verification.cc
@@ -45,16 +45,18 @@
   const StoreVerificationState settled = rebuilt_ ? kVerified : kReconciling;
   switch (event) {
     case StoreVerificationEvent::kIndication:
-      return CheckedChange(state_, kSuspected, kChanges, "store verification");
+      return CheckedTransition(state_, kSuspected, kChanges,
+                               "store verification");
     case StoreVerificationEvent::kCleared:
-      return CheckedChange(state_, settled, kChanges, "store verification");
+      return CheckedTransition(state_, settled, kChanges, "store verification");
     case StoreVerificationEvent::kConfirmed:
-      return CheckedChange(state_, kLost, kChanges, "store verification");
+      return CheckedTransition(state_, kLost, kChanges, "store verification");
     case StoreVerificationEvent::kEpochOpened:
-      return CheckedChange(state_, kReconciling, kChanges,
-                           "store verification");
+      return CheckedTransition(state_, kReconciling, kChanges,
+                               "store verification");
     case StoreVerificationEvent::kReconciliationComplete:
-      return CheckedChange(state_, kVerified, kChanges, "store verification");
+      return CheckedTransition(state_, kVerified, kChanges,
+                               "store verification");
   }
 }
 
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -308,8 +308,8 @@
   }
   ++checks_in_flight_;
   check_budget_ -= 1;
-  actions_.push_back(CheckInstance{rollout.spec().id, key, machine->endpoint,
-                                   rollout.record().spec});
+  actions_.push_back(RunHealthCheck{rollout.spec().id, key, machine->endpoint,
+                                    rollout.record().spec});
 }
 
 void RolloutManager::QueueStep(RolloutStepWrite step) {
@@ -354,7 +354,7 @@
     txn->mutations.push_back({key, next});
     return true;
   }
-  txn->mutations.push_back({keys::Of(keys::kRolloutEnd, op.name), next});
+  txn->mutations.push_back({keys::Of(keys::kEndedRollout, op.name), next});
   txn->mutations.push_back({key, {}});
   const std::string* ended_job = JobEndedBy(op.step, *next.spec);
   const JobRecord* job = ended_job ? catalog_.FindJob(*ended_job) : nullptr;
--- a/core/scheduler/gang_scheduler.cc
+++ b/core/scheduler/gang_scheduler.cc
@@ -84,7 +84,7 @@
   }
   // Tasks of an earlier attempt may still run; two attempts of a gang must
   // never run at once.
-  if (job.holding() > 0) return;
+  if (job.charged_attempts() > 0) return;
   if (!Admitted(job, pass)) return;
   const Assignment assignment = ChooseMachines(job, pass);
   // One that finds no place is counted first, then looks for what to preempt.
@@ -168,7 +168,7 @@
 
 void GangScheduler::StartAll(Job& job, const std::vector<Machine*>& machines,
                              const QueuePosition& position, Time now) {
-  const uint64_t attempt = context_.NextNumber();
+  const uint64_t attempt = context_.NextToken();
   if (attempt == 0) return;
   queue_ranking_.RecordPlaced(job, position, now);
   for (Machine* machine : machines) {
@@ -209,8 +209,8 @@
         !spec.need.FitsIn(machine->total()))
       continue;
     ZoneOffer& offer = offers[spec.one_zone ? machine->zone : ""];
-    offer.capacity +=
-        spec.need.TimesIn(machine->total() - machine->staying, job.unplaced());
+    offer.capacity += spec.need.TimesIn(
+        machine->total() - machine->used_by_services, job.unplaced());
     AddSlotsOf(job, *machine, pass.now, offer.slots);
   }
   return offers;
@@ -223,7 +223,7 @@
       machine.free() - machine.CapacityFor(&job, job.priority());
   // Short work of equal priority is waited for.
   const Resources free_of_short_work =
-      machine.total() - reserved_for_others - machine.lasting;
+      machine.total() - reserved_for_others - machine.used_by_long_running;
   Resources taken;
   for (uint32_t n = 0; n < job.unplaced(); ++n, taken += need) {
     std::optional<PreemptionPlan> plan =
--- a/core/scheduler/task_scheduler.cc
+++ b/core/scheduler/task_scheduler.cc
@@ -163,7 +163,7 @@
                         !tiers_.WithinShare(job, job.tier, spec.need))) {
       break;
     }
-    const uint64_t attempt = context_.NextNumber();
+    const uint64_t attempt = context_.NextToken();
     if (attempt == 0) return std::nullopt;
     task_starter_.StartNextTask(job, machine, attempt, now);
     spread.Add(machine.zone, 1);
--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -57,8 +57,9 @@
 // confirmed the deletion, or each deletion would make the rest look healthier.
 // One deleted for another reason falls silent because of that.
 bool Counts(const Machine& machine) {
-  return machine.recorded_up && machine.state() != MachineState::kGone &&
-         (machine.state() != MachineState::kDeleting || machine.given_up);
+  return machine.recorded_up && machine.state() != MachineState::kDeleted &&
+         (machine.state() != MachineState::kDeleting ||
+          machine.deleted_for_silence);
 }
 
 // What the removal of the machine takes away from services.
@@ -139,7 +140,8 @@
     const bool silent =
         now - QuietSince(*machine, started_) > timeouts_.overdue;
     received.silent += silent;
-    received.troubled += silent || now < machine->direct_broken_until ||
+    received.troubled += silent ||
+                         now < machine->direct_commands_disabled_until ||
                          machine->reachability.receives_no_responses() ||
                          HeartbeatOverdue(*machine, now);
   }
@@ -172,16 +174,16 @@
     // One that receives no responses but may be reached at its address is left
     // until its lease expires.
     return !machine.reachability.receives_no_responses() ||
-           now < machine.direct_broken_until;
+           now < machine.direct_commands_disabled_until;
   }
   const Time quiet_since = QuietSince(machine, started_);
-  if (machine.reached_by_other > quiet_since &&
-      now - machine.reached_by_other < timeouts_.give_up) {
+  if (machine.last_reached_by_peer > quiet_since &&
+      now - machine.last_reached_by_peer < timeouts_.give_up) {
     return false;
   }
   // An answer from before many were silent is no evidence: nobody has been
   // asked since.
-  return machine.reached_by_none >
+  return machine.last_unreached_by_peers >
          std::max(quiet_since, now - timeouts_.give_up);
 }
 
@@ -193,7 +195,7 @@
   int fleet = 0;
   int zone = 0;
   for (const auto& other : machines_) {
-    if (other->state() == MachineState::kGone) continue;
+    if (other->state() == MachineState::kDeleted) continue;
     ++fleet;
     zone += other->zone == machine.zone;
   }
@@ -255,15 +257,15 @@
   if (settings_.peers.empty() || silent_round_ != 0 || !FewSilent()) return;
   std::vector<Machine*> about;
   for (auto& machine : machines_) {
-    if (!machine->recorded_up || machine->state() == MachineState::kGone ||
+    if (!machine->recorded_up || machine->state() == MachineState::kDeleted ||
         machine->state() == MachineState::kDeleting ||
         machine->endpoint.empty() ||
         now - QuietSince(*machine, started_) <= timeouts_.asked ||
-        now - machine->asked_about <
+        now - machine->peers_last_asked <
             settings_.workers.heartbeat_interval_seconds) {
       continue;
     }
-    machine->asked_about = now;
+    machine->peers_last_asked = now;
     about.push_back(machine.get());
     if (about.size() == kMaxSurveyed) break;
   }
@@ -325,19 +327,20 @@
                                    Time asked_at,
                                    std::vector<ReachabilityAnswer>* answers,
                                    Time now) const {
-  if (machine.state() == MachineState::kGone) return;
+  if (machine.state() == MachineState::kDeleted) return;
   ReachabilityAnswer& own = answers->front();
-  const bool reached_by_other =
+  const bool last_reached_by_peer =
       std::any_of(answers->begin() + 1, answers->end(),
                   [index](const ReachabilityAnswer& other) {
                     return other.Reaches(index);
                   });
-  if (reached_by_other) {
-    machine.reached_by_other = now;
+  if (last_reached_by_peer) {
+    machine.last_reached_by_peer = now;
   } else if (own.FailsToReach(index)) {
     // As of the question: a leader that was stalled reads the answer late, and
     // the machine may have come back since.
-    machine.reached_by_none = std::max(machine.reached_by_none, asked_at);
+    machine.last_unreached_by_peers =
+        std::max(machine.last_unreached_by_peers, asked_at);
   }
   // A machine whose heartbeats don't arrive does not count as reached, whether
   // or not it answers probes: only heartbeats renew its lease.
--- a/core/worker_sessions/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -1,7 +1,7 @@
 // Which machines are silent, what the other controllers reach of them, and
 // which may therefore be removed. Reads the machines; changes only the fields
-// about surveys (asked_about, reached_by_other, reached_by_none). Owns
-// LeaderHealth and the RemovalLimiter.
+// about surveys (peers_last_asked, last_reached_by_peer,
+// last_unreached_by_peers). Owns LeaderHealth and the RemovalLimiter.
 #pragma once
 
 #include <array>
--- a/core/worker_sessions/machine_lifecycle.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -115,13 +115,13 @@
     return true;
   }
   if (cause == RemovalCause::kDistrusted) {
-    machine.distrusted_until =
+    machine.cordoned_until =
         now + kDistrustLeases * settings_.workers.lease_seconds;
     context_.Log("cordoning machine",
                  {{"host", machine.host()}, {"reason", reason}});
     return true;
   }
-  machine.given_up =
+  machine.deleted_for_silence =
       cause == RemovalCause::kSilent || cause == RemovalCause::kUnlisted;
   RequestDeletion(machine, now, reason);
   return true;
@@ -129,7 +129,7 @@
 
 void MachineLifecycle::RequestDeletion(Machine& machine, Time now,
                                        const char* reason) {
-  if (machine.state() == MachineState::kGone) return;
+  if (machine.state() == MachineState::kDeleted) return;
   if (machine.state() != MachineState::kDeleting) {
     context_.Log("deleting machine",
                  {{"host", machine.host()}, {"reason", reason}});
@@ -141,7 +141,7 @@
 
 void MachineLifecycle::TickMachine(Machine& machine, Time now) {
   switch (machine.state()) {
-    case MachineState::kGone:
+    case MachineState::kDeleted:
       return;
     case MachineState::kDeleting:
       if (now - machine.delete_sent > settings_.workers.lease_seconds / 2) {
@@ -239,7 +239,7 @@
   if (attempt.job == nullptr) {
     return reconciler_.MayStopUnknownTask(attempt, now);
   }
-  return attempt.job->ended_by_record() ||
+  return attempt.job->terminal_state_recorded() ||
          attempt.reason != ExitReason::kDone ||
          !ClusterState::IsCurrent(machine, attempt);
 }
@@ -247,7 +247,7 @@
 bool MachineLifecycle::NeedsStop(const TaskAttempt& attempt, Time now) {
   const bool unwanted = attempt.job == nullptr
                             ? reconciler_.MayStopUnknownTask(attempt, now)
-                            : attempt.job->ended_by_record();
+                            : attempt.job->terminal_state_recorded();
   if (attempt.stopping) {
     const double repeat_after_seconds =
         attempt.stop_grace + 2 * settings_.workers.heartbeat_interval_seconds;
@@ -298,7 +298,7 @@
     OnListedMachine(entry, now);
   }
   for (auto& machine : cluster_.machines()) {
-    if (machine->state() == MachineState::kGone ||
+    if (machine->state() == MachineState::kDeleted ||
         listed.contains(machine->host())) {
       continue;
     }
@@ -336,7 +336,7 @@
                       asked - context_.started > lag;
   if (silent && machine.missing_in_list &&
       machine.state() != MachineState::kDeleting &&
-      now - machine.reached_by_other > lag) {
+      now - machine.last_reached_by_peer > lag) {
     RemoveMachine(machine, RemovalCause::kUnlisted, now);
   }
   machine.missing_in_list = true;
--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -41,7 +41,7 @@
   machine.requested_at = now;
   // While records that the key-value store lost are being written back, a
   // living machine may be in none.
-  machine.stranger = catalog_.epoch().rebuilt;
+  machine.unverified = catalog_.epoch().rebuilt;
   return machine;
 }
 
@@ -52,7 +52,7 @@
 // leader.
 void WorkerSessions::RecordMachineUp(Machine& machine, Time now) {
   if (machine.recorded_up || machine.state() != MachineState::kUp ||
-      machine.stranger) {
+      machine.unverified) {
     return;
   }
   writes_.Enqueue(
@@ -76,8 +76,8 @@
   if (machine.endpoint != heartbeat.endpoint) {
     machine.endpoint = heartbeat.endpoint;
   }
-  if (machine.stranger && heartbeat.token >= machine.token) {
-    machine.stranger = false;
+  if (machine.unverified && heartbeat.token >= machine.token) {
+    machine.unverified = false;
   }
   RecordMachineUp(machine, now);
   return machine;
@@ -87,10 +87,10 @@
 // delayed or overtaken on its way, or is of an incarnation that is over.
 bool WorkerSessions::IsNews(const Machine& machine, const Heartbeat& heartbeat,
                             Time now) const {
-  if (!machine.incarnation.MayBeNews(heartbeat.incarnation)) return false;
+  if (!machine.incarnation.MayBeCurrent(heartbeat.incarnation)) return false;
   if (heartbeat.incarnation != machine.incarnation.number()) return true;
   return heartbeat.seq > machine.seq &&
-         !machine.reachability.MustBeOld(
+         !machine.reachability.IsStaleHeartbeat(
              heartbeat.token, settings_.workers.lease_seconds,
              delegated_leases_.MayBeRenewed(machine.zone, now), now);
 }
@@ -107,7 +107,8 @@
   if (IsNews(machine, heartbeat, now)) return true;
   return heartbeat.incarnation == machine.incarnation.number() &&
          machine.incarnation.alive() && heartbeat.seq <= machine.seq &&
-         now - machine.last_heard <= kHeartbeatTimeoutSeconds * (1 + kDrift);
+         now - machine.last_heard <=
+             kHeartbeatTimeoutSeconds * (1 + kMaxClockDriftRate);
 }
 
 bool WorkerSessions::MustRefuse(const Heartbeat& heartbeat, Time now) const {
@@ -179,7 +180,7 @@
     if (response->commands.size() >= kMaxCommandsPerBatch) return;
     if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
         attempt.start_progress == StartProgress::kQueued ||
-        !attempt.job->ended_by_record()) {
+        !attempt.job->terminal_state_recorded()) {
       continue;
     }
     response->commands.push_back(
@@ -201,7 +202,8 @@
   if (!IsNews(machine, heartbeat, now)) return;
   if (heartbeat.token > machine.token &&
       TermOfToken(heartbeat.token) > context_.term) {
-    context_.GiveUp(machine.host() + " has seen a newer leader's token");
+    context_.ResignLeadership(machine.host() +
+                              " has seen a newer leader's token");
     return;
   }
   UpdateReachability(machine, heartbeat, channel, now);
@@ -392,18 +394,19 @@
   for (const auto& machine : cluster_.machines()) {
     // Which tasks it has is not known yet.
     if (machine->zone == zone && machine->recorded_up && !machine->reported &&
-        machine->state() != MachineState::kGone) {
+        machine->state() != MachineState::kDeleted) {
       return false;
     }
   }
   const double margin = CancellationMargin(settings_.workers) / 2;
   for (const auto& [id, job] : cluster_.jobs()) {
-    if (job->state() != JobState::kAborted || job->holding() == 0 ||
-        now - job->ended < margin) {
+    if (job->state() != JobState::kAborted || job->charged_attempts() == 0 ||
+        now - job->ended_at < margin) {
       continue;
     }
     for (const auto& [index, presence] : job->presence()) {
-      if (presence.holding > 0 && cluster_.machine(index).zone == zone) {
+      if (presence.charged_attempts > 0 &&
+          cluster_.machine(index).zone == zone) {
         return false;
       }
     }
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -102,7 +102,8 @@
   if (!json::Parse(bytes, &doc)) return;
   for (const std::string_view key :
        {keys::kLeader, keys::kJob, keys::kWaiting, keys::kMachine,
-        keys::kScaleOut, keys::kTerminal, keys::kRollout, keys::kRolloutEnd}) {
+        keys::kScaleOut, keys::kTerminal, keys::kRollout,
+        keys::kEndedRollout}) {
     Record record;
     wire::DecodeRecord(keys::Of(key, "x"), doc, &record);
   }
--- a/tests/leadership_simulation.h
+++ b/tests/leadership_simulation.h
@@ -397,8 +397,9 @@
     }
     if (r.state() != LeaderState::kLeading) return;  // as Leader::Tick
     for (int w = 0; w < kWorkers; ++w) {
-      if (n.over[w] ||
-          now_ <= n.counted[w] + kWorkerLease * (1 + kDrift) + 0.05) {
+      if (n.over[w] || now_ <= n.counted[w] +
+                                   kWorkerLease * (1 + kMaxClockDriftRate) +
+                                   0.05) {
         continue;
       }
       n.over[w] = true;
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -24,7 +24,7 @@
   // any moment in between, so the holder counts from 10, less the drift.
   Leadership l = ActiveLeader(8);
   l.RenewGranted(10);
-  EXPECT_TRUE(l.MayActAsLeader(10 + kLease * (1 - kDrift) - 0.001));
+  EXPECT_TRUE(l.MayActAsLeader(10 + kLease * (1 - kMaxClockDriftRate) - 0.001));
   EXPECT_FALSE(l.MayActAsLeader(10 + kLease));
 }
 
@@ -66,7 +66,7 @@
   l.PeerDoesNotLead("c");
   EXPECT_TRUE(l.OnPromiseRequested(/*state_fails=*/true, 20));
   EXPECT_FALSE(l.MayCampaign(20 + kPromise));
-  EXPECT_TRUE(l.MayCampaign(20 + kPromise * (1 + 2 * kDrift)));
+  EXPECT_TRUE(l.MayCampaign(20 + kPromise * (1 + 2 * kMaxClockDriftRate)));
 }
 
 TEST(Leadership, RestartedPromiserForgetsItsPromise) {
@@ -79,7 +79,7 @@
   l.PeerDoesNotLead("c");
   EXPECT_TRUE(l.MayCampaign(31));
   Leadership alone({"a", "c"}, kLease, kPromise, 0, 30);
-  EXPECT_TRUE(alone.MayCampaign(30 + kPromise * (1 + 2 * kDrift)));
+  EXPECT_TRUE(alone.MayCampaign(30 + kPromise * (1 + 2 * kMaxClockDriftRate)));
 }
 
 TEST(Leadership, LeaderCutOffAloneFromTheStateServiceLeadsOnForEver) {
@@ -195,7 +195,8 @@
   back.SetPeerRole("b", delegate.Role(31.2));
   back.SetPeerRole("c", LeaderRole::kNone);
   EXPECT_FALSE(back.MayCampaign(31.3));
-  EXPECT_TRUE(back.MayCampaign(31.1 + kDelegation * (1 + 2 * kDrift)));
+  EXPECT_TRUE(
+      back.MayCampaign(31.1 + kDelegation * (1 + 2 * kMaxClockDriftRate)));
   EXPECT_EQ(delegate.Role(31 + kDelegation), LeaderRole::kNone);
 }
 
@@ -204,8 +205,8 @@
   Leadership back = Started(31);
   back.SetPeerRole("b", LeaderRole::kRenewsByPromises);
   EXPECT_FALSE(back.ForgottenDelegationsExpired(31.2));
-  EXPECT_TRUE(
-      back.ForgottenDelegationsExpired(31 + kDelegation * (1 + 2 * kDrift)));
+  EXPECT_TRUE(back.ForgottenDelegationsExpired(
+      31 + kDelegation * (1 + 2 * kMaxClockDriftRate)));
   Leadership told = Started(31);
   told.SetPeerRole("b", LeaderRole::kLeads);
   EXPECT_FALSE(told.ForgottenDelegationsExpired(40));
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -50,7 +50,7 @@
         1));
     Machine* machine = machines_.back().get();
     machine->type = &type_;
-    machine->used = machine->lasting = machine->staying =
+    machine->used = machine->used_by_long_running = machine->used_by_services =
         Resources{gpus_used * 4, gpus_used, gpus_used * 28};
     all_.push_back(machine);
     return machine;
@@ -91,7 +91,7 @@
   EXPECT_NEAR(fragmentation_.UnusableAccelerators(*machine),
               0.75 * 6 + 0.25 * 2, 0.1);
   // Cores count beside them: without, not one more of the small ones either.
-  machine->lasting.cpus = machine->used.cpus = 64 - 15;
+  machine->used_by_long_running.cpus = machine->used.cpus = 64 - 15;
   EXPECT_NEAR(fragmentation_.UnusableAccelerators(*machine), 6, 1e-9);
   // Short work does not count: it ends soon.
   Machine* busy = Add(0);
@@ -144,7 +144,7 @@
   EXPECT_FALSE(placer_.FragmentsWholeMachine(small, *little, std::nullopt));
   EXPECT_EQ(Choose(small), much);
   // A cached image is no reason to fragment a whole machine.
-  all_[0]->ImageCached("img", 14, 1);
+  all_[0]->MarkImageCached("img", 14, 1);
   EXPECT_EQ(Choose(small), much);
   // Without the weight, it is one.
   tuning_.fragmentation_weight = 0;
@@ -191,12 +191,13 @@
   for (int step = 0; step < 500; ++step) {
     Machine* machine = all_[random() % all_.size()];
     const double gpus = static_cast<double>(random() % 9);
-    machine->lasting = {gpus * 6, gpus, gpus * 20};
+    machine->used_by_long_running = {gpus * 6, gpus, gpus * 20};
     JobSpec spec = Spec(JobKind::kArray, 1 + static_cast<double>(step % 8), 1);
     if (step % 10 == 0) Submit(spec, step);
     FragmentationIndex fresh = fragmentation_;
     Machine copy = *machine;
-    copy.lasting.cpus -= 1e-3;  // no cached result is valid any more
+    copy.used_by_long_running.cpus -=
+        1e-3;  // no cached result is valid any more
     (void)fresh.AddedFragmentation(copy, {1e-3, 0, 0});
     ASSERT_DOUBLE_EQ(fragmentation_.AddedFragmentation(*machine, spec.need),
                      fresh.AddedFragmentation(*machine, spec.need));
@@ -229,7 +230,8 @@
              .count_on_machine = [](const Machine&) { return 0; },
              .mean_bandwidth = kMeanBandwidth},
             all_);
-        machine->lasting += small.need;  // the next one finds it changed
+        machine->used_by_long_running +=
+            small.need;  // the next one finds it changed
       }
       const double us = std::chrono::duration<double, std::micro>(
                             std::chrono::steady_clock::now() - begin)
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -166,7 +166,7 @@
   ASSERT_NE(catalog_.FindJob("job-000001"), nullptr);
   EXPECT_EQ(catalog_.FindJob("job-000001")->mod_revision, 0U);
   // A read that does not find it either.
-  catalog_.Missing(JobKey("job-000001"), 100);
+  catalog_.MarkMissing(JobKey("job-000001"), 100);
   EXPECT_NE(catalog_.FindJob("job-000001"), nullptr);
 }
 
@@ -194,11 +194,11 @@
 TEST_F(RetainedRecords, ATerminalStateWinsOverALaterLiveRecord) {
   // This controller lags behind: another one has seen the cancellation.
   OpenEpoch(catalog_, 2, 3);
-  EXPECT_TRUE(catalog_.Remember(JobKey("job-000001"),
-                                JobOf("job-000001", TerminalState::kAborted),
-                                {1, 12}));
-  EXPECT_FALSE(
-      catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 19}));
+  EXPECT_TRUE(catalog_.MergeRetained(
+      JobKey("job-000001"), JobOf("job-000001", TerminalState::kAborted),
+      {1, 12}));
+  EXPECT_FALSE(catalog_.MergeRetained(JobKey("job-000001"), JobOf("job-000001"),
+                                      {1, 19}));
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
 }
 
@@ -211,15 +211,15 @@
   catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
   // Nor by another controller that retains it as live.
-  EXPECT_FALSE(
-      catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 10}));
+  EXPECT_FALSE(catalog_.MergeRetained(JobKey("job-000001"), JobOf("job-000001"),
+                                      {1, 10}));
 }
 
 // A controller that lags behind sends its records before another sends the
 // terminal state.
 TEST_F(RetainedRecords, ATerminalStateThatOthersKnowIsAppliedToALiveRecord) {
   OpenEpoch(catalog_, 2, 3);
-  catalog_.ended().Add("job-000001", TerminalState::kAborted);
+  catalog_.terminal_states().Add("job-000001", TerminalState::kAborted);
   catalog_.ApplyTerminalStates();
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
   EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000001")));
@@ -244,7 +244,8 @@
                JobOf("job-000002", TerminalState::kAborted), 25);
   EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kNone);
-  EXPECT_EQ(catalog_.ended().Find("job-000002"), TerminalState::kNone);
+  EXPECT_EQ(catalog_.terminal_states().Find("job-000002"),
+            TerminalState::kNone);
   catalog_.Erase(JobKey("job-000002"), 26);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalRecord("job-000002").tasks, 1U);
@@ -255,10 +256,10 @@
 
 TEST_F(RetainedRecords, WithinAnEpochTheHigherRevisionWins) {
   OpenEpoch(catalog_, 2, 3);
-  EXPECT_FALSE(
-      catalog_.Remember(JobKey("job-000002"), JobOf("job-000002"), {1, 19}));
-  EXPECT_TRUE(
-      catalog_.Remember(JobKey("job-000003"), JobOf("job-000003"), {1, 25}));
+  EXPECT_FALSE(catalog_.MergeRetained(JobKey("job-000002"), JobOf("job-000002"),
+                                      {1, 19}));
+  EXPECT_TRUE(catalog_.MergeRetained(JobKey("job-000003"), JobOf("job-000003"),
+                                     {1, 25}));
   EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000003")));
 }
 
--- a/tests/simulation/controllers.cc
+++ b/tests/simulation/controllers.cc
@@ -98,7 +98,7 @@
                                kEpochOffset, 7, RecordedDelegates());
   if (rebuilds) leader_->OnUnrecordedTerminalStates({}, /*complete=*/true);
   FollowTiers();
-  leader_->UseTiers(tiers_in_force_[leading_].set());
+  leader_->SetTiers(tiers_in_force_[leading_].set());
   published_window_versions_.clear();
   ReadBookings();
   PublishMaintenanceWindows();
--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -52,7 +52,7 @@
       n.next_renewal = now_ + 0.5;
       if (ReachesState(i) && key_mod_revision_ == n.revision) {
         leases_[key_lease_] = now_ + kLeaderLease;
-        n.lease_until = now_ + kLeaderLease * (1 - kDrift);
+        n.lease_until = now_ + kLeaderLease * (1 - kMaxClockDriftRate);
       }
     }
     if (n.revision != 0 && !n.office) StartLeading(i);
@@ -74,7 +74,7 @@
             leases_[key_lease_] = now_ + kLeaderLease;
             holder_ = i;
             n.revision = key_mod_revision_ = ++revision_;
-            n.lease_until = sent + kLeaderLease * (1 - kDrift);
+            n.lease_until = sent + kLeaderLease * (1 - kMaxClockDriftRate);
             n.leader = i;
           });
   }
@@ -304,7 +304,7 @@
       v.incarnation.Change(IncarnationEvent::kAnswered, 0, now_);
       v.counted = std::max(v.counted, now_);
     }
-    if (!v.incarnation.MayBeNews(heartbeat.incarnation) ||
+    if (!v.incarnation.MayBeCurrent(heartbeat.incarnation) ||
         (heartbeat.incarnation == v.incarnation.number() &&
          heartbeat.seq <= v.seq)) {
       return;
