--- a/core/cluster_state/cluster_state.cc
+++ b/core/cluster_state/cluster_state.cc
@@ -6,7 +6,7 @@
 namespace oxbow {
 namespace {
 
-bool IsFor(const WorkerCommand& command, const TaskAttempt& attempt) {
+bool Targets(const WorkerCommand& command, const TaskAttempt& attempt) {
   return command.task == attempt.task && command.attempt == attempt.attempt &&
          command.job_id == attempt.job_id;
 }
@@ -94,7 +94,8 @@
   return added;
 }
 
-// A worker may have reported a task before its job's record was read here.
+// Workers may have reported attempts before this controller read the job's
+// record.
 void ClusterState::AdoptAttempts(Job& job) {
   for (auto& machine : machines_) {
     for (auto it = machine->task_attempts.lower_bound({job.id(), 0, 0});
@@ -107,8 +108,8 @@
       attempt.job = &job;
       job.ChangePresence(machine->index(), 0, 1);
       if (present) ChargeCapacity(*machine, attempt);
-      // It has run on since its record was lost: it is the job's task, not a
-      // second copy of it.
+      // The attempt kept running while the job's record was missing: it is the
+      // task's current attempt, not a duplicate to be stopped.
       if (keeps_unknown_tasks_ && present && !attempt.stopping) {
         AssignTask(job, *machine, attempt, present);
       }
@@ -154,7 +155,7 @@
     }
   }
   std::erase_if(machine.queue, [&](const WorkerCommand& command) {
-    return IsFor(command, attempt);
+    return Targets(command, attempt);
   });
   machine.task_attempts.erase(it);
   if (job != nullptr) {
@@ -171,7 +172,7 @@
   std::vector<TaskAttemptKey> keys;
   for (const auto& [key, attempt] : machine.task_attempts) keys.push_back(key);
   for (const TaskAttemptKey& key : keys) RemoveAttempt(machine, key);
-  // What remains is rounding errors.
+  // With no attempts left, all sums are zero up to rounding errors.
   machine.used = machine.staying = machine.lasting = machine.leaving = {};
   machine.used_by = {};
   MarkChanged();
@@ -206,7 +207,7 @@
   attempt.holds = false;
   if (spec.priority == Priority::kProduction) MarkUrgentChange();
   if (attempt.phase == TaskPhase::kFetching) {
-    // The worker gives up a fetch when no task waits for it any more.
+    // A worker aborts the download of an image when no task waits for it.
     const bool shared =
         std::any_of(machine.task_attempts.begin(), machine.task_attempts.end(),
                     [&](const auto& entry) {
@@ -244,10 +245,11 @@
 void ClusterState::AssignTask(Job& job, Machine& machine,
                               const TaskAttempt& attempt, bool present) {
   const TaskSlot& slot = job.task(attempt.task);
-  // Of two reported attempts the later one counts, also one that has exited.
-  // The other may come from a delayed copy of a heartbeat, of a machine that
-  // has shown no token of this leader: a new leader that received it first
-  // stopped the living task as a duplicate, or missed that the task is done.
+  // If two attempts of a task are reported, the later one is the current one,
+  // even if it has exited. The earlier one may come from a delayed duplicate of
+  // a heartbeat, if its machine has not shown a fencing token of this leader.
+  // A new leader that received such a heartbeat first used to stop the live
+  // attempt as a duplicate, or to miss that the task was done.
   const bool unconfirmed =
       slot.state != TaskState::kPending && slot.state != TaskState::kDone &&
       slot.machine >= 0 && slot.attempt < attempt.attempt &&
@@ -315,10 +317,11 @@
   const QuotaUsage& usage = quota(job.team());
   const Resources used_now =
       usage.used + usage.orphaned_tasks + job.spec().need * tasks;
-  const Resources used_then =
+  // The usage by the time when the reserved quota is used.
+  const Resources used_later =
       used_now - usage.released_before_held + usage.held;
   return usage.WithinMaximum(used_now) &&
-         (usage.WithinMaximum(used_then) ||
+         (usage.WithinMaximum(used_later) ||
           usage.EndsBeforeHeldIsUsed(job.spec()));
 }
 
--- a/core/cluster_state/cluster_state.h
+++ b/core/cluster_state/cluster_state.h
@@ -1,8 +1,9 @@
-// The leader's view of the cluster: machines, jobs, the task attempts that tie
-// them together, and what each team uses of its quota. Owns all four and the
-// indices between them; there is one function for each change, so the indices
-// can't disagree. Everybody may read. Rebuilt from heartbeats and records by
-// each new leader; nothing of it is stored.
+// The leader's in-memory view of the cluster: machines, jobs, the task attempts
+// that link jobs to machines, and each team's quota usage. ClusterState owns
+// all four and the indices between them. Every kind of change goes through one
+// function, so that the indices stay consistent. Every module may read it. A
+// new leader rebuilds it from the stored records and from heartbeats; the view
+// itself is never stored.
 #pragma once
 
 #include <cstdint>
@@ -21,51 +22,58 @@
 
 namespace oxbow {
 
-// What one team uses of its quota.
+// How much of its quota one team uses, and how much of it the current
+// scheduling pass reserves for the team's waiting jobs.
 struct QuotaUsage {
   TeamQuota quota;
   Resources used;  // by attempts that are, or may be, on a machine
-  // Within one scheduling pass:
-  Resources held;  // for jobs that wait for the quota
-  // Of `used`, what is released before those jobs can start: with this much
-  // less in use, what is held must fit.
+
+  // The following fields are valid within one scheduling pass.
+  // Quota reserved for jobs that wait until enough of it is free.
+  Resources held;
+  // The part of `used` that is released before those jobs can start. The
+  // reserved quota has to fit once this much less is in use.
   Resources released_before_held;
-  // Jobs that wait for the quota and come before those it is held for. They
-  // hold nothing of it: their tasks take turns.
+  // Jobs that wait for the quota and rank before those it is reserved for. No
+  // quota is reserved for them: their tasks share it in turn.
   std::vector<const Job*> taking_turns;
-  // What is held can't be used any sooner, as far as those turns tell; s.
+  // Lower bound of the time until the reserved quota can be used, estimated
+  // from the jobs in `taking_turns`; s.
   double seconds_until_held_is_used = 0;
-  Resources orphaned_tasks;  // what tasks without a known job may use
+  // Upper bound of what running tasks whose job is unknown use.
+  Resources orphaned_tasks;
 
   bool has_maximum() const { return quota.cpus_max > 0 || quota.gpus_max > 0; }
   bool holds_for_waiting_jobs() const { return held.cpus > 0 || held.gpus > 0; }
-  // Whether the team may use so much in all.
+  // Whether a total use of `total` is within the team's maximum.
   bool WithinMaximum(const Resources& total) const;
-  // Whether the job is estimated to end before what is held can be used.
+  // Whether the job is estimated to end before the reserved quota can be used,
+  // so that it may use that quota meanwhile (backfilling).
   bool EndsBeforeHeldIsUsed(const JobSpec& spec) const;
 };
 
-// An attempt and the machine that it is on. `machine` is never null.
+// Identifies an attempt together with its machine, which is never null.
 struct PlacedAttempt {
   Machine* machine = nullptr;
   TaskAttemptKey key;
 };
 
-// One per leadership. Not thread-safe. The references that it hands out stay
-// valid until the object is removed by the function that says so.
+// One exists per leadership. Not thread-safe. A returned reference stays valid
+// until the object is removed with RemoveJob, RemoveAttempt or MarkAllLost;
+// machines are never removed.
 class ClusterState {
  public:
-  // Modules with indices of their own over the attempts. Called within the
-  // change, after the state itself is consistent for that attempt.
+  // Lets other modules maintain their own indices over the attempts. Called
+  // during a change, when ClusterState is already consistent for the attempt.
   class Observer {
    public:
     virtual ~Observer() = default;
-    // An attempt of the job occupies its capacity from now on; or no longer.
+    // An attempt of the job starts, or ceases, to occupy capacity.
     virtual void OnCapacityCharged(const Job& job, const Resources& need) = 0;
     virtual void OnCapacityReleased(const Job& job, const Resources& need) = 0;
-    // A stop of the attempt has been decided.
+    // The leader has decided to stop the attempt.
     virtual void OnAttemptStopping(const TaskAttempt& attempt) = 0;
-    // An attempt of the job is gone from its machine.
+    // An attempt of the job has been removed from its machine.
     virtual void OnAttemptRemoved(Job& job) = 0;
   };
   using Jobs = std::unordered_map<std::string, std::unique_ptr<Job>>;
@@ -73,8 +81,9 @@
   using MachineTypes = std::map<std::string, MachineType>;
 
   // `first_token`: the lowest fencing token of this leadership.
-  // `keeps_unknown_tasks`: a running task of no known job counts as orphaned
-  // until its job is known; else it does not count.
+  // `keeps_unknown_tasks`: whether running tasks whose job is unknown are
+  // counted as orphaned until the job's record has been read. If false, they
+  // are not counted, and their job starts new attempts.
   ClusterState(const Settings& settings, FencingToken first_token,
                bool keeps_unknown_tasks, Observer& observer);
   ClusterState(const ClusterState&) = delete;
@@ -87,102 +96,114 @@
   Machine& machine(int32_t index) const {
     return *machines_[static_cast<size_t>(index)];
   }
-  // Null if there is no such machine, or if it is deleted.
+  // Null if there is no such machine, or if it has been deleted.
   Machine* FindMachine(const std::string& host) const;
   Machine& AddMachine(const std::string& host, const MachineRecord& record);
-  // The cloud has confirmed the deletion. The object stays, as kGone; its host
-  // is never used again.
+  // To be called when the cloud has confirmed the deletion. The object stays,
+  // in state kGone, and its host name is never used again.
   void MarkDeleted(Machine& machine);
   bool IsDeleted(const std::string& host) const {
     return deleted_hosts_.contains(host);
   }
-  // Whether every recorded machine has reported to this leader or is gone.
+  // Whether every machine that is recorded as up has reported to this leader or
+  // has been deleted.
   bool AllMachinesAccountedFor() const;
 
   // --- jobs
   const Jobs& jobs() const { return jobs_; }
   Job* FindJob(const std::string& id) const;
-  // Attempts of the job that were reported before its record was read become
-  // its attempts.
+  // Adds a job. Attempts that workers reported before the job's record was read
+  // are assigned to it.
   Job& AddJob(std::unique_ptr<Job> job);
-  // Its attempts stay, as those of no known job; its reservations go.
+  // Removes the job and its reservations. Its attempts stay, without a job.
   void RemoveJob(const std::string& id);
 
   // --- task attempts
-  // Enters an attempt. `present`: it occupies its capacity.
+  // Adds an attempt to a machine. `present`: whether it occupies capacity.
   TaskAttempt& AddAttempt(Machine& machine, TaskAttempt attempt, bool present);
-  // It is surely not on the machine (any more). No such attempt: nothing.
+  // To be called when the attempt is certainly not on the machine, or not any
+  // more. Does nothing if there is no such attempt.
   void RemoveAttempt(Machine& machine, const TaskAttemptKey& key);
-  // Nothing that was on the machine or was sent to it can be there any more:
-  // its incarnation has changed or expired, or it is deleted.
+  // Removes all attempts, queued commands and the batch in flight. To be called
+  // when nothing of them can be on the machine any more: the worker's
+  // incarnation has changed or expired, or the machine has been deleted.
   void MarkAllLost(Machine& machine);
-  // Gives back what the attempt occupies; a second time: nothing.
+  // Releases the capacity that the attempt occupies, if any.
   void ReleaseCapacity(Machine& machine, TaskAttempt& attempt);
-  // A heartbeat shows that the attempt has ended. Its exit stays listed.
+  // To be called when a heartbeat shows that the attempt has exited. Releases
+  // its capacity; the attempt stays listed until RemoveAttempt.
   void MarkExited(Machine& machine, TaskAttempt& attempt, ExitReason reason);
   void SetStopping(Machine& machine, TaskAttempt& attempt, bool stopping);
-  // Makes the attempt the current one of its task, if the task has none or an
-  // older one on a machine that has not reported to this leader.
+  // Makes the attempt the current one of its task if the task has none, or has
+  // an older one on a machine that has not reported to this leader.
   void AssignTask(Job& job, Machine& machine, const TaskAttempt& attempt,
                   bool present);
   // Whether the attempt is the current one of its task.
   static bool IsCurrent(const Machine& machine, const TaskAttempt& attempt);
-  // Whether it runs though its job is not known.
+  // Whether the attempt has not exited although its job is unknown. Always
+  // false without `keeps_unknown_tasks`.
   bool IsOrphaned(const TaskAttempt& attempt) const {
     return keeps_unknown_tasks_ && attempt.job == nullptr &&
            attempt.phase != TaskPhase::kExited;
   }
   std::vector<PlacedAttempt> AttemptsOf(const Job& job) const;
-  // Whether an attempt of the job with a higher number is known.
+  // Whether the job has an attempt with a number above `attempt`.
   bool HasLaterAttempt(const Job& job, uint64_t attempt) const;
-  // How many attempts of the job are, or may be, on the machine.
+  // The number of attempts of the job that are, or may be, on the machine.
   static int CountOn(const Job& job, const Machine& machine);
-  // Where the job's attempts are, for `spread` and `one_zone`.
+  // The number of the job's attempts by zone. Empty for jobs whose placement
+  // does not depend on it: neither services nor `spread` nor `one_zone`.
   ZoneSpread ZoneSpreadOf(const Job& job) const;
 
   // --- quotas
   std::vector<QuotaUsage>& quotas() { return quotas_; }
-  // `team`: Job::team(), not negative.
+  // `team`: the index that FindQuota returns; must not be negative.
   QuotaUsage& quota(int team) { return quotas_[static_cast<size_t>(team)]; }
   const QuotaUsage& quota(int team) const {
     return quotas_[static_cast<size_t>(team)];
   }
-  // The index of the team's quota; -1 if it has none.
+  // The index of the team's quota; -1 if the team has none.
   int FindQuota(const std::string& team) const;
-  // Whether the team's maximum allows so many more tasks of the job.
+  // Whether the team's maximum allows `tasks` more tasks of the job.
   bool QuotaAllows(const Job& job, double tasks) const;
-  // The most that tasks of no known job can use of any quota.
+  // The most that orphaned tasks can use of any quota: the total capacity of
+  // the machines that have some.
   Resources OrphanedTasksUpperBound() const;
 
   // --- reservations
-  // Capacity reserved for the job on the machine.
+  // The capacity that is reserved for the job on the machine.
   static Resources ReservedFor(const Job& job, const Machine& machine);
-  // Drops one reservation of the job on the machine.
+  // Drops one reservation of the job on the machine, if there is one.
   static void DropReservation(const Job& job, Machine& machine);
   void DropAllReservations(const Job& job);
 
   // --- demand
-  // A job was submitted, or waits for capacity.
+  // To be called when a job was submitted or waits for capacity.
   void NoteDemand(Time now) { last_demand_ = now; }
-  // When that was last; before the first time, never quiescent.
+  // The time of the last such call. Before the first one a time far in the
+  // future, so that the cluster never counts as quiescent.
   Time last_demand() const { return last_demand_; }
-  // The largest amounts that tasks with accelerators have asked for; zero when
-  // there was none.
+  // For each resource, the largest amount that one task with accelerators has
+  // requested; zero if there was no such task.
   const Resources& largest_accelerator_task() const {
     return largest_accelerator_task_;
   }
 
-  // --- what the scheduler has not seen yet
+  // --- changes since the last scheduling pass
   void MarkChanged() { changed_ = true; }
-  // Capacity for a live service is concerned: no batching.
+  // The change affects production jobs: the next scheduling pass must not be
+  // delayed to batch it with other changes.
   void MarkUrgentChange() { urgent_ = true; }
   bool changed() const { return changed_; }
   bool urgent() const { return urgent_; }
   void ClearChanges() { changed_ = urgent_ = false; }
 
  private:
-  // Charges what the attempt occupies to its machine, team and job.
+  // Charges the capacity that the attempt occupies to its machine, team and
+  // job.
   void ChargeCapacity(Machine& machine, TaskAttempt& attempt);
+  // Assigns the attempts that were reported before the job's record was read to
+  // the job.
   void AdoptAttempts(Job& job);
 
   static constexpr Time kNeverQuiescent = 1e18;
