--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -8,11 +8,11 @@
 namespace oxbow {
 namespace {
 
-// Of the log line for operators; independent of the lease.
-constexpr double kFragmentationLogSeconds = 60;
+// The interval of the log line on fragmentation.
+constexpr double kFragmentationLogIntervalSeconds = 60;
 
-// The mutations that end a job: its terminal state is recorded, or its record
-// moves to the terminal records.
+// The mutations of live job records that end a job: they record its terminal
+// state, or delete the record when it moves to the terminal records.
 std::vector<TerminalStateWrite> TerminalStatesIn(const CompareAndSwap& txn) {
   std::vector<TerminalStateWrite> writes;
   for (const Mutation& mutation : txn.mutations) {
@@ -29,7 +29,7 @@
   return writes;
 }
 
-// The jobs among the keys whose preconditions did not hold.
+// The IDs of the jobs among the keys whose preconditions did not hold.
 std::set<std::string> JobsIn(const std::vector<std::string>& failed) {
   std::set<std::string> jobs;
   for (const std::string& key : failed) {
@@ -39,7 +39,7 @@
   return jobs;
 }
 
-// The oldest first.
+// The IDs of all rollouts, in the order of their mod revisions.
 std::vector<std::string> RolloutsByRevision(const Catalog& catalog) {
   std::vector<std::string> ids;
   for (const auto& [id, record] : catalog.rollouts()) ids.push_back(id);
@@ -61,10 +61,10 @@
                const std::optional<std::set<std::string>>& delegates)
     : modules_(settings, tuning, catalog, revision, now, wall_minus_steady,
                seed, delegates) {
-  TakeUpRecords(now);
+  LoadRecords(now);
 }
 
-void Leader::TakeUpRecords(Time now) {
+void Leader::LoadRecords(Time now) {
   const Catalog& catalog = modules_.context.catalog;
   for (const auto& [host, record] : catalog.machines()) {
     Machine& machine = modules_.cluster.AddMachine(host, record);
@@ -105,7 +105,7 @@
 HeartbeatResponse Leader::OnHeartbeat(const Heartbeat& heartbeat, Time now) {
   HeartbeatResponse response =
       modules_.worker_sessions.OnHeartbeat(heartbeat, now);
-  if (!response.refused) Settle(now);
+  if (!response.refused) ScheduleAndFlush(now);
   return response;
 }
 
@@ -120,11 +120,12 @@
         *machine, *heartbeat, HeartbeatChannel::kWorkerResponse, now);
   }
   modules_.dispatcher.DispatchCommands(*machine, now);
-  Settle(now);
+  ScheduleAndFlush(now);
 }
 
 void Leader::OnProbeAnswer(const Heartbeat& heartbeat, Time now) {
-  if (modules_.worker_sessions.OnProbeAnswer(heartbeat, now)) Settle(now);
+  if (modules_.worker_sessions.OnProbeAnswer(heartbeat, now))
+    ScheduleAndFlush(now);
 }
 
 void Leader::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
@@ -163,7 +164,7 @@
 std::vector<Action> Leader::TakeActions() {
   for (const Action& action : modules_.actions) {
     const auto* txn = std::get_if<CompareAndSwap>(&action);
-    // From here on it may be applied.
+    // The store may apply the transaction from now on.
     if (txn != nullptr)
       modules_.consistency_gate.OnSent(txn->id, TerminalStatesIn(*txn));
   }
@@ -177,7 +178,8 @@
   if (dependent != nullptr &&
       modules_.context.catalog.FindWaiting(id) != nullptr) {
     *out = {"pending", 0, 0};
-    // The write that ends it may have been sent, and been read elsewhere.
+    // The write of the terminal state may have been applied already, and
+    // another controller may have read it.
     return dependent->state == DependencyState::kCancelling
                ? JobObservation::kInDoubt
                : JobObservation::kLive;
@@ -201,8 +203,8 @@
     return JobObservation::kEnded;
   }
   out->status = job.running() > 0 ? "running" : "pending";
-  // Another controller may have read the terminal state by now, and answered
-  // with it: see went-back-done-told-elsewhere.txt.
+  // Another controller may already have read the terminal state and told a user
+  // of it; see tests/scenarios/went-back-done-told-elsewhere.txt.
   const JobRecord* record = modules_.context.catalog.FindJob(job.id());
   const uint64_t mod_revision = record == nullptr ? 0 : record->mod_revision;
   return modules_.consistency_gate.InDoubt(job.id(), mod_revision)
@@ -210,7 +212,7 @@
              : JobObservation::kLive;
 }
 
-// The texts are served over HTTP, so they keep their words.
+// These texts are served over HTTP and must not be changed.
 std::vector<std::string> Leader::Alarms() const {
   std::vector<std::string> alarms = modules_.liveness.Alarms();
   int orphaned_tasks = 0;
@@ -242,7 +244,7 @@
       now < next_fragmentation_log_) {
     return;
   }
-  next_fragmentation_log_ = now + kFragmentationLogSeconds;
+  next_fragmentation_log_ = now + kFragmentationLogIntervalSeconds;
   const Rebalancer* rebalancer = modules_.rebalancing.rebalancer();
   const FragmentationCount count =
       modules_.fragmentation.Count(modules_.cluster.machines());
@@ -277,12 +279,12 @@
   modules_.rebalancing.TickMoves(modules_.scheduler.large_waiting(), now);
   modules_.reconciler.TickReconciliation(now);
   modules_.autoscaler.ForgetRefusals(now);
-  if (modules_.autoscaler.IsDue(now)) TickSlowly(now);
+  if (modules_.autoscaler.IsDue(now)) RunPeriodicWork(now);
   modules_.scheduler.OnTick(now);
-  Settle(now);
+  ScheduleAndFlush(now);
 }
 
-void Leader::TickSlowly(Time now) {
+void Leader::RunPeriodicWork(Time now) {
   modules_.tier_manager.SurveyTiers();
   modules_.dependencies.PollDependencies(now);
   modules_.autoscaler.RunAutoscaler(now);
@@ -293,12 +295,13 @@
     modules_.job_lifecycle.RetireIfClear(*job);
   }
   LogFragmentation(now);
-  // For jobs whose back-off is over, expired reservations and machines that are
-  // no longer suspect.
+  // A scheduling pass may be due for reasons that no event announces: a job's
+  // back-off is over, a reservation has expired, or a machine is no longer
+  // suspect.
   modules_.cluster.MarkChanged();
 }
 
-void Leader::Settle(Time now) {
+void Leader::ScheduleAndFlush(Time now) {
   modules_.scheduler.ScheduleIfNeeded(now);
   modules_.writes.Flush(now);
 }
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -1,7 +1,8 @@
-// Leads the cluster: events and the time go in, actions come out. Passes events
-// to the modules (leader_modules.h) and decides nothing itself. There is one
-// per leadership, so no state of an earlier leadership can leak into a later
-// one.
+// The entry point to the leader's logic, which does no I/O: the caller passes
+// in events and the time, and carries out the actions that TakeActions returns.
+// The Leader only forwards events to the modules (leader_modules.h). One object
+// exists per leadership, so that no state of an earlier leadership can leak
+// into a later one.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +16,26 @@
 
 namespace oxbow {
 
-// Called by the shell, from one thread. Times are of the steady clock, s.
+// Not thread-safe: the application calls it from its event loop. Times are in
+// seconds on the steady clock unless stated otherwise.
 class Leader {
  public:
-  // `revision`: of the leader key, in the catalog's epoch. `delegates`: the
-  // controllers that may hold a delegated lease (DelegatedLeases). `settings`,
-  // `tuning` and `catalog` must outlive the leader.
+  // `revision`: the mod revision of the leader key, in the catalog's epoch.
+  // `wall_minus_steady`: the wall clock minus the steady clock, s. `delegates`:
+  // the controllers that may hold a delegated lease (DelegatedLeases).
+  // `settings`, `tuning` and `catalog` must outlive the leader.
   Leader(const Settings& settings, const Tuning& tuning, Catalog& catalog,
          uint64_t revision, Time now, double wall_minus_steady, uint64_t seed,
          const std::optional<std::set<std::string>>& delegates = {});
 
   // --- configuration
   void OnTypes(const std::vector<MachineType>& types);
-  // The tiers in force, at the beginning and whenever they change. Running
-  // tasks change their tier with their job.
+  // Sets the priority tiers in force. Called at the beginning of the leadership
+  // and whenever they change. A job's tier also applies to its running tasks.
   void UseTiers(std::shared_ptr<const TierSet> set);
-  // Lets replicas be moved, as far as the operators' settings allow. Takes up
-  // the claims that a former leader has recorded; before the first Tick.
+  // Enables moves of replicas, within the limits of the operators' settings,
+  // and continues the moves that a previous leader has recorded. To be called
+  // before the first Tick.
   void UseMoves(const MoveCodec& codec, Time now);
   void set_log_detail(bool on) { modules_.context.log_detail = on; }
 
@@ -45,16 +49,16 @@
   void OnMaintenanceWindowWithdrawn(const std::string& id, uint64_t version,
                                     Time now);
 
-  // --- events: answers of the store
+  // --- events: responses of the key-value store
   void OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
                      const std::vector<std::string>& failed, Time now);
-  // To ReadKeys; the catalog holds what was read.
+  // The response to ReadKeys; the catalog already contains the values.
   void OnReadAnswer(uint64_t id, bool succeeded, Time now);
   void OnFenceRead(uint64_t number, FenceReadResult result, Time now);
-  // To ReadTerminalState; likewise.
+  // The response to ReadTerminalState; the catalog already contains the values.
   void OnTerminalStateRead(const std::string& id, Time now);
-  // Job ends that the store has lost. `complete`: every controller that may
-  // have accepted a job has contributed what it remembers.
+  // Terminal states of jobs that the store has lost. `complete`: every
+  // controller that may have accepted a job has contributed those it retains.
   void OnUnrecordedTerminalStates(std::vector<UnrecordedTerminalState> states,
                                   bool complete);
 
@@ -70,67 +74,80 @@
                           const std::vector<std::string>& hosts, Time now);
   void OnDeleteAnswer(const std::vector<std::string>& hosts, bool succeeded,
                       Time now);
-  // A complete listing of the cloud's machines, asked for at `asked`.
+  // A complete list of the cloud's machines, requested at `asked`.
   void OnMachineList(const std::vector<ListedMachine>& list, Time asked,
                      Time now);
 
   // --- events: other controllers
-  // Which machines each controller reaches, this one's answer first.
+  // Which machines each controller reaches, in response to the AskReach of the
+  // same round. The answer of this controller comes first.
   void OnReach(uint64_t round, std::vector<Reach> answers, Time now);
-  // Another controller has agreed to lead: this leadership ends.
+  // Another controller has accepted the leadership transfer: this leadership
+  // ends.
   void OnTransferAccepted();
-  // It has not, or there were too many leadership transfers lately.
+  // The other controller has rejected the leadership transfer, or there have
+  // been too many transfers recently.
   void OnTransferRejected(const std::string& why, Time now);
-  // A controller asks for a delegated lease for the workers of its zone.
-  // `age`: of its process, s. Returns whether it gets one.
+  // A controller requests a delegated lease to renew the leases of the workers
+  // of its zone. `age`: how long its process has been running, s. Returns
+  // whether the lease is granted.
   bool OnDelegationAsked(const std::string& peer,
                          const std::string& process_incarnation, double age,
                          Time now);
-  // A controller that was asked at `sent` yields its delegated lease. Ages as
-  // of its answer, s; `renewed_ago` is negative if it has never renewed.
+  // A controller yields its delegated lease in response to a request that was
+  // sent at `sent`. `age` (of its process) and `renewed_ago` (since it last
+  // renewed a worker's lease; negative if never) are as of its response, s.
   void OnLeaseYielded(const std::string& peer,
                       const std::string& process_incarnation, double age,
                       double renewed_ago, Time sent, Time now);
+  // The response to ReadDelegates: the controllers that have a recorded
+  // delegated lease. `sent`: when the request was sent.
   void OnDelegatesRead(const std::set<std::string>& recorded, Time sent,
                        Time now);
 
   // --- events: users and time
-  // Asks for the job to be cancelled; a JobTerminated follows. False: no such
-  // job.
+  // Requests the cancellation of the job; a JobTerminated action follows.
+  // Returns false if there is no such job.
   bool Cancel(const std::string& id, Time now);
-  // The clocks, read before every other event and after the message that it
-  // brings, and when all live records had last been read.
+  // A reading of the clocks. Called before every other event; the clocks are
+  // read after the message of that event has arrived. `confirmed`: when all
+  // live records were last read completely.
   void OnClocks(const WallReading& reading, Time confirmed, Time now);
-  // `by_lease`: the right to lead rests on the lease of the leader key. While
-  // it rests on promises of others instead, somebody who does not know of them
-  // may keep workers alive, so no worker incarnation is taken to be over.
+  // Performs whatever is due. `by_lease`: the right to lead rests on the lease
+  // of the leader key. In an outage of the store it may rest on promises of
+  // other controllers instead. A controller that does not know of these
+  // promises may then renew workers' leases, so no worker incarnation is
+  // considered expired meanwhile.
   void Tick(Time now, bool by_lease = true);
-  // What the shell is to do; each is returned once.
+  // The actions that the caller has to carry out. Each is returned once.
   std::vector<Action> TakeActions();
 
   // --- queries
-  // The number of this leadership. Unlike the leader key's revision it never
+  // The term of this leadership. Unlike the revision of the leader key it never
   // occurs again, even if the key-value store has lost data.
   uint64_t revision() const { return modules_.context.term; }
-  // Fills in `out` unless the job is unseen.
+  // What is known of the job. Fills in `out` unless the result is kUnseen.
   JobObservation View(const std::string& id, JobView* out) const;
-  // Whether every machine has shown what runs on it.
+  // Whether every machine that is recorded as up has reported its tasks to this
+  // leader or has been deleted.
   bool AllAccounted() const;
-  // Whether nothing is in a zone that must be gone before a delegated lease for
-  // its workers could expire.
+  // Whether a delegated lease may be granted for the workers of the zone: all
+  // its machines have reported, and no task in it belongs to a job that was
+  // cancelled so long ago that the task has to end before that lease could
+  // expire.
   bool ZoneSettled(const std::string& zone, Time now) const;
-  // Whether maintenance windows delay the job, why and until when; empty for an
-  // unknown job.
+  // Whether maintenance windows delay the start of the job, why and until when;
+  // empty if the job is unknown.
   std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
                                                      Time now) const;
-  // Conditions that operators should know of; a line each.
+  // Conditions that operators should know of, one line each.
   std::vector<std::string> Alarms() const;
-  // Which jobs wait for which others; a line each, limited in number.
+  // Which jobs wait for which others, one line each; limited in number.
   std::vector<std::string> WaitingLines() const;
   const Rollout* FindRollout(const std::string& id) const;
   const TierPolicy& tiers() const { return modules_.tiers; }
   const HeartbeatsReceived& heartbeats_received() const;
-  // Leases that have expired of workers that then sent a heartbeat again.
+  // The number of expired leases whose workers sent a heartbeat afterwards.
   uint64_t expired_leases() const {
     return modules_.worker_sessions.expired_leases();
   }
@@ -139,17 +156,18 @@
   }
   const ClusterState::Jobs& jobs() const { return modules_.cluster.jobs(); }
   const ClusterState::Machines& machines() const;
-  // Null unless the operators' settings allow replicas to be moved.
+  // Null unless the operators' settings allow moves of replicas.
   const Rebalancer* rebalancer() const;
 
  private:
   JobObservation ViewOfJob(const Job& job, JobView* out) const;
-  // Takes up what earlier leaders have recorded.
-  void TakeUpRecords(Time now);
+  // Initializes the modules with the records of earlier leaders.
+  void LoadRecords(Time now);
   // The part of a tick that is due once per heartbeat interval.
-  void TickSlowly(Time now);
-  // After an event: starts tasks and writes records as it has made possible.
-  void Settle(Time now);
+  void RunPeriodicWork(Time now);
+  // Called at the end of an event: runs a scheduling pass if one is due, and
+  // sends queued writes.
+  void ScheduleAndFlush(Time now);
   void LogFragmentation(Time now);
 
   LeaderModules modules_;
--- a/core/leader/leader_modules.cc
+++ b/core/leader/leader_modules.cc
@@ -5,17 +5,20 @@
 namespace oxbow {
 namespace {
 
-// How long a job counts in the measure of fragmentation after it was submitted,
-// in worker leases: some waves of work, not the whole day.
-constexpr double kMixLeases = 15;
+// How long after its submission a job counts in the measure of fragmentation,
+// in worker leases: long enough to cover several bursts of submissions, short
+// enough to follow changes in the course of a day.
+constexpr double kFragmentationWindowLeases = 15;
 
-// The leader key has to be the one under which this leader was elected.
+// The preconditions of every write of this leadership: the leader key still has
+// the mod revision `revision` with which this leader was elected.
 std::vector<Precondition> LeadershipPreconditions(const Catalog& catalog,
                                                   uint64_t revision) {
   std::vector<Precondition> preconditions{
       {std::string(keys::kLeader), revision}};
-  // Without it, a write that is applied after the store has gone back to an
-  // older state could find the leader key at the same revision by chance.
+  // Also the epoch has to be the same: after the store has lost data and been
+  // reset to an older state, the leader key could have the same revision again
+  // by chance.
   if (catalog.epoch().number > 0) {
     auto [key, mod_revision] = catalog.Guard();
     preconditions.push_back({std::move(key), mod_revision});
@@ -52,7 +55,7 @@
               tuning.recovery_checks > 0, *this),
       liveness(settings, tuning, context.timeouts, cluster.machines(), now,
                seed, actions),
-      fragmentation(kMixLeases * settings.workers.lease_seconds,
+      fragmentation(kFragmentationWindowLeases * settings.workers.lease_seconds,
                     settings.workers.heartbeat_interval_seconds),
       tiers(settings, tuning.tiers > 0),
       queue_ranking(settings, tuning),
--- a/core/leader/leader_modules.h
+++ b/core/leader/leader_modules.h
@@ -1,6 +1,6 @@
-// The modules of one leadership and how they are connected. A subsystem is
-// registered here and nowhere else: its member, and its line in the constructor
-// with the modules that it calls.
+// The modules of one leadership and the references between them. A new
+// subsystem is registered in this class only: as a member, and with its
+// initializer in the constructor, which names the modules that it calls.
 #pragma once
 
 #include <cstdint>
@@ -30,10 +30,10 @@
 
 namespace oxbow {
 
-// Owned by the Leader. The modules refer to one another, so it can't be moved.
+// Owned by the Leader. Not movable, since the modules refer to one another.
 class LeaderModules : private ClusterState::Observer {
  public:
-  // See Leader.
+  // The parameters are those of the constructor of Leader.
   LeaderModules(const Settings& settings, const Tuning& tuning,
                 Catalog& catalog, uint64_t revision, Time now,
                 double wall_minus_steady, uint64_t seed,
@@ -41,8 +41,9 @@
   LeaderModules(const LeaderModules&) = delete;
   LeaderModules& operator=(const LeaderModules&) = delete;
 
-  // State that the modules share. Constructed in this order; a module may keep
-  // references to later ones, but call them only once all are constructed.
+  // State that the modules share. The members are constructed in the order of
+  // their declaration. A module may keep references to members that are
+  // constructed later, but may use them only once all are constructed.
   std::vector<Action> actions;
   LeaderContext context;
   ReadConsistencyGate consistency_gate;
--- a/core/store_writes/store_operation.h
+++ b/core/store_writes/store_operation.h
@@ -1,8 +1,9 @@
-// One change that the leader wants recorded in the key-value store. Each kind
-// of change is a class of its own, next to the module that asks for it: it adds
-// its preconditions and mutations to a transaction, and says what follows once
-// the change is recorded. The WriteQueue owns the operations that are queued or
-// in flight and knows nothing else of them.
+// The interface of one change that the leader wants to record in the key-value
+// store. Each kind of change is a class of its own, next to the module that
+// requests it: it adds its preconditions and mutations to a transaction, and
+// defines what follows once the change is recorded. The WriteQueue owns the
+// operations that are queued or in flight and uses them through this interface
+// only.
 #pragma once
 
 #include <cstdint>
@@ -14,41 +15,44 @@
 
 namespace oxbow {
 
-// Of StoreOperation::Build.
+// The result of StoreOperation::Build.
 enum class BuildResult : uint8_t {
   kAdded,
-  // The store already holds what the operation wants, or the reason for it is
-  // gone. What was added to the transaction is discarded.
+  // The store already holds the result of the operation, or the operation is no
+  // longer needed. Whatever it added to the transaction is discarded.
   kNothingToDo,
 };
 
-// See above. Owned by the WriteQueue from Enqueue on.
+// A change to be recorded; see above. Owned by the WriteQueue after Enqueue.
 class StoreOperation {
  public:
-  // `name`: of what is changed; unique within the kind.
+  // `name`: identifies the changed object, such as a job ID; together with
+  // kind() it identifies the operation.
   explicit StoreOperation(std::string name) : name_(std::move(name)) {}
   virtual ~StoreOperation() = default;
   StoreOperation(const StoreOperation&) = delete;
   StoreOperation& operator=(const StoreOperation&) = delete;
 
-  // One word for this class of operations. Of the same kind and name, at most
-  // one is queued.
+  // A short name for this class of operations. At most one operation of the
+  // same kind and name is queued.
   virtual std::string_view kind() const = 0;
   const std::string& name() const { return name_; }
 
-  // Adds the operation's preconditions and mutations. Called anew for each
-  // attempt, with what earlier operations have added to the same transaction.
+  // Adds the operation's preconditions and mutations to `txn`. Called again for
+  // each attempt to send it. `txn` already contains what earlier operations
+  // have added to the same transaction.
   virtual BuildResult Build(CompareAndSwap* txn) const = 0;
-  // The aim is reached: by the operation's own transaction, applied at
-  // `revision`, or, when that is 0, because Build had nothing to do.
+  // Called when the change is recorded: `revision` is the store revision at
+  // which the operation's transaction was applied, or 0 if Build had nothing to
+  // do.
   virtual void OnRecorded(uint64_t revision, Time now) = 0;
 
-  // Whether a newer operation of the same kind and name takes the place of a
-  // queued one. Otherwise the newer one is dropped.
+  // Whether this operation replaces a queued one of the same kind and name.
+  // Otherwise it is dropped in favor of the queued one.
   virtual bool ReplacesQueued() const { return false; }
 
-  // After the store has refused the transaction for its size: the operation
-  // leaves out of its record whatever can be spared.
+  // Called after the store has refused the operation's transaction as too
+  // large: from then on the operation omits optional fields from its record.
   void UseCompactForm() { compact_ = true; }
   bool compact() const { return compact_; }
 
--- a/core/store_writes/write_queue.cc
+++ b/core/store_writes/write_queue.cc
@@ -27,24 +27,27 @@
     std::pair{kRefencing, kOutcomeUnknown},
 };
 
-// The store's protocol: preconditions per transaction, for each mutation.
+// The store accepts this many preconditions in a transaction for each mutation
+// that it may contain.
 constexpr size_t kPreconditionsPerMutation = 4;
-// Encoded size of a transaction: the store takes 64 KiB.
+// Limit of the estimated size of an encoded transaction. The store accepts
+// 64 KiB; the rest is a margin for the estimate.
 constexpr size_t kMaxTransactionBytes = 48 * 1024;
-// Of a record's fields whose lengths are bounded, with its precondition.
+// Upper bound of the encoded size of a record's fields of bounded length,
+// including the record's precondition.
 constexpr size_t kBytesPerMutation = 512;
-// Free text may double when it is escaped.
+// Escaping may double the length of free text.
 constexpr size_t kBytesPerCharacter = 2;
-// Quotes, a comma and a space in a list.
+// The quotes, the comma and the space that a list entry adds to its text.
 constexpr size_t kBytesPerListEntry = 4;
-// Before the next attempt when the store did not execute a transaction, in
-// heartbeat intervals.
+// The pause before the next attempt when the store did not execute a
+// transaction, in heartbeat intervals.
 constexpr double kPauseHeartbeats = 0.1;
-// The longest pause between two fences that are not answered, in heartbeat
-// intervals.
+// The longest pause between two writes of a fence key that get no response, in
+// heartbeat intervals.
 constexpr double kMaxFencePauseHeartbeats = 0.8;
 
-// Estimates of encoded sizes; only the parts of variable length count.
+// Estimates of the encoded size of a record's fields of variable length.
 size_t VariableBytes(const JobSpec& spec) {
   size_t bytes = spec.image.size() * kBytesPerCharacter;
   if (spec.types) {
@@ -118,7 +121,8 @@
   const auto is_same = [&](const Operation& other) {
     return IsSameChange(*other, *operation);
   };
-  // In either queue: what was requeued waits among the urgent ones.
+  // Searches both queues, because a requeued background operation is in the
+  // urgent queue.
   for (std::deque<Operation>* queue : {&urgent_, &background_}) {
     const auto queued = std::find_if(queue->begin(), queue->end(), is_same);
     if (queued == queue->end()) continue;
@@ -140,7 +144,7 @@
 
 bool WriteQueue::Fits(const CompareAndSwap& txn) const {
   const auto max_mutations = static_cast<size_t>(settings_.store.txn_ops);
-  // The leadership and the fence are added by Send.
+  // Send adds the leadership preconditions and the one on the fence key.
   const size_t preconditions =
       txn.preconditions.size() + leadership_preconditions_.size() + 1;
   return txn.mutations.size() <= max_mutations &&
@@ -155,7 +159,7 @@
   RetryRefused(now);
   CompareAndSwap txn = TakeBatch(now);
   if (in_flight_.empty()) return;
-  NoteInFlightKeys(txn);
+  RecordInFlightKeys(txn);
   ChangePhase(kWriting);
   Send(std::move(txn));
 }
@@ -172,7 +176,8 @@
         done->OnRecorded(0, now);
         continue;
       }
-      // One that is larger than the limits goes alone rather than never.
+      // An operation that exceeds the limits by itself is sent alone, since it
+      // would otherwise never be sent.
       if (!in_flight_.empty() &&
           (in_flight_.size() >= max_operations_ || !Fits(longer))) {
         break;
@@ -189,7 +194,7 @@
   return txn;
 }
 
-void WriteQueue::NoteInFlightKeys(const CompareAndSwap& txn) {
+void WriteQueue::RecordInFlightKeys(const CompareAndSwap& txn) {
   in_flight_keys_.clear();
   for (const Mutation& mutation : txn.mutations) {
     if (mutation.key.starts_with(keys::kLive)) {
@@ -212,8 +217,9 @@
   actions_.push_back(std::move(txn));
 }
 
-// Without it, a record that was written anew, acted upon and deleted would
-// exist again once the first, unanswered write is applied (late-write-rental).
+// Without the fence, a record that was written a second time, acted upon and
+// deleted would exist again once the first, unanswered write is applied; see
+// tests/scenarios/late-write-rental.txt.
 void WriteQueue::SendFence() {
   CompareAndSwap txn;
   txn.mutations.push_back({FenceKey(), WriteFence{fence_number_}});
@@ -221,22 +227,22 @@
   Send(std::move(txn));
 }
 
-void WriteQueue::OnFenceStands() {
+void WriteQueue::OnFenceExists() {
   ++fence_number_;
   unanswered_fences_ = 0;
   ChangePhase(kReading);
   ReadInFlight();
 }
 
-// Where no answer to a transaction arrives, refusals included, sending it again
-// alone would never show that it was applied.
+// Also reads the fence key: if no response to any transaction arrives, not even
+// a conflict, repeating the write alone would never show that it was applied.
 void WriteQueue::OnFenceUnanswered(Time now) {
   if (unanswered_fences_ > 0) {
     double pause = kPauseHeartbeats;
     for (uint32_t n = 1;
          n < unanswered_fences_ && pause < kMaxFencePauseHeartbeats; ++n)
       pause *= 2;
-    PauseFrom(now, std::min(pause, kMaxFencePauseHeartbeats));
+    DelaySending(now, std::min(pause, kMaxFencePauseHeartbeats));
   }
   ++unanswered_fences_;
   actions_.push_back(ReadFence{fence_number_, FenceKey()});
@@ -265,7 +271,7 @@
           std::to_string(fence_number_));
 }
 
-void WriteQueue::PauseFrom(Time now, double heartbeats) {
+void WriteQueue::DelaySending(Time now, double heartbeats) {
   not_before_ = now + heartbeats * settings_.workers.heartbeat_interval_seconds;
 }
 
@@ -276,7 +282,7 @@
   in_flight_.clear();
 }
 
-void WriteQueue::OnRefusedForSize(Time now) {
+void WriteQueue::OnRefusedAsTooLarge(Time now) {
   if (in_flight_.size() > 1) {
     max_operations_ = in_flight_.size() / 2;
     RequeueInFlight();
@@ -323,14 +329,14 @@
                                const std::vector<std::string>& failed,
                                Time now) {
   if (outcome == WriteOutcome::kApplied || FenceExists(failed)) {
-    OnFenceStands();
+    OnFenceExists();
     return;
   }
   ChangePhase(kOutcomeUnknown);
   if (outcome == WriteOutcome::kUnknown) {
     OnFenceUnanswered(now);
   } else {
-    PauseFrom(now, kPauseHeartbeats);
+    DelaySending(now, kPauseHeartbeats);
   }
   Flush(now);
 }
@@ -344,12 +350,12 @@
       break;
     case WriteOutcome::kNotExecuted:
       ChangePhase(kIdle);
-      PauseFrom(now, kPauseHeartbeats);
+      DelaySending(now, kPauseHeartbeats);
       RequeueInFlight();
       break;
     case WriteOutcome::kRefused:
       ChangePhase(kIdle);
-      OnRefusedForSize(now);
+      OnRefusedAsTooLarge(now);
       break;
     case WriteOutcome::kConflict:
       if (FenceExists(failed)) ++fence_number_;
@@ -357,8 +363,9 @@
       ReadInFlight();
       break;
     case WriteOutcome::kUnknown:
-      // It may have been applied, or may be later. One that rests on mod
-      // revisions alone fails after whatever is written next.
+      // The transaction may have been applied, or may still be applied later. A
+      // transaction with preconditions on mod revisions only can't be applied
+      // any more once its keys have been written again, so it needs no fence.
       ChangePhase(in_flight_creates_ ? kOutcomeUnknown : kReading);
       if (!in_flight_creates_) ReadInFlight();
       break;
@@ -376,7 +383,7 @@
                              Time now) {
   const bool undecided = phase_ == kOutcomeUnknown || phase_ == kRefencing;
   if (number != fence_number_ || !undecided) return;
-  if (result == FenceReadResult::kExists) OnFenceStands();
+  if (result == FenceReadResult::kExists) OnFenceExists();
   Flush(now);
 }
 
--- a/core/store_writes/write_queue.h
+++ b/core/store_writes/write_queue.h
@@ -1,29 +1,33 @@
-// The leader's writes on their way to the key-value store: which operations
-// wait, which go into one transaction, and what an answer means. Knows nothing
-// of jobs or machines; see StoreOperation. Owns the queued operations. Called
-// by the leader and its modules alone.
+// The queue of the leader's writes to the key-value store. It decides which
+// operations go into one transaction, and handles the store's responses. It
+// owns the queued operations and is independent of jobs and machines; see
+// StoreOperation. Only the leader and its modules use it.
 //
-// One transaction is in flight at a time. Each is conditioned on the leadership
-// (the leader key and the mark of the store's epoch): one that is applied late,
-// after another leader has been elected, fails instead of undoing newer facts.
+// One transaction is in flight at a time. Each has preconditions on the leader
+// key and on the mark of the store's epoch: if it is applied late, after
+// another leader has been elected, it fails instead of overwriting newer
+// records.
 //
-// Nor may one be applied late after this leader has written something newer. A
-// precondition on a mod revision rules that out by itself, since no mod
-// revision occurs twice. A precondition that a key is absent holds again once
-// the key has been deleted. Therefore every transaction is also conditioned on
-// the absence of the current fence key, and after an unanswered transaction
-// that creates a key, that fence key is written before anything else:
-// - Each fence key is written under this leadership alone and has the same
-//   lease as the leader key. Once it exists, whatever was sent before fails for
-//   good: because of the fence, or because of the leader key.
-// - What is read after the fence is written is therefore the outcome of the
-//   unanswered transaction, not a state before it.
-// - An unanswered fence is sent again, and its key is read meanwhile. If it has
-//   been written already, the next one gets a conflict, which is just as good,
-//   and so is a linearizable read that finds the key: nobody else writes it. A
-//   read that does not find it proves nothing: the fence may be applied later.
-// - Only the first repetition is sent at once; each later one waits twice as
-//   long as the one before, up to a bound.
+// A transaction must not be applied late, either, after this leader has written
+// something newer. A precondition on a mod revision prevents this by itself,
+// since no mod revision occurs twice. A precondition that a key is absent does
+// not: it holds again once the key has been deleted. Therefore every
+// transaction also has the precondition that the current fence key is absent.
+// When a transaction that creates a key is unanswered, that fence key is
+// written before anything else:
+// - Fence keys are written under this leadership only and have the same lease
+//   as the leader key. Once a fence key exists, every transaction that was sent
+//   before it fails for good: because of the fence key, or, after that has
+//   expired, because of the leader key.
+// - Therefore a read after the fence key is written shows the final outcome of
+//   the unanswered transaction.
+// - If the write of the fence key is unanswered, it is repeated, and the key is
+//   read meanwhile. If the key exists already, the repeated write gets a
+//   conflict. That proves as much as a success, and so does a linearizable read
+//   that finds the key, since no other process writes it. A read that does not
+//   find the key proves nothing: the write may still be applied.
+// - The first repetition is sent at once. The pause before each later one is
+//   twice as long as before the previous one, up to a limit.
 // A transaction that was answered is not applied again.
 #pragma once
 
@@ -40,14 +44,20 @@
 
 namespace oxbow {
 
-// What the queue waits for.
+// The state of the write queue.
 enum class WritePhase : uint8_t {
-  kIdle,
-  kWriting,         // a transaction is in flight
-  kOutcomeUnknown,  // a creating transaction is unanswered: the fence is next
-  kFencing,         // the fence is in flight
-  kRefencing,  // as kFencing; an earlier one is unanswered, its key is read
-  kReading,    // the outcome is final: the changed keys are being read
+  kIdle,     // nothing is in flight
+  kWriting,  // a transaction is in flight
+  // A transaction that creates a key is unanswered. The fence key has to be
+  // written next.
+  kOutcomeUnknown,
+  kFencing,  // the write of the fence key is in flight
+  // Like kFencing, but an earlier write of the same fence key is unanswered and
+  // the key is being read.
+  kRefencing,
+  // The outcome of the transaction is final. The keys that it was to change are
+  // being read.
+  kReading,
 };
 
 // The order in which operations are sent.
@@ -56,37 +66,39 @@
   kBackground,  // fills transactions that urgent operations leave space in
 };
 
-// See above.
+// One exists per leadership; see above.
 class WriteQueue {
  public:
-  // `leadership_preconditions`: what every transaction is conditioned on; the
-  // leader key comes first. `actions` must outlive the queue.
+  // `leadership_preconditions`: added to every transaction; the leader key
+  // comes first. `settings` and `actions` must outlive the queue.
   WriteQueue(const Settings& settings,
              std::vector<Precondition> leadership_preconditions,
              std::vector<Action>& actions);
 
-  // Takes the operation unless one of the same kind and name is queued or in
-  // flight; see StoreOperation::ReplacesQueued. Sends nothing.
+  // Queues the operation unless one of the same kind and name is queued or in
+  // flight; a queued one may be replaced, see StoreOperation::ReplacesQueued.
+  // Sends nothing; see Flush.
   void Enqueue(std::unique_ptr<StoreOperation> operation,
                WritePriority priority = WritePriority::kUrgent);
-  // Sends queued operations unless something is in flight; a fence first.
+  // Sends the next transaction unless a request is in flight. If the outcome of
+  // the last one is unknown, writes the fence key instead.
   void Flush(Time now);
-  // The answer to the CompareAndSwap with this id. `failed`: the keys of the
-  // preconditions that did not hold. False when one of them was of the
-  // leadership: this leadership is over.
+  // Handles the response to the CompareAndSwap with this ID. `failed`: the keys
+  // of the preconditions that did not hold. Returns false if one of them is a
+  // leadership precondition: this leadership is over.
   [[nodiscard]] bool OnAnswer(uint64_t id, WriteOutcome outcome,
                               uint64_t revision,
                               const std::vector<std::string>& failed, Time now);
-  // The answer to ReadKeys; the catalog holds what was read.
+  // Handles the response to ReadKeys; the catalog already contains the values.
   void OnRead(uint64_t id, bool succeeded, Time now);
-  // The answer to ReadFence.
+  // Handles the response to ReadFence.
   void OnFenceRead(uint64_t number, FenceReadResult result, Time now);
 
   WritePhase phase() const { return phase_; }
-  // Operations that wait to be sent.
+  // The number of operations that wait to be sent.
   size_t waiting() const { return urgent_.size() + background_.size(); }
-  // Operations that the store refuses for their size; each is tried again now
-  // and then.
+  // The number of operations that the store has refused as too large, also in
+  // their compact form. Each is retried after a worker lease.
   size_t refused_for_size() const { return refused_.size(); }
 
  private:
@@ -96,34 +108,39 @@
     Operation operation;
   };
 
-  // The one function that changes the phase.
+  // Every change of the phase goes through this function.
   void ChangePhase(WritePhase next);
 
-  // Moves as many operations as fit from the queues into flight, and returns
-  // their transaction.
+  // Moves as many operations as fit into one transaction from the queues to
+  // `in_flight_`, and returns that transaction.
   CompareAndSwap TakeBatch(Time now);
   bool Fits(const CompareAndSwap& txn) const;
-  void NoteInFlightKeys(const CompareAndSwap& txn);
+  void RecordInFlightKeys(const CompareAndSwap& txn);
   void Send(CompareAndSwap txn);
   void SendFence();
-  // The current fence key exists: whatever was sent before is decided.
-  void OnFenceStands();
-  // The fence in flight has not been answered.
+  // The current fence key is known to exist: the outcome of every transaction
+  // that was sent before it is final.
+  void OnFenceExists();
+  // The write of the fence key got no response.
   void OnFenceUnanswered(Time now);
   void ReadInFlight();
-  // The operations in flight wait again, in front of all others.
+  // Moves the operations in flight back to the front of the urgent queue.
   void RequeueInFlight();
-  // Sent again as it is, the same transaction would be refused for ever: fewer
-  // operations go at once. One that is refused alone goes in its compact form.
-  // Refused in that form too, it is set aside, so that it blocks no other.
-  void OnRefusedForSize(Time now);
+  // Handles a transaction that the store has refused as too large. Repeated
+  // unchanged it would be refused forever, so it is split: later transactions
+  // contain fewer operations. An operation that is refused alone is retried in
+  // its compact form. If that is refused, too, the operation is set aside so
+  // that it does not block others.
+  void OnRefusedAsTooLarge(Time now);
+  // Queues refused operations again whose time to retry has come.
   void RetryRefused(Time now);
   void OnTransactionAnswer(WriteOutcome outcome, uint64_t revision,
                            const std::vector<std::string>& failed, Time now);
   void OnFenceAnswer(WriteOutcome outcome,
                      const std::vector<std::string>& failed, Time now);
   void CompleteInFlight(uint64_t revision, Time now);
-  void PauseFrom(Time now, double heartbeats);
+  // Sends nothing for this long after `now`, in heartbeat intervals.
+  void DelaySending(Time now, double heartbeats);
 
   bool LeadershipLost(const std::vector<std::string>& failed) const;
   bool FenceExists(const std::vector<std::string>& failed) const;
@@ -138,15 +155,20 @@
   std::deque<RefusedOperation> refused_;
 
   std::vector<Operation> in_flight_;
-  std::vector<std::string> in_flight_keys_;  // live keys that it changes
-  bool in_flight_creates_ = false;           // a key that has to be absent
-  uint64_t request_id_ = 0;                  // of the last write or read
+  // The live keys that the transaction in flight changes.
+  std::vector<std::string> in_flight_keys_;
+  // Whether the transaction in flight has a precondition that a key is absent.
+  bool in_flight_creates_ = false;
+  uint64_t request_id_ = 0;  // of the last write or read of keys
 
   WritePhase phase_ = WritePhase::kIdle;
-  uint64_t fence_number_ = 0;         // of the current fence key
-  uint32_t unanswered_fences_ = 0;    // with that number
-  size_t max_operations_ = SIZE_MAX;  // in one transaction; lowered by refusals
-  Time not_before_ = 0;
+  uint64_t fence_number_ = 0;  // of the current fence key
+  // The number of unanswered writes of the current fence key.
+  uint32_t unanswered_fences_ = 0;
+  // The most operations in one transaction; lowered when the store refuses a
+  // transaction as too large.
+  size_t max_operations_ = SIZE_MAX;
+  Time not_before_ = 0;  // nothing is sent before
 };
 
 }  // namespace oxbow
