--- a/core/catalog/catalog.cc
+++ b/core/catalog/catalog.cc
@@ -6,7 +6,7 @@
 namespace oxbow {
 namespace {
 
-constexpr size_t kTerminalRecordsKept = 20'000;
+constexpr size_t kMaxTerminalRecords = 20'000;
 
 template <typename Map>
 auto* Find(Map& map, std::string_view key, std::string_view prefix) {
@@ -57,7 +57,7 @@
   if (pending_writes_.empty()) return;
   const std::string key = keys::Of(keys::kWaiting, id);
   if (pending_writes_.erase(key) == 0) return;
-  // The store's copy, if there is one, is deleted by the leader.
+  // If the store holds a copy, the leader deletes it there.
   if (ModRevisionOf(key) == 0) Remove(key);
 }
 
@@ -102,8 +102,9 @@
     if (job->terminal_state == TerminalState::kDone) {
       RememberTerminalState(id, TerminalStateOf(*job));
     }
-    // A terminal state that was read may have been answered to a user, so it
-    // beats a live record that looks newer: the store has gone back since then.
+    // Users may have been told of a terminal state that was read. So it wins
+    // against a local live record, even one with a higher mod revision: the
+    // store has lost data in between.
     const auto live = jobs_.find(id);
     if (live != jobs_.end() &&
         live->second.terminal_state == TerminalState::kNone) {
@@ -112,13 +113,14 @@
     }
   }
   if (known >= mod_revision) return false;
-  // The watch has passed this revision and the key is absent: it has been
-  // deleted since, and this value comes from an older read.
+  // The watch has passed this revision and the key is absent: the key has been
+  // deleted since, and the value comes from an older read.
   if (known == 0 && mod_revision <= watched_revision_) return false;
   Store(key, record, mod_revision);
   if (job != nullptr && job->terminal_state == TerminalState::kNone &&
       epoch_.number > 1 && mod_revision <= opened()) {
-    // An older copy has come back, and the job has ended since.
+    // After a data loss the store holds an older copy of the record, from
+    // before the job ended.
     const std::string id = key.substr(keys::kJob.size());
     const TerminalState end = ended_.Find(id);
     if (end != TerminalState::kNone) {
@@ -140,13 +142,13 @@
   if (epoch == nullptr || epoch->number < epoch_.number) return false;
   if (epoch->number == epoch_.number && mod_revision <= epoch_.mod_revision)
     return false;
-  if (epoch_.number > 0 && epoch->number > epoch_.number) Rebase();
+  if (epoch_.number > 0 && epoch->number > epoch_.number) StartEpoch();
   epoch_ = *epoch;
   epoch_.mod_revision = mod_revision;
   return true;
 }
 
-// The remembered record against the one that was seen in the store.
+// Compares the retained record with the one that was seen in the store.
 bool Catalog::PutOverPending(const std::string& key, const Record& record,
                              uint64_t mod_revision) {
   const Version there{
@@ -158,10 +160,11 @@
   };
   const Version mine = pending_writes_.at(key);
   const bool mine_ended = ended(RecordOf(key));
-  // A terminal state beats everything; else the later of the two.
+  // A record with a terminal state wins against one without; otherwise the
+  // later version wins.
   const bool keep = mine_ended != ended(record) ? mine_ended : mine > there;
   if (keep) {
-    // What the write that replaces it is conditioned on.
+    // The precondition of the write that replaces the record in the store.
     SetModRevision(key, mod_revision);
     return false;
   }
@@ -170,10 +173,10 @@
   return true;
 }
 
-void Catalog::Rebase() {
+void Catalog::StartEpoch() {
   VisitKinds(*this, [this](auto& map, std::string_view prefix) {
     for (auto& [name, record] : map) {
-      // What was pending already keeps its remembered version.
+      // A write that is pending from an earlier epoch keeps its version.
       pending_writes_.try_emplace(keys::Of(prefix, name),
                                   Version{epoch_.number, record.mod_revision});
       record.mod_revision = 0;
@@ -207,7 +210,7 @@
     return false;
   }
   if (std::holds_alternative<WaitingRecord>(record)) {
-    // A job that was released or has ended since does not wait again.
+    // A job that has been released or has ended since must not wait again.
     const std::string waits = key.substr(keys::kWaiting.size());
     if (FindJob(waits) != nullptr ||
         FindTerminalState(waits) != TerminalState::kNone) {
@@ -222,7 +225,8 @@
         my_job != nullptr && my_job->terminal_state != TerminalState::kNone;
     const bool their_end =
         job != nullptr && job->terminal_state != TerminalState::kNone;
-    // Operators' records have versions of their own, which no epoch resets.
+    // Operator records have version numbers of their own, which stay comparable
+    // across epochs.
     const auto* my_operator_record = std::get_if<OperatorRecord>(&mine);
     const auto* their_operator_record = std::get_if<OperatorRecord>(&record);
     if (my_operator_record != nullptr && their_operator_record != nullptr) {
@@ -283,7 +287,8 @@
   if (pending_writes_.empty()) return;
   const auto pending_writes = pending_writes_;
   for (const auto& [key, version] : pending_writes) Remove(key);
-  watched_revision_ = 0;  // what is read again is no older value
+  // Without this, Put would reject the values that are read again as outdated.
+  watched_revision_ = 0;
 }
 
 void Catalog::Missing(const std::string& key, uint64_t revision) {
@@ -301,8 +306,8 @@
     const uint64_t known = ModRevisionOf(key);
     if (known == 0 || known > mod_revision) return false;
   }
-  // A cancelled job's record is deleted once nothing is left of its tasks. From
-  // then on its user may be answered; see FindTerminalState.
+  // The live record of a cancelled job is deleted once no task of the job can
+  // be on any machine. From then on users may be told; see FindTerminalRecord.
   if (key.starts_with(keys::kJob)) {
     const std::string id = key.substr(keys::kJob.size());
     const JobRecord* job = FindJob(id);
@@ -370,7 +375,7 @@
   DropPendingWaitingRecord(id);
   if (!terminal_records_.try_emplace(id, end).second) return;
   terminal_order_.push_back(id);
-  if (terminal_order_.size() > kTerminalRecordsKept) {
+  if (terminal_order_.size() > kMaxTerminalRecords) {
     terminal_records_.erase(terminal_order_.front());
     terminal_order_.pop_front();
   }
--- a/core/catalog/catalog.h
+++ b/core/catalog/catalog.h
@@ -1,10 +1,10 @@
-// A local copy of the key-value store: the records as far as this controller
-// has seen them, by watch, listing, reads and its own writes. Every controller
-// keeps one, so a standby needs no reload when it is elected. Also remembers
-// records that a store which has lost data does not hold any more;
-// docs/recovery.md says which of two copies of a record wins. Has one owner on
-// the event loop's thread; the core reads it, and changes it only by what was
-// written.
+// A local copy of the key-value store: the records that this controller has
+// seen through the watch, listings, reads and its own writes. Every controller
+// keeps one, so that a standby needs no reload when it is elected. The catalog
+// also retains records that the store has lost; docs/recovery.md defines which
+// of two copies of a record wins. It is owned by the application and used on
+// the event loop's thread only. The leader's modules read it, and change it
+// only to reflect their own writes.
 #pragma once
 
 #include <algorithm>
@@ -27,70 +27,81 @@
 
 namespace oxbow {
 
-// The key, and its mod revision, that every write of an epoch is conditioned
-// on.
+// The precondition that every write of an epoch has: this key has this mod
+// revision.
 struct EpochGuard {
   std::string key;
   uint64_t mod_revision = 0;
 };
 
-// See above.
+// One exists per controller; see above.
 class Catalog {
  public:
-  // Takes in a value seen in the store. False if it is older than the local
-  // copy.
+  // Stores a value that was seen in the store. Returns false, and changes
+  // nothing, if the local copy is newer.
   bool Put(const std::string& key, const Record& record, uint64_t mod_revision);
+  // Removes a key that was deleted in the store at `mod_revision`. Returns
+  // false, and changes nothing, if the local copy is newer or does not exist.
   bool Erase(const std::string& key, uint64_t mod_revision);
-  // The watch has delivered every change up to here.
+  // The watch has delivered every change up to this revision.
   void AdvanceWatch(uint64_t revision) {
     watched_revision_ = std::max(watched_revision_, revision);
   }
   uint64_t watched_revision() const { return watched_revision_; }
-  // After a complete listing: erases what the listing lacks although it is no
-  // newer than the listing, and returns those keys.
+  // To be called after a complete listing of the store as of `revision`, with
+  // the listed keys. Erases the records that are not listed although they are
+  // not newer than the listing, and returns their keys.
   std::vector<std::string> EraseMissing(
       const std::unordered_set<std::string>& listed, uint64_t revision);
-  // A read has not found the key. A pending write is kept: it is not in the
-  // store yet.
+  // To be called when a read as of `revision` did not find the key. Erases the
+  // record, but keeps it if its write is pending, since it is not in the store
+  // yet.
   void Missing(const std::string& key, uint64_t revision);
 
-  // --- epochs: see docs/recovery.md for what beats what
+  // --- epochs and data loss; see docs/recovery.md for which copy wins
   const StoreEpoch& epoch() const { return epoch_; }
-  // The mod revision of the epoch's mark; 0 while it is unknown.
+  // The mod revision of the mark of the current epoch; 0 while it is unknown.
+  // Every record with a higher mod revision was written in this epoch.
   uint64_t opened() const {
     return mark_id_ == epoch_.id ? mark_mod_revision_ : 0;
   }
-  // What every write of this epoch is conditioned on.
+  // The precondition that every write of this epoch has.
   EpochGuard Guard() const;
-  // Keys of records from before the epoch that the store has lost, or has an
-  // older copy of, with the version that is remembered here.
+  // Records from before the current epoch that the store has lost, or of which
+  // it holds an older copy: their keys, with the versions of the copies that
+  // this catalog retains and that the leader has to write back.
   const std::map<std::string, Version>& pending_writes() const {
     return pending_writes_;
   }
-  // Takes in a record that another controller remembers. False if the local
-  // copy is as new.
+  // Merges a record that another controller has retained. Returns false, and
+  // changes nothing, if the local copy wins.
   bool Remember(const std::string& key, const Record& record, Version version);
-  // After others' terminal states were added to ended(): applies them to live
-  // jobs.
+  // Applies the terminal states in ended() to live jobs. To be called after
+  // states from other controllers were added there.
   void ApplyTerminalStates();
+  // The version of the local copy of the record.
   Version VersionOf(const std::string& key) const;
-  // monostate if there is none.
+  // The local copy of the record; monostate if there is none.
   Record RecordOf(const std::string& key) const;
-  // The keys that changed last, and the jobs that ended last. A store that has
-  // gone back to an older copy lacks some of them.
+  // Up to `count` keys that changed last. If the store has lost data and was
+  // reset to an older state, it lacks some of them.
   std::vector<std::string> NewestKeys(size_t count) const;
+  // Up to `count` IDs of jobs that ended last, for the same purpose.
   std::vector<std::string> LatestTerminalStates(size_t count) const;
-  // Revisions up to the watched one may occur a second time.
+  // To be called when the store has lost data, so that revisions up to
+  // watched_revision() may occur a second time.
   void RestartWatch() { watched_revision_ = 0; }
-  // Another controller has rebuilt the epoch without what is still pending
-  // here: the store is read anew.
+  // Discards the records whose writes are pending. To be called when another
+  // controller has completed the reconciliation of the epoch without them; the
+  // store has to be read again.
   void ForgetPendingWrites();
 
   const std::unordered_map<std::string, JobRecord>& jobs() const {
     return jobs_;
   }
-  // Jobs that wait for others. One that is also among jobs(), or has ended,
-  // does not wait any more: its record is an older copy that has come back.
+  // Jobs that wait for others. A job that is also in jobs(), or has ended, does
+  // not wait any more: its waiting record is an older copy that reappeared when
+  // the store lost data.
   const std::unordered_map<std::string, WaitingRecord>& waiting() const {
     return waiting_;
   }
@@ -103,35 +114,41 @@
   const std::unordered_map<std::string, RolloutRecord>& rollouts() const {
     return rollouts_;
   }
-  // By name; withdrawn ones too.
+  // Operator records by name, including withdrawn ones.
   const std::unordered_map<std::string, OperatorRecord>& operators() const {
     return operators_;
   }
-  // By the controller's name, and the mark of all.
+  // The versions that the controllers run, by the controller's name, and the
+  // mark that all of them have recorded the same version; see VersionGate.
   const VersionGate::Versions& versions() const { return versions_; }
-  // Every kind of live record that has a name: visit(map by name, key prefix).
+  // Calls visit(records by name, key prefix) for each kind of live record that
+  // has a name.
   template <typename Visit>
   void EachKind(const Visit& visit) const {
     VisitKinds(*this, visit);
   }
   const LeaderRecord& leader() const { return leader_; }
   const JobRecord* FindJob(const std::string& id) const;
-  // Null too for one that does not wait any more; see waiting().
+  // Also null for a job that does not wait any more; see waiting().
   const WaitingRecord* FindWaiting(const std::string& id) const;
-  // Whether the job was accepted, as far as is known here; it may have ended.
+  // Whether this controller knows that the job was accepted. The job may have
+  // ended since.
   bool Accepted(const std::string& id) const;
-  // How a job ended, as far as a user may be answered with it; kNone if that is
-  // unknown. kDone counts from the live record on. A cancellation counts once
-  // the record has moved to the terminal records, which it does when no task of
-  // the job can be on any machine: whoever may still answer a worker's
-  // heartbeats, in an outage and without any state, then keeps nothing alive
-  // that is cancelled. Until then JobRecord::terminal_state says that the job
-  // is ending.
+  // The terminal state of a job that users may be told; kNone if there is none.
+  // kDone is returned as soon as the live record says so. kAborted is returned
+  // only once the record has been moved to the terminal records, that is when
+  // no task of the job can be on any machine. This rules out that a controller
+  // which renews workers' leases during an outage of the store, without knowing
+  // any job, keeps tasks alive after users were told that their job is
+  // cancelled. Until then JobRecord::terminal_state shows that the job is
+  // ending.
   TerminalRecord FindTerminalRecord(const std::string& id) const;
-  // The same without the number of tasks; remembered for longer.
+  // The same without the number of tasks. Terminal states are kept for all
+  // jobs, terminal records only for the latest ones.
   TerminalState FindTerminalState(const std::string& id) const;
   const TerminalStateIndex& ended() const { return ended_; }
   TerminalStateIndex& ended() { return ended_; }
+  // Keeps the terminal state of a job that has ended.
   void RememberTerminalState(const std::string& id, const TerminalRecord& end);
 
  private:
@@ -150,14 +167,18 @@
   void Store(const std::string& key, const Record& record,
              uint64_t mod_revision);
   void Remove(const std::string& key);
-  // The job does not wait any more: its waiting record is not written back.
+  // To be called when the job does not wait any more: its waiting record must
+  // not be written back.
   void DropPendingWaitingRecord(const std::string& id);
+  // Put for the records of the epoch and of its mark.
   bool PutEpoch(const std::string& key, const Record& record,
                 uint64_t mod_revision);
+  // Put for a key whose write is pending: keeps the copy that wins.
   bool PutOverPending(const std::string& key, const Record& record,
                       uint64_t mod_revision);
-  // A new epoch: all records are from before it, and pending.
-  void Rebase();
+  // Starts a new epoch: all records are from before it, so their writes are
+  // pending until the store shows that it still holds them.
+  void StartEpoch();
 
   std::unordered_map<std::string, JobRecord> jobs_;
   std::unordered_map<std::string, WaitingRecord> waiting_;
@@ -168,7 +189,8 @@
   std::unordered_map<std::string, OperatorRecord> operators_;
   LeaderRecord leader_;
   uint64_t watched_revision_ = 0;
-  // Bounded: an older one is read from the store again.
+  // The latest kMaxTerminalRecords records; older ones have to be read from
+  // the store again.
   std::unordered_map<std::string, TerminalRecord> terminal_records_;
   std::deque<std::string> terminal_order_;
   TerminalStateIndex ended_;
--- a/core/catalog/stored_records.h
+++ b/core/catalog/stored_records.h
@@ -1,4 +1,4 @@
-// What the values of the key-value store are, by kind. The encoding is in
+// The kinds of records that the key-value store holds. Their encoding is in
 // wire/.
 #pragma once
 
@@ -15,12 +15,13 @@
 
 namespace oxbow {
 
-// Who leads; under a lease.
+// The record of the leader key, which is attached to the leader's lease.
 struct LeaderRecord {
   std::string node;
-  std::string incarnation;  // of the process, which a restart changes
+  std::string incarnation;  // of the process; changes with each restart
   uint64_t mod_revision = 0;
-  // Elected to renew the workers' leases only, not to lead (Leadership).
+  // The controller was elected only to renew the workers' leases, not to lead;
+  // see Leadership.
   bool renews_only = false;
 };
 
@@ -31,14 +32,14 @@
   uint64_t mod_revision = 0;
 };
 
-// Settles a write that is unanswered: the write is conditioned on the absence
-// of a key that holds one of these. Once the key exists, the write either has
-// been applied already or never will be.
+// The record of a fence key, which makes the outcome of an unanswered write
+// final. The write has the precondition that the fence key is absent, so once
+// the key exists, the write either has been applied or never will be.
 struct WriteFence {
   uint64_t number = 0;
 };
 
-// monostate: the key does not exist.
+// Any kind of record; monostate if the key does not exist.
 using Record =
     std::variant<std::monostate, LeaderRecord, JobRecord, MachineRecord,
                  ScaleOutRecord, TerminalRecord, RolloutRecord, StoreEpoch,
--- a/core/job_lifecycle/job_lifecycle.cc
+++ b/core/job_lifecycle/job_lifecycle.cc
@@ -38,8 +38,8 @@
   if (record.terminal_state == TerminalState::kAborted) {
     job->Change(JobState::kAborted);
   }
-  // A record that was written back has a new mod revision, but is as old as it
-  // was.
+  // The mod revision tells the age of the record, except that a record that was
+  // written back after a data loss has a new mod revision although it is older.
   job->from_before = record.mod_revision <= context_.revision;
   job->tier = tiers_.Classify(job->spec());
   job->inherit(dependencies_.InheritedBy(job->id()));
@@ -63,7 +63,7 @@
   const auto it = cluster_.jobs().find(id);
   if (it == cluster_.jobs().end()) {
     AddJob(*record, now);
-    // No flush here: this may be called while a transaction is being built.
+    // Must not flush the write queue: it may be building a transaction.
     const auto added = cluster_.jobs().find(id);
     if (cancelled && added->second->live()) {
       FinishJob(*added->second, TerminalState::kAborted);
@@ -96,9 +96,9 @@
   return true;
 }
 
-// The record comes first. No user gets an answer, and no task is stopped,
-// before it is written: a leader that crashes in between must not leave a job
-// that has ended in part.
+// The terminal state is recorded before any user is told of it and before any
+// task is stopped, so that a leader that crashes in between does not leave a
+// job that has partly ended.
 void JobLifecycle::FinishJob(Job& job, TerminalState state) {
   job.Change(state == TerminalState::kDone ? JobState::kRecordingDone
                                            : JobState::kRecordingAbort);
@@ -120,8 +120,8 @@
       "job ended",
       {{"job", id},
        {"state", state == TerminalState::kDone ? "done" : "cancelled"}});
-  // A cancellation is answered once nothing is left of the job; see
-  // RetireJobOperation.
+  // Users that wait for a cancellation are notified later, by
+  // RetireJobOperation, once no task of the job can be on any machine.
   if (state == TerminalState::kDone)
     actions_.push_back(JobTerminated{id, state});
   dispatcher_.StopJob(job, now);
@@ -130,13 +130,13 @@
   cluster_.MarkChanged();
 }
 
-// The record moves to the terminal records once no task of the job can be on
-// any machine: until then a new leader needs to know what its tasks occupy. The
-// user of a cancelled job waits for that.
+// The live record is kept as long as a task of the job can be on any machine,
+// because a new leader needs it to know which capacity the tasks occupy. The
+// users that wait for a cancellation wait for the move, so it is urgent then.
 void JobLifecycle::RetireIfClear(Job& job) {
   if (!job.ended_by_record() || job.holding() > 0) return;
-  // A machine that has sent no heartbeat yet may run tasks that a former leader
-  // has started.
+  // A machine that has not reported to this leader yet may run tasks that a
+  // previous leader has started.
   if (!cluster_.AllMachinesAccountedFor()) return;
   writes_.Enqueue(std::make_unique<RetireJobOperation>(
                       context_, consistency_gate_, job.id()),
--- a/core/job_lifecycle/job_lifecycle.h
+++ b/core/job_lifecycle/job_lifecycle.h
@@ -1,6 +1,6 @@
-// A job from its record to its terminal state: added, finished, cancelled,
-// retired. Changes job states; what is recorded goes through the WriteQueue
-// (job_record_operations.h).
+// Adds, finishes, cancels and retires jobs: their life from the live record to
+// the terminal record. Changes the states of jobs, and records them through the
+// WriteQueue (job_record_operations.h).
 #pragma once
 
 #include <string>
@@ -14,10 +14,10 @@
 class DependencyCoordinator;
 class ReadConsistencyGate;
 
-// Owned by LeaderModules; called by the leader and its modules.
+// Owned by LeaderModules; used by the leader and its modules.
 class JobLifecycle {
  public:
-  // The modules that it calls.
+  // The modules that JobLifecycle calls.
   struct Modules {
     CommandDispatcher& dispatcher;
     DependencyCoordinator& dependencies;
@@ -25,24 +25,25 @@
   };
   JobLifecycle(LeaderContext& context, const Modules& modules);
 
-  // Takes up a job of the catalog that the leader does not know yet.
+  // Adds a job from the catalog that is not in the ClusterState yet.
   void AddJob(const JobRecord& record, Time now);
-  // The job's live record is new or has changed.
+  // To be called when the job's live record is new or has changed.
   void OnJobRecord(const std::string& id, Time now);
-  // Asks for the terminal state to be recorded; the job ends once it is.
+  // Requests that the terminal state be recorded. The job ends once it is.
   void FinishJob(Job& job, TerminalState state);
-  // The terminal state is recorded, by whomever: stops the job's tasks and
-  // answers its user. May be called again for the same job.
+  // To be called when the terminal state has been recorded, by this leader or
+  // another controller: stops the job's tasks, and notifies the users that wait
+  // for a completed job. May be called repeatedly for the same job.
   void OnTerminalStateRecorded(const std::string& id, TerminalState state,
                                Time now);
-  // Asks for the record of a job that has ended to move to the terminal records
-  // if nothing is left of its tasks.
+  // Requests that the record of a job that has ended be moved to the terminal
+  // records, if no task of the job can be on any machine any more.
   void RetireIfClear(Job& job);
-  // Whether the job's user may be answered that it is cancelled: nothing is
-  // left of it.
+  // Whether users may be told that the job is cancelled: it has ended, and no
+  // task of it can be on any machine any more.
   bool CancellationCompleted(const Job& job) const;
-  // Asks for the job to be cancelled; a JobTerminated follows. False: no such
-  // job.
+  // Requests the cancellation of the job; a JobTerminated action follows.
+  // Returns false if there is no such job.
   bool Cancel(const std::string& id, Time now);
 
  private:
--- a/core/job_lifecycle/job_record_operations.cc
+++ b/core/job_lifecycle/job_record_operations.cc
@@ -77,8 +77,9 @@
   }
   const Job* job = context_.cluster.FindJob(name());
   if (job == nullptr) return;
-  // A start that was unanswered for minutes has turned up since the write was
-  // built: the job is removed once that attempt is gone as well.
+  // A start command that was unanswered for minutes has turned out to have been
+  // executed after this write was built. The job is removed once that attempt
+  // is gone, too.
   if (job->holding() > 0) return;
   context_.cluster.RemoveJob(name());
 }
--- a/core/job_lifecycle/job_record_operations.h
+++ b/core/job_lifecycle/job_record_operations.h
@@ -1,6 +1,6 @@
-// The writes of a job's life cycle: its terminal state is recorded among the
-// live records, and moves to the terminal records once nothing is left of its
-// tasks.
+// The store operations that end a job. First its terminal state is set in the
+// live record; once no task of the job can be on any machine, the record is
+// moved to the terminal records.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
 
 class JobLifecycle;
 
-// Records that a live job is done or aborted.
+// Sets the terminal state in the record of a live job.
 class FinishJobOperation : public StoreOperation {
  public:
   FinishJobOperation(LeaderContext& context,
@@ -32,7 +32,8 @@
   const TerminalState terminal_state_;
 };
 
-// Moves the record of a job that has ended to the terminal records.
+// Moves the record of a job that has ended from the live to the terminal
+// records.
 class RetireJobOperation : public StoreOperation {
  public:
   RetireJobOperation(LeaderContext& context,
--- a/core/model/machine.cc
+++ b/core/model/machine.cc
@@ -7,7 +7,7 @@
 
 using enum MachineState;
 
-constexpr std::array kChanges = {
+constexpr std::array kTransitions = {
     std::pair{kBooting, kUp},    std::pair{kBooting, kDeleting},
     std::pair{kBooting, kGone},  std::pair{kUp, kDraining},
     std::pair{kUp, kDeleting},   std::pair{kUp, kGone},
@@ -29,7 +29,7 @@
       state_(record.endpoint.empty() ? kBooting : kUp) {}
 
 void Machine::Change(MachineState next) {
-  CheckedChange(state_, next, kChanges, "machine");
+  CheckedChange(state_, next, kTransitions, "machine");
 }
 
 Resources Machine::CapacityFor(const Job* job, Priority priority) const {
@@ -78,18 +78,19 @@
   Image& entry = it->second;
   if (!entry.cached) {
     if (!added && now > entry.queued_at) {
-      // Seconds from start to cached, as the design has it.
-      const double seen = gb / (now - entry.queued_at);
+      // The time counts from when the image was queued, so the figure includes
+      // the delay of the start command and the wait for a heartbeat.
+      const double observed = gb / (now - entry.queued_at);
       constexpr double kNewSampleWeight = 0.4;
       bandwidth = bandwidth == 0
-                      ? seen
-                      : bandwidth + kNewSampleWeight * (seen - bandwidth);
+                      ? observed
+                      : bandwidth + kNewSampleWeight * (observed - bandwidth);
     }
     entry.gb = gb;
     entry.cached = true;
   }
   entry.used_at = now;
-  // The worker keeps the images used last; so does this view of its cache.
+  // The worker evicts the least recently used images, so do the same here.
   while (type != nullptr && image_gb_cached() > type->cache_gb) {
     auto oldest = images_.end();
     for (auto i = images_.begin(); i != images_.end(); ++i) {
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -1,5 +1,5 @@
-// Machines as their leader sees them: their records, the exchange with their
-// worker, the task attempts on them and the images they are known to have.
+// The leader's view of a machine: its record, the state of the communication
+// with its worker, the task attempts on it and the images in its cache.
 #pragma once
 
 #include <array>
@@ -21,7 +21,8 @@
 
 namespace oxbow {
 
-// A type that the cloud offers, with the prices and times that it announces.
+// A machine type that the cloud offers, with the prices and times that the
+// cloud announces.
 struct MachineType {
   std::string name;
   Resources total;
@@ -29,29 +30,29 @@
   double fetch_gb_per_second = 1;
   double price = 0;
   double spot_price = 0;
-  double boot_seconds = 0;
+  double boot_seconds = 0;  // nominal boot time
   std::vector<std::string> zones;
 };
 
-// A machine as the key-value store holds it. Tasks go only to machines whose
+// The stored record of a machine. Tasks are placed only on machines whose
 // record names an endpoint.
 struct MachineRecord {
   std::string type;
   std::string zone;
   bool spot = false;
-  std::string endpoint;  // empty while booting
-  double requested_wall = 0;
+  std::string endpoint;       // empty while booting
+  double requested_wall = 0;  // s since 1970
   uint64_t mod_revision = 0;
 };
 
-// How far a scale-out request has got.
+// The state of a scale-out request.
 enum class ScaleOutState : uint8_t {
-  kRecording,   // the name is being written down
-  kRequesting,  // the cloud has been, or may have been, asked
-  kSettled,     // granted or refused, the record is being removed
+  kRecording,   // its record is being written
+  kRequesting,  // sent to the cloud, or possibly sent
+  kSettled,     // granted or refused; its record is being removed
 };
 
-// A scale-out request as the key-value store holds it; its name is used once.
+// The stored record of a scale-out request. Its name is never reused.
 struct ScaleOutRecord {
   std::string type;
   std::string zone;
@@ -64,44 +65,45 @@
 enum class MachineState : uint8_t {
   kBooting,
   kUp,
-  kDraining,  // gets nothing new: spot notice, fault, or scale-in
-  kDeleting,  // the cloud has been asked to delete it
-  kGone,      // the cloud has confirmed
+  kDraining,  // gets no new tasks because of a spot notice, fault or scale-in
+  kDeleting,  // the deletion has been requested from the cloud
+  kGone,      // the cloud has confirmed the deletion
 };
 
-// How far the start command of a task attempt has got.
+// The state of the start command of a task attempt.
 enum class StartProgress : uint8_t {
-  kQueued,   // not sent: certainly not there
-  kSent,     // in flight or unanswered: may be there
-  kSettled,  // the next newer message shows whether it is there
+  kQueued,   // not sent: the attempt is certainly not on the machine
+  kSent,     // in flight or unanswered: the attempt may be on the machine
+  kSettled,  // the next newer message shows whether the attempt is there
 };
 
-// A task that is, or may be, on the machine, or whose exit is still reported.
-// `job`, `phase`, `reason`, `need`, `holds` and `stopping` are changed by
-// ClusterState, or right before the attempt is added to it.
+// A task attempt that is, or may be, on a machine, or whose exit the worker
+// still reports. Once the attempt has been added to the ClusterState, only that
+// changes `job`, `phase`, `reason`, `need`, `holds` and `stopping`.
 struct TaskAttempt {
-  Job* job = nullptr;  // null: of a job that is no longer known
+  Job* job = nullptr;  // null if the job is unknown
   std::string job_id;
   uint32_t task = 0;
   uint64_t attempt = 0;
   StartProgress start_progress = StartProgress::kSettled;
-  uint64_t last_seq = 0;  // of the latest message that listed it
+  uint64_t last_seq = 0;  // number of the latest message that listed it
   TaskPhase phase = TaskPhase::kFetching;
   ExitReason reason = ExitReason::kNone;
-  Resources need;      // what it occupies of the machine; zero once exited
-  bool holds = false;  // its need is charged to machine, team and job
+  Resources need;      // the capacity that it occupies; zero once it has exited
+  bool holds = false;  // whether `need` is charged to machine, team and job
   Time started = 0;
   Time running_since = 0;
-  // Started although the team's quota was held for another job: it fits beside
-  // that job. Known to the leader that started it alone.
+  // Whether the attempt was backfilled: started although the team's quota was
+  // reserved for another job, because both fit. Only the leader that started
+  // the attempt knows this.
   bool beside_held_quota = false;
-  bool stopping = false;
-  double stop_grace = 0;
+  bool stopping = false;  // the leader has decided to stop it
+  double stop_grace = 0;  // time to save its state before it is killed, s
   Time stop_sent = 0;
-  bool forgetting = false;
+  bool forgetting = false;  // the worker is told to stop reporting its exit
 };
 
-// Identifies an attempt on its machine.
+// Identifies an attempt among those on its machine.
 struct TaskAttemptKey {
   std::string job_id;
   uint32_t task;
@@ -113,29 +115,30 @@
   return {attempt.job_id, attempt.task, attempt.attempt};
 }
 
-// Commands in flight to a worker. One batch at a time: then every message of
-// the worker either came before the batch or shows its effect.
+// Commands in flight to a worker. Only one batch is in flight at a time, so
+// that every message of the worker was either sent before the batch arrived or
+// shows its effect.
 struct Batch {
   uint64_t id = 0;
   std::vector<WorkerCommand> commands;
-  // In the response to a heartbeat: acknowledged by the next heartbeat.
+  // Sent in the response to a heartbeat; the next heartbeat acknowledges it.
   bool in_response = false;
 };
 
-// Capacity reserved for a job that waits for a machine to be drained.
+// Capacity on a machine that is reserved for a waiting job.
 struct Reservation {
   Job* job = nullptr;
   Resources need;
   Priority priority = Priority::kNormal;
   Time until = 0;
-  // For a job that can't start yet. Work of lower priority may use the capacity
-  // meanwhile, since it is preempted when the time comes.
+  // The reservation is for a job that can't start yet. Tasks of lower priority
+  // may use the capacity meanwhile, since the job preempts them when it starts.
   bool part = false;
 };
 
-// A machine as the leader sees it. Belongs to ClusterState, which alone changes
-// the capacity accounting and the task attempts; the other fields belong to the
-// modules that are named at them.
+// The leader's view of a machine. Owned by ClusterState, which alone changes
+// the capacity accounting and the set of task attempts. The comments on the
+// other fields name the modules that change them.
 class Machine {
  public:
   Machine(std::string host, const MachineRecord& record, int32_t index,
@@ -144,92 +147,102 @@
   const std::string& host() const { return host_; }
   int32_t index() const { return index_; }
   MachineState state() const { return state_; }
-  // The one function for a machine's change of state.
+  // Changes the state. Throws IllegalTransition if the change is not allowed.
   void Change(MachineState next);
 
   Resources total() const { return type ? type->total : Resources{}; }
   Resources free() const { return total() - used; }
   // Free capacity for a job of this priority, less what is reserved for others.
   Resources CapacityFor(const Job* job, Priority priority) const;
-  // Whether the worker has shown the current token, so nothing sent with an
-  // older one, by this leader or another, can be executed any more.
+  // Whether the worker has shown the current token. Then it no longer executes
+  // commands with an older one, from this leader or another.
   bool confirmed() const { return seen_fencing_token >= token; }
 
-  // Images. The queue holds those of starts sent and not yet seen cached.
+  // Images. An image is queued from the time when the start of a task that
+  // needs it is sent until it is known to be in the worker's cache.
+  // The amount to download before a task with this image can run, of an image
+  // of `gb` GB: zero if the image is cached or queued.
   double BytesToFetch(const std::string& image, double gb) const;
   void QueueImage(const std::string& image, double gb, Time now);
   void ImageCached(const std::string& image, double gb, Time now);
   void DropQueuedImage(const std::string& image);
+  // Whether the image is in the worker's cache.
   bool HasImage(const std::string& image) const;
   double image_gb_cached() const;
   double image_gb_queued() const;
 
-  // Recorded facts.
+  // Fields from the machine's record.
   std::string type_name;
   std::string zone;
   bool spot = false;
   std::string endpoint;
-  bool recorded_up = false;  // record with endpoint is in the key-value store
+  bool recorded_up = false;  // the stored record has an endpoint
   const MachineType* type = nullptr;
   Time requested_at = 0;
 
-  // The exchange with its worker. Changed by WorkerSessions, CommandDispatcher
+  // Communication with the worker. Changed by WorkerSessions, CommandDispatcher
   // and LivenessMonitor.
   WorkerIncarnation incarnation;
   Reachability reachability;
-  uint64_t seq = 0;
+  uint64_t seq = 0;                     // number of the latest message
   FencingToken token;                   // the one this leader uses for it
   FencingToken seen_fencing_token = 0;  // the highest the worker has shown
-  Time last_heard = -1e9;
-  Time last_heartbeat = -1e9;  // by which its lease is renewed
-  bool forwarded = false;      // that one came by way of another controller
-  Time first_answer = -1e9;    // to a heartbeat, by this leader
-  Time last_answer = -1e9;
-  // The other controllers, asked about a silent machine: when last, when one
-  // of them last reached it, and when last nobody did.
+  Time last_heard = -1e9;               // when the last message arrived
+  // When the last heartbeat arrived; only heartbeats renew the worker's lease.
+  Time last_heartbeat = -1e9;
+  bool forwarded = false;    // another controller forwarded that heartbeat
+  Time first_answer = -1e9;  // when this leader first answered a heartbeat
+  Time last_answer = -1e9;   // when this leader last answered a heartbeat
+  // When the other controllers were last asked whether they reach the silent
+  // machine, when one of them last reached it, and when last none of them did.
   Time asked_about = -1e9;
   Time reached_by_other = -1e9;
   Time reached_by_none = -1e9;
-  bool reported = false;  // under this leader
-  // In no record, and it has shown no token of this leader: its message may be
-  // a delayed copy of one of a machine that is deleted.
+  bool reported = false;  // has sent its tasks to this leader
+  // The machine has no record and has shown no token of this leader: its
+  // message may be a delayed duplicate from a machine that has been deleted.
   bool stranger = false;
   std::optional<Batch> batch;
-  bool batch_lost = false;  // unanswered: may be executed until token shows
-  std::deque<WorkerCommand> queue;
-  Time direct_broken_until = 0;  // commands go in responses meanwhile
-  uint32_t direct_failures = 0;  // in a row
+  // A batch got no response: its commands may still be executed until the
+  // worker shows the current token.
+  bool batch_lost = false;
+  std::deque<WorkerCommand> queue;  // commands to be sent
+  // Until then commands are sent only in responses to heartbeats, because
+  // connections to the worker have failed.
+  Time direct_broken_until = 0;
+  uint32_t direct_failures = 0;  // consecutive failed connections
+  // When the cloud reclaims the machine, if it has announced that.
   std::optional<Time> notice_until;
 
   // The task attempts and the sums over them. Only ClusterState may add or
-  // remove attempts or change these sums: it keeps them equal to what the
-  // attempts occupy. Everybody may read.
+  // remove attempts or change these sums; it keeps them consistent. Every
+  // module may read them.
   std::map<TaskAttemptKey, TaskAttempt> task_attempts;
-  // Tasks of no known job that are there. What they occupy is not known, so
-  // nothing is placed on the machine meanwhile.
+  // The number of tasks on the machine whose job is unknown. The capacity that
+  // they occupy is unknown, too, so nothing is placed on the machine meanwhile.
   int orphaned_tasks = 0;
-  Resources used;     // by attempts that are, or may be, there
-  Resources staying;  // the part of it that services use
-  Resources lasting;  // the part of it that all but job arrays use
-  Resources leaving;  // the part of it that is being stopped
-  std::array<Resources, kPriorities> used_by;  // by priority
+  Resources used;     // by attempts that are, or may be, on the machine
+  Resources staying;  // the part of `used` that services use
+  Resources lasting;  // the part of `used` that services and gangs use
+  Resources leaving;  // the part of `used` whose attempts are being stopped
+  std::array<Resources, kPriorities> used_by;  // `used` by priority
 
   std::vector<Reservation> reservations;
   std::vector<std::string> failed_jobs;  // distinct jobs that failed here
   Time distrusted_until = 0;             // cordoned until then
   Time idle_since = 0;
   Time delete_sent = -1e9;
-  bool given_up = false;  // deletion was asked for its silence
+  bool given_up = false;  // its deletion was requested because it was silent
   Time next_review = 0;
   bool missing_in_list = false;
-  double bandwidth = 0;  // measured GB/s; 0 until a fetch was seen
+  double bandwidth = 0;  // average of measured downloads, GB/s; 0 before
 
  private:
   struct Image {
     double gb = 0;
     bool cached = false;
     Time queued_at = 0;
-    Time used_at = 0;
+    Time used_at = 0;  // when a task last needed it
   };
   std::string host_;
   int32_t index_;
