--- a/core/model/expected.h
+++ b/core/model/expected.h
@@ -1,5 +1,5 @@
-// The result of what may fail: a value, or a typed error. The interface of
-// std::expected, until the language has it.
+// The result of an operation that may fail: a value or a typed error. Has the
+// interface of std::expected, which C++20 lacks.
 #pragma once
 
 #include <tl/expected.hpp>
--- a/core/model/fencing_token.h
+++ b/core/model/fencing_token.h
@@ -1,12 +1,13 @@
-// The type of fencing tokens. How a leader makes them: core/lease.
+// The type of fencing tokens. Leaders generate them with FencingTokenSource
+// (core/lease).
 #pragma once
 
 #include <cstdint>
 
 namespace oxbow {
 
-// Rises with every leader, and within one leadership. A worker that has seen a
-// token executes nothing that carries a lower one.
+// Increases with every new leader and within a leadership. A worker that has
+// seen a token rejects commands with a lower one.
 using FencingToken = uint64_t;
 
 }  // namespace oxbow
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -11,66 +11,69 @@
 
 namespace oxbow {
 
-// How far a worker has got with a task.
+// The phase of a task attempt on its worker.
 enum class TaskPhase : uint8_t {
-  kFetching,
-  kWaiting,
+  kFetching,  // the image is being downloaded
+  kWaiting,   // for the other tasks of its gang
   kRunning,
-  kSaving,
+  kSaving,  // the state is being saved before the stop
   kExited
 };
 
-// Why a task is not running any more, as the worker says.
+// Why a task attempt has exited, according to the worker.
 enum class ExitReason : uint8_t {
-  kNone,
+  kNone,  // it has not
   kDone,
   kStopped,
-  kPeersGone,
-  kAlone,
+  kPeersGone,  // other tasks of its gang ended before it was done
+  kAlone,      // the other tasks of its gang did not start in time
   kError,
-  kNoRoom,
+  kNoRoom,  // the machine lacks capacity for it
   kBusy,
   kUnknownTask,
 };
 
-// One task attempt as listed in a heartbeat.
+// The status of one task attempt in a heartbeat.
 struct TaskStatus {
   std::string job_id;
   uint32_t task = 0;
   uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kFetching;
   ExitReason reason = ExitReason::kNone;
-  bool saved = false;
+  bool saved = false;  // its state was saved before it exited
 };
 
-// A worker's periodic message: who it is, and everything that is on its
-// machine. Also the answer to a probe or to a batch of commands.
+// A worker's periodic message: its identity and all task attempts on its
+// machine. The response to a probe or to a batch of commands has the same form.
 struct Heartbeat {
   std::string host;
   std::string endpoint;
   std::string type;
   std::string zone;
   bool spot = false;
-  uint64_t incarnation = 0;
-  uint64_t seq = 0;
-  FencingToken token = 0;
+  uint64_t incarnation = 0;  // of the worker; increases with each new one
+  uint64_t seq = 0;          // increases with each message
+  FencingToken token = 0;    // the highest that the worker has seen
+  // The time until the cloud reclaims the spot machine, if it has announced
+  // that.
   std::optional<double> notice_seconds;
   std::vector<TaskStatus> tasks;
-  // Forwarded by another controller, which answers the worker for the leader.
-  // Not part of the worker's message.
+  // Another controller has forwarded the heartbeat and answers the worker on
+  // the leader's behalf. Not part of the worker's message.
   bool forwarded = false;
 };
 
-// What a worker is told to do with a task attempt.
+// What a worker has to do with a task attempt. After kForget it does not report
+// the exit of the attempt any more.
 enum class CommandKind : uint8_t { kStart, kStop, kForget };
 
-// One command to a worker. Commands are idempotent per attempt.
+// One command to a worker. Commands are idempotent for each attempt.
 struct WorkerCommand {
   CommandKind kind = CommandKind::kStart;
   std::string job_id;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  double grace_seconds = 0;
+  double grace_seconds = 0;  // for kStop: time to save the task's state
 };
 
 }  // namespace oxbow
--- a/core/model/job.cc
+++ b/core/model/job.cc
@@ -9,9 +9,9 @@
 
 using enum TaskState;
 
-constexpr std::array kTaskChanges = {
+constexpr std::array kTaskTransitions = {
     std::pair{kPending, kStarting},
-    // After a failover a task is first seen wherever it has got to.
+    // After a failover the new leader first sees a task in any state.
     std::pair{kPending, kFetching},
     std::pair{kPending, kWaiting},
     std::pair{kPending, kRunning},
@@ -40,12 +40,12 @@
     std::pair{kSaving, kPending},
 };
 
-constexpr std::array kJobChanges = {
+constexpr std::array kJobTransitions = {
     std::pair{JobState::kAccepted, JobState::kRecordingDone},
     std::pair{JobState::kAccepted, JobState::kRecordingAbort},
     std::pair{JobState::kRecordingDone, JobState::kDone},
     std::pair{JobState::kRecordingAbort, JobState::kAborted},
-    // The write had no answer and a fresh read shows what was recorded.
+    // The write was unanswered, and a later read shows what was recorded.
     std::pair{JobState::kAccepted, JobState::kDone},
     std::pair{JobState::kAccepted, JobState::kAborted},
     std::pair{JobState::kRecordingDone, JobState::kAborted},
@@ -54,29 +54,30 @@
 
 bool OnMachine(TaskState state) { return state != kPending && state != kDone; }
 
-// At most so many bytes of the word, and no part of a character.
-std::string Cut(const std::string& word, size_t most) {
-  const auto within = [](char c) {
+// The beginning of a UTF-8 text: at most `max_bytes` bytes, whole
+// characters.
+std::string TruncateUtf8(const std::string& text, size_t max_bytes) {
+  const auto is_continuation_byte = [](char c) {
     return (static_cast<unsigned char>(c) & 0xc0) == 0x80;
   };
-  if (word.size() <= most) return word;
-  while (most > 0 && within(word[most])) --most;
-  return word.substr(0, most);
+  if (text.size() <= max_bytes) return text;
+  while (max_bytes > 0 && is_continuation_byte(text[max_bytes])) --max_bytes;
+  return text.substr(0, max_bytes);
 }
 
 }  // namespace
 
 JobRecord TerminatedRecord(const JobRecord& record, TerminalState state,
                            bool compact) {
-  constexpr size_t kMostWord = 64;
+  constexpr size_t kMaxTextBytes = 64;  // of each text in a compact record
   JobRecord ended = record;
   ended.terminal_state = state;
   if (!compact) return ended;
   auto spec = std::make_shared<JobSpec>(*record.spec);
   spec->types.reset();
   spec->dependencies.clear();
-  spec->image = Cut(spec->image, kMostWord);
-  spec->job_class = Cut(spec->job_class, kMostWord);
+  spec->image = TruncateUtf8(spec->image, kMaxTextBytes);
+  spec->job_class = TruncateUtf8(spec->job_class, kMaxTextBytes);
   ended.spec = std::move(spec);
   return ended;
 }
@@ -100,14 +101,14 @@
 }
 
 void Job::Change(JobState next) {
-  CheckedChange(state_, next, kJobChanges, "job");
+  CheckedChange(state_, next, kJobTransitions, "job");
 }
 
 void Job::ChangeTask(uint32_t task, TaskState next) {
   TaskSlot& slot = tasks_[task];
   if (slot.state == next) return;
   const TaskState before = slot.state;
-  CheckedChange(slot.state, next, kTaskChanges, "task");
+  CheckedChange(slot.state, next, kTaskTransitions, "task");
   if (before == kRunning) --running_;
   if (next == kRunning) ++running_;
   if (!OnMachine(before) && OnMachine(next)) ++placed_;
@@ -133,7 +134,9 @@
   here.listed += listed;
   holding_ += holding;
   if (here.holding < 0 || here.listed < here.holding) {
-    throw IllegalTransition("presence of " + id() + " below what is there");
+    throw IllegalTransition("job " + id() +
+                            ": number of attempts on a machine is negative or "
+                            "below the number that occupy capacity");
   }
   if (here.listed == 0) presence_.erase(machine);
 }
@@ -142,7 +145,7 @@
   while (!pending_.empty()) {
     const uint32_t i = pending_.back();
     if (tasks_[i].state == kPending) return i;
-    PopPending();  // adopted from a heartbeat while it stood in the list
+    PopPending();  // a heartbeat showed an attempt while the task was listed
   }
   return -1;
 }
--- a/core/model/log_event.h
+++ b/core/model/log_event.h
@@ -1,5 +1,6 @@
-// What the core has to say in the log: a stable message and named fields. The
-// core does no I/O; the shell renders and writes it.
+// Log events: a stable message and named fields. The leader's logic does no
+// I/O, so it returns its log events as actions, and the application writes
+// them.
 #pragma once
 
 #include <string>
@@ -10,7 +11,7 @@
 
 namespace oxbow {
 
-// A named value of a log event, already as text.
+// A field of a log event, with its value as text.
 struct LogField {
   LogField(std::string_view field_name, std::string_view field_value)
       : name(field_name), value(field_value) {}
@@ -31,12 +32,13 @@
 
 // One line of the log.
 struct LogEvent {
-  std::string message;  // the same words each time
+  std::string message;  // constant text; variable parts go into `fields`
   LogFields fields = {};
-  bool detail = false;  // one of many: for a person who looks for a fault
+  bool detail = false;  // frequent event that is useful only for debugging
 };
 
-// `msg="draining machine" host=n-3 reason="spot notice"`
+// The text of the event, such as
+// `msg="draining machine" host=n-3 reason="spot notice"`.
 std::string Render(const LogEvent& event);
 
 }  // namespace oxbow
--- a/core/model/operator_record.h
+++ b/core/model/operator_record.h
@@ -1,5 +1,6 @@
-// What operators have laid down, and what a leader must leave to its successor
-// beyond jobs and machines: one kind of record for tiers, bookings and claims.
+// A generic record for operators' declarations, which are priority tiers and
+// maintenance windows ("booking"), and for the replica moves ("move") that a
+// new leader has to continue.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +9,9 @@
 
 namespace oxbow {
 
-// A record as the key-value store holds it, under its name. The text is JSON of
-// its kind; who reads it decides what it means. Versions count up from 1 and
-// are never used twice, so a record that is withdrawn stays as a tombstone.
+// The stored record. Its text is JSON whose form depends on the kind and is
+// interpreted by the readers. Versions count up from 1 and are never reused, so
+// a withdrawn record is kept as a tombstone.
 struct OperatorRecord {
   std::string kind;  // "tiers", "booking", "move"
   std::string text;
@@ -22,10 +23,11 @@
   uint64_t mod_revision = 0;
 };
 
-// Names are paths of lower-case words: `tiers`, `calendar/rebuild-3`.
+// Whether this is a valid record name: a path of lower-case words such as
+// `tiers` or `calendar/rebuild-3`.
 inline bool ValidRecordName(std::string_view name) {
-  constexpr size_t kLongest = 100;
-  if (name.empty() || name.size() > kLongest || name.front() == '/' ||
+  constexpr size_t kMaxLength = 100;
+  if (name.empty() || name.size() > kMaxLength || name.front() == '/' ||
       name.back() == '/') {
     return false;
   }
--- a/core/model/state_machine.h
+++ b/core/model/state_machine.h
@@ -1,5 +1,5 @@
-// Shared frame of the explicit state machines: a table of the legal changes
-// and one function through which every change goes.
+// Common part of the explicit state machines: each has a table of its legal
+// transitions, and every change of state goes through CheckedChange.
 #pragma once
 
 #include <array>
@@ -10,13 +10,16 @@
 
 namespace oxbow {
 
-// A change of state that the table does not allow: a defect in the program.
-// The node reacts by giving up leadership and rebuilding from what is recorded.
+// Thrown for a transition that the table does not contain, which is a defect in
+// the program. The controller then resigns its leadership, and the next leader
+// rebuilds its state from the records.
 class IllegalTransition : public std::logic_error {
  public:
   using std::logic_error::logic_error;
 };
 
+// Sets `state` to `next` if `legal` contains that transition; throws
+// IllegalTransition otherwise. `machine` names the state machine in the error.
 template <typename State, size_t N>
 void CheckedChange(State& state, State next,
                    const std::array<std::pair<State, State>, N>& legal,
--- a/core/model/worker_incarnation.h
+++ b/core/model/worker_incarnation.h
@@ -1,5 +1,5 @@
-// What the leader knows of a worker's incarnation, and how long its tasks may
-// live.
+// The leader's knowledge of a worker's incarnation, and the time until which
+// the tasks of that incarnation may be running.
 #pragma once
 
 #include <algorithm>
@@ -9,24 +9,25 @@
 
 namespace oxbow {
 
-// What is known of the current incarnation.
+// The state of the worker's current incarnation.
 enum class IncarnationState : uint8_t {
-  kUnknown,  // which incarnation the worker is in is not known
-  kAlive,    // a message has shown it
-  kExpired,  // it and every one before it are surely over
+  kUnknown,  // no message has shown which incarnation is current
+  kAlive,    // a message has shown the incarnation
+  kExpired,  // the incarnation and all earlier ones have certainly ended
 };
 
-// What may change that.
+// Events that may change the state.
 enum class IncarnationEvent : uint8_t {
-  kFailover,  // up to now another leader may have answered a heartbeat
-  kShown,  // a message of the worker, of whatever kind, names its incarnation
-  kAnswered,  // a heartbeat is being answered, however old
-  kExpire,    // a whole lease has passed since anybody can have answered
+  kFailover,  // another leader may have answered heartbeats until now
+  kShown,     // a message of the worker, of any kind, names its incarnation
+  kAnswered,  // a heartbeat, of any age, is being answered
+  kExpire,    // a whole lease has passed since a heartbeat can have been
+              // answered
 };
 
-// The last moment at which a task may live whose lease counts from
-// `counted_from`, with a margin for the drift of both clocks and the resolution
-// of both sides' timers.
+// The latest time at which a task may still be running if its worker's lease
+// counts from `counted_from`. Includes a margin for the drift of both clocks
+// and the resolution of the timers on both sides.
 inline Time TasksMayLiveUntil(Time counted_from, double lease_seconds) {
   constexpr double kTimerMargin = 0.05;  // s
   return counted_from + lease_seconds * (1 + kDrift) + kTimerMargin;
@@ -37,19 +38,19 @@
 // began (protocol, "Leases"). The leader observes neither moment.
 // `counted_from_` is an upper bound of both, on the leader's clock:
 //
-// - A heartbeat was sent before the leader decided on its answer. So it does
-// not
-//   matter how long the process is stalled before the answer is sent.
-// - An incarnation had begun before its first message was made. The response to
-//   a command or a probe may show it long before one of its heartbeats arrives:
-//   when the leader counted from the last heartbeat answered, it once gave up
-//   an incarnation five seconds before its worker did.
-// - Another leader's answers were decided on before this one was elected.
+// - A heartbeat was sent before the leader decided on its answer, so it does
+//   not matter how long the process is stalled before the answer is sent.
+// - An incarnation had begun before its first message was sent. The response to
+//   a command or a probe may show the incarnation long before one of its
+//   heartbeats arrives. When the leader counted only from the last answered
+//   heartbeat, it once considered an incarnation expired five seconds before
+//   the worker did.
+// - Another leader decided on its answers before this one was elected.
 class WorkerIncarnation {
  public:
-  // The one function for a change. `number` is that of the incarnation for
-  // kShown, and ignored otherwise. True when a new incarnation has begun: what
-  // was there before is gone.
+  // Applies an event. `number` is the number of the incarnation for kShown, and
+  // ignored for other events. Returns true if a new incarnation has begun:
+  // nothing that was on the machine before is there any more.
   bool Change(IncarnationEvent event, uint64_t number, Time now) {
     switch (event) {
       case IncarnationEvent::kShown:
@@ -69,15 +70,18 @@
   }
 
   IncarnationState state() const { return state_; }
-  // 0: none is known.
+  // The number of the current incarnation; 0 if none is known.
   uint64_t number() const { return number_; }
-  // Whether commands can reach it: it is known, and not known to be over.
+  // Whether the current incarnation is known and not known to have ended, so
+  // that commands can be sent to it.
   bool alive() const { return state_ == IncarnationState::kAlive; }
-  // Whether a message of this incarnation can be news.
+  // Whether a message of the incarnation `number` can contain new information:
+  // false if it is from an incarnation that has ended.
   bool MayBeNews(uint64_t number) const {
     return number > number_ ||
            (number == number_ && state_ != IncarnationState::kExpired);
   }
+  // The latest time at which tasks of the current incarnation may be running.
   Time MayLiveUntil(double lease_seconds) const {
     return TasksMayLiveUntil(counted_from_, lease_seconds);
   }
