--- a/core/leader_context/actions.h
+++ b/core/leader_context/actions.h
@@ -1,5 +1,6 @@
-// What the leader's core asks of the shell, and what the shell answers: plain
-// data, so that the shell's clients do not depend on the core that decides.
+// The actions that the leader's logic requests from the application, which does
+// all I/O, and the outcomes that the application reports back. Plain data, so
+// that the application's clients do not depend on the leader's logic.
 #pragma once
 
 #include <cstdint>
@@ -36,7 +37,8 @@
   std::string endpoint;
 };
 
-// What has to hold for a CompareAndSwap to be applied.
+// A condition for a CompareAndSwap to be applied: the key has this mod
+// revision.
 struct Precondition {
   std::string key;
   uint64_t mod_revision = 0;  // 0: the key does not exist
@@ -48,45 +50,48 @@
   Record record;  // monostate deletes
 };
 
-// Write all mutations if all preconditions hold, else none. Answered by
-// Leader::OnWriteAnswer under the same id.
+// Write all mutations if all preconditions hold, and none otherwise. The
+// outcome is reported to Leader::OnWriteAnswer with the same ID.
 struct CompareAndSwap {
   uint64_t id = 0;
   std::vector<Precondition> preconditions;
   std::vector<Mutation> mutations;
 };
 
-// Read these keys into the catalog. Answered by Leader::OnReadAnswer.
+// Read these keys into the catalog. Completion is reported to
+// Leader::OnReadAnswer with the same ID.
 struct ReadKeys {
   uint64_t id = 0;
   std::vector<std::string> keys;
 };
 
-// Whether this key of a write fence exists. Answered by Leader::OnFenceRead.
+// Read whether this fence key exists; see WriteFence. The result is reported to
+// Leader::OnFenceRead.
 struct ReadFence {
-  uint64_t number = 0;  // of the fence, within this leadership
+  uint64_t number = 0;  // of the fence key, within this leadership
   std::string key;
 };
 
-// What a read of a fence key has shown.
+// The result of a read of a fence key.
 enum class FenceReadResult : uint8_t {
   kExists,
-  kNotShown,  // not there, or not read: it may yet be written
+  kNotShown,  // the key is absent or the read failed: it may yet be written
 };
 
-// Request machines of the cloud. Repeated under the same name, the request
-// grants the same machines.
+// Request machines from the cloud. Requests are idempotent by name: a repeated
+// request grants the same machines.
 struct RequestScaleOut {
   std::string name;
   ScaleOutRecord scale_out;
 };
 
-// Delete machines of the cloud.
+// Request the deletion of machines from the cloud.
 struct DeleteMachines {
   std::vector<std::string> hosts;
 };
 
-// The job's terminal state is recorded: users that wait for it can be answered.
+// Notify the users that wait for the end of the job: its terminal state is
+// recorded.
 struct JobTerminated {
   std::string id;
   TerminalState state = TerminalState::kNone;
@@ -96,39 +101,45 @@
 struct CheckInstance {
   std::string rollout;
   TaskAttemptKey key;
-  std::string endpoint;  // of its machine's worker; its address is used
+  // The endpoint of the replica's worker; only its address is used.
+  std::string endpoint;
   std::shared_ptr<const RolloutSpec> spec;
 };
 
-// Ask every controller, this one too, which of these machines it reaches.
+// Ask every controller, including this one, which of these machines it reaches.
 struct AskReach {
   uint64_t round = 0;
-  bool sample = false;  // of all machines; else those that are silent
+  // Whether the machines are a sample of all; otherwise they are silent ones.
+  bool sample = false;
   std::vector<std::string> hosts;
-  std::vector<std::string> endpoints;  // of the same
+  std::vector<std::string> endpoints;  // in the order of `hosts`
 };
 
-// Ask another controller to lead; if it agrees, this one steps down.
+// Offer the leadership to another controller. If it accepts, this controller
+// steps down.
 struct OfferLeadershipTransfer {
   std::string to;
   std::string why;
 };
 
-// Ask these controllers to yield their delegated leases for a moment.
+// Ask these controllers to yield their delegated leases temporarily.
 struct RequestLeaseYield {
   std::vector<std::string> peers;
 };
 
-// Read again which controllers have a recorded delegated lease.
+// Read which controllers have a recorded delegated lease. The result is
+// reported to Leader::OnDelegatesRead.
 struct ReadDelegates {};
 
-// A task runs whose job is unknown here: read the job's record.
+// Read the record of a job that the leader does not know although one of its
+// tasks is running.
 struct RequestJobRecord {
   std::string id;
 };
 
-// Another job depends on this one, which is unknown here: read its waiting
-// record, its live record and its terminal record, in this order.
+// Read the waiting record, the live record and the terminal record, in this
+// order, of a job that another job depends on and that the leader does not
+// know. Completion is reported to Leader::OnTerminalStateRead.
 struct ReadTerminalState {
   std::string id;
 };
@@ -136,7 +147,9 @@
 // Step down as the leader.
 struct Resign {
   std::string reason;
-  bool unfit = false;  // other controllers should be elected first
+  // Other controllers are fitter to lead, so this one lets them be elected
+  // first.
+  bool unfit = false;
 };
 
 using Action =
@@ -146,37 +159,37 @@
                  ReadDelegates, RequestJobRecord, ReadTerminalState, Resign,
                  LogEvent>;
 
-// --- answers
+// --- outcomes
 
-// Of a CompareAndSwap.
+// The outcome of a CompareAndSwap.
 enum class WriteOutcome {
   kApplied,
   kConflict,     // some preconditions did not hold; nothing was changed
-  kNotExecuted,  // it never will be
+  kNotExecuted,  // it was not applied and never will be
   kRefused,      // larger than the store accepts; nothing was changed
-  kUnknown,      // may have been applied, or may be later
+  kUnknown,      // it may have been applied or may still be applied later
 };
-// Of a batch of commands.
+// The outcome of a batch of commands.
 enum class CommandOutcome { kExecuted, kRefused, kNotSent, kUnknown };
-// Of a request for machines.
+// The outcome of a request for machines.
 enum class ScaleOutOutcome { kGranted, kNoCapacity, kTryLater, kRejected };
 
-// The answer to a worker's heartbeat.
+// The response to a worker's heartbeat.
 struct HeartbeatResponse {
-  // Not to be answered: the heartbeat is a copy or so old that its worker does
-  // not wait any more.
+  // The heartbeat must not be answered: it is a duplicate, or so old that its
+  // worker does not wait for the response any more.
   bool refused = false;
-  // Not to be answered: its machine's lease is allowed to expire.
+  // The heartbeat must not be answered, so that the worker's lease expires.
   bool withheld = false;
   FencingToken token = 0;
   std::vector<WorkerCommand> commands;
 };
 
-// A live job as the leader sees it.
+// The leader's view of a live job, for users.
 struct JobView {
   std::string_view status;
-  uint32_t done = 0;     // tasks
-  uint32_t running = 0;  // tasks
+  uint32_t done = 0;     // number of tasks
+  uint32_t running = 0;  // number of tasks
 };
 
 // An entry of the cloud's list of machines.
--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -1,7 +1,7 @@
-// What every module of one leadership works with: its settings, its term, the
-// state that all of them read, and the output of the core. One exists per
-// leadership and lives as long as the leader. Modules hold references to what
-// they need of it.
+// What the modules of one leadership share: the settings, the term, the state
+// that all of them read, and the list of actions that they return. One object
+// exists per leadership and lives as long as its Leader. Modules keep
+// references to the members that they need.
 #pragma once
 
 #include <cstdint>
@@ -31,43 +31,44 @@
   const Settings& settings;
   const Tuning& tuning;
 
-  // The revision of the leader key; and the term of this leadership, the upper
-  // part of its fencing tokens, which never occurs again even if the store has
-  // lost data.
+  // `revision`: the mod revision of the leader key. `term`: the upper part of
+  // this leadership's fencing tokens; it never occurs again, even if the
+  // key-value store has lost data.
   const uint64_t revision;
   const uint64_t term;
   const Time started;
-  // Added to a time of the steady clock, gives that of the wall clock, s.
+  // The wall clock minus the steady clock, s.
   const double wall_minus_steady;
   const SilenceTimeouts timeouts;
 
   Catalog& catalog;
   ClusterState& cluster;
   WriteQueue& writes;
-  // What the shell is to do; taken by Leader::TakeActions.
+  // Actions for the application to carry out; see Leader::TakeActions.
   std::vector<Action>& actions;
   TierPolicy& tiers;
   LivenessMonitor& liveness;
   FragmentationIndex& fragmentation;
   QueueRanking& queue_ranking;
   RunTimeEstimates& run_times;
-  // Runs a scheduling pass at once, if one is due.
+  // Runs a scheduling pass immediately if one is due.
   std::function<void(Time now)> schedule_if_needed;
 
   FencingTokenSource numbers;
-  // This leadership is over: nothing may be started or sent any more.
+  // Whether this leadership is over. If so, nothing may be started or sent any
+  // more.
   bool resigned = false;
-  // Whether details are logged.
+  // Whether log events with LogEvent::detail are logged.
   bool log_detail = false;
 
-  // The next attempt number or fencing token. 0: the numbers of this term are
-  // used up, and the leadership is over.
+  // The next number, for an attempt or a fencing token. Returns 0, and resigns,
+  // if the numbers of this term are used up.
   uint64_t NextNumber() {
     const std::optional<uint64_t> number = numbers.Next();
     if (!number) GiveUp("numbers of this revision are used up");
     return number.value_or(0);
   }
-  // Ends this leadership; the first reason counts.
+  // Resigns the leadership. Only the first call has an effect.
   void GiveUp(std::string reason) {
     if (!resigned) actions.push_back(Resign{std::move(reason)});
     resigned = true;
@@ -75,8 +76,8 @@
   void Log(std::string message, LogFields fields = {}) {
     actions.push_back(LogEvent{std::move(message), std::move(fields)});
   }
-  // `event`: returns a LogEvent; called only when details are logged, since
-  // there is one for every task.
+  // Logs an event that occurs once per task. `event` is a function that returns
+  // the LogEvent; it is called only if details are logged.
   template <typename Event>
   void LogDetail(const Event& event) {
     if (!log_detail) return;
--- a/core/leader_context/run_time_estimates.h
+++ b/core/leader_context/run_time_estimates.h
@@ -1,5 +1,5 @@
-// How long tasks of a class run: as their users estimate until enough tasks
-// have been observed, as observed from then on.
+// Estimates how long the tasks of a class run: the users' estimates until
+// enough tasks have been observed, the observed average from then on.
 #pragma once
 
 #include <algorithm>
@@ -13,21 +13,24 @@
 // Owned by LeaderModules; every module may read it.
 class RunTimeEstimates {
  public:
-  // A task of the class has run to its end.
+  // To be called when a task of the class has run to its end.
   void Observe(const std::string& job_class, double run_seconds) {
-    constexpr int kWindow = 50;  // later ones count a fiftieth each
+    // Arithmetic mean of the first 50 tasks; each later task has a weight of
+    // one fiftieth.
+    constexpr int kWindow = 50;
     Observed& observed = classes_[job_class];
     ++observed.tasks;
     observed.mean_seconds += (run_seconds - observed.mean_seconds) /
                              std::min(observed.tasks, kWindow);
   }
 
-  // Of one task of such a job, s.
+  // The estimated run time of one task of such a job, s.
   double RunSeconds(const JobSpec& spec) const {
-    // Estimates are often wrong by half: observations count more.
-    constexpr int kEnough = 5;
+    // Users' estimates are often wrong by half, so a few observations are more
+    // reliable.
+    constexpr int kMinObservedTasks = 5;
     const auto it = classes_.find(spec.job_class);
-    if (it != classes_.end() && it->second.tasks >= kEnough) {
+    if (it != classes_.end() && it->second.tasks >= kMinObservedTasks) {
       return it->second.mean_seconds;
     }
     return spec.estimate_seconds;
--- a/core/model/reachability.cc
+++ b/core/model/reachability.cc
@@ -24,40 +24,43 @@
     Change(ReachabilityEvent::kEffectMissing, workers, now);
   }
   if (ShowsTimeoutPattern(heartbeat.seconds_since_last, workers)) {
-    timeouts_in_a_row_ = 0;
+    consecutive_timeouts_ = 0;
     Change(ReachabilityEvent::kTimeoutPattern, workers, now);
   }
 }
 
-// Whether the time between heartbeats is that of a worker which waits for each
-// response in vain.
 bool Reachability::ShowsTimeoutPattern(double seconds_since_last,
                                        const WorkerSettings& workers) {
   constexpr double kEarlySeconds = 0.1;
-  constexpr double kLateSeconds = 1.6;  // the way back by a 421, and travel
-  constexpr double kLongestInterval = 1.25;  // of the configured interval
+  // The worker is redirected by a response with status 421 before it finds this
+  // leader again, and the messages take time.
+  constexpr double kLateSeconds = 1.6;
+  // The longest regular interval, as a multiple of the configured one.
+  constexpr double kLongestInterval = 1.25;
   const double timeout = kHeartbeatTimeoutSeconds + kRetryPauseSeconds;
   const bool as_after_timeout = seconds_since_last > timeout - kEarlySeconds &&
                                 seconds_since_last < timeout + kLateSeconds;
-  timeouts_in_a_row_ = as_after_timeout ? timeouts_in_a_row_ + 1 : 0;
-  // Heartbeats that far apart come from a healthy machine, too, where the
-  // interval is long. One more in a row, then: the lease ends it anyway.
+  consecutive_timeouts_ = as_after_timeout ? consecutive_timeouts_ + 1 : 0;
+  // With a long heartbeat interval, heartbeats of a healthy machine are that
+  // far apart, too, so one more is required in a row. If the machine really
+  // receives nothing, its lease expires soon anyway.
   const double longest = kLongestInterval * workers.heartbeat_interval_seconds;
   const int enough = longest < timeout - 2 * kEarlySeconds ? 2 : 3;
-  // After a long silence it may be a delayed copy of a message of a machine
-  // that is dead by now; the delivery check settles it (MustBeOld).
+  // After a long silence the heartbeat may be a delayed copy from a machine
+  // that has failed since. A delivery check shows whether it is; see MustBeOld.
   const bool long_silence =
       responded_at_ != kNever && seconds_since_last > workers.lease_seconds / 2;
   return long_silence ||
-         (longest < timeout + kEarlySeconds && timeouts_in_a_row_ >= enough);
+         (longest < timeout + kEarlySeconds && consecutive_timeouts_ >= enough);
 }
 
 void Reachability::OnIncarnationEnded(const WorkerSettings& workers, Time now) {
-  constexpr double kSurely = 0.95;  // both clocks drift
+  // Part of the lease; the rest is a margin for the drift of both clocks.
+  constexpr double kLeaseShare = 0.95;
   const bool recently_answered =
-      now - responded_at_ < kSurely * workers.lease_seconds;
-  // What a new leader receives first may be of an incarnation that is just
-  // over.
+      now - responded_at_ < kLeaseShare * workers.lease_seconds;
+  // The first message that a new leader receives may be from an incarnation
+  // that has just ended.
   const bool first = !has_restarted_ && responded_at_ == kNever;
   response_seq_ = 0;
   unshown_since_ = kNever;
@@ -122,9 +125,10 @@
   state_ = ReachabilityState::kReceivesNoResponses;
 }
 
-// A machine that loses contact again and again has to prove delivery once more
-// after a while, longer each time: each second in which it receives responses
-// would otherwise cost it a lease of work.
+// A machine that loses contact repeatedly has to prove delivery once more after
+// a pause, which is longer each time. Otherwise every short period in which it
+// receives responses would give it new tasks, whose work is lost when its lease
+// expires again.
 bool Reachability::MustProveAgain(const WorkerSettings& workers, Time now) {
   constexpr double kForgottenAfterLeases = 3;
   constexpr int kMaxDoublings = 2;
--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -1,4 +1,4 @@
-// What the platform's settings file says, as plain data.
+// The platform's settings file and the operators' tuning file, as plain data.
 #pragma once
 
 #include <cstddef>
@@ -8,17 +8,19 @@
 
 namespace oxbow {
 
-// Seconds on the steady clock of this process, handed in by the caller.
+// Seconds on the steady clock of this process. Functions get the current time
+// from their caller.
 using Time = double;
 
-// Another controller, as the platform lists it.
+// Another controller in the platform's settings.
 struct PeerSettings {
   std::string name;
   std::string zone;
   std::string address;
 };
 
-// Amounts of 0 mean: no guarantee, no limit.
+// A team's guaranteed and maximum numbers of cores and accelerators. 0 means
+// that there is no guarantee or no maximum.
 struct TeamQuota {
   std::string name;
   double cpus = 0;
@@ -27,7 +29,7 @@
   double gpus_max = 0;
 };
 
-// A service-level objective of a class of jobs, as its users have stated it.
+// A service-level objective for a class of jobs, stated by its users.
 struct Objective {
   std::string kind;
   std::string job_class;
@@ -45,20 +47,20 @@
   double cancel_seconds = 40;
 };
 
-// Limits of the key-value store: requests a second, and sizes.
+// Limits of the key-value store.
 struct StoreSettings {
-  double rps = 250;
-  double write_rps = 100;
-  double value_kb = 8;
-  int txn_ops = 16;
-  // What is stored may be larger than what may be written: the service may
-  // lower its limits, and what it holds stays readable.
+  double rps = 250;        // requests per second
+  double write_rps = 100;  // writes per second
+  double value_kb = 8;     // size of a value that is written
+  int txn_ops = 16;        // mutations in a transaction
+  // Size of a value that is read. May exceed `value_kb`, because values that
+  // were written before the service lowered its limit stay readable.
   double stored_value_kb = 8;
 
   size_t most_value_bytes() const {
     return static_cast<size_t>(value_kb * 1024);
   }
-  // Whether a transaction may hold so many changes.
+  // Whether a transaction may contain so many mutations.
   bool FitsTransaction(size_t mutations) const {
     return mutations <= static_cast<size_t>(txn_ops);
   }
@@ -66,18 +68,19 @@
 
 // Limits of the cloud's API.
 struct CloudSettings {
-  double rps = 8;
-  double list_lag_seconds = 5;
+  double rps = 8;               // requests per second
+  double list_lag_seconds = 5;  // how outdated the list of machines may be
 };
 
-// What this process may use. 0: no limit is known.
+// Resource limits of this process. 0 means that no limit is known.
 struct LimitSettings {
   double cpu_share = 0;
   double memory_mb = 56;
   int max_connections = 700;
 
-  // The shares of them; the rest is for the connections to the key-value store,
-  // the cloud, the other controllers and instances whose health is checked.
+  // How many connections may be used to serve requests, and for connections to
+  // workers. The rest is for connections to the key-value store, the cloud, the
+  // other controllers and the replicas whose health is checked.
   size_t served_connections() const { return ShareOfConnections(0.75); }
   size_t worker_connections() const { return ShareOfConnections(0.15); }
 
@@ -87,7 +90,7 @@
   }
 };
 
-// Everything that the platform's settings file says.
+// The contents of the platform's settings file.
 struct Settings {
   std::string node;
   std::string zone;
@@ -96,7 +99,7 @@
   std::vector<PeerSettings> peers;
   std::string cloud_address;
   std::string store_address;
-  int nodes = 1;
+  int nodes = 1;  // number of controllers
   std::vector<std::string> zones;
   std::vector<TeamQuota> teams;
   std::vector<Objective> objectives;
@@ -107,63 +110,72 @@
   double clock_off_ms = 0;
 };
 
-// The operators' own file: weights and pacing. Every default is a ratio to a
-// figure of the platform's settings or a pure weight.
+// The operators' tuning file: weights, limits and switches. Every default is a
+// weight or a ratio to a figure of the platform's settings, so that it suits
+// clusters of every size.
 struct Tuning {
-  // w of the design: weight of the fetch time against the other terms.
+  // Weights of the terms of the placement score: image download time, spread
+  // over zones, packing, accelerators, price.
   double fetch_weight = 1.0;
   double spread_weight = 0.9;
   double pack_weight = 0.3;
   double accelerator_weight = 0.6;
   double price_weight = 0.2;
-  // Every job is to begin within so long, s, wherever the room is there: the
-  // operators' rule. 0: the minimum share of the queue's order is off.
+  // Every job should start within this time, s, where there is capacity for it.
+  // 0: `minimum_share` is off.
   double begin_within_seconds = 0;
-  // Of a class's work that is placed while some waits: for the largest and
-  // those that have waited longest.
+  // While jobs of a class wait, the share of the class's placed work that goes
+  // to its largest jobs and to those that have waited longest.
   double minimum_share = 0.2;
-  // Weight of what a task adds to the fragmented accelerators, as a
-  // share of a machine's; 0: fragmentation is not looked at.
+  // Weight of the accelerators that become fragmented by the placement of a
+  // task, as a share of the machine's; 0: fragmentation is ignored.
   double fragmentation_weight = 0;
-  // Moves of replicas with accelerators under way, so that large work finds
-  // whole machines; 0: none. Needs fragmentation_weight.
+  // The maximum number of concurrent moves of replicas with accelerators, which
+  // free whole machines for large jobs; 0: no moves. Requires
+  // `fragmentation_weight`.
   double moves_at_once = 0;
-  // Moves begun until their services have cooled off, and for how many worker
-  // leases these do.
+  // A service whose replica was moved is not moved again for
+  // `moves_cool_leases` worker leases. `moves_budget`: the maximum number of
+  // moves begun within that time.
   double moves_budget = 24;
   double moves_cool_leases = 6;
-  // Of the moves under way, with targets in one zone; of one team; of a
-  // service's replicas.
+  // Maximum shares: of the concurrent moves those with a target in one zone, of
+  // the concurrent moves those of one team, of a service's replicas those that
+  // are moved concurrently.
   double moves_zone_share = 0.7;
   double moves_team_share = 0.7;
   double moves_service_share = 0.125;
-  // Leadership lease, as a share of the workers' lease.
+  // The lease of the leader key, as a share of the workers' lease.
   double leader_lease_ratio = 0.25;
-  // How long the others promise one who keeps workers alive in an outage of
-  // the key-value store not to seek, as a share of the workers' lease; 0:
-  // nobody keeps workers alive without leading.
+  // For how long the other controllers promise not to run for leadership to a
+  // controller that renews the workers' leases during an outage of the
+  // key-value store, as a share of the workers' lease; 0: only the leader
+  // renews workers' leases.
   double delegation_ratio = 0;
-  // Whether controllers ask for the right to keep the workers of their zone
-  // when it is cut off; 0: no.
+  // Whether controllers request delegated leases, which let them renew the
+  // leases of the workers of their zone while it is partitioned; 0: no.
   double delegate_to_zones = 0;
-  // A machine that has not reported for this share of its lease gets nothing
-  // new; after the second share it is given up.
+  // A machine that has sent no message for the first share of its lease gets no
+  // new tasks; after the second share it is given up.
   double suspect_ratio = 0.3;
   double give_up_ratio = 0.45;
-  // An idle machine is returned after this many worker leases.
+  // An idle machine is returned to the cloud after this many worker leases.
   double idle_return_leases = 4.0;
   // A machine still booting after this many times its nominal boot time is
   // replaced.
   double boot_timeout_ratio = 2.5;
-  // Who is fit to lead. A leader that hears so little of the recorded machines
-  // asks the other controllers what they reach.
+  // A leader that does not hear from this share of the recorded machines asks
+  // the other controllers which machines they reach.
   double troubled_share = 0.125;
-  // One that hears less than this can't lead, whoever else can.
+  // A leader that hears from less than this share of the recorded machines
+  // can't lead, whether or not another controller can.
   double deaf_share = 0.2;
-  // Hand-overs that are let happen within a worker lease.
+  // The maximum number of leadership transfers within a worker lease.
   double max_leadership_transfers = 2;
-  // What the leader may take away of its own accord within the window, as a
-  // share of the machines; of a zone's machines, for each cause; of a
+  // Limits of what the leader may remove on its own initiative within a window
+  // of `limit_window_leases` worker leases. The shares up to `distrusted_share`
+  // limit one cause each, as a share of all machines. `zone_share` is a share
+  // of a zone's machines, for each cause; `service_share` is a share of a
   // service's replicas.
   double limit_window_leases = 1.0;
   double silent_share = 1.0 / 6;
@@ -174,24 +186,26 @@
   double distrusted_share = 0.05;
   double zone_share = 0.25;
   double service_share = 0.5;
-  // Fresh looks at whether the key-value store still holds all it held, in a
-  // worker lease; 0 turns the recovery from lost state off.
+  // How often per worker lease a controller checks whether the key-value store
+  // has lost data; 0 turns the recovery from data loss off.
   double recovery_checks = 0;
-  // Pages of its records compared with memory, in a worker lease.
+  // How many pages of the store's records per worker lease are compared with
+  // the records in memory.
   double recovery_pages = 1;
-  // Whether the operators' calendar holds heavy work back; 0: no.
+  // Whether the operators' maintenance calendar delays large jobs; 0: no.
   double calendar_on = 0;
-  // Rollouts at the same time; 0 turns the subsystem off.
+  // The maximum number of concurrent rollouts; 0 turns rollouts off.
   double rollouts_at_once = 0;
-  // Health checks under way, as a share of the sockets.
+  // The maximum number of concurrent health checks, as a share of the sockets.
   double rollout_check_share = 0.05;
-  // Processor time for them, as a share of this controller's.
+  // The processor time for health checks, as a share of this controller's.
   double rollout_cpu_share = 0.15;
-  // Whether the operators' priority tiers are followed; 0: no.
+  // Whether the operators' priority tiers are in effect; 0: no.
   double tiers = 0;
 };
 
-// Two steady clocks may drift apart by 0.05%; twice that is allowed for.
+// The maximum relative drift that is assumed between two steady clocks. They
+// may drift apart by 0.05%; twice that is allowed for.
 inline constexpr double kDrift = 0.001;
 
 }  // namespace oxbow
--- a/core/model/timeouts.h
+++ b/core/model/timeouts.h
@@ -1,6 +1,6 @@
-// How long a machine may be silent before the leader reacts. Derived from the
-// settings in one place, so that the order of the timeouts holds for every
-// ratio of heartbeat interval to lease.
+// How long a machine may be silent before the leader reacts. All timeouts are
+// derived from the settings here, so that their order is the same for every
+// ratio of the heartbeat interval to the lease.
 #pragma once
 
 #include <algorithm>
@@ -12,14 +12,16 @@
 
 namespace oxbow {
 
-// Why settings give no usable timeouts.
+// Why settings result in no usable timeouts.
 enum class TimeoutConflict : uint8_t {
-  kLeaseTooShort,    // for two heartbeats
-  kOutOfOrder,       // the timeouts, among themselves
-  kGivenUpTooEarly,  // before others that fell silent with it are overdue
+  kLeaseTooShort,  // the lease is too short for two heartbeats
+  kOutOfOrder,     // the timeouts are not in the required order
+  // A silent machine would be given up before other machines that became silent
+  // at the same time count as overdue.
+  kGivenUpTooEarly,
 };
 
-// For the operators, in the words of their settings.
+// A description for operators, which uses the names of their settings.
 inline std::string_view Describe(TimeoutConflict conflict) {
   switch (conflict) {
     case TimeoutConflict::kLeaseTooShort:
@@ -32,26 +34,31 @@
   return "";
 }
 
-// Seconds since the last message. Heartbeats come every `report_s`, give or
-// take a quarter (protocol, "Workers -> controller nodes").
+// Timeouts in seconds since a machine's last message. Heartbeats are sent every
+// `report_s`, with a jitter of up to a quarter (protocol, "Workers ->
+// controller nodes").
 struct SilenceTimeouts {
-  double overdue = 0;  // a heartbeat should have been there: counts as silent
+  double overdue = 0;  // a heartbeat is missing: the machine counts as silent
   double asked = 0;    // the other controllers are asked whether they reach it
-  double suspect = 0;  // gets no new work
-  double give_up = 0;  // may be deleted for silence
+  double suspect = 0;  // the machine gets no new tasks
+  double give_up = 0;  // the machine may be deleted because of its silence
 
-  static constexpr double kLatest =
-      1.25;  // of a heartbeat: the longest interval
-  static constexpr double kOverdue = 1.2;  // one in four hundred, at any time
-  static constexpr double kAsked = 1.4;    // leaves time for an answer
-  static constexpr double kSuspect = 1.6;  // at least
-  static constexpr double kGiveUp = 2.5;   // at least, see below
+  // The following are multiples of the heartbeat interval.
+  // The longest interval between two heartbeats.
+  static constexpr double kLatest = 1.25;
+  // At any time, one in four hundred healthy machines exceeds this.
+  static constexpr double kOverdue = 1.2;
+  // Leaves time for the answers of the other controllers.
+  static constexpr double kAsked = 1.4;
+  static constexpr double kSuspect = 1.6;  // lower bound
+  static constexpr double kGiveUp = 2.5;   // lower bound; see From
 
-  // When many machines fall silent at once, the last heartbeats of the first
-  // and of the last of them lie up to kLatest intervals apart. When the first
-  // is given up all of them must count as overdue already, or a network fault
-  // looks like one dead machine after another: 459 living machines were once
-  // deleted within 17 s.
+  // Derives the timeouts from the settings.
+  // When many machines become silent at once, the last heartbeats of the first
+  // and of the last of them are up to kLatest intervals apart. By the time the
+  // first one is given up, all of them have to count as overdue. Otherwise a
+  // network fault looks like machines that fail one after another: 459 healthy
+  // machines were once deleted within 17 s.
   static SilenceTimeouts From(const WorkerSettings& workers,
                               const Tuning& tuning) {
     const double heartbeat = workers.heartbeat_interval_seconds;
@@ -67,8 +74,8 @@
     return timeouts;
   }
 
-  // The first conflict with the order that the rules on silence rely on, if
-  // any.
+  // The first violation of the order that the handling of silent machines
+  // relies on, if any.
   std::optional<TimeoutConflict> FindConflict(
       const WorkerSettings& workers) const {
     if (workers.lease_seconds <
