--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -164,8 +164,9 @@
   // A machine still booting after this many times its nominal boot time is
   // replaced.
   double boot_timeout_ratio = 2.5;
-  // A leader that does not hear from this share of the recorded machines asks
-  // the other controllers which machines they reach.
+  // When messages of this share of the recorded machines are overdue, or
+  // commands and responses do not reach them, the leader asks the other
+  // controllers which machines they reach.
   double troubled_share = 0.125;
   // A leader that hears from less than this share of the recorded machines
   // can't lead, whether or not another controller can.
--- a/tests/cluster_state_test.cc
+++ b/tests/cluster_state_test.cc
@@ -1,5 +1,5 @@
-// The invariants of ClusterState: whatever is added, removed or lost, the sums
-// and indices equal what the task attempts say.
+// Tests the invariants of ClusterState: after every change, all sums and
+// indices are equal to those that are computed from the task attempts alone.
 
 #include "core/cluster_state/cluster_state.h"
 
@@ -19,7 +19,7 @@
 constexpr FencingToken kToken = 100;
 constexpr Resources kNeed{2, 1, 8};
 
-// Counts what ClusterState announces.
+// Records the notifications of ClusterState.
 class RecordingObserver : public ClusterState::Observer {
  public:
   void OnCapacityCharged(const Job& job, const Resources& need) override {
@@ -103,14 +103,14 @@
     attempt.attempt = number;
     return attempt;
   }
-  // As when the scheduler places the task.
+  // Adds an attempt as the scheduler does when it places the task.
   TaskAttempt& Place(Job& job, Machine& machine, uint32_t task,
                      uint64_t number) {
     TaskAttempt attempt = MakeAttempt(job.id(), task, number, &job);
     cluster_.AssignTask(job, machine, attempt, /*present=*/true);
     return cluster_.AddAttempt(machine, std::move(attempt), /*present=*/true);
   }
-  // As when a heartbeat lists a task whose job is not known.
+  // Adds an attempt as when a heartbeat lists a task whose job is unknown.
   TaskAttempt& AddOrphan(const std::string& job_id, Machine& machine,
                          uint32_t task, uint64_t number) {
     return cluster_.AddAttempt(
@@ -141,7 +141,8 @@
     ExpectEqual(cluster_.quota(0).used, team, "use of the team's quota");
     for (const auto& [id, job] : cluster_.jobs()) {
       ExpectPresence(*job, presence[id]);
-      ExpectEqual(observer_.charged(id), by_job[id], "announced for " + id);
+      ExpectEqual(observer_.charged(id), by_job[id],
+                  "charged according to the observer for " + id);
     }
   }
 
@@ -225,7 +226,7 @@
   ExpectConsistent();
 }
 
-TEST_F(ClusterStateTest, RemovedAttemptGivesEverythingBackAndItsTaskIsPending) {
+TEST_F(ClusterStateTest, RemovedAttemptReleasesItsCapacityAndItsTaskIsPending) {
   Machine& machine = AddMachine("n-1");
   Job& job = AddJob("job-1", 1);
   Place(job, machine, 0, 11);
@@ -237,7 +238,7 @@
   EXPECT_TRUE(job.presence().empty());
   EXPECT_EQ(observer_.removed(), 1);
   EXPECT_TRUE(cluster_.changed());
-  // Commands about it are dropped, those of others stay.
+  // Queued commands for the attempt are dropped, those for others stay.
   ASSERT_EQ(machine.queue.size(), 1U);
   EXPECT_EQ(machine.queue.front().job_id, "job-2");
   ExpectEqual(machine.used, {}, "used");
@@ -329,7 +330,7 @@
   ExpectConsistent();
 }
 
-TEST_F(ClusterStateTest, OfTwoReportedAttemptsTheConfirmedOneStays) {
+TEST_F(ClusterStateTest, LaterAttemptDoesNotReplaceOneOnAReportedMachine) {
   Machine& confirmed = AddMachine("n-1");
   Machine& other = AddMachine("n-2");
   confirmed.reported = true;
@@ -341,7 +342,7 @@
   ExpectConsistent();
 }
 
-TEST_F(ClusterStateTest, ALaterAttemptReplacesOneOfAnUnreportedMachine) {
+TEST_F(ClusterStateTest, LaterAttemptReplacesOneOnAnUnreportedMachine) {
   Machine& unreported = AddMachine("n-1");
   Machine& other = AddMachine("n-2");
   Job& job = AddJob("job-1", 1);
@@ -370,7 +371,7 @@
   AddOrphan("job-1", machine, 0, 11);
   cluster_.RemoveAttempt(machine, {"job-1", 0, 11});
   EXPECT_EQ(machine.orphaned_tasks, 0);
-  EXPECT_EQ(observer_.removed(), 0);  // of no known job
+  EXPECT_EQ(observer_.removed(), 0);  // the job is unknown
   ExpectConsistent();
 }
 
@@ -381,7 +382,7 @@
   EXPECT_EQ(machine.orphaned_tasks, 0);
   Job& job = AddJob("job-1", 1);
   EXPECT_EQ(attempt.job, &job);
-  // Listed and charged, but the task is placed anew.
+  // The attempt is listed and charged, but its task has to be placed again.
   EXPECT_EQ(job.holding(), 1);
   EXPECT_EQ(job.task(0).state, TaskState::kPending);
   ExpectConsistent();
@@ -400,7 +401,7 @@
   EXPECT_EQ(job.task(1).machine, second.index());
   EXPECT_EQ(job.task(1).attempt, 12U);
   EXPECT_EQ(first.orphaned_tasks, 0);
-  EXPECT_EQ(second.orphaned_tasks, 1);  // of the job still unknown
+  EXPECT_EQ(second.orphaned_tasks, 1);  // job-2 is still unknown
   ExpectConsistent();
 }
 
@@ -462,7 +463,7 @@
   ExpectConsistent();
 }
 
-TEST_F(ClusterStateTest, DeletedMachineIsNotFoundAndItsHostNeverComesBack) {
+TEST_F(ClusterStateTest, DeletedMachineIsNotFoundAndItsHostStaysDeleted) {
   Machine& machine = AddMachine("n-1");
   Job& job = AddJob("job-1", 1);
   Place(job, machine, 0, 11);
