--- a/tests/late_writes_test.cc
+++ b/tests/late_writes_test.cc
@@ -1,4 +1,6 @@
-// Writes of a whole controller that get no answer and are carried out late.
+// Tests a complete controller against a key-value store that applies a write
+// late, after the controller has got no response to it. Such a write must not
+// undo what was written since.
 
 #include <gtest/gtest.h>
 
@@ -12,10 +14,10 @@
 
 using net::Task;
 
-// An acceptance without an answer is sent again after a few round trips, so its
-// user does not wait. The first is carried out after the job has been cancelled
-// and has moved to the terminal states.
-TEST_F(WholeNode, AnAcceptanceCarriedOutLateRevivesNothing) {
+// The write that creates a job gets no response and is repeated after a few
+// round trips, so that the user does not have to wait. The first write is
+// applied after the job has been cancelled and moved to the terminal records.
+TEST_F(WholeNode, ALateJobCreationDoesNotRestoreTheJob) {
   RunToEnd(loop_, [](WholeNode* t) -> Task<void> {
     co_await t->UntilReady();
     const std::string jobs = "/v2/runs";
@@ -38,9 +40,10 @@
   }(this));
 }
 
-// The first search for leadership is carried out when the second has won: its
-// lease has ended, and the key has another stamp.
-TEST_F(WholeNode, ASearchCarriedOutLateOverthrowsNobody) {
+// The first write of the leader key is applied after a second one has won the
+// election: the lease of the first one has ended, and the mod revision of the
+// key has changed.
+TEST_F(WholeNode, ALateLeaderKeyWriteDoesNotReplaceTheLeader) {
   RunToEnd(loop_, [](WholeNode* t) -> Task<void> {
     t->state_.HoldNext("ob/live/leader");
     for (int i = 0; i < 400 && t->state_.Value("ob/live/leader").empty(); ++i) {
@@ -58,9 +61,9 @@
   }(this));
 }
 
-// An acceptance without an answer is carried out when the job has been
-// cancelled: it does not wait again.
-TEST_F(WholeNode, AWaitingJobAcceptedLateDoesNotWaitAgain) {
+// The write that creates a waiting job gets no response and is applied after
+// the job has been cancelled. The job must not wait again.
+TEST_F(WholeNode, ALateWaitingJobCreationDoesNotMakeTheJobWaitAgain) {
   RunToEnd(loop_, [](WholeNode* t) -> Task<void> {
     co_await t->UntilReady();
     const std::string jobs = "/v2/runs";
@@ -77,13 +80,13 @@
   }(this));
 }
 
-// With tiers and rollouts, which are off until a tuning file turns them on.
-class OperatedNode : public WholeNode {
+// A controller with priority tiers and rollouts, which are off by default.
+class NodeWithTiersAndRollouts : public WholeNode {
  public:
-  OperatedNode() : WholeNode(Operated()) {}
+  NodeWithTiersAndRollouts() : WholeNode(TiersAndRollouts()) {}
 
  private:
-  static Tuning Operated() {
+  static Tuning TiersAndRollouts() {
     Tuning tuning;
     tuning.tiers = 1;
     tuning.rollouts_at_once = 1;
@@ -100,10 +103,10 @@
          R"(","text":)" + wire::WriteTiers({tier}) + "}";
 }
 
-// An operator's change without an answer is carried out when another one stands
-// in its place, and again when that has been withdrawn.
-TEST_F(OperatedNode, AnOperatorsChangeCarriedOutLateReplacesNothing) {
-  RunToEnd(loop_, [](OperatedNode* t) -> Task<void> {
+// The write of an operator record gets no response. It is applied after the
+// record has been written again and then withdrawn, and must not replace it.
+TEST_F(NodeWithTiersAndRollouts, ALateOperatorRecordWriteReplacesNothing) {
+  RunToEnd(loop_, [](NodeWithTiersAndRollouts* t) -> Task<void> {
     co_await t->UntilReady();
     const std::string tiers = "/v2/records/tiers";
     t->state_.HoldNext("ob/live/p/tiers");
@@ -113,17 +116,19 @@
     EXPECT_LE(
         co_await t->Status("POST", tiers, R"({"version":1,"withdrawn":true})"),
         201);
-    const std::string stands = t->state_.Value("ob/live/p/tiers");
-    EXPECT_NE(stands.find("second"), std::string::npos) << stands;
+    const std::string current = t->state_.Value("ob/live/p/tiers");
+    EXPECT_NE(current.find("second"), std::string::npos) << current;
     EXPECT_EQ(t->state_.CarryOutHeld(), 409);
-    EXPECT_EQ(t->state_.Value("ob/live/p/tiers"), stands);
+    EXPECT_EQ(t->state_.Value("ob/live/p/tiers"), current);
   }(this));
 }
 
-// A rollout's declaration without an answer is carried out when the rollout
-// has ended: it does not begin again. Nor is a wish that came late fulfilled.
-TEST_F(OperatedNode, ARolloutDeclaredLateDoesNotBeginAgain) {
-  RunToEnd(loop_, [](OperatedNode* t) -> Task<void> {
+// The write that declares a rollout gets no response and is applied after the
+// rollout has ended. The rollout must not begin again. The same holds for a
+// request to pause the rollout.
+TEST_F(NodeWithTiersAndRollouts,
+       ALateRolloutDeclarationDoesNotBeginTheRolloutAgain) {
+  RunToEnd(loop_, [](NodeWithTiersAndRollouts* t) -> Task<void> {
     co_await t->UntilReady();
     std::string service = JobJson("job-000001");
     service.replace(service.find("batch"), 5, "service");
--- a/tests/write_queue_exploration_test.cc
+++ b/tests/write_queue_exploration_test.cc
@@ -1,16 +1,17 @@
-// Every course that a few writes of a leader can take, up to a depth: each
-// transaction is carried out at once or later, once or twice, in any order, or
-// never, with or without an answer; reads fail; the leadership is lost at any
-// moment.
+// Explores every sequence of events for a few writes of the WriteQueue, up to a
+// depth: each transaction is applied at once or later, once or twice, in any
+// order, or never, with or without a response; reads fail; the leadership is
+// lost at any point.
 //
-// The queue creates a key and, once that is recorded, deletes it. The dangerous
-// course is an unanswered creation that is carried out after the deletion: the
-// key would exist again. Each course is checked for that, and for an operation
-// that is taken as done without having been carried out.
+// The queue creates a key and, once that is recorded, deletes it. In the
+// dangerous sequence, an unanswered creation is applied after the deletion, and
+// the key exists again. Each sequence is checked for that, and for an operation
+// that is reported as recorded although it was never applied.
 //
-// Why the second test: where no transaction was ever answered, refusals
-// included, the fence was sent again for ever and nothing was recorded as done.
-// A read that finds the fence key decides the same as an answer.
+// The second test guards against a livelock: if no transaction was ever
+// answered, not even with a conflict, the write of the fence key was repeated
+// forever and nothing was recorded as done. A read that finds the fence key is
+// as conclusive as a response.
 
 #include <gtest/gtest.h>
 
@@ -31,18 +32,21 @@
 
 constexpr uint64_t kLeaderRevision = 77;
 
-// The choices of one course, by position; beyond them the first option.
-class Course {
+// One sequence of events, given by the option that is chosen at each step. In
+// the steps after the given ones the first option is chosen.
+class EventSequence {
  public:
-  explicit Course(std::vector<size_t> choices) : choices_(std::move(choices)) {}
+  explicit EventSequence(std::vector<size_t> choices)
+      : choices_(std::event(choices)) {}
 
-  // Which of so many options is taken next.
+  // Returns which of `options` options is chosen in the next step.
   size_t Choose(size_t options) {
     const size_t position = options_.size();
     options_.push_back(options);
     return position < choices_.size() ? choices_[position] : 0;
   }
-  // The next course in depth-first order; false after the last.
+  // Changes to the next sequence in depth-first order. Returns false after the
+  // last one.
   bool Advance() {
     choices_.resize(options_.size(), 0);
     while (!choices_.empty() &&
@@ -59,7 +63,7 @@
   std::vector<size_t> options_;
 };
 
-// A store with compare-and-swap, and the messages on their way to it.
+// A model of the key-value store: the mod revisions of its keys.
 class ModelStore {
  public:
   explicit ModelStore() {
@@ -70,14 +74,16 @@
     const auto it = revisions_.find(key);
     return it == revisions_.end() ? 0 : it->second;
   }
-  // Another leader is elected; the fences go with the lease of the old one.
+  // Another leader is elected. The fence keys are removed, since they have the
+  // lease of the old leader.
   void EndLeadership() {
     std::erase_if(revisions_, [](const auto& entry) {
       return entry.first.starts_with(keys::kFence);
     });
     revisions_[std::string(keys::kLeader)] = ++last_revision_;
   }
-  // The revision of the change; 0 and the failed keys if a condition fails.
+  // Applies the transaction and returns its revision. Returns 0 and the keys of
+  // the failed preconditions if some do not hold.
   uint64_t Apply(const CompareAndSwap& transaction,
                  std::vector<std::string>* failed) {
     for (const Precondition& precondition : transaction.preconditions) {
@@ -101,12 +107,12 @@
   uint64_t last_revision_ = 100;
 };
 
-// What the leader knows of the key, and what it wants of it.
+// The leader's view of the key.
 struct KeyState {
   std::string key = keys::Of(keys::kMachine, "n-1");
-  uint64_t known_revision = 0;  // as it was read or recorded; 0: not there
-  bool created = false;
-  bool deleted = false;
+  uint64_t known_revision = 0;  // as read or recorded; 0: the key is absent
+  bool created = false;         // the creation is reported as recorded
+  bool deleted = false;         // the deletion is reported as recorded
 };
 
 class CreateOperation : public StoreOperation {
@@ -149,39 +155,42 @@
   KeyState& state_;
 };
 
-// One course of the queue and the store.
+// Runs the queue and the store through one sequence of events.
 class Exploration {
  public:
   // `answers`: whether transactions may be answered at all.
-  Exploration(Course& course, bool answers)
-      : course_(course), answers_(answers) {
+  Exploration(EventSequence& sequence, bool answers)
+      : sequence_(sequence), answers_(answers) {
     queue_.Enqueue(std::make_unique<CreateOperation>(state_));
     queue_.Flush(now_);
     TakeActions();
   }
 
-  // Plays up to so many steps; the first broken rule, empty for none.
-  std::string Play(int steps) {
+  // Performs up to `steps` events. Returns the first violation, or an empty
+  // string.
+  std::string Run(int steps) {
     for (int step = 0; step < steps && leads_; ++step) {
       if (!Step()) break;
       if (state_.deleted && Exists()) return "a deleted key exists again";
       if (state_.created && !ever_existed_)
-        return "done, but never carried out";
+        return "recorded, but never applied";
     }
-    // What is still under way arrives in the end.
-    for (const CompareAndSwap& transaction : under_way_) Carry(transaction);
-    if (state_.deleted && Exists()) return "a deleted key exists again, late";
+    // Transactions that are still delayed arrive in the end.
+    for (const CompareAndSwap& transaction : delayed_) Apply(transaction);
+    if (state_.deleted && Exists())
+      return "a deleted key exists again after all writes arrived";
     return {};
   }
-  // Transactions are carried out at once and never answered; reads succeed.
-  // How many requests it takes until the key has come and gone; 0: too many.
-  int PlayWithoutAnswers(int most_requests) {
-    while (requests_ <= most_requests) {
+  // Applies every transaction at once but never answers it; reads succeed.
+  // Returns the number of requests until the key has been created and deleted;
+  // 0 if that takes more than `max_requests`.
+  int RunWithoutAnswers(int max_requests) {
+    while (requests_ <= max_requests) {
       if (state_.deleted) return requests_;
       now_ += 1;
       if (!transactions_.empty()) {
         const CompareAndSwap transaction = Pop(transactions_);
-        Carry(transaction);
+        Apply(transaction);
         leads_ = queue_.OnAnswer(transaction.id, WriteOutcome::kUnknown, 0, {},
                                  now_);
       } else if (!fence_reads_.empty()) {
@@ -206,7 +215,7 @@
     return first;
   }
 
-  void Carry(const CompareAndSwap& transaction) {
+  void Apply(const CompareAndSwap& transaction) {
     std::vector<std::string> failed;
     store_.Apply(transaction, &failed);
     ever_existed_ = ever_existed_ || Exists();
@@ -223,19 +232,19 @@
         fence_reads_.push_back(*fence);
       }
     }
-    if (!state_.created || std::exchange(deletion_asked_, true)) return;
+    if (!state_.created || std::exchange(deletion_enqueued_, true)) return;
     queue_.Enqueue(std::make_unique<DeleteOperation>(state_));
     queue_.Flush(now_);
     TakeActions();
   }
 
-  enum class Move : uint8_t {
-    kAnswer,          // the transaction is carried out and answered
-    kAnswerLost,      // carried out, without an answer
-    kLate,            // no answer, and it is still under way
-    kNotExecuted,     // refused, and answered so
-    kArrive,          // one that was under way arrives
-    kArriveAndAgain,  // the same, and a copy stays under way
+  enum class Event : uint8_t {
+    kAnswer,          // the transaction is applied and answered
+    kAnswerLost,      // the transaction is applied, but not answered
+    kLate,            // the transaction is not answered and still delayed
+    kNotExecuted,     // the response is that it was not executed
+    kArrive,          // a delayed transaction arrives
+    kArriveAndAgain,  // the same, and a duplicate of it is still delayed
     kRead,
     kReadFails,
     kFenceRead,
@@ -244,76 +253,77 @@
     kTimePasses,
   };
 
-  std::vector<Move> Moves() const {
-    std::vector<Move> moves;
+  std::vector<Event> PossibleEvents() const {
+    std::vector<Event> events;
     if (!transactions_.empty()) {
-      if (answers_) moves = {Move::kAnswer, Move::kNotExecuted};
-      moves.push_back(Move::kAnswerLost);
-      moves.push_back(Move::kLate);
+      if (answers_) events = {Event::kAnswer, Event::kNotExecuted};
+      events.push_back(Event::kAnswerLost);
+      events.push_back(Event::kLate);
     }
-    if (!under_way_.empty()) moves.push_back(Move::kArrive);
-    if (!under_way_.empty() && copies_ == 0)
-      moves.push_back(Move::kArriveAndAgain);
+    if (!delayed_.empty()) events.push_back(Event::kArrive);
+    if (!delayed_.empty() && duplicates_ == 0)
+      events.push_back(Event::kArriveAndAgain);
     if (!reads_.empty())
-      moves.insert(moves.end(), {Move::kRead, Move::kReadFails});
+      events.insert(events.end(), {Event::kRead, Event::kReadFails});
     if (!fence_reads_.empty())
-      moves.insert(moves.end(), {Move::kFenceRead, Move::kFenceReadFails});
+      events.insert(events.end(), {Event::kFenceRead, Event::kFenceReadFails});
     if (transactions_.empty() && queue_.phase() == WritePhase::kOutcomeUnknown)
-      moves.push_back(Move::kTimePasses);
-    if (leadership_intact_) moves.push_back(Move::kLeadershipLost);
-    return moves;
+      events.push_back(Event::kTimePasses);
+    if (leadership_intact_) events.push_back(Event::kLeadershipLost);
+    return events;
   }
 
-  // False if nothing is left to happen.
+  // Performs one event. Returns false if none is possible any more.
   bool Step() {
-    const std::vector<Move> moves = Moves();
-    if (moves.empty()) return false;
-    Make(moves[course_.Choose(moves.size())]);
+    const std::vector<Event> events = PossibleEvents();
+    if (events.empty()) return false;
+    Perform(events[sequence_.Choose(events.size())]);
     TakeActions();
     return true;
   }
 
-  void Make(Move move) {
-    switch (move) {
-      case Move::kAnswer:
+  void Perform(Event event) {
+    switch (event) {
+      case Event::kAnswer:
         return AnswerTransaction();
-      case Move::kAnswerLost:
-        Carry(transactions_.front());
-        return GiveUpTransaction(WriteOutcome::kUnknown);
-      case Move::kLate:
-        under_way_.push_back(transactions_.front());
-        return GiveUpTransaction(WriteOutcome::kUnknown);
-      case Move::kNotExecuted:
-        return GiveUpTransaction(WriteOutcome::kNotExecuted);
-      case Move::kArrive:
-        return Carry(TakeUnderWay());
-      case Move::kArriveAndAgain: {
-        ++copies_;
-        const CompareAndSwap transaction = TakeUnderWay();
-        under_way_.push_back(transaction);
-        return Carry(transaction);
+      case Event::kAnswerLost:
+        Apply(transactions_.front());
+        return FinishTransaction(WriteOutcome::kUnknown);
+      case Event::kLate:
+        delayed_.push_back(transactions_.front());
+        return FinishTransaction(WriteOutcome::kUnknown);
+      case Event::kNotExecuted:
+        return FinishTransaction(WriteOutcome::kNotExecuted);
+      case Event::kArrive:
+        return Apply(TakeDelayed());
+      case Event::kArriveAndAgain: {
+        ++duplicates_;
+        const CompareAndSwap transaction = TakeDelayed();
+        delayed_.push_back(transaction);
+        return Apply(transaction);
       }
-      case Move::kRead:
-      case Move::kReadFails:
-        return AnswerRead(move == Move::kRead);
-      case Move::kFenceRead:
-      case Move::kFenceReadFails:
-        return AnswerFenceRead(move == Move::kFenceRead);
-      case Move::kLeadershipLost:
+      case Event::kRead:
+      case Event::kReadFails:
+        return AnswerRead(event == Event::kRead);
+      case Event::kFenceRead:
+      case Event::kFenceReadFails:
+        return AnswerFenceRead(event == Event::kFenceRead);
+      case Event::kLeadershipLost:
         leadership_intact_ = false;
         return store_.EndLeadership();
-      case Move::kTimePasses:
+      case Event::kTimePasses:
         now_ += 1;
         return queue_.Flush(now_);
     }
   }
 
-  // They overtake one another: any of them.
-  CompareAndSwap TakeUnderWay() {
-    const auto chosen = under_way_.begin() +
-                        static_cast<long>(course_.Choose(under_way_.size()));
+  // Removes any of the delayed transactions, since messages may overtake one
+  // another.
+  CompareAndSwap TakeDelayed() {
+    const auto chosen =
+        delayed_.begin() + static_cast<long>(sequence_.Choose(delayed_.size()));
     CompareAndSwap transaction = *chosen;
-    under_way_.erase(chosen);
+    delayed_.erase(chosen);
     return transaction;
   }
   void AnswerTransaction() {
@@ -326,7 +336,7 @@
         revision != 0 ? WriteOutcome::kApplied : WriteOutcome::kConflict,
         revision, failed, now_);
   }
-  void GiveUpTransaction(WriteOutcome outcome) {
+  void FinishTransaction(WriteOutcome outcome) {
     const CompareAndSwap transaction = Pop(transactions_);
     leads_ = queue_.OnAnswer(transaction.id, outcome, 0, {}, now_);
     if (outcome == WriteOutcome::kNotExecuted) now_ += 1;
@@ -345,7 +355,7 @@
         exists ? FenceReadResult::kExists : FenceReadResult::kNotShown, now_);
   }
 
-  Course& course_;
+  EventSequence& sequence_;
   const bool answers_;
   Settings settings_;
   std::vector<Action> actions_;
@@ -353,42 +363,46 @@
   KeyState state_;
   WriteQueue queue_{
       settings_, {{std::string(keys::kLeader), kLeaderRevision}}, actions_};
-  std::deque<CompareAndSwap> transactions_;  // sent, the queue waits for them
-  std::deque<CompareAndSwap> under_way_;     // given up, may yet be carried out
+  // Sent; the queue waits for the response.
+  std::deque<CompareAndSwap> transactions_;
+  // The queue does not wait for them any more; they may still be applied.
+  std::deque<CompareAndSwap> delayed_;
   std::deque<ReadKeys> reads_;
   std::deque<ReadFence> fence_reads_;
-  int copies_ = 0;
+  int duplicates_ = 0;
   int requests_ = 0;
-  bool deletion_asked_ = false;
+  bool deletion_enqueued_ = false;
   bool ever_existed_ = false;
   bool leadership_intact_ = true;
   bool leads_ = true;
   Time now_ = 0;
 };
 
-TEST(WriteQueueExploration, NoCourseRevivesADeletedKeyOrInventsAWrite) {
-  // OXBOW_DEPTH: by hand, deeper.
+TEST(WriteQueueExploration,
+     NoSequenceRestoresADeletedKeyOrReportsAnUnappliedWrite) {
+  // OXBOW_DEPTH sets a greater depth for manual runs.
   const char* const depth = std::getenv("OXBOW_DEPTH");
   const int steps = depth == nullptr ? 7 : std::atoi(depth);
-  Course course({});
-  int courses = 0;
+  EventSequence sequence({});
+  int sequences = 0;
   do {
-    Exploration run(course, /*answers=*/true);
-    ASSERT_EQ(run.Play(steps), "") << "after " << courses << " courses";
-    ++courses;
-  } while (course.Advance());
-  // A search that is cut short would show nothing.
-  EXPECT_GT(courses, 20'000);
-  RecordProperty("courses", courses);
+    Exploration run(sequence, /*answers=*/true);
+    ASSERT_EQ(run.Run(steps), "") << "after " << sequences << " sequences";
+    ++sequences;
+  } while (sequence.Advance());
+  // Guards against a search that ends too early to show anything.
+  EXPECT_GT(sequences, 20'000);
+  RecordProperty("sequences", sequences);
 }
 
-TEST(WriteQueueExploration, AFenceThatIsReadEndsTheDoubtWithoutAnyAnswer) {
-  // A creation and a deletion, each read after its transaction; one fence, sent
-  // twice and read once.
-  constexpr int kMostRequests = 8;
-  Course course({});
-  Exploration run(course, /*answers=*/false);
-  EXPECT_GT(run.PlayWithoutAnswers(kMostRequests), 0);
+TEST(WriteQueueExploration,
+     AFenceKeyThatIsReadSettlesTheOutcomeWithoutAnyResponse) {
+  // The creation and the deletion, each followed by a read of the key; one
+  // fence key that is written twice and read once.
+  constexpr int kMaxRequests = 8;
+  EventSequence sequence({});
+  Exploration run(sequence, /*answers=*/false);
+  EXPECT_GT(run.RunWithoutAnswers(kMaxRequests), 0);
 }
 
 }  // namespace
