--- a/tests/write_queue_exploration_test.cc
+++ b/tests/write_queue_exploration_test.cc
@@ -176,7 +176,8 @@
         return "recorded, but never applied";
     }
     // Transactions that are still delayed arrive in the end.
-    for (const CompareAndSwap& transaction : delayed_) Apply(transaction);
+    for (const CompareAndSwap& transaction : delayed_)
+      ApplyInStore(transaction);
     if (state_.deleted && Exists())
       return "a deleted key exists again after all writes arrived";
     return {};
@@ -190,7 +191,7 @@
       now_ += 1;
       if (!transactions_.empty()) {
         const CompareAndSwap transaction = Pop(transactions_);
-        Apply(transaction);
+        ApplyInStore(transaction);
         leads_ = queue_.OnAnswer(transaction.id, WriteOutcome::kUnknown, 0, {},
                                  now_);
       } else if (!fence_reads_.empty()) {
@@ -215,7 +216,7 @@
     return first;
   }
 
-  void Apply(const CompareAndSwap& transaction) {
+  void ApplyInStore(const CompareAndSwap& transaction) {
     std::vector<std::string> failed;
     store_.Apply(transaction, &failed);
     ever_existed_ = ever_existed_ || Exists();
@@ -287,7 +288,7 @@
       case Event::kAnswer:
         return AnswerTransaction();
       case Event::kAnswerLost:
-        Apply(transactions_.front());
+        ApplyInStore(transactions_.front());
         return FinishTransaction(WriteOutcome::kUnknown);
       case Event::kLate:
         delayed_.push_back(transactions_.front());
@@ -295,12 +296,12 @@
       case Event::kNotExecuted:
         return FinishTransaction(WriteOutcome::kNotExecuted);
       case Event::kArrive:
-        return Apply(TakeDelayed());
+        return ApplyInStore(TakeDelayed());
       case Event::kArriveAndAgain: {
         ++duplicates_;
         const CompareAndSwap transaction = TakeDelayed();
         delayed_.push_back(transaction);
-        return Apply(transaction);
+        return ApplyInStore(transaction);
       }
       case Event::kRead:
       case Event::kReadFails:
--- a/tests/write_queue_test.cc
+++ b/tests/write_queue_test.cc
@@ -51,8 +51,8 @@
     return BuildResult::kAdded;
   }
 
-  void Enqueue(const std::string& name,
-               WritePriority priority = WritePriority::kUrgent) {
+  void EnqueueOperation(const std::string& name,
+                        WritePriority priority = WritePriority::kUrgent) {
     queue_.Enqueue(std::make_unique<Operation>(*this, name), priority);
   }
   // The last action, which must be an ActionType.
@@ -73,7 +73,7 @@
 };
 
 TEST_F(Writes, EachTransactionIsConditionedOnTheLeaderKey) {
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   const auto txn = Last<CompareAndSwap>();
   EXPECT_EQ(txn.preconditions.back().key, keys::kLeader);
@@ -83,10 +83,10 @@
 // If an unanswered write were repeated at once with a new precondition, the
 // first one could still be applied late, unknown to the second.
 TEST_F(Writes, KeysOfAnUnansweredTransactionAreReadFirst) {
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   const auto txn = Last<CompareAndSwap>();
-  Enqueue("b");
+  EnqueueOperation("b");
   EXPECT_TRUE(queue_.OnAnswer(txn.id, WriteOutcome::kUnknown, 0, {}, 1));
   const auto read = Last<ReadKeys>();
   EXPECT_EQ(read.keys,
@@ -125,7 +125,7 @@
                        });
   };
   creates_ = true;
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   const auto first = Last<CompareAndSwap>();
   EXPECT_TRUE(requires_that(first, fence(0)));
@@ -157,7 +157,7 @@
 
 TEST_F(Writes, AFenceWriteThatMissesTheLeaderKeyEndsTheLeadership) {
   creates_ = true;
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id, WriteOutcome::kUnknown,
                               0, {}, 1));
@@ -167,7 +167,7 @@
 }
 
 TEST_F(Writes, ALateResponseToAnEarlierTransactionIsIgnored) {
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   const auto first = Last<CompareAndSwap>();
   EXPECT_TRUE(queue_.OnAnswer(first.id, WriteOutcome::kNotExecuted, 0, {}, 0));
@@ -178,7 +178,7 @@
 }
 
 TEST_F(Writes, WhenTheLeaderKeyHasChangedTheLeadershipIsOver) {
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   const uint64_t id = Last<CompareAndSwap>().id;
   EXPECT_FALSE(queue_.OnAnswer(id, WriteOutcome::kConflict, 0,
@@ -186,7 +186,7 @@
 }
 
 TEST_F(Writes, AConflictOnAnotherKeyCausesARead) {
-  Enqueue("a");
+  EnqueueOperation("a");
   queue_.Flush(0);
   EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
                               WriteOutcome::kConflict, 0,
@@ -196,9 +196,9 @@
 
 TEST_F(Writes, AreSplitToFitTheLimitsUrgentOnesFirst) {
   mutations_each_ = 2;
-  Enqueue("background", WritePriority::kBackground);
-  for (const char* name : {"a", "b", "c"}) Enqueue(name);
-  Enqueue("a");  // is queued already
+  EnqueueOperation("background", WritePriority::kBackground);
+  for (const char* name : {"a", "b", "c"}) EnqueueOperation(name);
+  EnqueueOperation("a");  // is queued already
   EXPECT_EQ(queue_.waiting(), 4U);
   queue_.Flush(0);
   EXPECT_EQ(Last<CompareAndSwap>().mutations.size(), 4U);
@@ -210,25 +210,25 @@
   EXPECT_EQ(rest.mutations[2].key, keys::Of(keys::kMachine, "background0"));
   // An operation that exceeds the limit by itself is sent alone.
   mutations_each_ = 9;
-  Enqueue("large");
+  EnqueueOperation("large");
   EXPECT_TRUE(queue_.OnAnswer(rest.id, WriteOutcome::kApplied, 81, {}, 2));
   EXPECT_EQ(Last<CompareAndSwap>().mutations.size(), 9U);
 }
 
 // A background operation that was requeued is in the urgent queue.
 TEST_F(Writes, AQueuedOperationIsNotQueuedAgain) {
-  Enqueue("a", WritePriority::kBackground);
+  EnqueueOperation("a", WritePriority::kBackground);
   queue_.Flush(0);
   EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
                               WriteOutcome::kNotExecuted, 0, {}, 0));
-  Enqueue("a", WritePriority::kBackground);
+  EnqueueOperation("a", WritePriority::kBackground);
   EXPECT_EQ(queue_.waiting(), 1U);
 }
 
 // A transaction that was refused as too large would be refused forever if it
 // were repeated unchanged.
 TEST_F(Writes, RefusedAsTooLargeIsSplitAndBlocksNoOther) {
-  for (const char* name : {"a", "b", "large", "c"}) Enqueue(name);
+  for (const char* name : {"a", "b", "large", "c"}) EnqueueOperation(name);
   queue_.Flush(0);
   int sent = 0;
   // Refuses every transaction that contains the large operation, until nothing
@@ -246,7 +246,7 @@
   }
   EXPECT_EQ(done_.size(), 3U);
   EXPECT_EQ(queue_.refused_for_size(), 1U);
-  Enqueue("large");  // is waiting to be retried
+  EnqueueOperation("large");  // is waiting to be retried
   queue_.Flush(2);
   EXPECT_EQ(queue_.phase(), WritePhase::kIdle);
   queue_.Flush(2 + settings_.workers.lease_seconds);
@@ -255,7 +255,7 @@
 
 TEST_F(Writes, HaveNoMorePreconditionsThanTheStoreAccepts) {
   preconditions_each_ = 4;
-  for (const char* name : {"a", "b", "c", "d"}) Enqueue(name);
+  for (const char* name : {"a", "b", "c", "d"}) EnqueueOperation(name);
   queue_.Flush(0);
   // The limit is four times `txn_ops`, including the preconditions on the
   // leader key and the fence key.
