--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -50,10 +50,13 @@
                                     Time now);
 
   // --- events: responses of the key-value store
+  // The outcome of a CompareAndSwap. `revision`: the store revision at which it
+  // was applied. `failed`: the keys of the preconditions that did not hold.
   void OnWriteAnswer(uint64_t id, WriteOutcome outcome, uint64_t revision,
                      const std::vector<std::string>& failed, Time now);
   // The response to ReadKeys; the catalog already contains the values.
   void OnReadAnswer(uint64_t id, bool succeeded, Time now);
+  // The response to ReadFence.
   void OnFenceRead(uint64_t number, FenceReadResult result, Time now);
   // The response to ReadTerminalState; the catalog already contains the values.
   void OnTerminalStateRead(const std::string& id, Time now);
@@ -64,14 +67,20 @@
 
   // --- events: workers and the cloud
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, Time now);
+  // The outcome of SendCommands. `heartbeat`: the contents of the worker's
+  // response; null if there was none.
   void OnCommandResponse(const std::string& host, uint64_t batch,
                          CommandOutcome outcome, const Heartbeat* heartbeat,
                          Time now);
+  // The response to a Probe.
   void OnProbeAnswer(const Heartbeat& heartbeat, Time now);
+  // The outcome of a CheckInstance.
   void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
                 const CheckOutcome& outcome, Time now);
+  // The outcome of RequestScaleOut. `hosts`: the machines that were granted.
   void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& hosts, Time now);
+  // The outcome of DeleteMachines.
   void OnDeleteAnswer(const std::vector<std::string>& hosts, bool succeeded,
                       Time now);
   // A complete list of the cloud's machines, requested at `asked`.
--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -65,7 +65,7 @@
   // if the numbers of this term are used up.
   uint64_t NextNumber() {
     const std::optional<uint64_t> number = numbers.Next();
-    if (!number) GiveUp("numbers of this revision are used up");
+    if (!number) GiveUp("the fencing tokens of this term are used up");
     return number.value_or(0);
   }
   // Resigns the leadership. Only the first call has an effect.
--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -107,6 +107,7 @@
   StoreSettings store;
   CloudSettings cloud;
   LimitSettings limits;
+  // The maximum difference between a controller's wall clock and true time.
   double clock_off_ms = 0;
 };
 
