--- a/core/model/job.cc
+++ b/core/model/job.cc
@@ -69,15 +69,16 @@
 
 JobRecord TerminatedRecord(const JobRecord& record, TerminalState state,
                            bool compact) {
-  constexpr size_t kMaxTextBytes = 64;  // of each text in a compact record
+  constexpr size_t kMaxCompactTextBytes =
+      64;  // of each text in a compact record
   JobRecord ended = record;
   ended.terminal_state = state;
   if (!compact) return ended;
   auto spec = std::make_shared<JobSpec>(*record.spec);
   spec->types.reset();
   spec->dependencies.clear();
-  spec->image = TruncateUtf8(spec->image, kMaxTextBytes);
-  spec->job_class = TruncateUtf8(spec->job_class, kMaxTextBytes);
+  spec->image = TruncateUtf8(spec->image, kMaxCompactTextBytes);
+  spec->job_class = TruncateUtf8(spec->job_class, kMaxCompactTextBytes);
   ended.spec = std::move(spec);
   return ended;
 }
