--- a/tests/write_queue_exploration_test.cc
+++ b/tests/write_queue_exploration_test.cc
@@ -37,7 +37,7 @@
 class EventSequence {
  public:
   explicit EventSequence(std::vector<size_t> choices)
-      : choices_(std::event(choices)) {}
+      : choices_(std::move(choices)) {}
 
   // Returns which of `options` options is chosen in the next step.
   size_t Choose(size_t options) {
