--- a/core/cluster_state/cluster_state.cc
+++ b/core/cluster_state/cluster_state.cc
@@ -6,7 +6,7 @@
 namespace oxbow {
 namespace {
 
-bool AppliesTo(const WorkerCommand& command, const TaskAttempt& attempt) {
+bool IsCommandFor(const WorkerCommand& command, const TaskAttempt& attempt) {
   return command.task == attempt.task && command.attempt == attempt.attempt &&
          command.job_id == attempt.job_id;
 }
@@ -155,7 +155,7 @@
     }
   }
   std::erase_if(machine.queue, [&](const WorkerCommand& command) {
-    return AppliesTo(command, attempt);
+    return IsCommandFor(command, attempt);
   });
   machine.task_attempts.erase(it);
   if (job != nullptr) {
--- a/tests/write_queue_test.cc
+++ b/tests/write_queue_test.cc
@@ -15,14 +15,14 @@
 namespace oxbow {
 namespace {
 
-class Writes : public testing::Test {
+class WriteQueueTest : public testing::Test {
  public:
-  Writes() { settings_.store.txn_ops = 4; }
+  WriteQueueTest() { settings_.store.txn_ops = 4; }
 
   // An operation that changes `mutations_each_` keys.
   class Operation : public StoreOperation {
    public:
-    Operation(Writes& test, std::string name)
+    Operation(WriteQueueTest& test, std::string name)
         : StoreOperation(std::move(name)), test_(test) {}
     std::string_view kind() const override { return "test"; }
     BuildResult Build(CompareAndSwap* txn) const override {
@@ -33,7 +33,7 @@
     }
 
    private:
-    Writes& test_;
+    WriteQueueTest& test_;
   };
 
   BuildResult Build(const std::string& name, CompareAndSwap* txn) const {
@@ -72,7 +72,7 @@
   WriteQueue queue_{settings_, {{std::string(keys::kLeader), 77}}, actions_};
 };
 
-TEST_F(Writes, EachTransactionIsConditionedOnTheLeaderKey) {
+TEST_F(WriteQueueTest, EachTransactionIsConditionedOnTheLeaderKey) {
   EnqueueOperation("a");
   queue_.Flush(0);
   const auto txn = Last<CompareAndSwap>();
@@ -82,7 +82,7 @@
 
 // If an unanswered write were repeated at once with a new precondition, the
 // first one could still be applied late, unknown to the second.
-TEST_F(Writes, KeysOfAnUnansweredTransactionAreReadFirst) {
+TEST_F(WriteQueueTest, KeysOfAnUnansweredTransactionAreReadFirst) {
   EnqueueOperation("a");
   queue_.Flush(0);
   const auto txn = Last<CompareAndSwap>();
@@ -111,7 +111,7 @@
 
 // The precondition that a key is absent holds again once the key has been
 // deleted. Without the fence, the unanswered write could be applied then.
-TEST_F(Writes, AnUnansweredCreationIsFencedBeforeItsKeysAreRead) {
+TEST_F(WriteQueueTest, AnUnansweredCreationIsFencedBeforeItsKeysAreRead) {
   const auto fence = [](int number) {
     return Precondition{keys::Of(keys::kFence, "77/" + std::to_string(number)),
                         0};
@@ -155,7 +155,7 @@
   EXPECT_EQ(queue_.phase(), WritePhase::kWriting);
 }
 
-TEST_F(Writes, AFenceWriteThatMissesTheLeaderKeyEndsTheLeadership) {
+TEST_F(WriteQueueTest, AFenceWriteThatMissesTheLeaderKeyEndsTheLeadership) {
   creates_ = true;
   EnqueueOperation("a");
   queue_.Flush(0);
@@ -166,7 +166,7 @@
                                {std::string(keys::kLeader)}, 1));
 }
 
-TEST_F(Writes, ALateResponseToAnEarlierTransactionIsIgnored) {
+TEST_F(WriteQueueTest, ALateResponseToAnEarlierTransactionIsIgnored) {
   EnqueueOperation("a");
   queue_.Flush(0);
   const auto first = Last<CompareAndSwap>();
@@ -177,7 +177,7 @@
   EXPECT_EQ(queue_.phase(), WritePhase::kWriting);
 }
 
-TEST_F(Writes, WhenTheLeaderKeyHasChangedTheLeadershipIsOver) {
+TEST_F(WriteQueueTest, WhenTheLeaderKeyHasChangedTheLeadershipIsOver) {
   EnqueueOperation("a");
   queue_.Flush(0);
   const uint64_t id = Last<CompareAndSwap>().id;
@@ -185,7 +185,7 @@
                                {std::string(keys::kLeader)}, 1));
 }
 
-TEST_F(Writes, AConflictOnAnotherKeyCausesARead) {
+TEST_F(WriteQueueTest, AConflictOnAnotherKeyCausesARead) {
   EnqueueOperation("a");
   queue_.Flush(0);
   EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
@@ -194,7 +194,7 @@
   EXPECT_EQ(queue_.phase(), WritePhase::kReading);
 }
 
-TEST_F(Writes, AreSplitToFitTheLimitsUrgentOnesFirst) {
+TEST_F(WriteQueueTest, SplitsOperationsToFitTheLimitsUrgentOnesFirst) {
   mutations_each_ = 2;
   EnqueueOperation("background", WritePriority::kBackground);
   for (const char* name : {"a", "b", "c"}) EnqueueOperation(name);
@@ -216,7 +216,7 @@
 }
 
 // A background operation that was requeued is in the urgent queue.
-TEST_F(Writes, AQueuedOperationIsNotQueuedAgain) {
+TEST_F(WriteQueueTest, AQueuedOperationIsNotQueuedAgain) {
   EnqueueOperation("a", WritePriority::kBackground);
   queue_.Flush(0);
   EXPECT_TRUE(queue_.OnAnswer(Last<CompareAndSwap>().id,
@@ -227,7 +227,7 @@
 
 // A transaction that was refused as too large would be refused forever if it
 // were repeated unchanged.
-TEST_F(Writes, RefusedAsTooLargeIsSplitAndBlocksNoOther) {
+TEST_F(WriteQueueTest, RefusedAsTooLargeIsSplitAndBlocksNoOther) {
   for (const char* name : {"a", "b", "large", "c"}) EnqueueOperation(name);
   queue_.Flush(0);
   int sent = 0;
@@ -253,7 +253,7 @@
   EXPECT_EQ(queue_.phase(), WritePhase::kWriting);
 }
 
-TEST_F(Writes, HaveNoMorePreconditionsThanTheStoreAccepts) {
+TEST_F(WriteQueueTest, AddsNoMorePreconditionsThanTheStoreAccepts) {
   preconditions_each_ = 4;
   for (const char* name : {"a", "b", "c", "d"}) EnqueueOperation(name);
   queue_.Flush(0);
