--- a/core/cluster_state/cluster_state.h
+++ b/core/cluster_state/cluster_state.h
@@ -191,8 +191,8 @@
 
   // --- changes since the last scheduling pass
   void MarkChanged() { changed_ = true; }
-  // The change affects production jobs: the next scheduling pass must not be
-  // delayed to batch it with other changes.
+  // The change affects production jobs or rollouts: the next scheduling pass
+  // must not be delayed to batch it with other changes.
   void MarkUrgentChange() { urgent_ = true; }
   bool changed() const { return changed_; }
   bool urgent() const { return urgent_; }
