--- a/core/catalog/catalog.h
+++ b/core/catalog/catalog.h
@@ -56,13 +56,13 @@
   // To be called when a read as of `revision` did not find the key. Erases the
   // record, but keeps it if its write is pending, since it is not in the store
   // yet.
-  void Missing(const std::string& key, uint64_t revision);
+  void MarkMissing(const std::string& key, uint64_t revision);
 
   // --- epochs and data loss; see docs/recovery.md for which copy wins
   const StoreEpoch& epoch() const { return epoch_; }
   // The mod revision of the mark of the current epoch; 0 while it is unknown.
   // Every record with a higher mod revision was written in this epoch.
-  uint64_t opened() const {
+  uint64_t epoch_mark_revision() const {
     return mark_id_ == epoch_.id ? mark_mod_revision_ : 0;
   }
   // The precondition that every write of this epoch has.
@@ -75,9 +75,10 @@
   }
   // Merges a record that another controller has retained. Returns false, and
   // changes nothing, if the local copy wins.
-  bool Remember(const std::string& key, const Record& record, Version version);
-  // Applies the terminal states in ended() to live jobs. To be called after
-  // states from other controllers were added there.
+  bool MergeRetained(const std::string& key, const Record& record,
+                     Version version);
+  // Applies the terminal states in terminal_states() to live jobs. To be called
+  // after states from other controllers were added there.
   void ApplyTerminalStates();
   // The version of the local copy of the record.
   Version VersionOf(const std::string& key) const;
@@ -115,7 +116,8 @@
     return rollouts_;
   }
   // Operator records by name, including withdrawn ones.
-  const std::unordered_map<std::string, OperatorRecord>& operators() const {
+  const std::unordered_map<std::string, OperatorRecord>& operator_records()
+      const {
     return operators_;
   }
   // The versions that the controllers run, by the controller's name, and the
@@ -124,7 +126,7 @@
   // Calls visit(records by name, key prefix) for each kind of live record that
   // has a name.
   template <typename Visit>
-  void EachKind(const Visit& visit) const {
+  void ForEachKind(const Visit& visit) const {
     VisitKinds(*this, visit);
   }
   const LeaderRecord& leader() const { return leader_; }
@@ -133,7 +135,7 @@
   const WaitingRecord* FindWaiting(const std::string& id) const;
   // Whether this controller knows that the job was accepted. The job may have
   // ended since.
-  bool Accepted(const std::string& id) const;
+  bool WasAccepted(const std::string& id) const;
   // The terminal state of a job that users may be told; kNone if there is none.
   // kDone is returned as soon as the live record says so. kAborted is returned
   // only once the record has been moved to the terminal records, that is when
@@ -146,8 +148,8 @@
   // The same without the number of tasks. Terminal states are kept for all
   // jobs, terminal records only for the latest ones.
   TerminalState FindTerminalState(const std::string& id) const;
-  const TerminalStateIndex& ended() const { return ended_; }
-  TerminalStateIndex& ended() { return ended_; }
+  const TerminalStateIndex& terminal_states() const { return terminal_states_; }
+  TerminalStateIndex& terminal_states() { return terminal_states_; }
   // Keeps the terminal state of a job that has ended.
   void RememberTerminalState(const std::string& id, const TerminalRecord& end);
 
@@ -193,7 +195,7 @@
   // the store again.
   std::unordered_map<std::string, TerminalRecord> terminal_records_;
   std::deque<std::string> terminal_order_;
-  TerminalStateIndex ended_;
+  TerminalStateIndex terminal_states_;
   StoreEpoch epoch_;
   std::string mark_id_;
   uint64_t mark_mod_revision_ = 0;
--- a/core/catalog/store_keys.h
+++ b/core/catalog/store_keys.h
@@ -31,9 +31,9 @@
 // Fence keys. Each is written once; not watched. See WriteFence.
 inline constexpr std::string_view kFence = "ob/fence/";
 inline constexpr std::string_view kTerminal = "ob/final/";
-inline constexpr std::string_view kRolloutEnd = "ob/ended/o/";
+inline constexpr std::string_view kEndedRollout = "ob/ended/o/";
 // Earlier versions of operator records, under NAME/VERSION.
-inline constexpr std::string_view kOperatorPast = "ob/ended/p/";
+inline constexpr std::string_view kOperatorHistory = "ob/ended/p/";
 
 // The key of the record with this name.
 inline std::string Of(std::string_view prefix, std::string_view name) {
--- a/core/cluster_state/cluster_state.h
+++ b/core/cluster_state/cluster_state.h
@@ -30,26 +30,28 @@
 
   // The following fields are valid within one scheduling pass.
   // Quota reserved for jobs that wait until enough of it is free.
-  Resources held;
+  Resources reserved_for_waiting;
   // The part of `used` that is released before those jobs can start. The
   // reserved quota has to fit once this much less is in use.
-  Resources released_before_held;
+  Resources released_before_reserved_use;
   // Jobs that wait for the quota and rank before those it is reserved for. No
   // quota is reserved for them: their tasks share it in turn.
-  std::vector<const Job*> taking_turns;
+  std::vector<const Job*> round_robin_jobs;
   // Lower bound of the time until the reserved quota can be used, estimated
-  // from the jobs in `taking_turns`; s.
-  double seconds_until_held_is_used = 0;
+  // from the jobs in `round_robin_jobs`; s.
+  double seconds_until_reserved_use = 0;
   // Upper bound of what running tasks whose job is unknown use.
   Resources orphaned_tasks;
 
   bool has_maximum() const { return quota.cpus_max > 0 || quota.gpus_max > 0; }
-  bool holds_for_waiting_jobs() const { return held.cpus > 0 || held.gpus > 0; }
+  bool has_reserved_quota() const {
+    return reserved_for_waiting.cpus > 0 || reserved_for_waiting.gpus > 0;
+  }
   // Whether a total use of `total` is within the team's maximum.
   bool WithinMaximum(const Resources& total) const;
   // Whether the job is estimated to end before the reserved quota can be used,
   // so that it may use that quota meanwhile (backfilling).
-  bool EndsBeforeHeldIsUsed(const JobSpec& spec) const;
+  bool EndsBeforeReservedUse(const JobSpec& spec) const;
 };
 
 // Identifies an attempt together with its machine, which is never null.
@@ -100,7 +102,7 @@
   Machine* FindMachine(const std::string& host) const;
   Machine& AddMachine(const std::string& host, const MachineRecord& record);
   // To be called when the cloud has confirmed the deletion. The object stays,
-  // in state kGone, and its host name is never used again.
+  // in state kDeleted, and its host name is never used again.
   void MarkDeleted(Machine& machine);
   bool IsDeleted(const std::string& host) const {
     return deleted_hosts_.contains(host);
--- a/core/job_lifecycle/job_record_operations.cc
+++ b/core/job_lifecycle/job_record_operations.cc
@@ -80,7 +80,7 @@
   // A start command that was unanswered for minutes has turned out to have been
   // executed after this write was built. The job is removed once that attempt
   // is gone, too.
-  if (job->holding() > 0) return;
+  if (job->charged_attempts() > 0) return;
   context_.cluster.RemoveJob(name());
 }
 
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -32,11 +32,11 @@
   void OnTypes(const std::vector<MachineType>& types);
   // Sets the priority tiers in force. Called at the beginning of the leadership
   // and whenever they change. A job's tier also applies to its running tasks.
-  void UseTiers(std::shared_ptr<const TierSet> set);
+  void SetTiers(std::shared_ptr<const TierSet> set);
   // Enables moves of replicas, within the limits of the operators' settings,
   // and continues the moves that a previous leader has recorded. To be called
   // before the first Tick.
-  void UseMoves(const MoveCodec& codec, Time now);
+  void EnableReplicaMoves(const MoveCodec& codec, Time now);
   void set_log_detail(bool on) { modules_.context.log_detail = on; }
 
   // --- events: records that are new or have changed in the catalog
@@ -74,9 +74,10 @@
                          Time now);
   // The response to a Probe.
   void OnProbeAnswer(const Heartbeat& heartbeat, Time now);
-  // The outcome of a CheckInstance.
-  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                const CheckOutcome& outcome, Time now);
+  // The outcome of a RunHealthCheck.
+  void OnHealthCheckResult(const std::string& rollout,
+                           const TaskAttemptKey& key,
+                           const CheckOutcome& outcome, Time now);
   // The outcome of RequestScaleOut. `hosts`: the machines that were granted.
   void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& hosts, Time now);
@@ -90,7 +91,8 @@
   // --- events: other controllers
   // Which machines each controller reaches, in response to the AskReach of the
   // same round. The answer of this controller comes first.
-  void OnReach(uint64_t round, std::vector<Reach> answers, Time now);
+  void OnReachabilityAnswers(uint64_t round,
+                             std::vector<ReachabilityAnswer> answers, Time now);
   // Another controller has accepted the leadership transfer: this leadership
   // ends.
   void OnTransferAccepted();
@@ -100,9 +102,9 @@
   // A controller requests a delegated lease to renew the leases of the workers
   // of its zone. `age`: how long its process has been running, s. Returns
   // whether the lease is granted.
-  bool OnDelegationAsked(const std::string& peer,
-                         const std::string& process_incarnation, double age,
-                         Time now);
+  bool OnDelegationRequested(const std::string& peer,
+                             const std::string& process_incarnation, double age,
+                             Time now);
   // A controller yields its delegated lease in response to a request that was
   // sent at `sent`. `age` (of its process) and `renewed_ago` (since it last
   // renewed a worker's lease; negative if never) are as of its response, s.
@@ -121,7 +123,7 @@
   // A reading of the clocks. Called before every other event; the clocks are
   // read after the message of that event has arrived. `confirmed`: when all
   // live records were last read completely.
-  void OnClocks(const WallReading& reading, Time confirmed, Time now);
+  void OnClockReading(const WallReading& reading, Time confirmed, Time now);
   // Performs whatever is due. `by_lease`: the right to lead rests on the lease
   // of the leader key. In an outage of the store it may rest on promises of
   // other controllers instead. A controller that does not know of these
@@ -139,12 +141,12 @@
   JobObservation View(const std::string& id, JobView* out) const;
   // Whether every machine that is recorded as up has reported its tasks to this
   // leader or has been deleted.
-  bool AllAccounted() const;
+  bool AllMachinesAccountedFor() const;
   // Whether a delegated lease may be granted for the workers of the zone: all
   // its machines have reported, and no task in it belongs to a job that was
   // cancelled so long ago that the task has to end before that lease could
   // expire.
-  bool ZoneSettled(const std::string& zone, Time now) const;
+  bool ZoneMayBeDelegated(const std::string& zone, Time now) const;
   // Whether maintenance windows delay the start of the job, why and until when;
   // empty if the job is unknown.
   std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
@@ -152,7 +154,7 @@
   // Conditions that operators should know of, one line each.
   std::vector<std::string> Alarms() const;
   // Which jobs wait for which others, one line each; limited in number.
-  std::vector<std::string> WaitingLines() const;
+  std::vector<std::string> DescribeWaitingJobs() const;
   const Rollout* FindRollout(const std::string& id) const;
   const TierPolicy& tiers() const { return modules_.tiers; }
   const HeartbeatsReceived& heartbeats_received() const;
--- a/core/leader_context/actions.h
+++ b/core/leader_context/actions.h
@@ -98,7 +98,7 @@
 };
 
 // Run the health check of a rollout on one of its replicas.
-struct CheckInstance {
+struct RunHealthCheck {
   std::string rollout;
   TaskAttemptKey key;
   // The endpoint of the replica's worker; only its address is used.
@@ -149,12 +149,12 @@
   std::string reason;
   // Other controllers are fitter to lead, so this one lets them be elected
   // first.
-  bool unfit = false;
+  bool prefer_other_candidates = false;
 };
 
 using Action =
     std::variant<SendCommands, Probe, CompareAndSwap, ReadKeys, ReadFence,
-                 RequestScaleOut, DeleteMachines, JobTerminated, CheckInstance,
+                 RequestScaleOut, DeleteMachines, JobTerminated, RunHealthCheck,
                  AskReach, OfferLeadershipTransfer, RequestLeaseYield,
                  ReadDelegates, RequestJobRecord, ReadTerminalState, Resign,
                  LogEvent>;
--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -54,7 +54,7 @@
   // Runs a scheduling pass immediately if one is due.
   std::function<void(Time now)> schedule_if_needed;
 
-  FencingTokenSource numbers;
+  FencingTokenSource token_source;
   // Whether this leadership is over. If so, nothing may be started or sent any
   // more.
   bool resigned = false;
@@ -63,13 +63,14 @@
 
   // The next number, for an attempt or a fencing token. Returns 0, and resigns,
   // if the numbers of this term are used up.
-  uint64_t NextNumber() {
-    const std::optional<uint64_t> number = numbers.Next();
-    if (!number) GiveUp("the fencing tokens of this term are used up");
+  uint64_t NextToken() {
+    const std::optional<uint64_t> number = token_source.Next();
+    if (!number)
+      ResignLeadership("the fencing tokens of this term are used up");
     return number.value_or(0);
   }
   // Resigns the leadership. Only the first call has an effect.
-  void GiveUp(std::string reason) {
+  void ResignLeadership(std::string reason) {
     if (!resigned) actions.push_back(Resign{std::move(reason)});
     resigned = true;
   }
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -25,10 +25,10 @@
   kNone,  // it has not
   kDone,
   kStopped,
-  kPeersGone,  // other tasks of its gang ended before it was done
-  kAlone,      // the other tasks of its gang did not start in time
+  kGangPeersGone,   // other tasks of its gang ended before it was done
+  kGangIncomplete,  // the other tasks of its gang did not start in time
   kError,
-  kNoRoom,  // the machine lacks capacity for it
+  kNoCapacity,  // the machine lacks capacity for it
   kBusy,
   kUnknownTask,
 };
--- a/core/model/job.h
+++ b/core/model/job.h
@@ -154,8 +154,8 @@
 
 // The number of attempts of a job on one machine.
 struct Presence {
-  int holding = 0;  // attempts that are, or may be, on the machine
-  int listed = 0;   // the same, plus those whose exit the worker still reports
+  int charged_attempts = 0;  // attempts that are, or may be, on the machine
+  int listed = 0;  // the same, plus those whose exit the worker still reports
 };
 
 // When a job should be complete according to the service-level objectives of
@@ -192,7 +192,7 @@
   }
   // When the job has to end for the jobs that depend on it.
   const DueTimes& needed_by() const { return inherited_.due; }
-  void inherit(const Inherited& inherited) { inherited_ = inherited; }
+  void set_inherited(const Inherited& inherited) { inherited_ = inherited; }
   JobState state() const { return state_; }
   const TaskSlot& task(uint32_t i) const { return tasks_[i]; }
   uint32_t size() const { return static_cast<uint32_t>(tasks_.size()); }
@@ -207,7 +207,7 @@
   // recorded.
   bool live() const { return state_ == JobState::kAccepted; }
   // Whether the job is done or cancelled, and recorded as such.
-  bool ended_by_record() const {
+  bool terminal_state_recorded() const {
     return state_ == JobState::kDone || state_ == JobState::kAborted;
   }
 
@@ -221,11 +221,11 @@
   // The number of the job's attempts by the index of their machine. An index
   // over Machine::task_attempts that saves searching all machines.
   const std::map<int32_t, Presence>& presence() const { return presence_; }
-  // The sum of Presence::holding over all machines.
-  int holding() const { return holding_; }
+  // The sum of Presence::charged_attempts over all machines.
+  int charged_attempts() const { return charged_attempts_; }
   // Adds to the numbers of attempts on a machine. Throws IllegalTransition if a
   // number would become negative.
-  void ChangePresence(int32_t machine, int holding, int listed);
+  void ChangePresence(int32_t machine, int charged_attempts, int listed);
 
   // The next task to place, which stays in the list; -1 if there is none.
   int64_t PeekPending();
@@ -233,13 +233,14 @@
   void PopPending();
 
   Time not_before = 0;  // no new attempt before, after repeated errors
-  uint32_t errors = 0;  // consecutive errors without a successful task
+  uint32_t consecutive_errors =
+      0;  // consecutive errors without a successful task
   bool within_guarantee = false;  // of its team's quota
   uint8_t tier = 0;               // index in the set of priority tiers in force
-  Time ended = -1e9;  // when its end was recorded, as far as is known
+  Time ended_at = -1e9;  // when its end was recorded, as far as is known
   // The job was accepted under a previous leader, so its tasks may be on
   // machines that have not reported yet.
-  bool from_before = true;
+  bool accepted_before_leadership = true;
 
  private:
   std::shared_ptr<const JobSpec> spec_;
@@ -256,7 +257,7 @@
   uint32_t running_ = 0;
   uint32_t placed_ = 0;
   std::map<int32_t, Presence> presence_;
-  int holding_ = 0;
+  int charged_attempts_ = 0;
 };
 
 }  // namespace oxbow
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -67,7 +67,7 @@
   kUp,
   kDraining,  // gets no new tasks because of a spot notice, fault or scale-in
   kDeleting,  // the deletion has been requested from the cloud
-  kGone,      // the cloud has confirmed the deletion
+  kDeleted,   // the cloud has confirmed the deletion
 };
 
 // The state of the start command of a task attempt.
@@ -79,7 +79,7 @@
 
 // A task attempt that is, or may be, on a machine, or whose exit the worker
 // still reports. Once the attempt has been added to the ClusterState, only that
-// changes `job`, `phase`, `reason`, `need`, `holds` and `stopping`.
+// changes `job`, `phase`, `reason`, `need`, `charged` and `stopping`.
 struct TaskAttempt {
   Job* job = nullptr;  // null if the job is unknown
   std::string job_id;
@@ -89,14 +89,14 @@
   uint64_t last_seq = 0;  // number of the latest message that listed it
   TaskPhase phase = TaskPhase::kFetching;
   ExitReason reason = ExitReason::kNone;
-  Resources need;      // the capacity that it occupies; zero once it has exited
-  bool holds = false;  // whether `need` is charged to machine, team and job
+  Resources need;  // the capacity that it occupies; zero once it has exited
+  bool charged = false;  // whether `need` is charged to machine, team and job
   Time started = 0;
   Time running_since = 0;
   // Whether the attempt was backfilled: started although the team's quota was
   // reserved for another job, because both fit. Only the leader that started
   // the attempt knows this.
-  bool beside_held_quota = false;
+  bool backfilled = false;
   bool stopping = false;  // the leader has decided to stop it
   double stop_grace = 0;  // time to save its state before it is killed, s
   Time stop_sent = 0;
@@ -133,7 +133,7 @@
   Time until = 0;
   // The reservation is for a job that can't start yet. Tasks of lower priority
   // may use the capacity meanwhile, since the job preempts them when it starts.
-  bool part = false;
+  bool partial = false;
 };
 
 // The leader's view of a machine. Owned by ClusterState, which alone changes
@@ -162,9 +162,9 @@
   // needs it is sent until it is known to be in the worker's cache.
   // The amount to download before a task with this image can run, of an image
   // of `gb` GB: zero if the image is cached or queued.
-  double BytesToFetch(const std::string& image, double gb) const;
+  double GbToFetch(const std::string& image, double gb) const;
   void QueueImage(const std::string& image, double gb, Time now);
-  void ImageCached(const std::string& image, double gb, Time now);
+  void MarkImageCached(const std::string& image, double gb, Time now);
   void DropQueuedImage(const std::string& image);
   // Whether the image is in the worker's cache.
   bool HasImage(const std::string& image) const;
@@ -195,13 +195,13 @@
   Time last_answer = -1e9;   // when this leader last answered a heartbeat
   // When the other controllers were last asked whether they reach the silent
   // machine, when one of them last reached it, and when last none of them did.
-  Time asked_about = -1e9;
-  Time reached_by_other = -1e9;
-  Time reached_by_none = -1e9;
+  Time peers_last_asked = -1e9;
+  Time last_reached_by_peer = -1e9;
+  Time last_unreached_by_peers = -1e9;
   bool reported = false;  // has sent its tasks to this leader
   // The machine has no record and has shown no token of this leader: its
   // message may be a delayed duplicate from a machine that has been deleted.
-  bool stranger = false;
+  bool unverified = false;
   std::optional<Batch> batch;
   // A batch got no response: its commands may still be executed until the
   // worker shows the current token.
@@ -209,7 +209,7 @@
   std::deque<WorkerCommand> queue;  // commands to be sent
   // Until then commands are sent only in responses to heartbeats, because
   // connections to the worker have failed.
-  Time direct_broken_until = 0;
+  Time direct_commands_disabled_until = 0;
   uint32_t direct_failures = 0;  // consecutive failed connections
   // When the cloud reclaims the machine, if it has announced that.
   std::optional<Time> notice_until;
@@ -221,18 +221,21 @@
   // The number of tasks on the machine whose job is unknown. The capacity that
   // they occupy is unknown, too, so nothing is placed on the machine meanwhile.
   int orphaned_tasks = 0;
-  Resources used;     // by attempts that are, or may be, on the machine
-  Resources staying;  // the part of `used` that services use
-  Resources lasting;  // the part of `used` that services and gangs use
-  Resources leaving;  // the part of `used` whose attempts are being stopped
+  Resources used;  // by attempts that are, or may be, on the machine
+  Resources used_by_services;  // the part of `used` that services use
+  Resources
+      used_by_long_running;  // the part of `used` that services and gangs use
+  Resources
+      used_by_stopping;  // the part of `used` whose attempts are being stopped
   std::array<Resources, kPriorities> used_by;  // `used` by priority
 
   std::vector<Reservation> reservations;
   std::vector<std::string> failed_jobs;  // distinct jobs that failed here
-  Time distrusted_until = 0;             // cordoned until then
+  Time cordoned_until = 0;               // cordoned until then
   Time idle_since = 0;
   Time delete_sent = -1e9;
-  bool given_up = false;  // its deletion was requested because it was silent
+  bool deleted_for_silence =
+      false;  // its deletion was requested because it was silent
   Time next_review = 0;
   bool missing_in_list = false;
   double bandwidth = 0;  // average of measured downloads, GB/s; 0 before
--- a/core/model/reachability.cc
+++ b/core/model/reachability.cc
@@ -47,7 +47,8 @@
   const double longest = kLongestInterval * workers.heartbeat_interval_seconds;
   const int enough = longest < timeout - 2 * kEarlySeconds ? 2 : 3;
   // After a long silence the heartbeat may be a delayed copy from a machine
-  // that has failed since. A delivery check shows whether it is; see MustBeOld.
+  // that has failed since. A delivery check shows whether it is; see
+  // IsStaleHeartbeat.
   const bool long_silence =
       responded_at_ != kNever && seconds_since_last > workers.lease_seconds / 2;
   return long_silence ||
@@ -89,8 +90,9 @@
   }
 }
 
-bool Reachability::MustBeOld(FencingToken token, double lease_seconds,
-                             bool may_be_renewed_by_delegate, Time now) const {
+bool Reachability::IsStaleHeartbeat(FencingToken token, double lease_seconds,
+                                    bool may_be_renewed_by_delegate,
+                                    Time now) const {
   const bool delegate_may_have_renewed =
       may_be_renewed_by_delegate && now - responded_at_ > lease_seconds / 2;
   return unshown_since_ != kNever && token < unshown_token_ &&
--- a/core/model/reachability.h
+++ b/core/model/reachability.h
@@ -121,8 +121,8 @@
   // token, and if none had, the incarnation would have ended. This does not
   // hold if a controller with a delegated lease may have renewed the worker's
   // lease while this leader did not answer.
-  bool MustBeOld(FencingToken token, double lease_seconds,
-                 bool may_be_renewed_by_delegate, Time now) const;
+  bool IsStaleHeartbeat(FencingToken token, double lease_seconds,
+                        bool may_be_renewed_by_delegate, Time now) const;
 
  private:
   static constexpr Time kNever = -1e9;
--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -57,7 +57,7 @@
   // were written before the service lowered its limit stay readable.
   double stored_value_kb = 8;
 
-  size_t most_value_bytes() const {
+  size_t max_value_bytes() const {
     return static_cast<size_t>(value_kb * 1024);
   }
   // Whether a transaction may contain so many mutations.
@@ -81,7 +81,7 @@
   // How many connections may be used to serve requests, and for connections to
   // workers. The rest is for connections to the key-value store, the cloud, the
   // other controllers and the replicas whose health is checked.
-  size_t served_connections() const { return ShareOfConnections(0.75); }
+  size_t client_connections() const { return ShareOfConnections(0.75); }
   size_t worker_connections() const { return ShareOfConnections(0.15); }
 
  private:
@@ -108,7 +108,7 @@
   CloudSettings cloud;
   LimitSettings limits;
   // The maximum difference between a controller's wall clock and true time.
-  double clock_off_ms = 0;
+  double clock_error_ms = 0;
 };
 
 // The operators' tuning file: weights, limits and switches. Every default is a
@@ -208,6 +208,6 @@
 
 // The maximum relative drift that is assumed between two steady clocks. They
 // may drift apart by 0.05%; twice that is allowed for.
-inline constexpr double kDrift = 0.001;
+inline constexpr double kMaxClockDriftRate = 0.001;
 
 }  // namespace oxbow
--- a/core/model/state_machine.h
+++ b/core/model/state_machine.h
@@ -1,5 +1,5 @@
 // Common part of the explicit state machines: each has a table of its legal
-// transitions, and every change of state goes through CheckedChange.
+// transitions, and every change of state goes through CheckedTransition.
 #pragma once
 
 #include <array>
@@ -21,9 +21,9 @@
 // Sets `state` to `next` if `legal` contains that transition; throws
 // IllegalTransition otherwise. `machine` names the state machine in the error.
 template <typename State, size_t N>
-void CheckedChange(State& state, State next,
-                   const std::array<std::pair<State, State>, N>& legal,
-                   const char* machine) {
+void CheckedTransition(State& state, State next,
+                       const std::array<std::pair<State, State>, N>& legal,
+                       const char* machine) {
   for (const auto& [from, to] : legal) {
     if (from == state && to == next) {
       state = next;
--- a/core/model/worker_incarnation.h
+++ b/core/model/worker_incarnation.h
@@ -30,7 +30,7 @@
 // and the resolution of the timers on both sides.
 inline Time TasksMayLiveUntil(Time counted_from, double lease_seconds) {
   constexpr double kTimerMargin = 0.05;  // s
-  return counted_from + lease_seconds * (1 + kDrift) + kTimerMargin;
+  return counted_from + lease_seconds * (1 + kMaxClockDriftRate) + kTimerMargin;
 }
 
 // A worker kills its tasks when a whole lease has passed since it sent the last
@@ -77,7 +77,7 @@
   bool alive() const { return state_ == IncarnationState::kAlive; }
   // Whether a message of the incarnation `number` can contain new information:
   // false if it is from an incarnation that has ended.
-  bool MayBeNews(uint64_t number) const {
+  bool MayBeCurrent(uint64_t number) const {
     return number > number_ ||
            (number == number_ && state_ != IncarnationState::kExpired);
   }
