--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -268,7 +268,7 @@
 }
 
 void Leader::Tick(Time now, bool by_lease) {
-  modules_.liveness.Count(now);
+  modules_.liveness.CountSilentMachines(now);
   modules_.worker_sessions.BeginTick();
   for (const auto& machine : modules_.cluster.machines()) {
     if (machine->state() == MachineState::kDeleted) continue;
