--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -61,8 +61,8 @@
   // Whether log events with LogEvent::detail are logged.
   bool log_detail = false;
 
-  // The next number, for an attempt or a fencing token. Returns 0, and resigns,
-  // if the numbers of this term are used up.
+  // The next fencing token, which also serves as an attempt number. Returns 0,
+  // and resigns, if the tokens of this term are used up.
   uint64_t NextToken() {
     const std::optional<uint64_t> number = token_source.Next();
     if (!number)
--- a/tests/cluster_state_test.cc
+++ b/tests/cluster_state_test.cc
@@ -170,11 +170,11 @@
     EXPECT_EQ(machine.orphaned_tasks, orphaned) << machine.host();
     ExpectEqual(machine.used, used, "used of " + machine.host());
     ExpectEqual(machine.used_by_services, used_by_services,
-                "staying of " + machine.host());
+                "used by services of " + machine.host());
     ExpectEqual(machine.used_by_long_running, used_by_long_running,
-                "lasting of " + machine.host());
+                "used by long-running attempts of " + machine.host());
     ExpectEqual(machine.used_by_stopping, used_by_stopping,
-                "leaving of " + machine.host());
+                "used by stopping attempts of " + machine.host());
     for (size_t i = 0; i < kPriorities; ++i) {
       ExpectEqual(machine.used_by[i], by_priority[i],
                   "priority " + std::to_string(i) + " of " + machine.host());
@@ -213,8 +213,9 @@
   EXPECT_EQ(job.placed(), 1U);
   EXPECT_EQ(ClusterState::CountOn(job, machine), 1);
   ExpectEqual(machine.used, kNeed, "used");
-  ExpectEqual(machine.used_by_services, kNeed, "staying");
-  ExpectEqual(machine.used_by_long_running, kNeed, "lasting");
+  ExpectEqual(machine.used_by_services, kNeed, "used by services");
+  ExpectEqual(machine.used_by_long_running, kNeed,
+              "used by long-running attempts");
   ExpectEqual(cluster_.quota(0).used, kNeed, "quota");
   ExpectConsistent();
 }
@@ -311,13 +312,14 @@
   cluster_.SetStopping(machine, first, true);
   cluster_.SetStopping(machine, second, true);
   EXPECT_EQ(observer_.stopping(), 2);
-  ExpectEqual(machine.used_by_stopping, kNeed * 2, "leaving");
+  ExpectEqual(machine.used_by_stopping, kNeed * 2, "used by stopping attempts");
   cluster_.SetStopping(machine, first, false);
   ExpectEqual(machine.used_by_stopping, kNeed,
-              "leaving after one stop was dropped");
+              "used by stopping attempts after one stop was dropped");
   ExpectConsistent();
   cluster_.RemoveAttempt(machine, {"job-1", 1, 12});
-  ExpectEqual(machine.used_by_stopping, {}, "leaving after the removal");
+  ExpectEqual(machine.used_by_stopping, {},
+              "used by stopping attempts after the removal");
   ExpectConsistent();
 }
 
