--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -6,26 +6,31 @@
 namespace {
 
 // An image should be cached after this share of the time that the class may
-// wait; the rest is for the command, the queue, and an estimate too low.
+// wait. The rest is for the start command, the queue, and fetches that take
+// longer than estimated.
 constexpr double kFetchShareOfWaitSlo = 0.6;
-// Fragmentation below this, in accelerators, is rounding.
+// Fragmentation below this, in accelerators, is a rounding error.
 constexpr double kNoFragmentation = 1e-6;
 
-// Terms of the fragmentation cost, as shares of a machine.
-// Among fragmented machines the fullest are preferred, so that others empty.
+// The terms of the fragmentation cost, as fractions of a machine.
+//
+// The bonus for a machine that long-running work uses fully. Among fragmented
+// machines it makes the fullest one preferred, so that others become empty.
 constexpr double kFillBonus = 0.1;
-// More than a whole machine: images share the bandwidth, so four small replicas
-// started together on one machine would each wait for all four.
+// The cost of an image that comes too late. More than a whole machine, since
+// fetches share the bandwidth: four small replicas started together on one
+// machine would each wait for all four images.
 constexpr double kLateImageCost = 2;
+// The cost of exceeding ReplicasPerMachineLimit.
 constexpr double kCrowdedCost = 0.5;
-// Images that the start would evict have to be fetched again by the next job
-// that needs them.
+// The cost of evicting the whole image cache. Evicted images have to be fetched
+// again by the next job that needs them.
 constexpr double kEvictedImagesCost = 0.1;
 
-// Scores that differ by less are equal.
+// Scores that differ by less than this are equal.
 constexpr double kScoreTolerance = 1e-9;
 
-// Whether the image would come too late for the class's objective.
+// Whether the image would be cached too late for the class's objective.
 bool ImageComesLate(const Machine& machine, const JobSpec& spec,
                     std::optional<double> wait_slo_seconds) {
   return SecondsToImage(machine, spec) >
@@ -33,7 +38,8 @@
              wait_slo_seconds.value_or(kUnlimitedWaitSeconds);
 }
 
-// The share of the machine's cache that fetching the image would evict.
+// The share of the machine's image cache, from 0 to 1, that fetching the image
+// would evict.
 double EvictedShareOfCache(const Machine& machine, const JobSpec& spec) {
   const double cache_gb = machine.type->cache_gb;
   const double evicted_gb = machine.image_gb_cached() - cache_gb +
@@ -133,16 +139,17 @@
 
 bool AcceleratorWorkBlocked(const Machine& machine, const Resources& shape,
                             const Resources& more) {
-  // Until the first such task has come, it may need all there is.
+  // Before the first accelerator task was submitted its needs are unknown, so
+  // it is assumed to need the whole machine.
   const Resources& need = shape.gpus > 0 ? shape : machine.total();
   return !need.FitsIn(machine.total() - machine.staying - more);
 }
 
 double SecondsToImage(const Machine& machine, const JobSpec& spec) {
   const double own_gb = machine.BytesToFetch(spec.image, spec.image_gb);
-  // A fetch may be slower than the nominal rate by a third. What was measured
-  // below that shared the bandwidth with other fetches, and those are counted
-  // here by themselves.
+  // A fetch may be slower than the nominal rate by up to a third. A lower
+  // measured rate means that the fetch shared the bandwidth with other fetches;
+  // those are counted separately below.
   constexpr double kSlowestShare = 2.0 / 3;
   const double rate = std::max(
       machine.bandwidth, kSlowestShare * machine.type->fetch_gb_per_second);
@@ -156,8 +163,8 @@
     std::optional<double> wait_slo_seconds) const {
   if (!CountsFragmentation(spec, machine)) return false;
   if (fragmentation_->Added(machine, spec.need) > kNoFragmentation) return true;
-  // Where lasting work leaves too little, preemption of short work would not
-  // help.
+  // If long-running work leaves too little capacity, preempting short work
+  // would not help.
   return spec.need.gpus > 0 &&
          (!spec.need.FitsIn(LastingRoom(machine)) ||
           ImageComesLate(machine, spec, wait_slo_seconds));
@@ -187,15 +194,16 @@
   const JobSpec& spec = request.job.spec();
   const Resources& total = machine.type->total;
   if (spec.kind == JobKind::kService) {
-    // The paper warns that fetch time alone gathers replicas; these two terms
-    // spread them over zones and, within a zone, over machines.
+    // The paper on the Infrastructure Aware algorithm warns that scoring by
+    // fetch time alone concentrates replicas. These two terms spread them over
+    // zones and, within a zone, over machines.
     const double tasks = spec.tasks;
     const int in_zone = request.spread.InZone(machine.zone);
     score -= tuning_.spread_weight * in_zone / tasks;
     score -= tuning_.spread_weight * request.count_on_machine(machine) / tasks;
   } else if (total.cpus > 0) {
-    // Short work fills machines that are in use already, so that others can be
-    // drained for gangs or returned.
+    // Tasks of arrays and gangs fill machines that are in use already, so that
+    // other machines can be drained for gangs or returned to the cloud.
     score += tuning_.pack_weight * machine.used.cpus / total.cpus;
   }
   if (total.gpus > 0 && spec.need.gpus <= 0)
--- a/core/scheduler/gang_scheduler.cc
+++ b/core/scheduler/gang_scheduler.cc
@@ -12,8 +12,9 @@
 namespace oxbow {
 namespace {
 
-// The zones that the gang may be in, each alone, in the order in which their
-// first machine comes; one empty name if it may be in several at once.
+// The zones to try for the gang, in the order of their first machine in
+// `machines`. A gang that may use several zones at once gets one empty name,
+// which stands for all zones.
 std::vector<std::string> CandidateZones(const JobSpec& spec,
                                         const std::vector<Machine*>& machines) {
   if (!spec.one_zone) return {std::string()};
@@ -25,6 +26,7 @@
   return zones;
 }
 
+// The machines of the zone, or all of them if `zone` is empty.
 std::vector<Machine*> MachinesIn(const std::string& zone,
                                  const std::vector<Machine*>& machines) {
   std::vector<Machine*> in_zone;
@@ -34,8 +36,9 @@
   return in_zone;
 }
 
-// How good an offer is for a gang: first that it holds most of the gang, then
-// that it can start soon, then that little has to be stopped.
+// Compares offers for a gang: the offer with slots for more of its tasks is
+// better, then the one with fewer slots that wait for other work to end, then
+// the one with the lower preemption cost.
 struct OfferRating {
   size_t slots = 0;
   size_t waiting_slots = 0;
@@ -77,8 +80,8 @@
 void GangScheduler::Schedule(Job& job, const QueuePosition& position,
                              SchedulingPass& pass) {
   if (job.placed() > 0) {
-    // A leader failed half-way through the starts, or a task was lost: what is
-    // left is stopped, and the next attempt starts the whole gang.
+    // A leader failed half-way through the starts, or a task was lost. The
+    // remaining tasks are stopped, and the next attempt starts the whole gang.
     dispatcher_.StopTasks(job, 0, pass.now);
     return;
   }
@@ -87,7 +90,9 @@
   if (job.holding() > 0) return;
   if (!Admitted(job, pass)) return;
   const Assignment assignment = ChooseMachines(job, pass);
-  // One that finds no place is counted first, then looks for what to preempt.
+  // A gang that fits costs one search over the machines for each task. One that
+  // does not fit costs two: the capacity check and the search for machines to
+  // reserve.
   const size_t searches = std::max<size_t>(assignment.machines.size(), 2);
   pass.work.Add(searches * pass.usable_machines.size());
   if (assignment.machines.empty()) {
@@ -128,7 +133,8 @@
 GangScheduler::Assignment GangScheduler::ChooseMachinesAmong(
     const Job& job, const std::vector<Machine*>& machines,
     double mean_bandwidth) {
-  // Counted first: choosing is expensive, and most zones fall short.
+  // Checked first because choosing machines is expensive and most zones lack
+  // the capacity.
   if (!HasCapacityFor(job, machines)) return {};
   const JobSpec& spec = job.spec();
   const uint32_t tasks = job.unplaced();
@@ -140,7 +146,8 @@
     if (machine == nullptr) break;
     assignment.fetch_seconds = std::max(
         assignment.fetch_seconds, FetchSeconds(*machine, spec, mean_bandwidth));
-    // Charged while the other tasks are chosen, and given back below.
+    // The capacity counts as used while machines are chosen for the remaining
+    // tasks; it is returned below.
     machine->used += spec.need;
     tiers_.Take(machine->zone, spec.need);
     spread.Add(machine->zone, 1);
@@ -177,9 +184,9 @@
   tiers_.TurnUsed(job, job.tier, now);
 }
 
-// Capacity for a gang is reserved whole, in one place, and anew in each pass.
-// Gangs that each kept a part of what they needed have waited for one another
-// for ever, with most machines idle.
+// The reservations of a gang are dropped and made anew in each pass, all within
+// one offer. Only one gang at a time may reserve less than it needs: gangs that
+// each hold a part of their capacity deadlock, with most machines idle.
 void GangScheduler::ReserveByPreemption(Job& job, SchedulingPass& pass) {
   const uint32_t wanted = job.unplaced();
   cluster_.DropAllReservations(job);
@@ -187,7 +194,7 @@
   const ZoneOffer* best = BestOffer(offers, wanted);
   if (best == nullptr) return;
   const bool whole = best->slots.size() == wanted;
-  // Only the first gang in the queue may reserve less than it needs.
+  // The flag is set by the first gang in the queue that reserves a part.
   if (!whole && std::exchange(pass.partial_gang_reserved, true)) return;
   const bool starts_soon = whole && !best->slots.back().waits_for_short_work;
   const ReservationTerms terms = {
@@ -220,7 +227,8 @@
   const Resources& need = job.spec().need;
   const Resources reserved_for_others =
       machine.free() - machine.CapacityFor(&job, job.priority());
-  // Short work of equal priority is waited for.
+  // Capacity that job array tasks use counts too: they end soon, so the gang
+  // can wait for those that it may not preempt.
   const Resources free_of_short_work =
       machine.total() - reserved_for_others - machine.lasting;
   Resources taken;
@@ -231,7 +239,8 @@
       if (tier_manager_.UsesReservedHeadroom(job, machine, *plan)) return;
       slots.push_back({std::move(*plan), false});
     } else if (need.FitsIn(free_of_short_work - taken)) {
-      // The less runs there, the sooner it has ended.
+      // The cores in use stand for the cost: the less work is running on the
+      // machine, the sooner all of it has ended.
       slots.push_back({{&machine, machine.used.cpus, {}}, true});
     } else {
       return;
@@ -251,7 +260,7 @@
                 return left.plan.cost < right.plan.cost;
               });
     if (slots.size() > wanted) slots.resize(wanted);
-    // Nothing is reserved where the gang can't become whole.
+    // Nothing is reserved where the whole gang could never fit.
     if (offer.capacity < wanted) continue;
     if (best == nullptr || RatingOf(slots).BetterThan(RatingOf(best->slots)))
       best = &offer;
--- a/core/scheduler/gang_scheduler.h
+++ b/core/scheduler/gang_scheduler.h
@@ -1,7 +1,7 @@
-// Gang scheduling: all tasks of a job start together, under one attempt number,
-// or none does. Chooses the zone of a gang that must not be spread, and
-// reserves capacity for one that does not fit yet. Holds no state between
-// passes.
+// Gang scheduling: all tasks of a gang job start together, under one attempt
+// number, or none of them starts. The gang scheduler chooses the zone for a
+// gang that must be in a single zone, and reserves capacity for a gang that
+// does not fit yet. It keeps no state between scheduling passes.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 // Schedules one gang at a time within a pass.
 class GangScheduler {
  public:
-  // The modules that it calls.
+  // The modules that this class calls.
   struct Modules {
     CommandDispatcher& dispatcher;
     MaintenanceManager& maintenance;
@@ -36,31 +36,38 @@
   };
   GangScheduler(LeaderContext& context, const Modules& modules);
 
-  // Starts the gang if it may start and fits, else prepares for its start by
-  // preemption and reservations. `position`: its position in the queue.
+  // Starts the gang if it is admitted and fits. A gang that is admitted but
+  // does not fit gets reservations, and tasks are preempted for it where that
+  // makes it fit. `position` is the gang's position in the queue.
   void Schedule(Job& job, const QueuePosition& position, SchedulingPass& pass);
 
  private:
-  // Machines for the tasks of a gang, one entry for each; empty if it does not
-  // fit.
+  // The machines for the tasks of a gang, one entry per task. Empty if the gang
+  // does not fit.
   struct Assignment {
     std::vector<Machine*> machines;
-    double fetch_seconds =
-        0;  // of the slowest task, with which the gang starts
+    // The longest image fetch among the tasks: the gang cannot run before all
+    // of its tasks have their image.
+    double fetch_seconds = 0;
   };
-  // Capacity for one task, now or once others have ended or were stopped.
+  // Capacity for one task on one machine. It is free now, or becomes free once
+  // other tasks have ended or have been stopped.
   struct Slot {
     PreemptionPlan plan;
-    // Nothing has to be stopped: short work there ends soon.
+    // No task is preempted for this slot: it becomes free when job array tasks
+    // on the machine end.
     bool waits_for_short_work = false;
   };
-  // What one zone, or the whole cluster, could offer to a gang.
+  // The slots that one zone, or the whole cluster, has for a gang.
   struct ZoneOffer {
     std::vector<Slot> slots;
-    uint32_t capacity = 0;  // tasks that could ever be there
+    // Tasks of the gang that would fit if only the services kept running.
+    uint32_t capacity = 0;
   };
 
-  // Whether operators, quota and tier let the whole gang start now.
+  // Whether the maintenance windows, the team's quota and the tier's share let
+  // the whole gang start now. If only the quota forbids it, tasks of the same
+  // team may be preempted.
   bool Admitted(Job& job, SchedulingPass& pass);
   Assignment ChooseMachines(const Job& job, const SchedulingPass& pass);
   Assignment ChooseMachinesAmong(const Job& job,
@@ -72,12 +79,15 @@
                 const QueuePosition& position, Time now);
 
   void ReserveByPreemption(Job& job, SchedulingPass& pass);
-  // By zone; by the empty name for a gang that may be in several.
+  // The offers for the gang, by zone. A gang that may use several zones at once
+  // has a single offer, under the empty name.
   std::map<std::string, ZoneOffer> CollectOffers(
       const Job& job, const SchedulingPass& pass) const;
+  // Appends the machine's slots for tasks of the gang to `slots`.
   void AddSlotsOf(const Job& job, Machine& machine, Time now,
                   std::vector<Slot>& slots) const;
-  // Null if the gang can't become whole anywhere. Sorts and trims the slots.
+  // The best offer, or null if no offer has the capacity for all `wanted`
+  // tasks. Sorts the slots of every offer and cuts them down to `wanted`.
   static ZoneOffer* BestOffer(std::map<std::string, ZoneOffer>& offers,
                               uint32_t wanted);
 
--- a/core/scheduler/machine_selector.h
+++ b/core/scheduler/machine_selector.h
@@ -1,6 +1,6 @@
 // Filters the machines on which a task may start and picks the one with the
-// highest score. Owns the placer and with it the random choice between machines
-// of equal score. Changes neither jobs nor machines.
+// highest score. The selector owns the Placer, and with it the random generator
+// that breaks ties between equal scores. It changes neither jobs nor machines.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,20 @@
 // Finds the machine for one task at a time.
 class MachineSelector {
  public:
-  // `seed`: of the choice between machines of equal score.
+  // `seed` initializes the random choice between machines of equal score.
   MachineSelector(LeaderContext& context, const TierManager& tier_manager,
                   uint64_t seed);
 
-  // The best of `candidates` for one more task of the job; null if it may not
-  // start on any of them now. `spread`: where the job's tasks are.
-  // `mean_bandwidth`: SchedulingPass::mean_bandwidth. Draws a random number if
-  // there is at least one feasible machine.
+  // Returns the best of `candidates` for one more task of the job, or null if
+  // the task may not start on any of them now. `spread` is the zone
+  // distribution of the job's tasks; `mean_bandwidth` is
+  // SchedulingPass::mean_bandwidth, in GB/s. Draws a random number if there is
+  // at least one feasible machine.
   Machine* FindMachine(const Job& job, const std::vector<Machine*>& candidates,
                        const ZoneSpread& spread, double mean_bandwidth);
 
-  // Whether a task of the job would fragment the accelerators of a machine that
-  // is whole, or could not be ready on it in time. See Placer.
+  // Whether a task of the job would fragment the machine's free accelerators or
+  // could not start in time on it. See Placer::FragmentsWholeMachine.
   bool FragmentsWholeMachine(const JobSpec& spec, const Machine& machine) const;
 
  private:
--- a/core/scheduler/preemption_plan.h
+++ b/core/scheduler/preemption_plan.h
@@ -1,4 +1,5 @@
-// What would have to be stopped on one machine so that one more task fits.
+// The tasks that would have to be stopped on one machine so that one more task
+// fits on it.
 #pragma once
 
 #include <vector>
@@ -7,14 +8,15 @@
 
 namespace oxbow {
 
-// The tasks to stop on one machine, and what that costs.
+// The tasks to stop on one machine, and the cost of stopping them.
 struct PreemptionPlan {
-  // Not owned; never null in a plan that a planner returns.
+  // Not owned; never null in a plan that PreemptionPlanner returns.
   Machine* machine = nullptr;
-  // Of all victims: weighted core seconds of lost work. Comparable between
-  // plans for the same job.
+  // The work that all victims together lose, in core seconds weighted by
+  // priority. Comparable between plans for the same job.
   double cost = 0;
-  // The cheapest first. Empty: enough capacity is free or about to be.
+  // The cheapest victim first. Empty if enough capacity is free or is about to
+  // be released.
   std::vector<TaskAttemptKey> victims;
 };
 
--- a/core/scheduler/preemption_planner.cc
+++ b/core/scheduler/preemption_planner.cc
@@ -10,10 +10,12 @@
 namespace oxbow {
 namespace {
 
-// What any preemption loses beside the work: to fetch and to start again.
+// Every preempted task loses this much time in addition to its work, since its
+// image is fetched and the task is started again.
 constexpr double kRestartSeconds = 5.0;
-// A task with checkpoints loses at most so many times what one takes to save.
-constexpr double kSavesLost = 2;
+// A task with checkpoints loses at most this many times the duration of saving
+// one checkpoint.
+constexpr double kMaxCheckpointSavesLost = 2;
 
 }  // namespace
 
@@ -39,7 +41,8 @@
   if (!rollout_manager_.DisruptionAllowed(KeyOf(victim), other, now))
     return false;
   if (other.priority() > job.priority()) return true;
-  // Borrowed capacity is returned to a team that is within its guarantee.
+  // A job within its team's guaranteed quota reclaims capacity that another
+  // team uses beyond its own guaranteed quota.
   if (!job.within_guarantee || other.team() < 0 || other.team() == job.team() ||
       other.priority() == Priority::kProduction) {
     return false;
@@ -56,11 +59,12 @@
       victim.running_since > 0 ? now - victim.running_since : 0.0;
   const double lost_seconds =
       spec.checkpoint_seconds > 0
-          ? std::min(ran_seconds, spec.save_seconds * kSavesLost)
+          ? std::min(ran_seconds, spec.save_seconds * kMaxCheckpointSavesLost)
           : ran_seconds;
   const double priority_weight = 1 + (3 - static_cast<int>(spec.priority));
-  // A gang is stopped whole. Without the weight the cost of one task counts, as
-  // it did before there was a measure of fragmentation.
+  // Stopping one task of a gang stops the whole gang, so all of its tasks count
+  // towards the cost. Where placement does not consider fragmentation, only the
+  // one task counts.
   const bool counts_whole_gang =
       context_.tuning.fragmentation_weight > 0 && spec.kind == JobKind::kGang;
   return (lost_seconds + kRestartSeconds) * spec.need.cpus * priority_weight *
@@ -96,7 +100,7 @@
   const Resources& need = job.spec().need;
   Resources available =
       machine.CapacityFor(&job, job.priority()) + machine.leaving - taken;
-  // Rules out most machines without a look at each task there.
+  // Rules out most machines without iterating over their tasks.
   if (!need.FitsIn(CapacityUpperBound(job, machine, available)))
     return std::nullopt;
   PreemptionPlan plan{&machine, 0, {}};
@@ -115,8 +119,9 @@
   Machine& machine = *plan.machine;
   for (const TaskAttemptKey& key : plan.victims) {
     const auto it = machine.task_attempts.find(key);
-    // The tasks of a gang may have been stopped with one of them elsewhere, and
-    // the victims before this one may have used up what a floor allows.
+    // Since the plan was made, the victim may have been stopped along with
+    // another task of its gang, or earlier victims may have used up the
+    // disruptions that a rollout allows.
     if (it == machine.task_attempts.end() || it->second.stopping ||
         !rollout_manager_.DisruptionAllowed(key, *it->second.job, now)) {
       continue;
@@ -147,14 +152,17 @@
   }
 }
 
-// Where the team's services leave less than a gang needs, keeping the quota
-// for it made all other jobs of the team wait for as long as the services ran
-// (docs/incidents/2026-12-02-limit-held-in-vain.md). For as long as earlier
-// work takes its turns, what the job will not need once it has started is left
-// to later jobs. The tasks so started count against that share until they end:
-// however many such jobs come, they do not keep the waiting one from starting.
-// What it will need is left to them, too, for as long as the turns last: a job
-// that is estimated to end before then does not put the waiting one off.
+// No quota is held for a job that cannot start beside the team's services. If
+// it were, all other jobs of the team would wait for as long as the services
+// run (docs/incidents/2026-12-02-limit-held-in-vain.md).
+//
+// While the waiting job cannot start yet, later jobs of the team may backfill
+// in two ways. First, they may use the quota that remains beside the waiting
+// job once it has started. The tasks they start count against that remainder
+// until they end, so any number of such jobs cannot delay the waiting job.
+// Second, while earlier arrays still run their tasks in turn, a later job that
+// is estimated to end before them may also use the quota that is held, since
+// that does not delay the waiting job either.
 void PreemptionPlanner::PreemptWithinQuota(Job& job, uint32_t tasks, Time now) {
   QuotaUsage& team = cluster_.quota(job.team());
   TeamUsage usage = UsageOfTeam(job, now);
@@ -172,10 +180,11 @@
     released += victim.machine->task_attempts.at(victim.key).need;
     chosen.push_back(victim);
   }
-  // All or nothing: a stop that does not let the job start helps nobody.
+  // Victims are stopped only if that lets the job start.
   const bool enough = fits();
   if (team.holds_for_waiting_jobs()) {
-    // When this one can start is not known.
+    // Quota is held for more than one job. The time at which this one can start
+    // is not known, so no job may run on the held quota until then.
     team.seconds_until_held_is_used = 0;
   } else {
     team.released_before_held = usage.released + usage.transient;
@@ -191,8 +200,9 @@
   if (!team.holds_for_waiting_jobs()) team.taking_turns.push_back(&job);
 }
 
-// The tasks that run may end at any moment. Those that wait then need as many
-// turns as the maximum allows for, beside what never ends.
+// Tasks that already run may end at any moment, so they count for nothing. The
+// waiting tasks of an array run in batches, each as large as the maximum of the
+// quota allows beside `persistent`.
 double PreemptionPlanner::SecondsOfTurnsBefore(
     const QuotaUsage& team, const Resources& persistent) const {
   double longest_seconds = 0;
--- a/core/scheduler/queue_ranking.cc
+++ b/core/scheduler/queue_ranking.cc
@@ -6,13 +6,13 @@
 namespace oxbow {
 namespace {
 
-// Groups within a rank, the first to be served first.
+// Groups of jobs within a rank and tier, in the order in which they are served.
 enum Group : int {
   kMinimumShareGroup = -1,
-  kLastSloNear = 0,  // the last objective that counts would soon be missed
-  kInTime = 1,
-  kLater = 2,
-  kHopeless = 3,
+  kLastSloNear = 0,  // the job is about to miss its last objective
+  kInTime = 1,       // the job can still meet its first objective
+  kLater = 2,        // the first objective is missed, or there is none
+  kMissed = 3,       // the last due time cannot be met any more
 };
 
 // Ranks of jobs below production priority: those within the guaranteed quota
@@ -21,24 +21,28 @@
 constexpr int kGuaranteedRank = 1;
 constexpr int kBeyondGuaranteeRank = 10;
 
-// Later than any due time that is set.
+// A due time that is not before this one means that none was set.
 constexpr Time kNever = 1e17;
-// A due time is near when less than this share of the time for it is left.
+// A due time is near when the time left is below the sum of this share of the
+// whole time allowed and ...
 constexpr double kNearShare = 0.3;
-// And that many times the job's own run time.
+// ... this many times the job's run time.
 constexpr double kNearRuns = 2;
 
-// Of the time within which every job is to begin: so long an array waits for
-// its turn before a part of it starts out of turn.
+// An array that has waited for this share of the time within which every job
+// should begin starts some of its tasks out of turn.
 constexpr double kArrayWaitShare = 0.5;
-// The largest gangs get the rest of it to find their capacity.
+// One of the largest gangs that has waited for this share of that time moves
+// forward in the queue. The rest of the time is for gathering its capacity.
 constexpr double kGangWaitShare = 0.25;
-// An array that starts out of turn starts one in so many of its tasks.
+// An array that starts out of turn starts one in this many of its tasks.
 constexpr uint32_t kMinimumShareDivisor = 50;
-// More than any wait: separates the largest gangs from those that are late.
+// Added to queue keys, which are times in seconds, to order the largest gangs
+// before all others and late gangs after them. Longer than any wait.
 constexpr double kGangKeyOffsetSeconds = 1e6;
 
-// `span_seconds`: the time that there was for it in all.
+// Whether the due time is near. `span_seconds` is the whole time allowed, from
+// submission to the due time.
 bool IsNear(Time due, double span_seconds, double run_seconds, Time now) {
   return due - now < kNearShare * span_seconds + kNearRuns * run_seconds;
 }
@@ -109,17 +113,17 @@
   return position;
 }
 
-// By least work first the large arrays of a flood did not begin within four
-// minutes. An array begins with its first task, so one that has waited for half
-// of that time starts a small part of its tasks, whatever its size, and then
-// waits its turn.
+// Under overload, with the least work served first, large arrays did not begin
+// within four minutes. An array counts as begun with its first task, so an
+// array of any size that has waited for half of the time limit starts a small
+// part of its tasks and then waits for its regular turn.
 bool QueueRanking::StartsOutOfTurn(const Job& job, Time now) const {
   return job.spec().kind == JobKind::kArray && begin_within_seconds_ > 0 &&
          job.placed() == 0 && job.done() == 0 &&
          now - job.queued_since() > kArrayWaitShare * begin_within_seconds_;
 }
 
-// Without deadlines: first come, first served.
+// Arrays and services without a due time are served first come, first served.
 QueuePosition QueueRanking::ArrayPosition(const Job& job, double run_seconds,
                                           Time now) const {
   QueuePosition position;
@@ -140,10 +144,10 @@
   return position;
 }
 
-// Earliest deadline first would make every job late once there is more work
-// than capacity. So a job that can't meet its deadline any more comes after
-// those that can, which are ordered by least work, until its next multiple of
-// the deadline comes near.
+// With earliest deadline first, every job would be late once there is more work
+// than capacity. Instead, jobs that can meet their deadline are served in order
+// of least work, and a job that cannot meet it any more comes after them until
+// its last due time (a multiple of the deadline) is near.
 void QueueRanking::RankByDeadline(const Job& job, const DueTimes& due,
                                   double run_seconds, Time now,
                                   QueuePosition& position) {
@@ -153,7 +157,7 @@
   const bool has_dependents = job.needed_by().last < kNever;
   if (has_dependents && makes_last &&
       IsNear(due.first, due.first - job.submitted(), run_seconds, now)) {
-    // What it loses here, its dependents can't make up for.
+    // Jobs that depend on this one cannot make up for time that is lost here.
     position.group = kLastSloNear;
     position.key = due.first;
   } else if (due.last > due.first && makes_last &&
@@ -166,7 +170,7 @@
     position.group = kInTime;
     position.key = tasks_left * spec.need.cpus * run_seconds;
   } else {
-    position.group = makes_last ? kLater : kHopeless;
+    position.group = makes_last ? kLater : kMissed;
     position.key = due.last;
   }
 }
@@ -184,8 +188,9 @@
   return window;
 }
 
-// When there is more work than capacity the small gangs come first, or one that
-// needs a whole zone keeps a dozen others waiting past their objective.
+// Gangs with an objective are ordered by least work. Otherwise, under overload,
+// one gang that needs a whole zone would keep a dozen small ones waiting past
+// their objective.
 QueuePosition QueueRanking::GangPosition(const Job& job, double run_seconds,
                                          Time now) const {
   const StartWindow window = StartWindowOf(job.spec(), run_seconds);
@@ -195,7 +200,7 @@
   position.key = window.last > 0 ? WorkOf(job) : 0;
   const DueTimes& due = job.needed_by();
   if (due.last < kNever && now + run_seconds <= due.last) {
-    // Its dependents wait for it.
+    // Other jobs with a due time depend on this gang.
     const bool near =
         IsNear(due.first, due.first - job.submitted(), run_seconds, now);
     position.group = near ? kLastSloNear : kInTime;
@@ -206,11 +211,11 @@
   return position;
 }
 
-// Before its last objective comes near, each gang gets its turn, and the
-// largest sooner, since it takes longest to gather their capacity: in a flood
-// of four times the capacity a fifth to a half of them began after four
-// minutes. Both together get no more than the minimum share of the work, or in
-// a flood every gang would wait that long.
+// A gang moves forward when its last objective is near. The largest gangs move
+// forward earlier, since gathering their capacity takes longest: under a load
+// of four times the capacity, a fifth to a half of them began only after four
+// minutes. Together these gangs get no more than the minimum share of the work;
+// without that limit every gang would have to wait that long under overload.
 void QueueRanking::ApplyMinimumShare(const Job& job, const StartWindow& window,
                                      Time now, QueuePosition& position) const {
   const JobSpec& spec = job.spec();
@@ -223,7 +228,7 @@
                        sizes_.IsLargest(spec.job_class, spec.tasks);
   if (!near && !largest) return;
   if (limited && !fair_queueing_.MinimumShareFirst(spec.job_class, now)) return;
-  // One that is late already must not make those late that are not.
+  // A gang that is late already must not delay gangs that can still be on time.
   const bool late = limited && waited > begin_within_seconds_;
   position.group = kLastSloNear;
   position.key =
--- a/core/scheduler/queue_ranking.h
+++ b/core/scheduler/queue_ranking.h
@@ -1,6 +1,6 @@
-// Positions in the queue of waiting jobs. Computed from the job, the service
-// level objectives of its class, and what was placed lately; who may preempt
-// whom is decided elsewhere.
+// Computes the order of the queue of waiting jobs from the jobs, the service
+// level objectives of their classes, and the work placed recently. Which job
+// may preempt which is decided by PreemptionPlanner.
 #pragma once
 
 #include <map>
@@ -14,25 +14,26 @@
 
 namespace oxbow {
 
-// The service level objectives of one class of jobs, each list ascending.
+// The service level objectives of one class of jobs. Each list is ascending.
 struct ClassSlos {
   std::vector<double> deadline_times;  // multiples of the job's deadline
-  std::vector<double> start_within;    // s
-  std::vector<double> finish_within;   // s
+  std::vector<double> start_within;    // seconds in the queue
+  std::vector<double> finish_within;   // seconds from queueing to completion
 };
 
-// A job's position in the queue, the least first. Jobs with equal positions are
-// ordered by age, then by id.
+// A job's position in the queue. Positions are compared field by field, and the
+// job with the smallest one is served first. Jobs with equal positions are
+// ordered by the time they were queued, then by id.
 struct QueuePosition {
   int rank = 0;  // by priority and guaranteed quota
-  // Of the operators, within the rank: a tier comes before another only where
-  // neither job may preempt the other. What was started against that would be
-  // preempted again at once.
+  // By the operators' priority tiers. The rank is compared first, so the tiers
+  // order only jobs that may not preempt one another: a job started before one
+  // that may preempt it would be preempted at once.
   int tier = 0;
   int group = 0;   // within the tier
   double key = 0;  // within the group
-  // It comes first since it has waited long: an array then starts only a small
-  // part of its tasks.
+  // The job comes early because it is entitled to the minimum share of the work
+  // (see FairQueueing). An array then starts only a small part of its tasks.
   bool by_minimum_share = false;
 
   bool Before(const QueuePosition& other) const {
@@ -43,34 +44,37 @@
   }
 };
 
-// Computes queue positions. Owns what it has to remember for that: the
-// objectives, the sizes of jobs seen, and the work placed lately per class.
+// Computes queue positions. Owns the state that this needs: the objectives, the
+// sizes of the jobs seen, and the work placed recently per class.
 class QueueRanking {
  public:
   QueueRanking(const Settings& settings, const Tuning& tuning);
 
-  // The objectives of the job's class; empty lists if there are none.
+  // The objectives of the job's class. The lists are empty if it has none.
   const ClassSlos& SlosOf(const JobSpec& spec) const;
-  // How soon tasks of the class are to start, s; nothing without an objective.
+  // The strictest objective for the wait before a start, in seconds. Nullopt if
+  // the job's class has no such objective.
   std::optional<double> WaitSloSeconds(const JobSpec& spec) const;
-  // By when such a job should be complete; never, without a deadline.
+  // The times by which the job should be complete, by its deadline and the
+  // objectives of its class. Later than any real time without a deadline.
   DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const;
 
-  // A job was accepted, or found by a new leader.
+  // Records a job that was accepted, or that a new leader has found.
   void Seen(const JobSpec& spec) { sizes_.Seen(spec.job_class, spec.tasks); }
-  // `run_seconds`: how long a task of the job takes, as far as known. The tier
-  // is left for the caller to set.
+  // The job's position, except for the tier, which the caller sets.
+  // `run_seconds` is the estimated run time of one task of the job.
   QueuePosition PositionOf(const Job& job, double run_seconds, Time now) const;
-  // The gang is about to be started whole, from that position in the queue.
+  // Records that all tasks of the gang are about to be started from `position`.
   void Placed(const Job& job, const QueuePosition& position, Time now);
 
-  // How many tasks an array may start at once when it comes first by the
-  // minimum share.
+  // How many tasks an array may start at once when its position is by minimum
+  // share.
   static uint32_t MinimumShareOf(const JobSpec& spec);
 
  private:
-  // Within how many seconds in the queue a gang is to start, by the first and
-  // by the last of its class's objectives. Without one, `last` is 0.
+  // The time in the queue, in seconds, within which a gang has to start by the
+  // strictest (`first`) and the loosest (`last`) objective of its class.
+  // Without an objective `first` is infinite and `last` is 0.
   struct StartWindow {
     double first = 0;
     double last = 0;
@@ -81,20 +85,23 @@
                               Time now) const;
   QueuePosition GangPosition(const Job& job, double run_seconds,
                              Time now) const;
-  // Sets the group and key of an array or service that has a deadline.
+  // Sets the group and key of an array or service that has a due time, either
+  // its own or that of jobs that depend on it.
   static void RankByDeadline(const Job& job, const DueTimes& due,
                              double run_seconds, Time now,
                              QueuePosition& position);
-  // Moves a gang forward that is to start by the minimum share.
+  // Moves a gang forward in the queue if it is entitled to the minimum share.
   void ApplyMinimumShare(const Job& job, const StartWindow& window, Time now,
                          QueuePosition& position) const;
   StartWindow StartWindowOf(const JobSpec& spec, double run_seconds) const;
-  // Whether the array has waited so long that a part of it starts out of turn.
+  // Whether the array has waited so long that some of its tasks start ahead of
+  // the jobs before it.
   bool StartsOutOfTurn(const Job& job, Time now) const;
-  // Of the tasks that wait, core seconds.
+  // The estimated work of the job's waiting tasks, in core seconds.
   static double WorkOf(const Job& job);
 
-  const double begin_within_seconds_;      // 0: not limited
+  // The time in the queue within which every job should begin; 0: no limit.
+  const double begin_within_seconds_;
   std::map<std::string, ClassSlos> slos_;  // by class
   LargestSizes sizes_;
   FairQueueing fair_queueing_;
--- a/core/scheduler/reservations.cc
+++ b/core/scheduler/reservations.cc
@@ -10,10 +10,11 @@
 namespace oxbow {
 namespace {
 
-// In leases: longer than a worker that has become unreachable can keep the
-// preempted task running.
+// The duration of a reservation, in worker leases. It is longer than an
+// unreachable worker can keep a preempted task running.
 constexpr double kReservationLeases = 3;
-// Of one job at a time; bounds the tasks that one job stops in one pass.
+// The most reservations of one job. It bounds the number of tasks that one job
+// preempts in one pass.
 constexpr uint32_t kMaxReservationsPerJob = 40;
 
 }  // namespace
@@ -77,9 +78,9 @@
   return reserved > 0;
 }
 
-// A reservation where the job can't start would only make it wait: the machine
-// has become unreachable, or a later attempt of the job leaves it no place
-// there.
+// A reservation that the job cannot use would make it wait for nothing. That
+// happens when the machine has become unreachable, or when tasks of the job
+// that were placed since then rule the machine out by the zone constraints.
 uint32_t Reservations::ReviewReservations(
     const Job& job, const std::vector<Machine*>& candidates,
     const ZoneSpread& spread) {
--- a/core/scheduler/scheduler.cc
+++ b/core/scheduler/scheduler.cc
@@ -13,15 +13,18 @@
 namespace oxbow {
 namespace {
 
-// Between two passes, in heartbeat intervals. A pass over everything for each
-// exit of a short task would cost more than it gains.
+// The least time between two passes, in heartbeat intervals. A full pass for
+// each exit of a short task would cost more than it gains.
 constexpr double kPassIntervalHeartbeats = 0.06;
-// Bounds the work of the rebalancing, which looks for machines for each.
+// The most jobs in large_waiting(). Rebalancing searches machines for each of
+// them, so this bounds its work.
 constexpr size_t kMaxLargeWaiting = 4;
-// A job that waits for its minimum share comes next after the best tier.
+// The queue tier of jobs that are entitled to the minimum share: right after
+// the best tier.
 constexpr int kMinimumShareTier = 1;
 
-// Whether the job has been in the queue for longer; by id for equal times.
+// Whether `left` has been in the queue for longer than `right`. Jobs queued at
+// the same time are ordered by id.
 bool QueuedBefore(const Job& left, const Job& right) {
   if (left.queued_since() != right.queued_since())
     return left.queued_since() < right.queued_since();
@@ -76,7 +79,8 @@
       round_.unfinished() || paused_) {
     return false;
   }
-  // Live services are scheduled at once, everything else in batches.
+  // Urgent changes, which concern live services, are scheduled at once; all
+  // other changes are batched.
   return cluster_.urgent() || now >= next_pass_;
 }
 
@@ -86,9 +90,10 @@
   pass.all_machines_accounted_for = cluster_.AllMachinesAccountedFor();
   ComputeGuaranteedJobs();
   maintenance_.CountWindows();
-  // What is held for jobs that have had their turn is held for the round.
+  // Quota that is held for jobs already served stays held for the whole round.
   if (!round_.unfinished()) ResetQuotas();
-  // Jobs may have been removed since the round's last pass.
+  // The pointers are dropped in each pass, since jobs may have been removed
+  // since the last one.
   for (QuotaUsage& team : cluster_.quotas()) team.taking_turns.clear();
   pass.partial_gang_reserved = round_.partial_gang_reserved;
   context_.fragmentation.Settle(now);
@@ -124,7 +129,8 @@
       round_.OnServed(*queued.job);
   }
   round_.Finish();
-  // What the other tiers have left is not left idle.
+  // Capacity that the other tiers have left does not stay idle: jobs that were
+  // refused because of their tier's share are tried again without that limit.
   tiers_.OthersServed();
   for (const QueuedJob& queued : queue) {
     if (SchedulingRound::PassIsOver(pass.work)) return;
@@ -133,8 +139,8 @@
   }
 }
 
-// A job is within its team's guarantee if it fits into it together with the
-// team's earlier unfinished jobs.
+// A job is within the guaranteed quota of its team if the unfinished tasks of
+// this job and of the team's earlier jobs fit into it together.
 void Scheduler::ComputeGuaranteedJobs() {
   std::vector<Job*> jobs;
   for (const auto& [id, job] : cluster_.jobs()) {
@@ -182,8 +188,9 @@
   if (rollout_manager_.MayBeRestricted(job)) return false;
   if (!maintenance_.MayStartNow(job, pass.now)) return false;
   if (pass.all_machines_accounted_for) return true;
-  // Tasks of a job accepted under this leader are on no machine that has not
-  // reported yet. But what is there may use up the maximum of the team's quota.
+  // A machine that has not reported to this leader yet cannot run tasks of a
+  // job that this leader accepted. But tasks on it may count against the
+  // maximum of the team's quota.
   return !job.from_before &&
          (job.team() < 0 || !cluster_.quota(job.team()).has_maximum());
 }
--- a/core/scheduler/scheduler.h
+++ b/core/scheduler/scheduler.h
@@ -1,7 +1,9 @@
-// The scheduling pass: queue positions, usable machines, then for each job in
-// turn score and start, and where nothing fits preempt or reserve. Composes the
-// classes that do these steps and remembers between passes only when the next
-// one is due and which large jobs the last one left waiting.
+// The scheduling pass. It orders the queue of waiting jobs, collects the usable
+// machines, and then for each job scores machines and starts tasks; where
+// nothing fits it preempts tasks or reserves capacity. The scheduler composes
+// the classes that do these steps. Between passes it keeps only when the next
+// one is due, the progress of the current round (see SchedulingRound), the jobs
+// with accelerators that the last pass left waiting, and counters.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +33,7 @@
 // Runs the scheduling passes of one leadership.
 class Scheduler {
  public:
-  // The modules that it calls.
+  // The modules that this class calls.
   struct Modules {
     MachineHealth& machine_health;
     CommandDispatcher& dispatcher;
@@ -40,18 +42,20 @@
     TierManager& tier_manager;
     RebalancingManager& rebalancing;
   };
-  // `seed`: of the choice between machines of equal score.
+  // `seed` initializes the random choice between machines of equal score.
   Scheduler(LeaderContext& context, const Modules& modules, uint64_t seed);
 
-  // Runs a scheduling pass now if anything has changed since the last one and
-  // the next one is due. After a long pass none is, until a tick.
+  // Runs a scheduling pass now if the cluster state has changed since the last
+  // pass and the next one is due. After a long pass none is due until the next
+  // tick.
   void ScheduleIfNeeded(Time now);
-  // Ticks leave all other events their turn in between: the pause after a long
-  // pass is over, and a round that is unfinished goes on.
+  // Ends the pause after a long pass, and continues an unfinished round. All
+  // other pending events are handled between two ticks, so a long round does
+  // not hold them up.
   void OnTick(Time now);
 
-  // Ids of jobs with accelerators that the last pass left waiting for capacity,
-  // in the order of the queue; a few.
+  // Ids of the first few jobs in the queue that need accelerators and that the
+  // last pass left waiting for capacity, in queue order.
   const std::vector<std::string>& large_waiting() const {
     return large_waiting_;
   }
@@ -66,15 +70,17 @@
   bool PassIsDue(Time now) const;
   void StartPass(Time now);
   void RunPass(Time now);
-  // The jobs' turns, in the order of the queue, until the pass is over.
+  // Schedules the jobs in queue order until the pass reaches its work limit.
   void ServeQueue(const std::vector<QueuedJob>& queue, SchedulingPass& pass);
 
   // Marks the jobs that are within the guaranteed quota of their team.
   void ComputeGuaranteedJobs();
+  // Clears the quota held for waiting jobs. Called at the beginning of a round.
   void ResetQuotas();
   std::vector<Job*> SchedulableJobs(const SchedulingPass& pass) const;
   bool IsSchedulable(const Job& job, const SchedulingPass& pass) const;
   std::vector<Machine*> UsableMachines(Time now) const;
+  // The mean bandwidth of image fetches over all machines, in GB/s.
   double MeasuredBandwidth() const;
   std::vector<QueuedJob> BuildQueue(const std::vector<Job*>& jobs,
                                     Time now) const;
@@ -99,7 +105,7 @@
   std::vector<std::string> large_waiting_;
   Time next_pass_ = 0;
   SchedulingRound round_;
-  bool paused_ = false;  // until the next tick
+  bool paused_ = false;  // no pass starts until the next tick
   SchedulingCounters counters_;
 };
 
--- a/core/scheduler/scheduling_pass.h
+++ b/core/scheduler/scheduling_pass.h
@@ -1,4 +1,4 @@
-// The values that every step of one scheduling pass works with. Created at the
+// The values shared by the steps of one scheduling pass. Created at the
 // beginning of the pass and discarded at its end.
 #pragma once
 
@@ -11,23 +11,24 @@
 
 namespace oxbow {
 
-// Written by the scheduler that runs the pass and, where a field says so, by
-// the schedulers that it calls.
+// Filled in by Scheduler. TaskScheduler and GangScheduler write only the last
+// three fields.
 struct SchedulingPass {
   Time now = 0;
   // Every recorded machine has reported to this leader or is gone, so no task
-  // can be running where this leader does not know of it.
+  // runs without this leader knowing of it.
   bool all_machines_accounted_for = false;
   // Machines that may be given new tasks, in the order of the cluster state.
   std::vector<Machine*> usable_machines;
-  // Of the image fetches measured on all machines, GB/s.
+  // Mean bandwidth of the image fetches measured on all machines, in GB/s.
   double mean_bandwidth = 1;
-  // Jobs that were refused since their tier has used up its share. They are
+  // Jobs that were refused because their tier has used up its share. They are
   // tried once more when all other jobs have been served.
   std::set<const Job*> jobs_over_tier_share;
-  // Capacity for a part of a gang has been reserved. Only one gang may have a
-  // partial reservation, or gangs could wait for one another for ever.
+  // Capacity has been reserved for a part of a gang. Only one gang may have a
+  // partial reservation, since several could wait for each other forever.
   bool partial_gang_reserved = false;
+  // The work that this pass has done so far.
   SchedulingWork work;
 };
 
--- a/core/scheduler/scheduling_round.h
+++ b/core/scheduler/scheduling_round.h
@@ -1,7 +1,8 @@
-// One turn of every waiting job, over as many passes as it takes. A pass ends
-// early once it has done its share of work; the next one goes on with the jobs
-// that have not had their turn. So no event costs more in a larger fleet, and
-// no job waits behind the same others for ever.
+// A scheduling round serves every waiting job once, in as many passes as that
+// takes. A pass ends early when it reaches its work limit, and the next one
+// continues with the jobs that have not been served. So the cost of one event
+// does not grow with the number of machines, and no job waits behind the same
+// other jobs forever.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +14,24 @@
 
 namespace oxbow {
 
-// Owned by the scheduler.
+// Tracks which jobs the current round has served. Owned by Scheduler.
 class SchedulingRound {
  public:
-  // Whether a pass that has done so much work has to end.
+  // Whether a pass that has done this much work has to end.
   static bool PassIsOver(const SchedulingWork& work) {
     return work.machines_considered() >= kMaxMachinesConsidered;
   }
-  // Whether other events come first after a pass that has done so much work:
-  // the time since it began does not show how long it took.
+  // Whether the scheduler has to pause after a pass that has done this much
+  // work, so that other events are handled first. Decided by the work because
+  // the time at which the pass began does not tell how long it took.
   static bool NeedsPause(const SchedulingWork& work) {
     return work.machines_considered() >= kPauseShare * kMaxMachinesConsidered;
   }
 
-  // Some jobs have not had their turn yet.
+  // Whether some jobs have not been served yet in this round.
   bool unfinished() const { return unfinished_; }
   void set_unfinished() { unfinished_ = true; }
-  // Whether the job has had its turn and has lost no task since.
+  // Whether the job has been served and has no more unplaced tasks than then.
   bool IsServed(const Job& job) const {
     const auto it = unplaced_when_served_.find(job.id());
     return it != unplaced_when_served_.end() && job.unplaced() <= it->second;
@@ -37,20 +39,23 @@
   void OnServed(const Job& job) {
     unplaced_when_served_[job.id()] = job.unplaced();
   }
-  // Every job has had its turn.
+  // Ends the round: every job has been served.
   void Finish() { *this = SchedulingRound(); }
 
-  // As SchedulingPass::partial_gang_reserved, of all passes of the round.
+  // As SchedulingPass::partial_gang_reserved, for all passes of the round.
   bool partial_gang_reserved = false;
 
  private:
-  // In one pass: a tenth of a second of a processor, well below the leader's
-  // lease even where the process has a fifth of one.
+  // The work limit of one pass. It takes a tenth of a second of processor time,
+  // which is well below the leader's lease even where the process gets only a
+  // fifth of a processor.
   static constexpr uint64_t kMaxMachinesConsidered = 1'000'000;
+  // The share of the limit from which on the scheduler pauses after a pass.
   static constexpr double kPauseShare = 0.125;
 
   bool unfinished_ = false;
-  std::map<std::string, uint32_t> unplaced_when_served_;  // tasks, by job
+  // The number of unplaced tasks of each served job at that time, by job id.
+  std::map<std::string, uint32_t> unplaced_when_served_;
 };
 
 }  // namespace oxbow
--- a/core/scheduler/scheduling_work.h
+++ b/core/scheduler/scheduling_work.h
@@ -1,6 +1,6 @@
-// Counts the work of scheduling passes. The leader renews its right to lead and
-// answers everybody between two events, so what one event may cost is a limit
-// that users notice; it is counted, since the core reads no clock.
+// Counts the work of scheduling passes. The leader renews its lease and answers
+// requests only between two events, so the cost of one event has to be limited.
+// The cost is counted in units of work, since the core reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace oxbow {
 
-// The work of one pass. Unit: a machine that was considered for a task.
+// The work of one pass. The unit is one machine considered for one task.
 class SchedulingWork {
  public:
   void Add(size_t machines) { machines_considered_ += machines; }
@@ -19,10 +19,10 @@
   uint64_t machines_considered_ = 0;
 };
 
-// Of all passes of a leadership.
+// Counters over all passes of one leadership.
 struct SchedulingCounters {
   uint64_t passes = 0;
-  uint64_t most_machines_considered = 0;  // in one pass
+  uint64_t most_machines_considered = 0;  // the most in a single pass
 
   void OnPass(const SchedulingWork& work) {
     ++passes;
--- a/core/scheduler/task_scheduler.cc
+++ b/core/scheduler/task_scheduler.cc
@@ -77,9 +77,10 @@
                                         pass.mean_bandwidth)};
 }
 
-// Exception to the design, "accelerator headroom": a replica stays for long,
-// and one too many on a machine keeps accelerator work off it all that time.
-// Before it goes to such a machine, it preempts short work on another.
+// Exception to the design, "accelerator headroom": a replica runs for a long
+// time, and one replica too many keeps accelerator work off a machine for all
+// that time. So before a replica is placed on such a machine, short work is
+// preempted for it on another one.
 TaskScheduler::MachineChoice TaskScheduler::ChooseReplicaMachine(
     Job& job, const ZoneSpread& spread, const SchedulingPass& pass) {
   const JobSpec& spec = job.spec();
@@ -100,9 +101,10 @@
       return preempting;
     best = find(pass.usable_machines);
   }
-  // Exception to the design, "warm start": where the fetch alone would take
-  // longer than the class may wait, a machine that has the image comes before
-  // any other, and if need be short work is preempted on it.
+  // Exception to the design, "warm start": if the image fetch alone would take
+  // longer than the class's objective for the wait, a machine that has the
+  // image is preferred to all others, and short work is preempted there if
+  // necessary.
   if (best != nullptr &&
       FetchExceedsWaitSlo(spec, *best, pass.mean_bandwidth)) {
     std::vector<Machine*> warm;
@@ -121,9 +123,10 @@
     const JobSpec& spec, const SchedulingPass& pass) const {
   const bool quiescent =
       IsQuiescent(cluster_, context_.settings, context_.tuning, pass.now);
-  // In a quiescent cluster replicas are consolidated on machines that
-  // accelerator work can't use anyway. Left beside the capacity for gangs, they
-  // had kept sixty machines rented after the last gang.
+  // In a quiescent cluster, replicas are consolidated on machines that
+  // accelerator work cannot use anyway. Replicas on machines with capacity for
+  // gangs would keep those machines rented: sixty of them, in one case, after
+  // the last gang had ended.
   const auto may_take_replica = [&](const Machine& machine) {
     return quiescent ? IsConsolidationTarget(cluster_, machine)
                      : !BlocksAcceleratorWork(
@@ -150,15 +153,15 @@
 }
 
 std::optional<uint32_t> TaskScheduler::StartTasksOn(Job& job, Machine& machine,
-                                                    uint32_t most,
+                                                    uint32_t max_tasks,
                                                     ZoneSpread& spread,
                                                     Time now) {
   const JobSpec& spec = job.spec();
-  const uint32_t batch = BatchSize(job, machine, most);
+  const uint32_t batch = BatchSize(job, machine, max_tasks);
   uint32_t started = 0;
   for (; started < batch; ++started) {
     if (!MayStartOn(job, machine, spread)) break;
-    // The first one has been admitted already.
+    // For the first task the tier has been checked by Admitted already.
     if (started > 0 && (!tiers_.MayStart(job, job.tier) ||
                         !tiers_.WithinShare(job, job.tier, spec.need))) {
       break;
@@ -171,15 +174,16 @@
   return started;
 }
 
-// With one task of an array on it, the machine has the image queued and is
-// fuller, so it would be chosen again until it is full. Chosen anew for each of
-// 25,000 tasks, the pass took longer than the leader's lease.
+// Once a machine has one task of an array, it has the image queued and is
+// fuller, so it would be chosen again until it is full. Choosing a machine anew
+// for each task made a pass over 25,000 tasks take longer than the leader's
+// lease, so tasks of an array are started on a machine until it is full.
 uint32_t TaskScheduler::BatchSize(const Job& job, const Machine& machine,
-                                  uint32_t most) const {
+                                  uint32_t max_tasks) const {
   const JobSpec& spec = job.spec();
   if (spec.kind != JobKind::kArray) return 1;
   const uint32_t startable =
-      std::min(most, rollout_manager_.StartableTasks(job));
+      std::min(max_tasks, rollout_manager_.StartableTasks(job));
   const Resources capacity = machine.CapacityFor(&job, job.priority());
   return std::max(1U, spec.need.TimesIn(capacity, startable));
 }
--- a/core/scheduler/task_starter.h
+++ b/core/scheduler/task_starter.h
@@ -1,5 +1,6 @@
-// Starts a task on a machine that has been chosen for it: queues the command
-// and enters the attempt in the cluster state and in every account kept of it.
+// Starts a task on the machine that was chosen for it: queues the start command
+// and records the attempt in the cluster state, the job, the priority tiers and
+// the maintenance windows.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +11,13 @@
 
 class MaintenanceManager;
 
-// The one way in which a task is started.
+// Every start of a task goes through this class.
 class TaskStarter {
  public:
   TaskStarter(LeaderContext& context, MaintenanceManager& maintenance);
 
-  // Starts the next pending task of the job; there must be one. `attempt`: from
-  // LeaderContext::NextNumber, not 0.
+  // Starts the next pending task of the job; there must be one. `attempt` is a
+  // number from LeaderContext::NextNumber and must not be 0.
   void StartNextTask(Job& job, Machine& machine, uint64_t attempt, Time now);
 
  private:
