--- a/core/fair_queueing/fair_queueing.cc
+++ b/core/fair_queueing/fair_queueing.cc
@@ -6,7 +6,7 @@
 namespace oxbow {
 namespace {
 
-// Of the largest size seen: jobs above it are among the largest.
+// Jobs above this share of the largest size seen are among the largest.
 constexpr double kLargestShare = 0.75;
 
 }  // namespace
--- a/core/fair_queueing/fair_queueing.h
+++ b/core/fair_queueing/fair_queueing.h
@@ -1,5 +1,6 @@
-// Fair queueing: how capacity is shared, class by class, between the jobs that
-// are quickest to finish and those that have waited longest. No I/O, no clock.
+// Fair queueing: shares the capacity of each job class between the jobs with
+// the least work and the jobs that have waited longest. Performs no I/O and
+// reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,52 +11,57 @@
 
 namespace oxbow {
 
-// Which of two orders a job was placed by while there was more work than
+// The two orders by which jobs are placed when there is more work than
 // capacity.
 enum class QueueSide : uint8_t {
-  kQuickest,      // least work first: most jobs are served in time
-  kMinimumShare,  // longest waiting and largest first: none starves
+  kQuickest,      // least work first, so that most jobs are served in time
+  kMinimumShare,  // longest wait and largest first, so that no job starves
 };
 
-// By least work first the large jobs starve; by age alone most jobs are late
-// together. So each side is entitled to a share of the work that is placed, and
-// the side that is behind its share comes first. The account decays with time,
-// so a new leader, which begins with an empty one, soon shares alike.
+// With the least work first, large jobs starve; by age alone, most jobs are
+// late. So each of the two orders is entitled to a share of the work that is
+// placed, and the one that is behind its share is served first. The accounts
+// decay over time, so a new leader, which begins with empty accounts, soon
+// makes the same decisions as its predecessor.
 class FairQueueing {
  public:
-  // `minimum_share`: of the work placed, for the longest waiting, 0 to 1.
-  // `memory_seconds`: work placed so long ago counts for 1/e; above 0.
+  // `minimum_share`: the share of the placed work for kMinimumShare, 0 to 1.
+  // `memory_seconds`: work placed this long ago counts for 1/e; above 0.
   FairQueueing(double minimum_share, double memory_seconds)
       : minimum_share_(minimum_share), memory_seconds_(memory_seconds) {}
 
-  // Whether the jobs of the class that wait for their minimum share come before
-  // the quickest now.
+  // Whether the jobs of the class that are entitled to the minimum share are
+  // served before those with the least work now.
   bool MinimumShareFirst(const std::string& job_class, Time now) const;
-  // Accounts for `work` (core seconds) of the class that is placed now.
+  // Adds `work` (core seconds) of the class, placed at `now`, to the account.
   void Placed(const std::string& job_class, QueueSide side, double work,
               Time now);
 
  private:
-  // Work placed by each side, core seconds, as of `at`.
+  // The work placed by each order, in core seconds, decayed up to the time
+  // `at`.
   struct Account {
     double minimum_share = 0;
     double quickest = 0;
     Time at = 0;
   };
+  // The account, decayed up to `now`.
   Account Decayed(const Account& account, Time now) const;
 
   const double minimum_share_;
   const double memory_seconds_;
-  std::map<std::string, Account> accounts_;  // by class, of which there are few
+  // By job class. Never shrinks, since there are only a few classes.
+  std::map<std::string, Account> accounts_;
 };
 
-// The range of sizes, in tasks, that the jobs of each class come in.
+// Records the range of job sizes, in tasks, that was seen for each class.
 class LargestSizes {
  public:
-  // A job of the class has `tasks` tasks.
+  // Records a job of the class with `tasks` tasks.
   void Seen(const std::string& job_class, uint32_t tasks);
   // Whether a job of that size is among the largest of its class: above three
-  // quarters of the largest seen. False where all have the same size.
+  // quarters of the largest size seen. False if all jobs of the class seen so
+  // far have the same size.
   bool IsLargest(const std::string& job_class, uint32_t tasks) const;
 
  private:
--- a/core/limits/loss_limiter.cc
+++ b/core/limits/loss_limiter.cc
@@ -6,11 +6,11 @@
 namespace oxbow {
 namespace {
 
-constexpr std::array<std::string_view, kLossCauses> kNames = {
+constexpr std::array<std::string_view, kLossCauses> kCauseNames = {
     "silent", "unlisted", "never up", "idle", "moved", "distrusted"};
 
-// How many a share allows. One always, or a small fleet could never replace a
-// dead machine.
+// The number of removals that a share allows. At least one, since a small
+// cluster could otherwise never replace a failed machine.
 int Allowance(double share, int basis) {
   return std::max(1, static_cast<int>(std::floor(share * basis)));
 }
@@ -18,7 +18,7 @@
 }  // namespace
 
 std::string_view NameOf(LossCause cause) {
-  return kNames[static_cast<size_t>(cause)];
+  return kCauseNames[static_cast<size_t>(cause)];
 }
 
 std::string_view NameOf(LossDecision decision) {
@@ -35,7 +35,7 @@
   return "";
 }
 
-void LossLimiter::Forget(Time now) {
+void LossLimiter::DropExpired(Time now) {
   while (!entries_.empty() &&
          entries_.front().at <= now - limits_.window_seconds) {
     const Loss& loss = entries_.front().loss;
@@ -52,12 +52,12 @@
 }
 
 int LossLimiter::Asked(LossCause cause, Time now) {
-  Forget(now);
+  DropExpired(now);
   return by_cause_[static_cast<size_t>(cause)];
 }
 
 LossDecision LossLimiter::Ask(const Loss& loss, int fleet, int zone, Time now) {
-  Forget(now);
+  DropExpired(now);
   const auto cause = static_cast<size_t>(loss.cause);
   const LossDecision decision = Decide(loss, fleet, zone);
   if (decision != LossDecision::kAllowed) {
@@ -71,23 +71,24 @@
 
 LossDecision LossLimiter::Decide(const Loss& loss, int fleet, int zone) const {
   const auto cause = static_cast<size_t>(loss.cause);
-  const int asked = by_cause_[cause];
-  if (asked + 1 > Allowance(limits_.fleet[cause], fleet + asked)) {
+  const int removed = by_cause_[cause];
+  if (removed + 1 > Allowance(limits_.fleet[cause], fleet + removed)) {
     return LossDecision::kFleetLimit;
   }
   const auto it = by_zone_.find({loss.cause, loss.zone});
-  const int asked_in_zone = it == by_zone_.end() ? 0 : it->second;
+  const int removed_in_zone = it == by_zone_.end() ? 0 : it->second;
   const double zone_share = std::max(limits_.zone, limits_.fleet[cause]);
-  if (asked_in_zone + 1 > Allowance(zone_share, zone + asked_in_zone)) {
+  if (removed_in_zone + 1 > Allowance(zone_share, zone + removed_in_zone)) {
     return LossDecision::kZoneLimit;
   }
   for (const Loss::Part& part : loss.services) {
-    const auto taken = by_service_.find(part.job);
-    const int before = taken == by_service_.end() ? 0 : taken->second;
-    // The first act may take everything: where all replicas are on one machine,
-    // that one must still be replaceable.
-    if (before > 0 &&
-        before + part.replicas > Allowance(limits_.service, part.size)) {
+    const auto service = by_service_.find(part.job);
+    const int removed_replicas =
+        service == by_service_.end() ? 0 : service->second;
+    // The first removal within the window may exceed the share: if all replicas
+    // are on one machine, that machine must still be replaceable.
+    if (removed_replicas > 0 && removed_replicas + part.replicas >
+                                    Allowance(limits_.service, part.size)) {
       return LossDecision::kServiceLimit;
     }
   }
--- a/core/limits/loss_limiter.h
+++ b/core/limits/loss_limiter.h
@@ -1,6 +1,7 @@
-// How much the leader may destroy of its own accord. Every act that can't be
-// undone and rests on an assumption (silence, a list, a timeout, a plan) asks
-// here first. Used by LivenessMonitor.
+// Limits how much capacity the leader may remove by its own decision. Every
+// removal that cannot be undone and rests on an assumption (a silent machine, a
+// cloud listing, a timeout, a consolidation plan) has to be allowed here first.
+// Used by LivenessMonitor.
 #pragma once
 
 #include <array>
@@ -18,14 +19,15 @@
 
 // Why the leader wants to remove capacity or stop using it.
 enum class LossCause : uint8_t {
-  kSilent,      // deleted: no message arrives from it
-  kUnlisted,    // deleted: neither listed nor sending
-  kNeverUp,     // deleted: did not boot in time
-  kIdle,        // returned: nothing to do
-  kMoved,       // drained: its replicas fit elsewhere
-  kDistrusted,  // cordoned for a while: several jobs failed there
+  kSilent,      // deleted: the machine sends no messages
+  kUnlisted,    // deleted: not in the cloud's listing, and sends no messages
+  kNeverUp,     // deleted: the machine did not boot in time
+  kIdle,        // returned: the machine has had no work
+  kMoved,       // drained: the machine's replicas fit on other machines
+  kDistrusted,  // cordoned for a while: tasks of several jobs failed there
 };
 inline constexpr size_t kLossCauses = 6;
+// The cause as log lines and alarms name it.
 std::string_view NameOf(LossCause cause);
 
 // Whether a removal is allowed, or which limit forbids it.
@@ -35,50 +37,60 @@
   kZoneLimit,
   kServiceLimit,
 };
+// The decision as log lines and alarms name it.
 std::string_view NameOf(LossDecision decision);
 
-// What an act takes away.
+// The removal of one machine's capacity.
 struct Loss {
   LossCause cause = LossCause::kSilent;
   std::string zone;
-  struct Part {  // of a service
+  // A service that has replicas on the machine.
+  struct Part {
     std::string job;
-    int replicas = 0;
-    int size = 0;  // of the whole job
+    int replicas = 0;  // on the machine
+    int size = 0;      // replicas of the whole service
   };
   std::vector<Part> services;
 };
 
-// Shares within a window, counted by what was *asked*. A limit that looked at
-// the state of the machines would not bind: the act itself changes that state,
-// and what has been given up no longer counts among the silent ones.
+// Allows removals up to a share of the machines, of a zone's machines and of
+// each service's replicas within a sliding time window. Counts the removals
+// that it has allowed, not the state of the machines: a removal changes that
+// state (a removed machine no longer counts as silent), so a limit on the state
+// would never be reached.
 class LossLimiter {
  public:
+  // Each share is between 0 and 1, and allows at least one removal.
   struct Limits {
     double window_seconds = 0;
-    // Of the machines there are, by cause.
+    // Shares of all machines, by cause.
     std::array<double, kLossCauses> fleet{};
-    double zone = 0;     // of a zone's machines, for each cause by itself
-    double service = 0;  // of a service's replicas, for all causes together
+    // Share of a zone's machines, for each cause separately. A larger share in
+    // `fleet` takes precedence.
+    double zone = 0;
+    // Share of a service's replicas, for all causes together.
+    double service = 0;
   };
 
   explicit LossLimiter(const Limits& limits) : limits_(limits) {}
 
-  // Asks for one act and counts it when it is allowed. `fleet` and `zone` are
-  // machines there are now; what was taken within the window is added, so that
-  // the basis does not shrink as the acts add up.
+  // Decides on one removal, and counts it if it is allowed. `fleet` and `zone`
+  // are the numbers of machines that exist now, in total and in the zone. The
+  // removals within the window are added to them, so that the basis of the
+  // shares does not shrink with each removal.
   LossDecision Ask(const Loss& loss, int fleet, int zone, Time now);
 
-  // Asks within the window for this cause, and refusals since one was allowed.
+  // The number of removals allowed for this cause within the window.
   int Asked(LossCause cause, Time now);
+  // The number of refusals for this cause since the last allowed removal.
   int refused(LossCause cause) const {
     return refused_[static_cast<size_t>(cause)];
   }
   const Limits& limits() const { return limits_; }
 
  private:
-  // Drops what was asked before the window.
-  void Forget(Time now);
+  // Drops the removals that are older than the window.
+  void DropExpired(Time now);
   LossDecision Decide(const Loss& loss, int fleet, int zone) const;
   void Count(const Loss& loss, Time now);
 
@@ -87,7 +99,9 @@
     Time at = 0;
     Loss loss;
   };
-  std::deque<Entry> entries_;  // within the window, oldest first
+  std::deque<Entry> entries_;  // removals within the window, oldest first
+  // The numbers of removed machines, and of removed replicas of each service,
+  // within the window.
   std::array<int, kLossCauses> by_cause_{};
   struct CauseInZone {
     LossCause cause;
@@ -96,7 +110,7 @@
   };
   std::map<CauseInZone, int> by_zone_;
   std::map<std::string, int> by_service_;
-  std::array<int, kLossCauses> refused_{};
+  std::array<int, kLossCauses> refused_{};  // since the last allowed removal
 };
 
 }  // namespace oxbow
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -6,10 +6,13 @@
 namespace oxbow {
 namespace {
 
-// A cluster has few classes of work; more shapes would only cost time.
+// A cluster runs only a few classes of work, so more shapes would cost time
+// without adding information.
 constexpr size_t kMaxShapes = 12;
-// Needs that differ by a smaller share are one shape; the larger is kept.
+// Needs that differ by at most this share of the larger one are merged into one
+// shape, which has the larger need.
 constexpr double kSimilarShare = 0.25;
+// Differences below this are rounding errors.
 constexpr double kEpsilon = 1e-6;
 
 bool Similar(double left, double right) {
@@ -46,7 +49,7 @@
     Resources& need = entry.shape.need;
     need.cpus = std::max(need.cpus, spec.need.cpus);
     need.memory_gb = std::max(need.memory_gb, spec.need.memory_gb);
-    // Both weights as of the later of the two times.
+    // Both weights are decayed up to the later of the two times.
     const Time at = std::max(entry.at, submitted);
     entry.weight = DecayedWeight(entry, at) +
                    weight * std::exp(-(at - submitted) / memory_seconds_);
@@ -67,7 +70,8 @@
 }
 
 bool ShapeMix::Settle(Time now) {
-  // All weights decay alike, so without new jobs the shares stay.
+  // All weights decay at the same rate, so the shares change only with new
+  // jobs.
   if (!has_new_jobs_) return false;
   has_new_jobs_ = false;
   shapes_.clear();
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -1,6 +1,6 @@
-// Fragmentation of accelerators: those that are free, yet useless to the work
-// that is submitted. Measures it per machine, and how much one more task would
-// add. Reads machines and changes nothing.
+// Fragmentation of accelerators: accelerators that are free but that no task
+// shape of the submitted work can use. Measured per machine, together with the
+// amount that one more task would add. Machines are only read, never changed.
 #pragma once
 
 #include <cstdint>
@@ -17,37 +17,40 @@
 
 namespace oxbow {
 
-// Tasks with similar needs: what they take of their machine, where they may be,
-// and their share of the accelerators requested lately.
+// A group of tasks with similar needs and the same placement constraints.
 struct TaskShape {
-  Resources need;
-  std::optional<std::vector<std::string>> types;
-  std::optional<std::string> zone;
-  bool spot = false;
-  double share = 0;  // of all shapes together, 0 to 1
+  Resources need;                                 // of one task
+  std::optional<std::vector<std::string>> types;  // machine types; unset: any
+  std::optional<std::string> zone;                // unset: any
+  bool spot = false;                              // may be on spot instances
+  // Its share of the accelerators requested recently by all shapes, 0 to 1.
+  double share = 0;
 };
 
-// The mix of task shapes with accelerators among the jobs accepted lately.
-// Older requests count less. Bounded: similar shapes are merged, and beyond the
-// bound the shape with the least weight is dropped.
+// The mix of task shapes among the recently accepted jobs with accelerators.
+// The weight of a request decays over time. The number of shapes is bounded:
+// similar shapes are merged, and beyond the bound the shape with the least
+// weight is dropped.
 class ShapeMix {
  public:
-  // `memory_seconds`: a request so long ago counts for 1/e.
+  // `memory_seconds`: a request this long ago counts for 1/e.
   explicit ShapeMix(double memory_seconds) : memory_seconds_(memory_seconds) {}
 
-  // A job was submitted at `submitted`. Jobs without accelerators don't count.
+  // Records a job that was submitted at `submitted`. Jobs without accelerators
+  // are ignored.
   void Note(const JobSpec& spec, Time submitted);
-  // Takes the jobs noted since the last call into the shares. Whether the
-  // shares have changed.
+  // Updates the shares with the jobs recorded since the last call. Returns
+  // whether there were any.
   bool Settle(Time now);
   std::span<const TaskShape> shapes() const { return shapes_; }
 
  private:
   struct Entry {
     TaskShape shape;
-    double weight = 0;  // accelerators requested, decayed to `at`
+    double weight = 0;  // accelerators requested, decayed up to the time `at`
     Time at = 0;
   };
+  // The weight of the entry, decayed up to `now`.
   double DecayedWeight(const Entry& entry, Time now) const;
 
   double memory_seconds_;
@@ -58,75 +61,83 @@
 
 // Fragmentation summed over all machines that are up and have accelerators.
 struct FragmentationCount {
-  double accelerators = 0;  // in all
-  double free = 0;          // not taken by lasting work
-  double useless = 0;       // of the free ones: useless to the mix
-  int whole = 0;       // machines that could take the largest shape of the mix
-  int fragmented = 0;  // machines with free accelerators that could not
+  double accelerators = 0;  // in total
+  double free = 0;          // not used by long-running work
+  double useless = 0;       // of the free ones, those that the mix cannot use
+  int whole = 0;            // machines that could take the mix's largest shape
+  int fragmented = 0;  // machines with free accelerators that could not take it
 };
 
-// The measure, machine by machine, after the fragmentation gradient of Weng et
-// al., "Beware of Fragmentation: Scheduling GPU-Sharing Workloads with
-// Fragmentation Gradient Descent" (USENIX ATC 2023). For one shape, the useless
-// accelerators of a machine are the free ones that no further task of the shape
-// could use, for lack of accelerators, cores or memory, or since it may not be
-// there; for the mix, the mean weighted by shares. Short work ends soon or can
-// be preempted, so its capacity counts as free. Cached per machine and computed
-// again only when the machine's lasting work, the mix, or the needs asked about
-// have changed.
+// The fragmentation of each machine, after the fragmentation gradient of Weng
+// et al., "Beware of Fragmentation: Scheduling GPU-Sharing Workloads with
+// Fragmentation Gradient Descent" (USENIX ATC 2023).
+//
+// For one shape, the useless accelerators of a machine are the free ones that
+// no further task of the shape could use. The machine may lack accelerators,
+// cores or memory for such a task, or the shape's constraints may exclude the
+// machine. For the mix, they are the mean over all shapes, weighted by share.
+// Tasks of job arrays end soon or can be preempted, so the capacity that they
+// use counts as free.
+//
+// Results are cached per machine. They are recomputed only when the machine's
+// long-running work, the mix, or the needs in the query have changed.
 class FragmentationIndex {
  public:
-  // `memory_seconds`: see ShapeMix. `settle_seconds`: the least time between
+  // `memory_seconds`: as for ShapeMix. `settle_seconds`: the least time between
   // two updates of the mix.
   FragmentationIndex(double memory_seconds, double settle_seconds)
       : mix_(memory_seconds), settle_seconds_(settle_seconds) {}
 
-  // A job was submitted at `submitted`: accepted by this leader or an earlier
-  // one.
+  // Records a job that was submitted at `submitted` and accepted by this leader
+  // or an earlier one.
   void Note(const JobSpec& spec, Time submitted) { mix_.Note(spec, submitted); }
-  // Updates the mix if that is due; called before each scheduling pass.
+  // Updates the mix if that is due. Called in each scheduling pass.
   void Settle(Time now);
 
-  // Useless accelerators of the machine.
+  // The number of useless accelerators of the machine.
   double Useless(const Machine& machine) const;
-  // By how much a task with that need, staying there, changes Useless; negative
-  // where it takes what no other work could use.
+  // The change of Useless if a long-running task with that need were placed on
+  // the machine. Negative if the task takes capacity that no other work could
+  // use.
   double Added(const Machine& machine, const Resources& need) const;
   FragmentationCount Count(
       std::span<const std::unique_ptr<Machine>> machines) const;
   std::span<const TaskShape> shapes() const { return mix_.shapes(); }
-  // The shape with the most accelerators; null before one was submitted.
+  // The shape of the mix that needs the most accelerators, and among those the
+  // most cores. Null if the mix is empty.
   const TaskShape* Largest() const;
 
  private:
-  // Cached results for one machine; valid for this version of the mix and that
-  // free capacity.
+  // Cached results for one machine. Valid while the mix has this version and
+  // the machine this free capacity.
   struct CacheEntry {
-    uint64_t version = 0;  // 0: never computed
+    uint64_t version = 0;  // of the mix; 0: never computed
     Resources free;
     double useless = 0;
-    Resources need;  // the last that Added was asked about
+    Resources need;  // the argument of the last call of Added
     double added = 0;
     bool has_added = false;
   };
-  // The machine's entry, computed again if it was not valid any more.
+  // The machine's cache entry. Recomputes it if it is not valid any more.
   CacheEntry& ValidEntry(const Machine& machine) const;
-  // Useless accelerators if `free` of the machine were free.
+  // The useless accelerators of the machine if `free` of its capacity were
+  // free.
   double Measure(const Machine& machine, const Resources& free) const;
 
   ShapeMix mix_;
   double settle_seconds_;
   Time next_settle_ = -std::numeric_limits<Time>::infinity();
   uint64_t version_ = 1;                   // of the mix
-  mutable std::vector<CacheEntry> cache_;  // by index of the machine
+  mutable std::vector<CacheEntry> cache_;  // by machine index
 };
 
-// Capacity that is not taken by lasting work.
+// The machine's capacity that is not used by long-running work, which is
+// everything except job arrays.
 inline Resources LastingRoom(const Machine& machine) {
   return machine.total() - machine.lasting;
 }
 
-// Whether tasks of this shape may be on such a machine.
+// Whether the constraints of the shape allow its tasks on the machine.
 bool MayBeOn(const TaskShape& shape, const Machine& machine);
 
 }  // namespace oxbow
