--- a/core/priority_tiers/headroom.h
+++ b/core/priority_tiers/headroom.h
@@ -1,5 +1,6 @@
-// How much capacity a tier needs free in each zone: what it started lately, or
-// what it would lose with its largest part, whichever is more.
+// Computes how much capacity has to stay free for a tier in each zone: as much
+// as its tasks that were started recently, or as much as it would have to
+// restart after its largest possible loss, whichever is more.
 #pragma once
 
 #include <map>
@@ -10,14 +11,15 @@
 
 namespace oxbow {
 
-// The larger, or the smaller, amount of each resource.
+// The larger (or smaller) amount of each resource.
 Resources Larger(const Resources& first, const Resources& second);
 Resources Smaller(const Resources& first, const Resources& second);
 
-// What has to be started again in each zone when a tier loses its largest part:
-// one machine's use in the zone itself, or another zone's use, spread over the
-// remaining zones in equal parts. `by_zone`: what the tier uses there;
-// `by_machine`: the most that it uses on one machine of the zone.
+// The capacity that a tier needs in each zone to restart its tasks after its
+// largest loss: either one machine of that zone fails, or another zone fails
+// and its tasks are spread equally over the remaining zones. `by_zone` is what
+// the tier uses in each zone, `by_machine` the most that it uses on any one
+// machine of the zone.
 std::map<std::string, Resources> LargestLoss(
     const std::map<std::string, Resources>& by_zone,
     const std::map<std::string, Resources>& by_machine);
@@ -25,17 +27,18 @@
 // The headroom of one tier in all zones.
 class Headroom {
  public:
-  // Starts within `window_seconds` are one burst. After `half_life_seconds` a
+  // Starts within `window_seconds` form one burst. After `half_life_seconds` a
   // burst counts for half.
   Headroom(double window_seconds, double half_life_seconds)
       : window_seconds_(window_seconds),
         half_life_seconds_(half_life_seconds) {}
 
-  // A task of the tier has been started.
+  // Records that a task of the tier has been started.
   void OnStart(const std::string& zone, const Resources& need, Time now);
-  // The largest recent burst, as far as it still counts.
+  // The largest recent burst in the zone, decayed up to `now`.
   Resources Burst(const std::string& zone, Time now) const;
-  // What is to be reserved: never more than `share` of the zone's `total`.
+  // The capacity to reserve in the zone: the larger of the recent burst and
+  // `largest_loss`, but at most `share` of the zone's capacity `total`.
   Resources Reserved(const std::string& zone, const Resources& total,
                      double share, const Resources& largest_loss,
                      Time now) const;
@@ -44,10 +47,11 @@
   static constexpr Time kNever = -1e18;  // longer ago than any window
   struct Zone {
     Time burst_since = kNever;
-    Resources burst;  // since then
-    Resources peak;   // as of peak_at
+    Resources burst;  // capacity of the tasks started since `burst_since`
+    Resources peak;   // the largest burst, decayed up to `peak_at`
     Time peak_at = 0;
   };
+  // The peak of the zone, decayed up to `now`.
   Resources Decayed(const Zone& zone, Time now) const;
 
   double window_seconds_;
--- a/core/priority_tiers/mass_failure_recovery.cc
+++ b/core/priority_tiers/mass_failure_recovery.cc
@@ -12,6 +12,7 @@
 
 using enum RecoveryStep;
 
+// The allowed changes of the step.
 constexpr std::array kChanges = {
     std::pair{kNormal, kAssessingLoss},
     std::pair{kAssessingLoss, kBestTierFirst},
@@ -61,15 +62,15 @@
          limits_.max_loss_seconds + limits_.max_best_tier_seconds;
 }
 
-void MassFailureRecovery::NoteWorse(double missing, Time now) {
+void MassFailureRecovery::RecordFurtherLoss(double missing, Time now) {
   max_missing_ = missing;
-  last_worse_at_ = now;
+  last_loss_at_ = now;
 }
 
 void MassFailureRecovery::ReleaseNextTier(
     const RecoveryObservation& observation, Time now) {
   wave_since_ = now;
-  // A tier of which no job waits needs no wave of its own.
+  // Tiers without waiting jobs do not get a wave of their own.
   do {
     ++last_released_;
   } while (last_released_ + 1 < observation.tier_waits.size() &&
@@ -86,8 +87,8 @@
 void MassFailureRecovery::Review(const RecoveryObservation& observation,
                                  Time now) {
   if (step_ == kCooldown) {
-    // However often machines fail, lower tiers may start for as long as they
-    // have waited.
+    // After a recovery, the lower tiers may start for as long as they have
+    // waited, however often machines fail.
     if (now < cooldown_until_) return;
     Change(kNormal, now);
   }
@@ -95,7 +96,8 @@
     ReviewNormal(observation, now);
     return;
   }
-  // The tiers have changed, or there are none: what has been released stays so.
+  // The operators have withdrawn the tiers during the recovery. A single tier
+  // is left, with index 0, and it may start.
   if (observation.tier_waits.size() < 2) last_released_ = 0;
   if (step_ == kAssessingLoss && !LossIsAssessed(observation, now)) return;
   if (step_ == kAssessingLoss) Change(kBestTierFirst, now);
@@ -110,27 +112,27 @@
                                        Time now) {
   if (observation.tier_waits.size() < 2 || !IsMassFailure(observation)) return;
   waiting_since_ = now;
-  NoteWorse(observation.Missing(), now);
+  RecordFurtherLoss(observation.Missing(), now);
   Change(kAssessingLoss, now);
 }
 
 bool MassFailureRecovery::LossIsAssessed(const RecoveryObservation& observation,
                                          Time now) {
   if (observation.Missing() > max_missing_) {
-    NoteWorse(observation.Missing(), now);
+    RecordFurtherLoss(observation.Missing(), now);
   }
   return IsOverdue(now) || BestTierIsBack(observation) ||
-         now - last_worse_at_ >= limits_.loss_seconds ||
+         now - last_loss_at_ >= limits_.loss_seconds ||
          now - step_since_ >= limits_.max_loss_seconds;
 }
 
 void MassFailureRecovery::ReviewBestTierFirst(
     const RecoveryObservation& observation, Time now) {
   const bool overdue = IsOverdue(now);
-  // A second zone or group of machines fails meanwhile: its extent is awaited
-  // too, within the same bound.
+  // Another zone or group of machines has failed meanwhile. The extent of that
+  // loss is assessed too, within the same time limit.
   if (!overdue && observation.Missing() > max_missing_ + limits_.min_lost) {
-    NoteWorse(observation.Missing(), now);
+    RecordFurtherLoss(observation.Missing(), now);
     Change(kAssessingLoss, now);
     return;
   }
@@ -146,17 +148,18 @@
   const auto lower_tiers = static_cast<double>(std::max<size_t>(tiers, 2) - 1);
   const double wave_seconds = std::min(limits_.max_wave_seconds,
                                        limits_.max_waves_seconds / lower_tiers);
-  // A budget for each wave; what is left of it does not add up.
+  // Each wave has its own budget of fetches. An unused rest is not carried
+  // over.
   if (now - fetches_refilled_at_ >= wave_seconds) {
     RefillFetches(observation, now);
   }
   const bool served = last_released_ < tiers &&
                       !observation.tier_waits[last_released_] &&
                       now > wave_since_;
-  const bool last = last_released_ + 1 >= tiers;
+  const bool is_last_tier = last_released_ + 1 >= tiers;
   const bool wave_over = now - wave_since_ >= wave_seconds;
   if (now - step_since_ >= limits_.max_waves_seconds ||
-      (last && (served || wave_over))) {
+      (is_last_tier && (served || wave_over))) {
     Change(kCooldown, now);
     return;
   }
--- a/core/priority_tiers/mass_failure_recovery.h
+++ b/core/priority_tiers/mass_failure_recovery.h
@@ -1,6 +1,7 @@
-// Recovery after many tasks are lost at once: the best tier starts first, then
-// one tier after the other, so that the images that lower tiers fetch do not
-// fill the links over which the best one recovers. Every step ends by itself.
+// Recovery after many tasks are lost at once. The best tier starts its tasks
+// first, then the other tiers follow one at a time, so that image fetches of
+// lower tiers do not take the network bandwidth that the best tier needs to
+// recover. Every step has a time limit, so a recovery always ends.
 #pragma once
 
 #include <cstddef>
@@ -11,31 +12,36 @@
 
 namespace oxbow {
 
-// The steps of a recovery, in this order.
+// The steps of a recovery, in order.
 enum class RecoveryStep : uint8_t {
-  kNormal,          // every tier may start
-  kAssessingLoss,   // more may be found lost; only the best tier starts
-  kBestTierFirst,   // the best tier recovers, the others wait
-  kReleasingTiers,  // the others may start, one tier after the other
-  kCooldown,        // every tier may start, and none is made to wait again yet
+  kNormal,          // every tier may start tasks
+  kAssessingLoss,   // further losses may be detected; only the best tier starts
+  kBestTierFirst,   // the best tier recovers; the lower tiers wait
+  kReleasingTiers,  // the lower tiers may start again, one tier at a time
+  kCooldown,        // every tier may start; no new recovery begins yet
 };
 
-// Shares are of the best tier's replicas.
+// Thresholds and time limits of a recovery. Unless stated otherwise, shares are
+// shares of the best tier's replicas.
 struct RecoveryLimits {
-  double loss_share = 0.04;   // missing: a mass failure
-  double min_lost = 3;        // replicas; fewer are no mass failure
-  double back_share = 0.998;  // running: the tier has recovered
-  double loss_seconds = 5;    // without a further loss, the extent is known
+  double loss_share = 0.04;   // a mass failure: at least this share is missing
+  double min_lost = 3;        // and at least this many replicas are missing
+  double back_share = 0.998;  // recovered: at least this share is running
+  // The loss counts as fully known after this long without a further loss, and
+  // at the latest after `max_loss_seconds`.
+  double loss_seconds = 5;
   double max_loss_seconds = 10;
-  double max_best_tier_seconds = 40;
-  double max_wave_seconds = 5;    // for one tier
-  double max_waves_seconds = 30;  // for all of them
-  // Starts with a fetch in a wave, as a share of the machines.
+  double max_best_tier_seconds = 40;  // the longest that lower tiers then wait
+  // A wave is the time for which one released tier starts before the next.
+  double max_wave_seconds = 5;    // for one wave
+  double max_waves_seconds = 30;  // for all waves together
+  // Starts that begin an image fetch, per wave, as a share of the machines.
   double fetch_share = 0.25;
 
-  // In worker leases, so that all waits together stay below twelve of them.
+  // The time limits as multiples of the worker lease, so that all waits
+  // together stay below twelve leases.
   static RecoveryLimits From(const WorkerSettings& workers);
-  // The longest that a lower tier waits for others without a break.
+  // The longest time, in seconds, that a lower tier waits without a break.
   double LongestWait() const {
     return max_loss_seconds + max_best_tier_seconds + max_waves_seconds;
   }
@@ -43,59 +49,66 @@
 
 // The state of the cluster at one moment.
 struct RecoveryObservation {
-  // Replicas of the best tier's services that are not new: all, those that are
-  // placed, and those that run.
+  // Numbers of replicas of the best tier's services, without services that were
+  // submitted only recently: all replicas, those that are placed on a machine,
+  // and those that are running.
   double wanted = 0;
   double placed = 0;
   double running = 0;
-  // Whether a job of the tier waits, the best tier first.
+  // For each tier, the best first: whether a job of the tier is waiting.
   std::vector<bool> tier_waits;
-  size_t machines = 0;  // that take new work
+  size_t machines = 0;  // machines that accept new tasks
 
   double Missing() const { return wanted - placed; }
 };
 
-// A state machine, reviewed in each scheduling pass.
+// The state machine of the recovery. Reviewed in each scheduling pass.
 class MassFailureRecovery {
  public:
   explicit MassFailureRecovery(const RecoveryLimits& limits)
       : limits_(limits) {}
 
-  // Depends only on what is observed and on time, and on nothing that an
-  // earlier leader knew: a new leader continues from the same state.
+  // Advances the recovery by what is observed now. Needs no information from an
+  // earlier leader: a new leader detects the mass failure from its own
+  // observations and continues the recovery.
   void Review(const RecoveryObservation& observation, Time now);
 
   RecoveryStep step() const { return step_; }
-  // Whether lower tiers wait.
+  // Whether a recovery makes lower tiers wait.
   bool holds() const {
     return step_ == RecoveryStep::kAssessingLoss ||
            step_ == RecoveryStep::kBestTierFirst ||
            step_ == RecoveryStep::kReleasingTiers;
   }
-  // Whether jobs of the tier at that place may start tasks.
+  // Whether jobs of the tier may start tasks. `place` is the tier's index in
+  // rank order; 0 is the best tier.
   bool MayStart(size_t place) const {
     return !holds() || place <= last_released_;
   }
-  // Whether a start of that tier may begin a fetch.
+  // Whether a task start of that tier may begin an image fetch.
   bool MayFetch(size_t place) const {
     return !holds() || place == 0 || fetches_left_ > 0;
   }
-  // A start of that tier has begun a fetch.
+  // Records that a task start of that tier has begun an image fetch.
   void NoteFetch(size_t place) {
     if (holds() && place > 0 && fetches_left_ > 0) --fetches_left_;
   }
 
  private:
-  // The one function for changes of the step.
+  // Every change of `step_` goes through this function.
   void Change(RecoveryStep next, Time now);
   bool IsMassFailure(const RecoveryObservation& observation) const;
   bool BestTierIsBack(const RecoveryObservation& observation) const;
-  // The best tier has had its time.
+  // Whether the time for which lower tiers may wait for the best one is over.
   bool IsOverdue(Time now) const;
-  void NoteWorse(double missing, Time now);
+  // Records that more replicas are missing than before.
+  void RecordFurtherLoss(double missing, Time now);
+  // Releases the next tier of which a job waits, and begins its wave.
   void ReleaseNextTier(const RecoveryObservation& observation, Time now);
+  // Resets the number of image fetches that lower tiers may begin in a wave.
   void RefillFetches(const RecoveryObservation& observation, Time now);
   void ReviewNormal(const RecoveryObservation& observation, Time now);
+  // Whether the extent of the loss is known, or has been awaited long enough.
   bool LossIsAssessed(const RecoveryObservation& observation, Time now);
   void ReviewBestTierFirst(const RecoveryObservation& observation, Time now);
   void ReviewReleasingTiers(const RecoveryObservation& observation, Time now);
@@ -103,11 +116,11 @@
   RecoveryLimits limits_;
   RecoveryStep step_ = RecoveryStep::kNormal;
   Time step_since_ = 0;
-  Time waiting_since_ = 0;  // lower tiers
+  Time waiting_since_ = 0;  // since when the lower tiers wait
   Time cooldown_until_ = 0;
-  double max_missing_ = 0;
-  Time last_worse_at_ = 0;    // when max_missing_ last grew
-  size_t last_released_ = 0;  // the last place that may start
+  double max_missing_ = 0;    // replicas
+  Time last_loss_at_ = 0;     // when max_missing_ last grew
+  size_t last_released_ = 0;  // index of the lowest tier that may start
   Time wave_since_ = 0;
   Time fetches_refilled_at_ = 0;
   size_t fetches_left_ = 0;
--- a/core/priority_tiers/tier_manager.cc
+++ b/core/priority_tiers/tier_manager.cc
@@ -7,8 +7,9 @@
 namespace oxbow {
 namespace {
 
-// A service that has waited for less is new.
-constexpr double kSettledLeases = 3;
+// A service that was queued less than this many worker leases ago is new: its
+// replicas that are not placed yet do not count as lost.
+constexpr double kNewServiceLeases = 3;
 
 }  // namespace
 
@@ -35,22 +36,23 @@
   cluster_.MarkChanged();
 }
 
-void TierManager::BeginTiers(const std::vector<Job*>& order,
-                             const std::vector<Machine*>& usable,
-                             bool accounted, Time now) {
+void TierManager::BeginTiers(const std::vector<Job*>& waiting_jobs,
+                             const std::vector<Machine*>& usable_machines,
+                             bool all_machines_accounted_for, Time now) {
   if (!tiers_.active()) return;
   TierObservation observation;
-  observation.machines = usable.size();
-  for (const Machine* machine : usable) {
+  observation.machines = usable_machines.size();
+  for (const Machine* machine : usable_machines) {
     observation.total[machine->zone] += machine->total();
     observation.free[machine->zone] += machine->free();
   }
-  for (const Job* job : order) {
+  for (const Job* job : waiting_jobs) {
     observation.waiting.push_back({job, job->tier, now - job->queued_since(),
                                    job->placed() + job->done() > 0});
   }
-  // Before every machine is accounted for, nobody knows what is missing.
-  if (accounted) ObserveBestTier(now, observation);
+  // Until every machine is accounted for, tasks may be running that this leader
+  // does not know of, so it cannot tell which replicas are missing.
+  if (all_machines_accounted_for) ObserveBestTier(now, observation);
   const RecoveryStep before = tiers_.recovery().step();
   tiers_.Begin(observation, now);
   LogRecoveryStep(before);
@@ -58,13 +60,12 @@
 
 void TierManager::ObserveBestTier(Time now,
                                   TierObservation& observation) const {
-  // A service that has just arrived does not count as lost.
-  const double settled_seconds =
-      kSettledLeases * settings_.workers.lease_seconds;
+  const double new_service_seconds =
+      kNewServiceLeases * settings_.workers.lease_seconds;
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->tier != 0 || !job->live() ||
         job->spec().kind != JobKind::kService ||
-        now - job->queued_since() < settled_seconds) {
+        now - job->queued_since() < new_service_seconds) {
       continue;
     }
     observation.best_wanted +=
@@ -99,8 +100,8 @@
                     machine.BytesToFetch(spec.image, spec.image_gb) > 0)) {
     return true;
   }
-  // Capacity that was freed for the job by preemption is its own: if it were
-  // refused here, the others would have been stopped for nothing.
+  // The job may always use capacity that is reserved for it. If it were refused
+  // here, the tasks preempted for it would have been stopped for nothing.
   return spec.need.FitsIn(ClusterState::ReservedFor(job, machine));
 }
 
--- a/core/priority_tiers/tier_policy.cc
+++ b/core/priority_tiers/tier_policy.cc
@@ -6,13 +6,13 @@
 namespace oxbow {
 namespace {
 
-// In worker leases; see Headroom.
+// The window and the half-life of bursts (see Headroom), in worker leases.
 constexpr double kBurstLeases = 1;
 constexpr double kHalfLifeLeases = 30;
-// Amounts are compared up to rounding.
+// The tolerance for rounding errors when amounts are compared.
 constexpr double kEpsilon = 1e-6;
 
-// Whether the reserved amount stays free of each resource that the task needs.
+// Whether the reserved amount of each resource that the task needs stays free.
 bool LeavesReserved(const Resources& free, const Resources& need,
                     const Resources& reserved) {
   const auto leaves = [](double free_amount, double needed, double kept) {
@@ -23,7 +23,8 @@
          leaves(free.memory_gb, need.memory_gb, reserved.memory_gb);
 }
 
-// `waiting`: jobs of each tier.
+// Whether a job of any tier except `place` waits. `waiting` is the number of
+// waiting jobs of each tier.
 bool OtherTiersWait(const std::vector<uint32_t>& waiting, uint8_t place) {
   for (size_t other = 0; other < waiting.size(); ++other) {
     if (other != place && waiting[other] > 0) return true;
@@ -44,7 +45,8 @@
 bool TierPolicy::Use(std::shared_ptr<const TierSet> set) {
   if (set == nullptr) set = std::make_shared<const TierSet>();
   if (set_ != nullptr && *set == *set_) {
-    // The same tiers under another version: the measurements stay valid.
+    // The record has a new version but the same tiers, so the measurements stay
+    // valid.
     set_ = std::move(set);
     return false;
   }
@@ -57,7 +59,8 @@
   turns_.assign(tiers, {});
   headroom_by_zone_.assign(tiers, {});
   waiting_.assign(tiers, 0);
-  // A recovery in progress goes on under its own bounds.
+  // `recovery_` is kept: a recovery in progress continues within its own time
+  // limits.
   return true;
 }
 
@@ -188,7 +191,8 @@
   if (!active()) return;
   if (ReservesHeadroom(place)) headroom_[place].OnStart(zone, need, now);
   if (fetches) recovery_.NoteFetch(place);
-  // The turn of a gang is all of its tasks; of another job, one task.
+  // The turn of a gang covers all of its tasks; the scheduler ends it. The turn
+  // of any other job covers one task.
   if (HasTurn(job, place) && job.spec().kind != JobKind::kGang) {
     TurnUsed(job, place, now);
   }
--- a/core/priority_tiers/tier_policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -1,6 +1,8 @@
-// What the tiers mean for one scheduling pass: order, reserved headroom,
-// shares, turns of jobs that have waited long, and which tiers may start after
-// a mass failure. Preemption is not decided here.
+// Applies the priority tiers to one scheduling pass. Decides the order of the
+// tiers in the queue, the headroom reserved for each tier, the share of the
+// capacity that each tier may use, the turns of jobs that have waited long, and
+// which tiers may start tasks after a mass failure. Preemption is decided
+// elsewhere, by PreemptionPlanner.
 #pragma once
 
 #include <cstdint>
@@ -20,36 +22,40 @@
 // What a tier uses in one zone.
 struct TierUse {
   Resources in_zone;
-  Resources on_one_machine;  // the most that it uses on any
+  Resources on_one_machine;  // the most that it uses on any one machine
 };
 
-// The state of the cluster at the beginning of a pass.
+// The state of the cluster at the beginning of a scheduling pass.
 struct TierObservation {
-  std::map<std::string, Resources> total;  // by zone, of machines in use
+  // Capacity of the machines that accept new tasks, by zone: all of it, and the
+  // free part.
+  std::map<std::string, Resources> total;
   std::map<std::string, Resources> free;
   // A job that waits in this pass.
   struct Waiting {
     const Job* job = nullptr;
-    uint8_t place = 0;
+    uint8_t place = 0;  // of its tier
     double waited_seconds = 0;
-    bool begun = false;  // some task of it has a place or is done
+    bool begun = false;  // at least one task is placed on a machine or is done
   };
   std::vector<Waiting> waiting;
-  // Replicas of the best tier; see RecoveryObservation.
+  // Replicas of the best tier's services, as in RecoveryObservation.
   double best_wanted = 0;
   double best_placed = 0;
   double best_running = 0;
-  size_t machines = 0;
+  size_t machines = 0;  // machines that accept new tasks
 };
 
-// A tier is named by its place in the order of ranks, the best being 0.
+// The policy for one leadership. A tier is identified by its `place`, its index
+// in the order of ranks; 0 is the best tier.
 class TierPolicy {
  public:
   // `on`: whether the operators have enabled tiers.
   TierPolicy(const Settings& settings, bool on);
 
-  // Null or a set of one tier only: nothing is changed. Returns whether jobs
-  // have to be classified again.
+  // Sets the tiers in force. With null, or a set of only one tier, the policy
+  // is inactive and restricts nothing. Returns whether the tiers have changed,
+  // so that jobs have to be classified again.
   bool Use(std::shared_ptr<const TierSet> set);
   bool active() const { return on_ && set_->size() > 1; }
   const TierSet& set() const { return *set_; }
@@ -57,14 +63,16 @@
     return active() ? set_->Classify(spec) : 0;
   }
 
-  // What each tier uses, changed by these alone.
+  // The capacity that the tasks of each tier use. Changed only by Hold, Release
+  // and ForgetHeld.
   void Hold(uint8_t place, const Resources& need);
   void Release(uint8_t place, const Resources& need);
-  void ForgetHeld();  // before everything is entered again
+  // Resets the usage of all tiers. The caller then adds all tasks again.
+  void ForgetHeld();
   const Resources& held(uint8_t place) const { return held_[place]; }
 
-  // What a tier that reserves headroom uses in each zone; to be called now and
-  // then.
+  // Updates the largest possible loss of a tier that reserves headroom, from
+  // what the tier uses in each zone. Called periodically.
   void Survey(uint8_t place, const std::map<std::string, TierUse>& use_by_zone);
   bool ReservesHeadroom(uint8_t place) const {
     return active() && set_->at(place).kept_share > 0;
@@ -72,62 +80,72 @@
 
   // Begins a scheduling pass.
   void Begin(const TierObservation& observation, Time now);
-  // The job's place in the queue among jobs that can't stop one another; least
-  // first. One that has waited too long comes next after the best tier.
+  // The value of QueuePosition::tier for the job; the smallest is served first.
+  // A job that has a turn comes directly after the best tier.
   int RankOf(const Job& job, uint8_t place) const;
-  // Whether the job may start tasks in this pass at all.
+  // Whether the job may start tasks in this pass at all. False for a tier that
+  // waits during a recovery, unless the job has a turn.
   bool MayStart(const Job& job, uint8_t place) const;
-  // Whether one more task keeps the tier within its share while others wait.
-  // What is refused may ask again once all others have been served.
+  // Whether the tier stays within its share with one more task that needs
+  // `need`. The share limits a tier only while jobs of other tiers wait. Jobs
+  // that are refused can be tried again after OthersServed.
   bool WithinShare(const Job& job, uint8_t place, const Resources& need) const;
+  // Called when the jobs of all tiers have been served in this pass.
   void OthersServed() { others_served_ = true; }
-  // Whether the headroom of better tiers stays free, and a fetch may begin.
+  // Whether a task that needs `need` may start in the zone: the headroom of
+  // better tiers stays free, and an image fetch may begin if `fetches`.
   bool MayUse(const Job& job, uint8_t place, const std::string& zone,
               const Resources& need, bool fetches) const;
-  // Capacity that is taken within the pass, and given back.
+  // Subtract capacity from, or return it to, the free capacity of the zone in
+  // this pass.
   void Take(const std::string& zone, const Resources& need);
   void Give(const std::string& zone, const Resources& need);
-  // A task was started; its capacity has been taken before.
+  // Records that a task was started. Its capacity has already been subtracted
+  // by Take. `fetches`: the start begins an image fetch.
   void Started(const Job& job, uint8_t place, const std::string& zone,
                const Resources& need, bool fetches, Time now);
-  // All starts of the job's turn are made.
+  // Ends the job's turn, if it has one: all its starts have been made.
   void TurnUsed(const Job& job, uint8_t place, Time now);
+  // Whether the job has a turn: it has waited long, so in this pass it is
+  // exempt from the limits on its tier.
   bool HasTurn(const Job& job, uint8_t place) const {
     return active() && turns_[place].job == &job;
   }
-  // The job is about to be destroyed.
+  // Drops all references to the job, which is about to be destroyed.
   void Forget(const Job& job);
 
-  // The headroom of all tiers better than that one, in the zone.
+  // The headroom of all tiers better than `place`, in the zone.
   Resources ReservedAgainst(uint8_t place, const std::string& zone) const;
   const MassFailureRecovery& recovery() const { return recovery_; }
 
  private:
-  static constexpr Time kNever = -1e18;  // a turn may be given at once
+  static constexpr Time kNever = -1e18;  // before any real time
   struct Turn {
-    const Job* job = nullptr;  // in this pass
-    Time not_before = kNever;
+    const Job* job =
+        nullptr;  // the job that has the turn in this pass, or null
+    Time not_before = kNever;  // when the tier may get its next turn
   };
   void ReserveHeadroom(const TierObservation& observation, Time now);
-  // Gives one job of each lower tier a turn in each worker lease, the one that
-  // has waited longest: enough that none starves, too little to take the
-  // capacity from better tiers.
+  // Gives a turn to at most one job of each lower tier per worker lease: the
+  // job that has waited longest. That is enough to prevent starvation, and too
+  // little to take the capacity from better tiers.
   void GiveTurns(const TierObservation& observation, Time now);
 
   const double lease_seconds_;
   const bool on_;
   const RecoveryLimits limits_;
   std::shared_ptr<const TierSet> set_;
+  // The vectors below are indexed by place.
   std::vector<Resources> held_;
   std::vector<Headroom> headroom_;
   std::vector<std::map<std::string, Resources>> largest_losses_;  // by zone
   std::vector<Turn> turns_;
   MassFailureRecovery recovery_;
-  // In this pass.
-  std::map<std::string, Resources> free_;
-  Resources total_;
+  // State of the current pass.
+  std::map<std::string, Resources> free_;  // by zone
+  Resources total_;                        // of all zones
   std::vector<std::map<std::string, Resources>> headroom_by_zone_;
-  std::vector<uint32_t> waiting_;  // jobs of each tier
+  std::vector<uint32_t> waiting_;  // number of waiting jobs of each tier
   bool others_served_ = false;
 };
 
--- a/core/priority_tiers/tier_set.cc
+++ b/core/priority_tiers/tier_set.cc
@@ -15,9 +15,10 @@
 using enum TierSource;
 using MaybeError = std::optional<TierError>;
 
-// Shares that add up to 1 are within it, up to rounding.
+// The tolerance for rounding errors when shares have to add up to at most 1.
 constexpr double kShareEpsilon = 1e-9;
 
+// The allowed changes of the source.
 constexpr std::array kChanges = {
     std::pair{kBuiltIn, kBuiltIn},    std::pair{kBuiltIn, kRecorded},
     std::pair{kRecorded, kRecorded},  std::pair{kRecorded, kLastKnown},
@@ -25,8 +26,10 @@
     std::pair{kLastKnown, kRecorded}, std::pair{kLastKnown, kBuiltIn},
 };
 
+// Whether the list of a TierMatch matches the value. An empty list matches
+// every value.
 template <typename T>
-bool Has(const std::vector<T>& list, const T& value) {
+bool ListMatches(const std::vector<T>& list, const T& value) {
   return list.empty() ||
          std::find(list.begin(), list.end(), value) != list.end();
 }
@@ -37,21 +40,24 @@
   return text.data();
 }
 
-bool PlainWord(const std::string& word, size_t most) {
-  return !word.empty() && word.size() <= most &&
+// Whether the word is a valid name: printable ASCII without spaces.
+bool IsValidName(const std::string& word, size_t max_bytes) {
+  return !word.empty() && word.size() <= max_bytes &&
          std::all_of(word.begin(), word.end(),
                      [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
 bool IsShare(double value) {
-  // Written so that what is no number fails too.
+  // Both comparisons are false for NaN, so NaN is rejected too.
   return value >= 0 && value <= 1;
 }
 
-std::string NotANameText(const std::string& word, const TierBounds& bounds) {
+// The error text for an invalid name, which is truncated to the longest length
+// allowed.
+std::string InvalidNameText(const std::string& word, const TierBounds& bounds) {
   std::string problem = "\"";
   problem += word.substr(0, bounds.most_word);
-  problem += "\" is no name";
+  problem += "\" is not a valid name";
   return problem;
 }
 
@@ -64,14 +70,15 @@
                                            std::to_string(bounds.most_words)};
   }
   for (const std::string& word : words) {
-    if (!PlainWord(word, bounds.most_word)) {
-      return TierError{std::move(field), NotANameText(word, bounds)};
+    if (!IsValidName(word, bounds.most_word)) {
+      return TierError{std::move(field), InvalidNameText(word, bounds)};
     }
   }
   return std::nullopt;
 }
 
-// The tiers that were validated before this one.
+// The names and ranks of the tiers validated so far, and the sum of their
+// shares.
 struct EarlierTiers {
   std::set<std::string> names;
   std::set<uint32_t> ranks;
@@ -89,10 +96,9 @@
                      Number(tier.most_share) + " is not above 0 and at most 1"};
   }
   if (tier.kept_share > tier.most_share) {
-    return TierError{where + "kept_share",
-                     Number(tier.kept_share) +
-                         " is more than the tier may hold, " +
-                         Number(tier.most_share)};
+    return TierError{where + "kept_share", Number(tier.kept_share) +
+                                               " is more than most_share, " +
+                                               Number(tier.most_share)};
   }
   earlier.kept_share += tier.kept_share;
   if (earlier.kept_share > 1 + kShareEpsilon) {
@@ -118,12 +124,12 @@
 
 MaybeError FindErrorOf(const Tier& tier, const TierBounds& bounds,
                        EarlierTiers& earlier) {
-  if (!PlainWord(tier.name, bounds.most_word)) {
-    return TierError{"name", NotANameText(tier.name, bounds)};
+  if (!IsValidName(tier.name, bounds.most_word)) {
+    return TierError{"name", InvalidNameText(tier.name, bounds)};
   }
   const std::string where = "tier " + tier.name + ", ";
   if (tier.name == kRestTier) {
-    return TierError{where + "name", "kept for what no tier matches"};
+    return TierError{where + "name", "reserved for jobs that no tier matches"};
   }
   if (!earlier.names.insert(tier.name).second) {
     return TierError{where + "name", "given twice"};
@@ -149,7 +155,8 @@
   bounds.least_floor_seconds = lease;
   bounds.most_floor_seconds = 24 * lease;
   bounds.usual_floor_seconds = 12 * lease;
-  // The other half is for the author, the note and the version.
+  // The tiers may take half of the largest value that the key-value store
+  // accepts. The other half is for the author, the note and the version.
   bounds.most_text = static_cast<size_t>(settings.store.value_kb * 1024 / 2);
   return bounds;
 }
@@ -163,8 +170,10 @@
 }
 
 bool TierMatch::Matches(const JobSpec& spec) const {
-  return Has(classes, spec.job_class) && Has(teams, spec.team) &&
-         Has(priorities, spec.priority) && Has(kinds, spec.kind);
+  return ListMatches(classes, spec.job_class) &&
+         ListMatches(teams, spec.team) &&
+         ListMatches(priorities, spec.priority) &&
+         ListMatches(kinds, spec.kind);
 }
 
 TierSet::TierSet() : TierSet({}, {}) {}
--- a/core/priority_tiers/tier_set.h
+++ b/core/priority_tiers/tier_set.h
@@ -1,6 +1,7 @@
-// Priority tiers: which jobs belong together, in which order they are served,
-// which headroom is reserved for them and how much they may use. Operators
-// record them; which version is in force is decided here.
+// Priority tiers: groups of jobs, with the order in which the groups are
+// served, the headroom that is reserved for each, and the capacity that each
+// may use. Operators write the tiers into a record in the key-value store; this
+// file validates a set of tiers and decides which version is in force.
 #pragma once
 
 #include <algorithm>
@@ -18,21 +19,22 @@
 // Limits on a set of tiers.
 struct TierBounds {
   size_t most_tiers = 16;
-  size_t most_words = 64;    // in one list of a match
-  size_t most_word = 64;     // bytes of a name
+  size_t most_words = 64;    // names in one list of a TierMatch
+  size_t most_word = 64;     // bytes of one name
   size_t most_text = 8'192;  // bytes of the record
+  // Limits on Tier::floor_seconds.
   double least_floor_seconds = 10;
   double most_floor_seconds = 240;
-  double usual_floor_seconds = 120;  // of a tier that names none
+  double usual_floor_seconds = 120;  // for a tier that does not set it
 
   static TierBounds From(const Settings& settings);
-  // For a set that is recorded already, perhaps when larger values were
-  // allowed.
+  // The limits for reading a set that is recorded already. It may have been
+  // recorded when larger records were allowed.
   static TierBounds OfStored(const Settings& settings);
 };
 
-// Which jobs belong to a tier: all lists must match; an empty one matches
-// everything.
+// Selects the jobs that belong to a tier. All lists must match the job; an
+// empty list matches every job.
 struct TierMatch {
   std::vector<std::string> classes;
   std::vector<std::string> teams;
@@ -49,86 +51,99 @@
 // One tier as operators record it.
 struct Tier {
   std::string name;
-  uint32_t rank = 0;  // the least comes first
+  uint32_t rank = 0;  // the smallest rank is served first
   TierMatch match;
-  double kept_share = 0;  // of each zone's capacity: the most to reserve
-  double most_share = 1;  // of all capacity, while others wait; 1: no limit
-  // A job that has waited for so long gets a turn; 0: the usual time.
+  // The most headroom to reserve for the tier, as a share of each zone's
+  // capacity.
+  double kept_share = 0;
+  // The share of the whole capacity that the tier may use while jobs of other
+  // tiers wait; 1: no limit.
+  double most_share = 1;
+  // A job that has waited for this long gets a turn ahead of other tiers; 0:
+  // the default of TierBounds.
   double floor_seconds = 0;
 };
 
-// Tiers in the order in which they are matched. Jobs that no tier matches
-// belong to one more, after all others, so that a gap in a record loses no job.
+// The tiers, in the order in which they are matched against a job; the first
+// match counts. Jobs that no tier matches belong to an additional tier after
+// all others, so that every job has a tier even if a record has gaps.
 class TierSet {
  public:
-  // One tier for all jobs: the queue is ordered as without tiers.
+  // A single tier for all jobs: the queue is ordered as without tiers.
   TierSet();
   TierSet(std::vector<Tier> tiers, const TierBounds& bounds);
 
-  // The tier's place in the order of ranks, 0 first. Compares with every tier:
-  // callers store the result with the job.
+  // Returns the place of the job's tier: its index in the order of ranks, 0
+  // being the best. Compares the job with every tier, so callers store the
+  // result with the job.
   uint8_t Classify(const JobSpec& spec) const;
-  // By place, the best first.
+  // The tier with that place.
   const Tier& at(size_t place) const { return by_rank_[place]; }
   size_t size() const { return by_rank_.size(); }
-  // As recorded, without the one for jobs that no tier matches.
+  // The tiers as recorded, without the tier for jobs that no tier matches.
   const std::vector<Tier>& listed() const { return listed_; }
   bool operator==(const TierSet& other) const;
 
  private:
   std::vector<Tier> listed_;
-  std::vector<Tier> by_rank_;
-  std::vector<uint8_t> places_;  // of the listed ones
+  std::vector<Tier> by_rank_;    // with the additional tier, which is last
+  std::vector<uint8_t> places_;  // the place of each tier in `listed_`
 };
 
-// The name of the tier of jobs that no other matches. No record may use it.
+// The name of the tier for jobs that no other tier matches. Records may not use
+// it.
 inline constexpr const char* kRestTier = "rest";
 
-// The value for which a set of tiers can't be recorded.
+// The field of a set of tiers that is invalid, and why.
 struct TierError {
   std::string field;  // `tier NAME, FIELD`
   std::string problem;
 };
 
-// `field: problem`, on one line.
+// Formats the error as `field: problem`, on one line.
 std::string Render(const TierError& error);
 
-// The first error; nothing if the tiers can be recorded.
+// Validates a set of tiers. Returns the first error, or nullopt if the tiers
+// can be recorded.
 std::optional<TierError> FindTierError(const std::vector<Tier>& tiers,
                                        const TierBounds& bounds);
 
-// Where the set in force comes from.
+// Where the set of tiers in force comes from.
 enum class TierSource : uint8_t {
-  kBuiltIn,    // nothing was ever recorded, or it was withdrawn
-  kRecorded,   // as the key-value store holds it
-  kLastKnown,  // the record can't be read, or is missing
+  kBuiltIn,    // no tiers were ever recorded, or the operators withdrew them
+  kRecorded,   // the current record in the key-value store
+  kLastKnown,  // an earlier record; the current one is invalid or missing
 };
 
-// Which set is in force. Outlives leaderships: every controller follows the
-// record, so its own leadership begins with the version in force then.
+// Tracks which set of tiers is in force. Outlives leaderships: every controller
+// follows the record, so that its own leadership begins with the version that
+// is in force at that time.
 class TiersInForce {
  public:
   TiersInForce();
 
+  // A valid record was read; its set is in force from now on.
   void OnRecord(uint64_t version, TierSet set);
-  // There is a record that can't be used: `why` names what is wrong.
+  // A record was read that cannot be used. `why` says what is wrong with it.
   void OnBadRecord(uint64_t version, const std::string& why);
-  // There is none. That proves nothing, since the key-value store may have lost
-  // it: only a withdrawal ends the tiers.
+  // No record was found. The tiers stay in force, since the key-value store may
+  // have lost the record; only a withdrawal ends them.
   void OnNoRecord();
+  // The operators have withdrawn the tiers.
   void OnWithdrawn();
 
   TierSource source() const { return source_; }
-  // Of the set in force; 0 for the built-in one.
+  // The version of the set in force; 0 for the built-in set.
   uint64_t version() const { return version_; }
-  // Of the record that can't be used, and why; empty if there is none.
+  // The version of the last record that cannot be used, and what is wrong with
+  // it; 0 and empty if there is none.
   uint64_t refused_version() const { return refused_version_; }
   const std::string& refused() const { return refused_; }
-  // Never null.
+  // The set in force. Never null.
   const std::shared_ptr<const TierSet>& set() const { return set_; }
 
  private:
-  // The one function for changes of the source.
+  // Every change of `source_` goes through this function.
   void Change(TierSource next);
 
   TierSource source_ = TierSource::kBuiltIn;
--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -1,5 +1,5 @@
-// Fair queueing and queue positions when there is more work than capacity: no
-// job starves.
+// Fair queueing and queue positions when there is more work than capacity.
+// Guards against starvation of large jobs.
 
 #include "core/fair_queueing/fair_queueing.h"
 
@@ -12,13 +12,14 @@
 namespace oxbow::test {
 namespace {
 
-TEST(FairQueueing, EachSideGetsItsShareOfTheWork) {
+TEST(FairQueueing, EachOrderGetsItsShareOfTheWork) {
   FairQueueing queueing(0.25, 1e9);
   double minimum_share = 0;
   double all = 0;
   for (int i = 0; i < 400; ++i) {
     const bool first = queueing.MinimumShareFirst("c", 100);
-    const double work = first ? 8 : 1;  // those of the minimum share are larger
+    // Jobs placed by the minimum share are larger.
+    const double work = first ? 8 : 1;
     queueing.Placed("c",
                     first ? QueueSide::kMinimumShare : QueueSide::kQuickest,
                     work, 100);
@@ -28,7 +29,7 @@
   EXPECT_NEAR(minimum_share / all, 0.25, 0.05);
 }
 
-TEST(FairQueueing, WhatWasLongAgoIsForgotten) {
+TEST(FairQueueing, AccountsDecay) {
   FairQueueing queueing(0.5, 10);
   queueing.Placed("c", QueueSide::kMinimumShare, 1000, 0);
   EXPECT_FALSE(queueing.MinimumShareFirst("c", 1));
@@ -37,7 +38,7 @@
   EXPECT_TRUE(queueing.MinimumShareFirst("another", 200));
 }
 
-TEST(LargestSizes, NoneIsTheLargestOfOneSize) {
+TEST(LargestSizes, NoJobIsLargestWhileAllHaveTheSameSize) {
   LargestSizes sizes;
   sizes.Seen("c", 8);
   EXPECT_FALSE(sizes.IsLargest("c", 8));
@@ -70,8 +71,8 @@
   Tuning tuning_;
 };
 
-// A gang of the largest size behind a stream of small ones, of which there is
-// always one that is quicker.
+// Guards against starvation of the largest gang: with a steady stream of small
+// gangs, there is always one with less work.
 TEST_F(QueueRankingTest, TheLargestGangGetsItsTurnAmongSmallOnes) {
   QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kGang, 8, 0);
@@ -82,14 +83,14 @@
                   .Before(ranking.PositionOf(large, 100, 59)));
   EXPECT_TRUE(ranking.PositionOf(large, 100, 61)
                   .Before(ranking.PositionOf(small, 100, 61)));
-  // The minimum share has had more than its share of the work, so the quickest
-  // jobs come first again.
+  // Now more than the minimum share of the work has been placed for it, so the
+  // jobs with the least work come first again.
   ranking.Placed(large, ranking.PositionOf(large, 100, 61), 61);
   EXPECT_TRUE(ranking.PositionOf(small, 100, 62)
                   .Before(ranking.PositionOf(large, 100, 62)));
 }
 
-TEST_F(QueueRankingTest, AnArrayThatHasNotBegunIsBegunOutOfTurn) {
+TEST_F(QueueRankingTest, AnArrayThatHasWaitedLongBeginsOutOfTurn) {
   QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
   const Job small = Waiting("small", JobKind::kArray, 10, 115);
@@ -101,7 +102,7 @@
   EXPECT_EQ(QueueRanking::MinimumShareOf(large.spec()), 21u);
 }
 
-TEST_F(QueueRankingTest, WithoutTheRuleNothingGoesOutOfTurn) {
+TEST_F(QueueRankingTest, WithoutATimeLimitNoArrayBeginsOutOfTurn) {
   tuning_.begin_within_seconds = 0;
   QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kArray, 1000, 0);
--- a/tests/large_fleet_test.cc
+++ b/tests/large_fleet_test.cc
@@ -1,4 +1,5 @@
-// What one event may cost a leader of a large fleet. Counts work, not time.
+// Limits the cost of a single event for the leader of a large cluster. The cost
+// is counted in units of work, not in time (see SchedulingWork).
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -20,8 +21,8 @@
 constexpr int kGangs = 40;
 constexpr int kArrays = 40;
 
-// A leader that has taken over: every job was accepted before and waits until
-// all machines have sent a heartbeat.
+// A leader that has just taken over. All jobs were accepted by an earlier
+// leader and wait until every machine has sent a heartbeat.
 class LargeFleet : public testing::Test {
  protected:
   LargeFleet() {
@@ -87,7 +88,7 @@
     catalog_.Put(key, JobRecord{spec, /*submitted_wall=*/1}, ++revision_);
   }
 
-  // Every machine sends a heartbeat and shows the token that it was given.
+  // Every machine sends a heartbeat with the latest fencing token.
   void HeartbeatOfAll() {
     for (int i = 0; i < kMachines; ++i) {
       now_ += kHeartbeatSeconds / kMachines;
@@ -125,17 +126,18 @@
   Time now_ = 100;
 };
 
-TEST_F(LargeFleet, NoEventOfATakeoverOutlastsTheRightToLead) {
-  // 0.1 us each: 0.1 s of a processor, half a second of a fifth of one.
-  constexpr uint64_t kMostMachinesConsidered = 1'100'000;
+TEST_F(LargeFleet, NoEventOfATakeoverOutlastsTheLeadersLease) {
+  // At 0.1 us per machine considered, 0.1 s of processor time, or half a second
+  // for a process that gets a fifth of a processor.
+  constexpr uint64_t kMaxMachinesConsidered = 1'100'000;
   HeartbeatOfAll();
   HeartbeatOfAll();
   EXPECT_GT(leader_->scheduling().passes, 0U);
   EXPECT_LE(leader_->scheduling().most_machines_considered,
-            kMostMachinesConsidered);
+            kMaxMachinesConsidered);
 }
 
-TEST_F(LargeFleet, EveryTaskIsStartedThoughPassesAreCutShort) {
+TEST_F(LargeFleet, EveryTaskStartsThoughPassesEndEarly) {
   HeartbeatOfAll();
   HeartbeatOfAll();
   for (int i = 0; i < 60; ++i) Tick();
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -1,4 +1,5 @@
-// Fragmentation of accelerators: the measure, and how it decides placement.
+// Fragmentation of accelerators: how it is measured, and how it influences
+// placement.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -39,10 +40,12 @@
     spec.image_gb = 14;
     return spec;
   }
+  // Records the job and updates the mix.
   void Submit(const JobSpec& spec, Time now = 0) {
     fragmentation_.Note(spec, now);
     fragmentation_.Settle(now + 2 * kSettleSeconds * ++submitted_);
   }
+  // Adds a machine on which long-running work uses `gpus_used` accelerators.
   Machine* Add(double gpus_used, const std::string& zone = "a") {
     const auto n = static_cast<int32_t>(machines_.size());
     machines_.push_back(std::make_unique<Machine>(
@@ -83,15 +86,18 @@
 
 TEST_F(Packing, UselessIsWhatNoFurtherTaskOfTheMixCouldUse) {
   Machine* machine = Add(2);
-  EXPECT_EQ(fragmentation_.Useless(*machine), 0);  // nothing was asked for
+  EXPECT_EQ(fragmentation_.Useless(*machine), 0);  // the mix is empty
   Submit(Spec(JobKind::kGang, 8, 3));              // 24 accelerators
   EXPECT_DOUBLE_EQ(fragmentation_.Useless(*machine), 6);
-  Submit(Spec(JobKind::kService, 4, 2));  // 8: a quarter; 2 of 6 are left over
+  // 8 accelerators, a quarter of the mix. Of the 6 free ones, such a task
+  // leaves 2 unused.
+  Submit(Spec(JobKind::kService, 4, 2));
   EXPECT_NEAR(fragmentation_.Useless(*machine), 0.75 * 6 + 0.25 * 2, 0.1);
-  // Cores count beside them: without, not one more of the small ones either.
+  // With too few free cores, not even the smaller task can use the
+  // accelerators.
   machine->lasting.cpus = machine->used.cpus = 64 - 15;
   EXPECT_NEAR(fragmentation_.Useless(*machine), 6, 1e-9);
-  // Short work does not count: it ends soon.
+  // Capacity that job arrays use counts as free, since their tasks end soon.
   Machine* busy = Add(0);
   busy->used = {64, 0, 100};
   EXPECT_EQ(fragmentation_.Useless(*busy), 0);
@@ -112,17 +118,17 @@
   EXPECT_EQ(fragmentation_.Useless(*here), 0);
   EXPECT_EQ(fragmentation_.Useless(*elsewhere), 8);
   EXPECT_EQ(fragmentation_.Useless(*spot), 8);
-  // So a small task goes where no other work could.
+  // So a small task is better placed on a machine that no other work can use.
   EXPECT_LT(fragmentation_.Added(*elsewhere, {8, 2, 56}), 0);
   EXPECT_GT(fragmentation_.Added(*here, {8, 2, 56}), 0);
 }
 
-TEST_F(Packing, TheMixForgets) {
+TEST_F(Packing, OldRequestsDecayAndTheNumberOfShapesIsBounded) {
   Submit(Spec(JobKind::kGang, 8, 10), 0);
   Submit(Spec(JobKind::kService, 2, 10), 5 * kMemorySeconds);
   ASSERT_EQ(fragmentation_.shapes().size(), 2U);
   EXPECT_LT(fragmentation_.shapes()[0].share, 0.05);
-  // However many shapes are submitted, few are kept.
+  // The number of shapes stays bounded, however many are submitted.
   for (int i = 1; i <= 40; ++i) {
     JobSpec spec = Spec(JobKind::kArray, 1, 1);
     spec.need.cpus = i * i;
@@ -131,7 +137,7 @@
   EXPECT_LE(fragmentation_.shapes().size(), 12U);
 }
 
-TEST_F(Packing, SmallOnesFillTheFullestFragmentAndLeaveWholeMachinesWhole) {
+TEST_F(Packing, SmallTasksFillTheFullestFragmentedMachineAndLeaveWholeOnes) {
   Submit(Spec(JobKind::kGang, 8, 10));
   Submit(Spec(JobKind::kService, 2, 4));
   for (int i = 0; i < 20; ++i) Add(0);
@@ -141,15 +147,15 @@
   EXPECT_TRUE(placer_.FragmentsWholeMachine(small, *all_[0], std::nullopt));
   EXPECT_FALSE(placer_.FragmentsWholeMachine(small, *little, std::nullopt));
   EXPECT_EQ(Choose(small), much);
-  // A cached image is no reason to fragment a whole machine.
+  // A cached image does not outweigh the fragmentation of a whole machine.
   all_[0]->ImageCached("img", 14, 1);
   EXPECT_EQ(Choose(small), much);
-  // Without the weight, it is one.
+  // It does when fragmentation has no weight.
   tuning_.fragmentation_weight = 0;
   EXPECT_EQ(Choose(small), all_[0]);
 }
 
-TEST_F(Packing, FetchesBegunTogetherAreNotGatheredOnOneLink) {
+TEST_F(Packing, ConcurrentFetchesAreNotConcentratedOnOneMachine) {
   Submit(Spec(JobKind::kGang, 8, 10));
   Machine* whole = Add(0);
   Machine* fragmented = Add(2);
@@ -158,11 +164,11 @@
   const JobSpec small = Spec(JobKind::kService, 2, 2);
   EXPECT_EQ(Choose(small, 1000), fragmented);
   EXPECT_EQ(Choose(small, 200), whole);  // 42 GB would take 252 s and more
-  // Nor would draining it of short work help.
+  // Preempting short work on that machine would not help either.
   EXPECT_TRUE(placer_.FragmentsWholeMachine(small, *fragmented, 200));
 }
 
-TEST_F(Packing, AServiceIsNotGatheredOnOneMachine) {
+TEST_F(Packing, AServiceIsNotConcentratedOnOneMachine) {
   EXPECT_EQ(ReplicasPerMachineLimit(1), 1);
   EXPECT_EQ(ReplicasPerMachineLimit(4), 1);
   EXPECT_EQ(ReplicasPerMachineLimit(8), 2);
@@ -194,7 +200,7 @@
     if (step % 10 == 0) Submit(spec, step);
     FragmentationIndex fresh = fragmentation_;
     Machine copy = *machine;
-    copy.lasting.cpus -= 1e-3;  // no cached result is valid any more
+    copy.lasting.cpus -= 1e-3;  // invalidates the cached results
     (void)fresh.Added(copy, {1e-3, 0, 0});
     ASSERT_DOUBLE_EQ(fragmentation_.Added(*machine, spec.need),
                      fresh.Added(*machine, spec.need));
@@ -202,7 +208,8 @@
   }
 }
 
-// Prints its figures. A decision takes no more than a bounded time per machine.
+// A placement decision takes at most a bounded time per machine. Prints the
+// times measured.
 TEST_F(Packing, CostOfADecision) {
   Submit(Spec(JobKind::kGang, 8, 10));
   Submit(Spec(JobKind::kGang, 4, 10));
@@ -226,7 +233,8 @@
              .count_on_machine = [](const Machine&) { return 0; },
              .mean_bandwidth = kMeanBandwidth},
             all_);
-        machine->lasting += small.need;  // the next one finds it changed
+        // Invalidates the cached results of this machine for the next decision.
+        machine->lasting += small.need;
       }
       const double us = std::chrono::duration<double, std::micro>(
                             std::chrono::steady_clock::now() - begin)
@@ -234,7 +242,8 @@
                         kTimes;
       fmt::print("{} machines, weight {}: {:.0f} us for a decision\n", size,
                  weight, us);
-      EXPECT_LT(us, 100 * static_cast<double>(size));  // under ASan as well
+      // Loose enough to hold under AddressSanitizer as well.
+      EXPECT_LT(us, 100 * static_cast<double>(size));
     }
   }
 }
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -8,13 +8,13 @@
 namespace oxbow {
 namespace {
 
-TEST(LeastCongested, ScalesFetchTimesBetweenWAndZero) {
+TEST(LeastCongested, ScalesFetchTimesBetweenWeightAndZero) {
   const std::vector<double> fetch_seconds = {0, 5, 10};
   EXPECT_EQ(LeastCongestedScores(fetch_seconds, 2),
             (std::vector<double>{2, 1, 0}));
 }
 
-TEST(LeastCongested, GivesEveryMachineWWhenAllAreEqual) {
+TEST(LeastCongested, GivesEveryMachineTheWeightWhenAllAreEqual) {
   const std::vector<double> fetch_seconds = {3, 3};
   EXPECT_EQ(LeastCongestedScores(fetch_seconds, 1),
             (std::vector<double>{1, 1}));
@@ -32,7 +32,7 @@
   EXPECT_DOUBLE_EQ(machine.bandwidth, 0.5);  // 3 GB in 6 s
 }
 
-TEST(Images, TheOldestLeavesAFullCache) {
+TEST(Images, AFullCacheEvictsTheLeastRecentlyUsed) {
   MachineType type;
   type.cache_gb = 5;
   Machine machine("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
@@ -44,19 +44,19 @@
   EXPECT_TRUE(machine.HasImage("one"));
   EXPECT_FALSE(machine.HasImage("two"));
   EXPECT_TRUE(machine.HasImage("three"));
-  machine.ImageCached("huge", 50,
-                      5);  // larger than the cache: it alone is there
+  // Larger than the cache, so it evicts all other images.
+  machine.ImageCached("huge", 50, 5);
   EXPECT_FALSE(machine.HasImage("one"));
 }
 
-TEST(Rules, SpreadTakesHalfRoundedUp) {
+TEST(SpreadLimit, IsHalfOfTheTasksRoundedUp) {
   EXPECT_EQ(SpreadLimit(5), 3);
   EXPECT_EQ(SpreadLimit(1), 1);
   EXPECT_EQ(SpreadLimit(4), 2);
 }
 
-TEST(Numbers, NeverReachTheNextLeadersRange) {
-  // A number beyond the range would be one that the next leader gives too.
+TEST(FencingTokenSource, NeverReachesTheRangeOfTheNextLeader) {
+  // The next leader would issue a number beyond the range as well.
   FencingTokenSource numbers(7);
   uint64_t last = 0;
   while (const auto number = numbers.Next()) {
@@ -68,7 +68,7 @@
   EXPECT_EQ(last, FirstFencingToken(8) - 1);
 }
 
-TEST(States, IllegalChangesAreCaught) {
+TEST(StateChanges, IllegalChangesThrow) {
   Machine machine("n-1", {"small", "a", false, "", 0, 0}, 0, 1);
   EXPECT_THROW(machine.Change(MachineState::kDraining), IllegalTransition);
   JobRecord record;
--- a/tests/priority_tiers_test.cc
+++ b/tests/priority_tiers_test.cc
@@ -1,5 +1,5 @@
-// Tiers: what a record may say, which one is in force, and what each decision
-// makes of it.
+// Priority tiers: validation of records, the choice of the version in force,
+// headroom, recovery from mass failures, and the policy for a scheduling pass.
 
 #include <gtest/gtest.h>
 
@@ -117,7 +117,7 @@
             std::string::npos);
 }
 
-TEST(Tiers, NeverWithoutASet) {
+TEST(Tiers, ASetIsInForceWhateverTheRecordsAre) {
   TiersInForce in_force;
   const TierBounds bounds;
   const auto put = [&](const char* text, uint64_t version) {
@@ -150,11 +150,11 @@
   EXPECT_EQ(in_force.set()->size(), 1U);
 }
 
-TEST(Headroom, BurstsFadeAndTheShareBounds) {
+TEST(Headroom, BurstsDecayAndTheShareBoundsTheReserve) {
   Headroom headroom(10, 300);
   for (int i = 0; i < 8; ++i) headroom.OnStart("a", {2, 0, 4}, 100 + i);
   EXPECT_DOUBLE_EQ(headroom.Burst("a", 107).cpus, 16);
-  // A later, smaller burst does not make the larger one forgotten.
+  // A later, smaller burst does not replace the larger one.
   headroom.OnStart("a", {2, 0, 4}, 130);
   EXPECT_GT(headroom.Burst("a", 130).cpus, 14);
   EXPECT_LT(headroom.Burst("a", 730).cpus, 4);
@@ -176,8 +176,8 @@
       LargestLoss({{"a", {40, 0, 0}}}, {{"a", {8, 0, 0}}}).at("a").cpus, 8);
 }
 
-RecoveryObservation Seen(double wanted, double placed, double running,
-                         std::vector<bool> waiting) {
+RecoveryObservation Observe(double wanted, double placed, double running,
+                            std::vector<bool> waiting) {
   return {wanted, placed, running, std::move(waiting), 100};
 }
 
@@ -185,20 +185,20 @@
   const RecoveryLimits limits = RecoveryLimits::From({});
   MassFailureRecovery recovery(limits);
   const std::vector<bool> all{true, true, true};
-  recovery.Review(Seen(100, 98, 98, all),
-                  0);  // two of a hundred: no mass failure
+  // Two of a hundred replicas are missing, which is no mass failure.
+  recovery.Review(Observe(100, 98, 98, all), 0);
   EXPECT_TRUE(recovery.MayStart(2));
-  recovery.Review(Seen(100, 80, 80, all), 1);
+  recovery.Review(Observe(100, 80, 80, all), 1);
   EXPECT_EQ(recovery.step(), RecoveryStep::kAssessingLoss);
   EXPECT_TRUE(recovery.MayStart(0));
   EXPECT_FALSE(recovery.MayStart(1));
-  recovery.Review(Seen(100, 70, 70, all), 4);  // still growing
-  recovery.Review(Seen(100, 80, 70, all), 8);
+  recovery.Review(Observe(100, 70, 70, all), 4);  // the loss grows
+  recovery.Review(Observe(100, 80, 70, all), 8);
   EXPECT_EQ(recovery.step(), RecoveryStep::kAssessingLoss);
-  recovery.Review(Seen(100, 100, 80, all), 9.5);
+  recovery.Review(Observe(100, 100, 80, all), 9.5);
   EXPECT_EQ(recovery.step(), RecoveryStep::kBestTierFirst);
   EXPECT_FALSE(recovery.MayStart(1));
-  recovery.Review(Seen(100, 100, 100, all), 12);
+  recovery.Review(Observe(100, 100, 100, all), 12);
   EXPECT_EQ(recovery.step(), RecoveryStep::kReleasingTiers);
   EXPECT_TRUE(recovery.MayStart(1));
   EXPECT_FALSE(recovery.MayStart(2));
@@ -208,20 +208,21 @@
   }
   EXPECT_FALSE(recovery.MayFetch(1));
   EXPECT_TRUE(recovery.MayFetch(0));
-  recovery.Review(Seen(100, 100, 100, all), 17.5);
+  recovery.Review(Observe(100, 100, 100, all), 17.5);
   EXPECT_TRUE(recovery.MayStart(2));
   EXPECT_TRUE(recovery.MayFetch(2));
-  recovery.Review(Seen(100, 100, 100, all), 23);
+  recovery.Review(Observe(100, 100, 100, all), 23);
   EXPECT_EQ(recovery.step(), RecoveryStep::kCooldown);
-  // As long as they waited, nobody waits again.
-  recovery.Review(Seen(100, 50, 50, all), 30);
+  // No tier waits again for as long as the lower tiers have waited.
+  recovery.Review(Observe(100, 50, 50, all), 30);
   EXPECT_TRUE(recovery.MayStart(2));
-  recovery.Review(Seen(100, 50, 50, all), 46);
+  recovery.Review(Observe(100, 50, 50, all), 46);
   EXPECT_EQ(recovery.step(), RecoveryStep::kAssessingLoss);
 }
 
-// Whatever is seen, the waits end: the best tier never comes back, machines go
-// on dying, the number of tiers changes.
+// Guards against lower tiers that wait forever or too often. Each wait has to
+// end even if the best tier never recovers, machines keep failing, or the
+// number of tiers changes.
 TEST(Recovery, EveryWaitEnds) {
   const RecoveryLimits limits = RecoveryLimits::From({});
   EXPECT_LT(limits.LongestWait(), 12 * WorkerSettings{}.lease_seconds);
@@ -237,7 +238,7 @@
       const size_t tiers = 1 + (round % 5 == 0 ? random() % 16 : 2);
       std::vector<bool> waiting(tiers);
       for (size_t i = 0; i < tiers; ++i) waiting[i] = random() % 4 != 0;
-      recovery.Review(Seen(100, placed, random() % 100, waiting), now);
+      recovery.Review(Observe(100, placed, random() % 100, waiting), now);
       const bool held = !recovery.MayStart(1) || !recovery.MayStart(15);
       if (held && held_since < 0) {
         held_since = now;
@@ -255,7 +256,8 @@
   }
 }
 
-// Policies over the record above: ops 0, public 1, nightly 2, rest 3.
+// A policy with the tiers of `kText`. Their places are: ops 0, public 1,
+// nightly 2, rest 3.
 class Policy : public testing::Test {
  protected:
   Policy() : policy_(settings_, true) {
@@ -277,7 +279,7 @@
       MakeJob(Spec("finder", Priority::kProduction, JobKind::kService));
 };
 
-TEST_F(Policy, OffOrOfOneTierChangesNothing) {
+TEST_F(Policy, RestrictsNothingWhenDisabledOrWithOneTier) {
   for (const bool on : {false, true}) {
     TierPolicy policy(settings_, on);
     if (!on) policy.Use(Read(kText));
@@ -291,10 +293,11 @@
   }
 }
 
-TEST_F(Policy, KeptRoomIsForBetterTiersOnly) {
+TEST_F(Policy, ReservedHeadroomIsForBetterTiersOnly) {
   policy_.Survey(1, {{"a", {{20, 0, 20}, {8, 0, 8}}}});
   policy_.Begin(view_, 1);
-  // 8 of 12 free cores in zone a are kept: one machine's worth.
+  // 8 of the 12 free cores in zone a are reserved: what the tier uses on one
+  // machine.
   EXPECT_DOUBLE_EQ(policy_.ReservedAgainst(2, "a").cpus, 8);
   EXPECT_TRUE(policy_.MayUse(nightly_, 2, "a", {4, 0, 4}, false));
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {5, 0, 4}, false));
@@ -303,7 +306,7 @@
   policy_.Take("a", {4, 0, 4});
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {1, 0, 1}, false));
   policy_.Give("a", {4, 0, 4});
-  // What was started lately is kept too, up to the share.
+  // Headroom for recently started tasks is reserved too, up to the share.
   for (int i = 0; i < 40; ++i) {
     policy_.Started(finder_, 1, "b", {1, 0, 1}, false, 1);
   }
@@ -311,20 +314,21 @@
   EXPECT_DOUBLE_EQ(policy_.ReservedAgainst(2, "b").cpus, 10);
 }
 
-TEST_F(Policy, ShareHoldsWhileOthersWaitAndNoLonger) {
+TEST_F(Policy, TheShareLimitsATierOnlyWhileOthersWait) {
   Wait(nightly_, 2, 0);
   policy_.Begin(view_, 1);
   policy_.Hold(2, {99, 0, 0});
-  EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));  // nobody else
+  // No other tier waits.
+  EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));
   Wait(rest_, 3, 0);
   policy_.Begin(view_, 2);
   EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {1, 0, 1}));
   EXPECT_FALSE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));
-  policy_.OthersServed();  // what they leave is not left idle
+  policy_.OthersServed();  // the tier may use what the others have left
   EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));
 }
 
-TEST_F(Policy, WhoWaitsTooLongGetsATurnNowAndThen) {
+TEST_F(Policy, AJobThatWaitsTooLongGetsATurnOncePerLease) {
   const Job longer = MakeJob(Spec("batch", Priority::kLow, JobKind::kArray));
   Wait(nightly_, 2, 119);
   policy_.Survey(1, {{"a", {{20, 0, 20}, {12, 0, 40}}}});
@@ -334,16 +338,16 @@
   view_.waiting.clear();
   Wait(nightly_, 2, 121);
   Wait(longer, 2, 122);
-  view_.best_wanted = 100;  // and in a recovery too
+  view_.best_wanted = 100;  // starts a recovery; turns are given there too
   policy_.Begin(view_, 3);
   EXPECT_TRUE(policy_.recovery().holds());
-  EXPECT_EQ(policy_.RankOf(longer, 2), 1);  // after the best tier
+  EXPECT_EQ(policy_.RankOf(longer, 2), 1);  // directly after the best tier
   EXPECT_EQ(policy_.RankOf(nightly_, 2), 4);
   EXPECT_TRUE(policy_.MayStart(longer, 2));
   EXPECT_FALSE(policy_.MayStart(nightly_, 2));
   EXPECT_TRUE(policy_.MayUse(longer, 2, "a", {4, 0, 4}, true));
   policy_.Started(longer, 2, "a", {4, 0, 4}, true, 3);
-  // One task was the turn; the tier's next one comes a lease later.
+  // The turn covered one task. The tier's next turn comes a lease later.
   EXPECT_FALSE(policy_.MayStart(longer, 2));
   policy_.Begin(view_, 12);
   EXPECT_FALSE(policy_.MayStart(nightly_, 2));
--- a/tests/quota_backfill_test.cc
+++ b/tests/quota_backfill_test.cc
@@ -1,6 +1,6 @@
-// A gang that waits for its team's quota behind an array that takes turns,
-// beside jobs that never stop coming: small states explored one by one, in
-// virtual time.
+// Backfill within a team's quota: a gang waits for quota behind an array whose
+// tasks run in turns, while small jobs of the team keep arriving. Enumerates
+// many small configurations, each simulated in virtual time.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -16,17 +16,17 @@
 
 constexpr double kMaximumCores = 10;
 constexpr double kStepSeconds = 0.25;
-// The longest that a job may wait while there is room for it.
+// The longest that a job may wait while there is capacity for it.
 constexpr double kLongestWaitSeconds = 90;
 
-// One state: how the team's quota is wanted.
+// One configuration: the jobs that use the team's quota.
 struct Wanted {
   uint32_t service_cores = 0;
   double array_cores = 0;  // of each task
   uint32_t array_tasks = 0;
-  double array_seconds = 0;
-  uint32_t gang_cores = 0;  // one for each of its tasks
-  double small_seconds = 0;
+  double array_seconds = 0;  // run time of each task
+  uint32_t gang_cores = 0;   // one for each of its tasks
+  double small_seconds = 0;  // run time of each small job
 };
 
 JobSpec SpecOf(const std::string& id, JobKind kind, uint32_t tasks,
@@ -71,8 +71,9 @@
         SpecOf(kGang, JobKind::kGang, wanted.gang_cores, 1, kGangSeconds));
   }
 
-  // Empty, or what went wrong.
-  std::string Play() {
+  // Runs the simulation until the gang has started. Returns an empty text, or
+  // what went wrong.
+  std::string Run() {
     const double begun = sim_.now();
     const double bound = GangStartBound();
     while (sim_.CountRunning(kGang) < static_cast<int>(wanted_.gang_cores)) {
@@ -82,7 +83,8 @@
       if (sim_.now() >= next_small_) SubmitSmall();
       sim_.Run(kStepSeconds);
       if (sim_.WaitedWithRoom("") > kLongestWaitSeconds) {
-        return fmt::format("waits with room at {} s", sim_.now() - begun);
+        return fmt::format("a job waits beside free capacity after {} s",
+                           sim_.now() - begun);
       }
     }
     return sim_.broken().empty() ? "" : sim_.broken().front();
@@ -92,8 +94,9 @@
   static constexpr const char* kGang = "job-000003";
   static constexpr double kGangSeconds = 4;
 
-  // All turns of the array, and then the longest task that began just before
-  // they ended; a tenth and some seconds more for the starts between them.
+  // The latest start of the gang, in seconds: all turns of the array, then the
+  // longest task that began just before the last turn ended. The slack is for
+  // the starts of tasks in between.
   double GangStartBound() const {
     const double at_once =
         std::max(1.0, std::floor((kMaximumCores - wanted_.service_cores) /
@@ -119,8 +122,9 @@
   int next_id_ = 100;
 };
 
-// Guards against a hold of quota that keeps jobs out though nothing can use it
-// yet, and against jobs let in beside it that put the gang off.
+// Guards against two failures. Quota held for the gang must not keep other jobs
+// waiting while the gang cannot use it yet, and jobs that start meanwhile must
+// not delay the gang.
 TEST(QuotaBackfill, TheGangStartsInTimeAndNoJobWaitsInVain) {
   for (const uint32_t services : {6U, 7U}) {
     for (const double array_cores : {1.0, 2.0}) {
@@ -130,7 +134,7 @@
             for (const double small_seconds : {2.0, 5.0, 12.0}) {
               const Wanted wanted = {services,      array_cores, array_tasks,
                                      array_seconds, gang,        small_seconds};
-              EXPECT_EQ(QuotaBackfill(wanted).Play(), "")
+              EXPECT_EQ(QuotaBackfill(wanted).Run(), "")
                   << services << " services, " << array_tasks << " tasks of "
                   << array_cores << " cores and " << array_seconds
                   << " s, a gang of " << gang << ", others of " << small_seconds
