--- a/core/priority_tiers/mass_failure_recovery.cc
+++ b/core/priority_tiers/mass_failure_recovery.cc
@@ -96,8 +96,8 @@
     ReviewNormal(observation, now);
     return;
   }
-  // The operators have withdrawn the tiers during the recovery. A single tier
-  // is left, with index 0, and it may start.
+  // The operators may change the tiers during a recovery. Tiers that have been
+  // released stay released; if a single tier is left, only index 0 is valid.
   if (observation.tier_waits.size() < 2) last_released_ = 0;
   if (step_ == kAssessingLoss && !LossIsAssessed(observation, now)) return;
   if (step_ == kAssessingLoss) Change(kBestTierFirst, now);
--- a/core/priority_tiers/tier_set.h
+++ b/core/priority_tiers/tier_set.h
@@ -59,8 +59,8 @@
   // The share of the whole capacity that the tier may use while jobs of other
   // tiers wait; 1: no limit.
   double most_share = 1;
-  // A job that has waited for this long gets a turn ahead of other tiers; 0:
-  // the default of TierBounds.
+  // A job that has waited for this long gets a turn directly after the best
+  // tier; 0: the default of TierBounds.
   double floor_seconds = 0;
 };
 
--- a/core/scheduler/gang_scheduler.cc
+++ b/core/scheduler/gang_scheduler.cc
@@ -90,9 +90,8 @@
   if (job.holding() > 0) return;
   if (!Admitted(job, pass)) return;
   const Assignment assignment = ChooseMachines(job, pass);
-  // A gang that fits costs one search over the machines for each task. One that
-  // does not fit costs two: the capacity check and the search for machines to
-  // reserve.
+  // Each task costs one search over the machines. A gang that does not fit
+  // costs two: the capacity check and the search for machines to reserve.
   const size_t searches = std::max<size_t>(assignment.machines.size(), 2);
   pass.work.Add(searches * pass.usable_machines.size());
   if (assignment.machines.empty()) {
