--- a/core/fair_queueing/fair_queueing.cc
+++ b/core/fair_queueing/fair_queueing.cc
@@ -15,7 +15,7 @@
                                             Time now) const {
   const double kept =
       std::exp(-std::max(0.0, now - account.at) / memory_seconds_);
-  return {account.minimum_share * kept, account.quickest * kept, now};
+  return {account.minimum_share * kept, account.least_work * kept, now};
 }
 
 bool FairQueueing::MinimumShareFirst(const std::string& job_class,
@@ -23,7 +23,7 @@
   const auto it = accounts_.find(job_class);
   if (it == accounts_.end()) return minimum_share_ > 0;
   const Account account = Decayed(it->second, now);
-  const double placed = account.minimum_share + account.quickest;
+  const double placed = account.minimum_share + account.least_work;
   return account.minimum_share < minimum_share_ * placed ||
          (minimum_share_ > 0 && placed <= 0);
 }
@@ -33,7 +33,7 @@
   Account& account = accounts_[job_class];
   account = Decayed(account, now);
   (side == QueueSide::kMinimumShare ? account.minimum_share
-                                    : account.quickest) += work;
+                                    : account.least_work) += work;
 }
 
 void LargestSizes::Seen(const std::string& job_class, uint32_t tasks) {
--- a/core/fair_queueing/fair_queueing.h
+++ b/core/fair_queueing/fair_queueing.h
@@ -42,7 +42,7 @@
   // `at`.
   struct Account {
     double minimum_share = 0;
-    double quickest = 0;
+    double least_work = 0;
     Time at = 0;
   };
   // The account, decayed up to `now`.
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -85,7 +85,7 @@
   return true;
 }
 
-bool MayBeOn(const TaskShape& shape, const Machine& machine) {
+bool ShapeAllowsMachine(const TaskShape& shape, const Machine& machine) {
   if (machine.spot && !shape.spot) return false;
   if (shape.zone && *shape.zone != machine.zone) return false;
   return !shape.types || std::find(shape.types->begin(), shape.types->end(),
@@ -103,8 +103,9 @@
   if (free.gpus <= kEpsilon) return 0;
   double useless = 0;
   for (const TaskShape& shape : mix_.shapes()) {
-    const uint32_t times =
-        MayBeOn(shape, machine) ? shape.need.TimesIn(free, kMaxTasks) : 0;
+    const uint32_t times = ShapeAllowsMachine(shape, machine)
+                               ? shape.need.TimesIn(free, kMaxTasks)
+                               : 0;
     useless += shape.share * std::max(0.0, free.gpus - shape.need.gpus * times);
   }
   return useless;
@@ -162,7 +163,8 @@
     if (free.gpus <= kEpsilon) continue;
     count.free += free.gpus;
     count.useless += Useless(*machine);
-    const bool whole = largest != nullptr && MayBeOn(*largest, *machine) &&
+    const bool whole = largest != nullptr &&
+                       ShapeAllowsMachine(*largest, *machine) &&
                        largest->need.FitsIn(free);
     ++(whole ? count.whole : count.fragmented);
   }
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -138,6 +138,6 @@
 }
 
 // Whether the constraints of the shape allow its tasks on the machine.
-bool MayBeOn(const TaskShape& shape, const Machine& machine);
+bool ShapeAllowsMachine(const TaskShape& shape, const Machine& machine);
 
 }  // namespace oxbow
--- a/core/priority_tiers/tier_policy.cc
+++ b/core/priority_tiers/tier_policy.cc
@@ -105,7 +105,7 @@
     best_tier.tier_waits.push_back(jobs > 0);
   }
   recovery_.Review(best_tier, now);
-  GiveTurns(observation, now);
+  AssignTurns(observation, now);
 }
 
 void TierPolicy::ReserveHeadroom(const TierObservation& observation, Time now) {
@@ -123,7 +123,7 @@
   }
 }
 
-void TierPolicy::GiveTurns(const TierObservation& observation, Time now) {
+void TierPolicy::AssignTurns(const TierObservation& observation, Time now) {
   std::vector<double> longest(turns_.size(), 0);
   for (Turn& turn : turns_) turn.job = nullptr;
   for (const TierObservation::Waiting& waiting : observation.waiting) {
--- a/core/priority_tiers/tier_policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -126,10 +126,10 @@
     Time not_before = kNever;  // when the tier may get its next turn
   };
   void ReserveHeadroom(const TierObservation& observation, Time now);
-  // Gives a turn to at most one job of each lower tier per worker lease: the
+  // Assigns a turn to at most one job of each lower tier per worker lease: the
   // job that has waited longest. That is enough to prevent starvation, and too
   // little to take the capacity from better tiers.
-  void GiveTurns(const TierObservation& observation, Time now);
+  void AssignTurns(const TierObservation& observation, Time now);
 
   const double lease_seconds_;
   const bool on_;
