--- a/core/fair_queueing/fair_queueing.h
+++ b/core/fair_queueing/fair_queueing.h
@@ -13,9 +13,9 @@
 
 // The two orders by which jobs are placed when there is more work than
 // capacity.
-enum class QueueSide : uint8_t {
-  kQuickest,      // least work first, so that most jobs are served in time
-  kMinimumShare,  // longest wait and largest first, so that no job starves
+enum class QueueOrder : uint8_t {
+  kLeastWorkFirst,  // least work first, so that most jobs are served in time
+  kMinimumShare,    // longest wait and largest first, so that no job starves
 };
 
 // With the least work first, large jobs starve; by age alone, most jobs are
@@ -34,8 +34,8 @@
   // served before those with the least work now.
   bool MinimumShareFirst(const std::string& job_class, Time now) const;
   // Adds `work` (core seconds) of the class, placed at `now`, to the account.
-  void Placed(const std::string& job_class, QueueSide side, double work,
-              Time now);
+  void RecordPlaced(const std::string& job_class, QueueOrder side, double work,
+                    Time now);
 
  private:
   // The work placed by each order, in core seconds, decayed up to the time
@@ -55,10 +55,10 @@
 };
 
 // Records the range of job sizes, in tasks, that was seen for each class.
-class LargestSizes {
+class JobSizeTracker {
  public:
   // Records a job of the class with `tasks` tasks.
-  void Seen(const std::string& job_class, uint32_t tasks);
+  void OnJobAdded(const std::string& job_class, uint32_t tasks);
   // Whether a job of that size is among the largest of its class: above three
   // quarters of the largest size seen. False if all jobs of the class seen so
   // far have the same size.
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -38,10 +38,10 @@
 
   // Records a job that was submitted at `submitted`. Jobs without accelerators
   // are ignored.
-  void Note(const JobSpec& spec, Time submitted);
+  void AddJobToMix(const JobSpec& spec, Time submitted);
   // Updates the shares with the jobs recorded since the last call. Returns
   // whether there were any.
-  bool Settle(Time now);
+  bool UpdateMix(Time now);
   std::span<const TaskShape> shapes() const { return shapes_; }
 
  private:
@@ -63,7 +63,7 @@
 struct FragmentationCount {
   double accelerators = 0;  // in total
   double free = 0;          // not used by long-running work
-  double useless = 0;       // of the free ones, those that the mix cannot use
+  double unusable = 0;      // of the free ones, those that the mix cannot use
   int whole = 0;            // machines that could take the mix's largest shape
   int fragmented = 0;  // machines with free accelerators that could not take it
 };
@@ -90,16 +90,19 @@
 
   // Records a job that was submitted at `submitted` and accepted by this leader
   // or an earlier one.
-  void Note(const JobSpec& spec, Time submitted) { mix_.Note(spec, submitted); }
+  void AddJobToMix(const JobSpec& spec, Time submitted) {
+    mix_.AddJobToMix(spec, submitted);
+  }
   // Updates the mix if that is due. Called in each scheduling pass.
-  void Settle(Time now);
+  void UpdateMix(Time now);
 
   // The number of useless accelerators of the machine.
-  double Useless(const Machine& machine) const;
+  double UnusableAccelerators(const Machine& machine) const;
   // The change of Useless if a long-running task with that need were placed on
   // the machine. Negative if the task takes capacity that no other work could
   // use.
-  double Added(const Machine& machine, const Resources& need) const;
+  double AddedFragmentation(const Machine& machine,
+                            const Resources& need) const;
   FragmentationCount Count(
       std::span<const std::unique_ptr<Machine>> machines) const;
   std::span<const TaskShape> shapes() const { return mix_.shapes(); }
@@ -113,7 +116,7 @@
   struct CacheEntry {
     uint64_t version = 0;  // of the mix; 0: never computed
     Resources free;
-    double useless = 0;
+    double unusable = 0;
     Resources need;  // the argument of the last call of Added
     double added = 0;
     bool has_added = false;
@@ -133,8 +136,8 @@
 
 // The machine's capacity that is not used by long-running work, which is
 // everything except job arrays.
-inline Resources LastingRoom(const Machine& machine) {
-  return machine.total() - machine.lasting;
+inline Resources CapacityBesideLongRunning(const Machine& machine) {
+  return machine.total() - machine.used_by_long_running;
 }
 
 // Whether the constraints of the shape allow its tasks on the machine.
--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -33,7 +33,7 @@
 // Whether the image would be cached too late for the class's objective.
 bool ImageComesLate(const Machine& machine, const JobSpec& spec,
                     std::optional<double> wait_slo_seconds) {
-  return SecondsToImage(machine, spec) >
+  return SecondsUntilImageCached(machine, spec) >
          kFetchShareOfWaitSlo *
              wait_slo_seconds.value_or(kUnlimitedWaitSeconds);
 }
@@ -43,7 +43,7 @@
 double EvictedShareOfCache(const Machine& machine, const JobSpec& spec) {
   const double cache_gb = machine.type->cache_gb;
   const double evicted_gb = machine.image_gb_cached() - cache_gb +
-                            machine.BytesToFetch(spec.image, spec.image_gb);
+                            machine.GbToFetch(spec.image, spec.image_gb);
   if (evicted_gb <= 0 || cache_gb <= 0) return 0;
   return std::min(1.0, evicted_gb / cache_gb);
 }
@@ -77,7 +77,7 @@
                     double mean_bandwidth) {
   const double bandwidth =
       machine.bandwidth > 0 ? machine.bandwidth : mean_bandwidth;
-  return machine.BytesToFetch(spec.image, spec.image_gb) / bandwidth;
+  return machine.GbToFetch(spec.image, spec.image_gb) / bandwidth;
 }
 
 double MeanBandwidth(std::span<Machine* const> machines) {
@@ -115,8 +115,8 @@
   return sum;
 }
 
-bool Allowed(const JobSpec& spec, const Machine& machine,
-             const ZoneSpread& spread) {
+bool ConstraintsAllow(const JobSpec& spec, const Machine& machine,
+                      const ZoneSpread& spread) {
   if (machine.type == nullptr || !spec.AllowsType(machine.type_name) ||
       !spec.AllowsZone(machine.zone) || (machine.spot && !spec.spot)) {
     return false;
@@ -142,11 +142,11 @@
   // Before the first accelerator task was submitted its needs are unknown, so
   // it is assumed to need the whole machine.
   const Resources& need = shape.gpus > 0 ? shape : machine.total();
-  return !need.FitsIn(machine.total() - machine.staying - more);
+  return !need.FitsIn(machine.total() - machine.used_by_services - more);
 }
 
-double SecondsToImage(const Machine& machine, const JobSpec& spec) {
-  const double own_gb = machine.BytesToFetch(spec.image, spec.image_gb);
+double SecondsUntilImageCached(const Machine& machine, const JobSpec& spec) {
+  const double own_gb = machine.GbToFetch(spec.image, spec.image_gb);
   // A fetch may be slower than the nominal rate by up to a third. A lower
   // measured rate means that the fetch shared the bandwidth with other fetches;
   // those are counted separately below.
@@ -162,11 +162,12 @@
     const JobSpec& spec, const Machine& machine,
     std::optional<double> wait_slo_seconds) const {
   if (!CountsFragmentation(spec, machine)) return false;
-  if (fragmentation_->Added(machine, spec.need) > kNoFragmentation) return true;
+  if (fragmentation_->AddedFragmentation(machine, spec.need) > kNoFragmentation)
+    return true;
   // If long-running work leaves too little capacity, preempting short work
   // would not help.
   return spec.need.gpus > 0 &&
-         (!spec.need.FitsIn(LastingRoom(machine)) ||
+         (!spec.need.FitsIn(CapacityBesideLongRunning(machine)) ||
           ImageComesLate(machine, spec, wait_slo_seconds));
 }
 
@@ -174,9 +175,10 @@
                                  const Machine& machine) const {
   const JobSpec& spec = request.job.spec();
   const Resources& total = machine.type->total;
-  double cost = fragmentation_->Added(machine, spec.need) / total.gpus;
+  double cost =
+      fragmentation_->AddedFragmentation(machine, spec.need) / total.gpus;
   if (spec.need.gpus <= 0) return cost;
-  cost -= kFillBonus * machine.lasting.gpus / total.gpus;
+  cost -= kFillBonus * machine.used_by_long_running.gpus / total.gpus;
   if (ImageComesLate(machine, spec, request.wait_slo_seconds))
     cost += kLateImageCost;
   if (spec.kind == JobKind::kService &&
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -60,8 +60,8 @@
 // Whether the job's constraints allow one more of its tasks on this machine.
 // The constraints are machine type, zone, spot instances, `one_zone` and
 // `spread`. Capacity and health are not checked.
-bool Allowed(const JobSpec& spec, const Machine& machine,
-             const ZoneSpread& spread);
+bool ConstraintsAllow(const JobSpec& spec, const Machine& machine,
+                      const ZoneSpread& spread);
 
 // Whether a replica of this service would take capacity without which the
 // machine's accelerators cannot be used by a task with the needs `shape`. False
@@ -79,7 +79,7 @@
 // The time in seconds until the machine would have the image cached. Fetches
 // that are queued already share the bandwidth and are counted in.
 // `machine.type` must not be null.
-double SecondsToImage(const Machine& machine, const JobSpec& spec);
+double SecondsUntilImageCached(const Machine& machine, const JobSpec& spec);
 
 // The most replicas of a service with accelerators that are packed on one
 // machine, a quarter of them, rounded up: the failure of one machine must not
--- a/core/priority_tiers/mass_failure_recovery.h
+++ b/core/priority_tiers/mass_failure_recovery.h
@@ -75,7 +75,7 @@
 
   RecoveryStep step() const { return step_; }
   // Whether a recovery makes lower tiers wait.
-  bool holds() const {
+  bool delays_lower_tiers() const {
     return step_ == RecoveryStep::kAssessingLoss ||
            step_ == RecoveryStep::kBestTierFirst ||
            step_ == RecoveryStep::kReleasingTiers;
@@ -83,15 +83,15 @@
   // Whether jobs of the tier may start tasks. `place` is the tier's index in
   // rank order; 0 is the best tier.
   bool MayStart(size_t place) const {
-    return !holds() || place <= last_released_;
+    return !delays_lower_tiers() || place <= last_released_;
   }
   // Whether a task start of that tier may begin an image fetch.
   bool MayFetch(size_t place) const {
-    return !holds() || place == 0 || fetches_left_ > 0;
+    return !delays_lower_tiers() || place == 0 || fetches_left_ > 0;
   }
   // Records that a task start of that tier has begun an image fetch.
   void NoteFetch(size_t place) {
-    if (holds() && place > 0 && fetches_left_ > 0) --fetches_left_;
+    if (delays_lower_tiers() && place > 0 && fetches_left_ > 0) --fetches_left_;
   }
 
  private:
--- a/core/priority_tiers/tier_manager.h
+++ b/core/priority_tiers/tier_manager.h
@@ -29,25 +29,25 @@
   // Begins a scheduling pass. `waiting_jobs` are the jobs that wait for a
   // start, and `usable_machines` the machines that accept new tasks.
   // `all_machines_accounted_for`: as in SchedulingPass.
-  void BeginTiers(const std::vector<Job*>& waiting_jobs,
-                  const std::vector<Machine*>& usable_machines,
-                  bool all_machines_accounted_for, Time now);
+  void BeginPass(const std::vector<Job*>& waiting_jobs,
+                 const std::vector<Machine*>& usable_machines,
+                 bool all_machines_accounted_for, Time now);
   // Whether the job's tier allows one more of its tasks on the machine: the
   // headroom of better tiers stays free, or capacity is reserved for the job.
-  bool TierAllows(const Job& job, const Machine& machine) const;
+  bool TierAllowsPlacement(const Job& job, const Machine& machine) const;
   // Whether the plan preempts nothing and would only use headroom that is
   // reserved for better tiers.
   bool UsesReservedHeadroom(const Job& job, const Machine& machine,
                             const PreemptionPlan& plan) const;
   // Updates the usage of the tiers that reserve headroom. Called periodically.
-  void SurveyTiers();
+  void UpdateTierUsage();
   // Subtracts the reserved headroom from the free capacity that the autoscaler
   // sees, since waiting jobs cannot use it.
-  void ReserveTierHeadroom(AutoscalerInput& input) const;
+  void ReserveTierHeadroom(ScaleOutInput& input) const;
   // Sets the tiers in force. Called at the beginning of a leadership and
   // whenever the tiers change. Running tasks are assigned to their new tier and
   // are not stopped.
-  void UseTiers(std::shared_ptr<const TierSet> set);
+  void SetTiers(std::shared_ptr<const TierSet> set);
 
  private:
   // Adds the replicas of the best tier to the observation.
--- a/core/priority_tiers/tier_policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -36,7 +36,8 @@
     const Job* job = nullptr;
     uint8_t place = 0;  // of its tier
     double waited_seconds = 0;
-    bool begun = false;  // at least one task is placed on a machine or is done
+    bool has_begun =
+        false;  // at least one task is placed on a machine or is done
   };
   std::vector<Waiting> waiting;
   // Replicas of the best tier's services, as in RecoveryObservation.
@@ -56,7 +57,7 @@
   // Sets the tiers in force. With null, or a set of only one tier, the policy
   // is inactive and restricts nothing. Returns whether the tiers have changed,
   // so that jobs have to be classified again.
-  bool Use(std::shared_ptr<const TierSet> set);
+  bool SetTiers(std::shared_ptr<const TierSet> set);
   bool active() const { return on_ && set_->size() > 1; }
   const TierSet& set() const { return *set_; }
   uint8_t Classify(const JobSpec& spec) const {
@@ -64,22 +65,23 @@
   }
 
   // The capacity that the tasks of each tier use. Changed only by Hold, Release
-  // and ForgetHeld.
-  void Hold(uint8_t place, const Resources& need);
-  void Release(uint8_t place, const Resources& need);
+  // and ClearUsage.
+  void AddUsage(uint8_t place, const Resources& need);
+  void SubtractUsage(uint8_t place, const Resources& need);
   // Resets the usage of all tiers. The caller then adds all tasks again.
-  void ForgetHeld();
+  void ClearUsage();
   const Resources& held(uint8_t place) const { return held_[place]; }
 
   // Updates the largest possible loss of a tier that reserves headroom, from
   // what the tier uses in each zone. Called periodically.
-  void Survey(uint8_t place, const std::map<std::string, TierUse>& use_by_zone);
+  void UpdateLargestLoss(uint8_t place,
+                         const std::map<std::string, TierUse>& use_by_zone);
   bool ReservesHeadroom(uint8_t place) const {
-    return active() && set_->at(place).kept_share > 0;
+    return active() && set_->at(place).headroom_share > 0;
   }
 
   // Begins a scheduling pass.
-  void Begin(const TierObservation& observation, Time now);
+  void BeginPass(const TierObservation& observation, Time now);
   // The value of QueuePosition::tier for the job; the smallest is served first.
   // A job that has a turn comes directly after the best tier.
   int RankOf(const Job& job, uint8_t place) const;
@@ -88,34 +90,34 @@
   bool MayStart(const Job& job, uint8_t place) const;
   // Whether the tier stays within its share with one more task that needs
   // `need`. The share limits a tier only while jobs of other tiers wait. Jobs
-  // that are refused can be tried again after OthersServed.
+  // that are refused can be tried again after OnOtherTiersServed.
   bool WithinShare(const Job& job, uint8_t place, const Resources& need) const;
   // Called when the jobs of all tiers have been served in this pass.
-  void OthersServed() { others_served_ = true; }
+  void OnOtherTiersServed() { others_served_ = true; }
   // Whether a task that needs `need` may start in the zone: the headroom of
   // better tiers stays free, and an image fetch may begin if `fetches`.
   bool MayUse(const Job& job, uint8_t place, const std::string& zone,
               const Resources& need, bool fetches) const;
   // Subtract capacity from, or return it to, the free capacity of the zone in
   // this pass.
-  void Take(const std::string& zone, const Resources& need);
-  void Give(const std::string& zone, const Resources& need);
+  void TakeCapacity(const std::string& zone, const Resources& need);
+  void ReturnCapacity(const std::string& zone, const Resources& need);
   // Records that a task was started. Its capacity has already been subtracted
   // by Take. `fetches`: the start begins an image fetch.
-  void Started(const Job& job, uint8_t place, const std::string& zone,
-               const Resources& need, bool fetches, Time now);
+  void OnTaskStarted(const Job& job, uint8_t place, const std::string& zone,
+                     const Resources& need, bool fetches, Time now);
   // Ends the job's turn, if it has one: all its starts have been made.
-  void TurnUsed(const Job& job, uint8_t place, Time now);
+  void EndTurn(const Job& job, uint8_t place, Time now);
   // Whether the job has a turn: it has waited long, so in this pass it is
   // exempt from the limits on its tier.
   bool HasTurn(const Job& job, uint8_t place) const {
     return active() && turns_[place].job == &job;
   }
   // Drops all references to the job, which is about to be destroyed.
-  void Forget(const Job& job);
+  void OnJobRemoved(const Job& job);
 
   // The headroom of all tiers better than `place`, in the zone.
-  Resources ReservedAgainst(uint8_t place, const std::string& zone) const;
+  Resources HeadroomOfBetterTiers(uint8_t place, const std::string& zone) const;
   const MassFailureRecovery& recovery() const { return recovery_; }
 
  private:
--- a/core/priority_tiers/tier_set.h
+++ b/core/priority_tiers/tier_set.h
@@ -18,14 +18,14 @@
 
 // Limits on a set of tiers.
 struct TierBounds {
-  size_t most_tiers = 16;
-  size_t most_words = 64;    // names in one list of a TierMatch
-  size_t most_word = 64;     // bytes of one name
-  size_t most_text = 8'192;  // bytes of the record
-  // Limits on Tier::floor_seconds.
-  double least_floor_seconds = 10;
-  double most_floor_seconds = 240;
-  double usual_floor_seconds = 120;  // for a tier that does not set it
+  size_t max_tiers = 16;
+  size_t max_names_per_list = 64;   // names in one list of a TierMatch
+  size_t max_name_bytes = 64;       // bytes of one name
+  size_t max_record_bytes = 8'192;  // bytes of the record
+  // Limits on Tier::turn_wait_seconds.
+  double min_turn_wait_seconds = 10;
+  double max_turn_wait_seconds = 240;
+  double default_turn_wait_seconds = 120;  // for a tier that does not set it
 
   static TierBounds From(const Settings& settings);
   // The limits for reading a set that is recorded already. It may have been
@@ -55,13 +55,13 @@
   TierMatch match;
   // The most headroom to reserve for the tier, as a share of each zone's
   // capacity.
-  double kept_share = 0;
+  double headroom_share = 0;
   // The share of the whole capacity that the tier may use while jobs of other
   // tiers wait; 1: no limit.
-  double most_share = 1;
+  double max_share = 1;
   // A job that has waited for this long gets a turn directly after the best
   // tier; 0: the default of TierBounds.
-  double floor_seconds = 0;
+  double turn_wait_seconds = 0;
 };
 
 // The tiers, in the order in which they are matched against a job; the first
--- a/core/scheduler/queue_ranking.h
+++ b/core/scheduler/queue_ranking.h
@@ -60,12 +60,14 @@
   DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const;
 
   // Records a job that was accepted, or that a new leader has found.
-  void Seen(const JobSpec& spec) { sizes_.Seen(spec.job_class, spec.tasks); }
+  void OnJobAdded(const JobSpec& spec) {
+    sizes_.OnJobAdded(spec.job_class, spec.tasks);
+  }
   // The job's position, except for the tier, which the caller sets.
   // `run_seconds` is the estimated run time of one task of the job.
   QueuePosition PositionOf(const Job& job, double run_seconds, Time now) const;
   // Records that all tasks of the gang are about to be started from `position`.
-  void Placed(const Job& job, const QueuePosition& position, Time now);
+  void RecordPlaced(const Job& job, const QueuePosition& position, Time now);
 
   // How many tasks an array may start at once when its position is by minimum
   // share.
@@ -103,7 +105,7 @@
   // The time in the queue within which every job should begin; 0: no limit.
   const double begin_within_seconds_;
   std::map<std::string, ClassSlos> slos_;  // by class
-  LargestSizes sizes_;
+  JobSizeTracker sizes_;
   FairQueueing fair_queueing_;
 };
 
--- a/core/scheduler/scheduler.h
+++ b/core/scheduler/scheduler.h
@@ -56,7 +56,7 @@
 
   // Ids of the first few jobs in the queue that need accelerators and that the
   // last pass left waiting for capacity, in queue order.
-  const std::vector<std::string>& large_waiting() const {
+  const std::vector<std::string>& waiting_accelerator_jobs() const {
     return large_waiting_;
   }
   const SchedulingCounters& counters() const { return counters_; }
--- a/core/scheduler/task_starter.h
+++ b/core/scheduler/task_starter.h
@@ -17,7 +17,7 @@
   TaskStarter(LeaderContext& context, MaintenanceManager& maintenance);
 
   // Starts the next pending task of the job; there must be one. `attempt` is a
-  // number from LeaderContext::NextNumber and must not be 0.
+  // number from LeaderContext::NextToken and must not be 0.
   void StartNextTask(Job& job, Machine& machine, uint64_t attempt, Time now);
 
  private:
