--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -93,8 +93,8 @@
 }
 
 void FragmentationIndex::UpdateMix(Time now) {
-  if (now < next_settle_) return;
-  next_settle_ = now + settle_seconds_;
+  if (now < next_update_) return;
+  next_update_ = now + update_seconds_;
   if (mix_.UpdateMix(now)) ++version_;
 }
 
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -54,7 +54,7 @@
   double DecayedWeight(const Entry& entry, Time now) const;
 
   double memory_seconds_;
-  bool has_new_jobs_ = false;  // since the last Settle
+  bool has_new_jobs_ = false;  // since the last UpdateMix
   std::vector<Entry> entries_;
   std::vector<TaskShape> shapes_;
 };
@@ -72,7 +72,7 @@
 // et al., "Beware of Fragmentation: Scheduling GPU-Sharing Workloads with
 // Fragmentation Gradient Descent" (USENIX ATC 2023).
 //
-// For one shape, the useless accelerators of a machine are the free ones that
+// For one shape, the unusable accelerators of a machine are the free ones that
 // no further task of the shape could use. The machine may lack accelerators,
 // cores or memory for such a task, or the shape's constraints may exclude the
 // machine. For the mix, they are the mean over all shapes, weighted by share.
@@ -83,10 +83,10 @@
 // long-running work, the mix, or the needs in the query have changed.
 class FragmentationIndex {
  public:
-  // `memory_seconds`: as for ShapeMix. `settle_seconds`: the least time between
+  // `memory_seconds`: as for ShapeMix. `update_seconds`: the least time between
   // two updates of the mix.
-  FragmentationIndex(double memory_seconds, double settle_seconds)
-      : mix_(memory_seconds), settle_seconds_(settle_seconds) {}
+  FragmentationIndex(double memory_seconds, double update_seconds)
+      : mix_(memory_seconds), update_seconds_(update_seconds) {}
 
   // Records a job that was submitted at `submitted` and accepted by this leader
   // or an earlier one.
@@ -96,11 +96,11 @@
   // Updates the mix if that is due. Called in each scheduling pass.
   void UpdateMix(Time now);
 
-  // The number of useless accelerators of the machine.
+  // The number of unusable accelerators of the machine.
   double UnusableAccelerators(const Machine& machine) const;
-  // The change of Useless if a long-running task with that need were placed on
-  // the machine. Negative if the task takes capacity that no other work could
-  // use.
+  // The change of UnusableAccelerators if a long-running task with that need
+  // were placed on the machine. Negative if the task takes capacity that no
+  // other work could use.
   double AddedFragmentation(const Machine& machine,
                             const Resources& need) const;
   FragmentationCount Count(
@@ -117,19 +117,19 @@
     uint64_t version = 0;  // of the mix; 0: never computed
     Resources free;
     double unusable = 0;
-    Resources need;  // the argument of the last call of Added
+    Resources need;  // the argument of the last call of AddedFragmentation
     double added = 0;
     bool has_added = false;
   };
   // The machine's cache entry. Recomputes it if it is not valid any more.
   CacheEntry& ValidEntry(const Machine& machine) const;
-  // The useless accelerators of the machine if `free` of its capacity were
+  // The unusable accelerators of the machine if `free` of its capacity were
   // free.
   double Measure(const Machine& machine, const Resources& free) const;
 
   ShapeMix mix_;
-  double settle_seconds_;
-  Time next_settle_ = -std::numeric_limits<Time>::infinity();
+  double update_seconds_;
+  Time next_update_ = -std::numeric_limits<Time>::infinity();
   uint64_t version_ = 1;                   // of the mix
   mutable std::vector<CacheEntry> cache_;  // by machine index
 };
--- a/core/priority_tiers/tier_policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -36,8 +36,8 @@
     const Job* job = nullptr;
     uint8_t place = 0;  // of its tier
     double waited_seconds = 0;
-    bool has_begun =
-        false;  // at least one task is placed on a machine or is done
+    // At least one task of the job is placed on a machine or is done.
+    bool has_begun = false;
   };
   std::vector<Waiting> waiting;
   // Replicas of the best tier's services, as in RecoveryObservation.
@@ -64,8 +64,7 @@
     return active() ? set_->Classify(spec) : 0;
   }
 
-  // The capacity that the tasks of each tier use. Changed only by Hold, Release
-  // and ClearUsage.
+  // Track the capacity that the tasks of each tier use, which `held` returns.
   void AddUsage(uint8_t place, const Resources& need);
   void SubtractUsage(uint8_t place, const Resources& need);
   // Resets the usage of all tiers. The caller then adds all tasks again.
@@ -103,7 +102,7 @@
   void TakeCapacity(const std::string& zone, const Resources& need);
   void ReturnCapacity(const std::string& zone, const Resources& need);
   // Records that a task was started. Its capacity has already been subtracted
-  // by Take. `fetches`: the start begins an image fetch.
+  // by TakeCapacity. `fetches`: the start begins an image fetch.
   void OnTaskStarted(const Job& job, uint8_t place, const std::string& zone,
                      const Resources& need, bool fetches, Time now);
   // Ends the job's turn, if it has one: all its starts have been made.
--- a/core/scheduler/preemption_planner.cc
+++ b/core/scheduler/preemption_planner.cc
@@ -152,8 +152,8 @@
   }
 }
 
-// No quota is held for a job that cannot start beside the team's services. If
-// it were, all other jobs of the team would wait for as long as the services
+// No quota is reserved for a job that cannot start beside the team's services.
+// If it were, all other jobs of the team would wait for as long as the services
 // run (docs/incidents/2026-12-02-limit-held-in-vain.md).
 //
 // While the waiting job cannot start yet, later jobs of the team may backfill
@@ -161,8 +161,8 @@
 // job once it has started. The tasks they start count against that remainder
 // until they end, so any number of such jobs cannot delay the waiting job.
 // Second, while earlier arrays still run their tasks in turn, a later job that
-// is estimated to end before them may also use the quota that is held, since
-// that does not delay the waiting job either.
+// is estimated to end before them may also use the quota that is reserved,
+// since that does not delay the waiting job either.
 void PreemptionPlanner::PreemptWithinQuota(Job& job, uint32_t tasks, Time now) {
   QuotaUsage& team = cluster_.quota(job.team());
   TeamUsage usage = UsageOfTeam(job, now);
@@ -184,19 +184,19 @@
   // Victims are stopped only if that lets the job start.
   const bool enough = fits();
   if (team.has_reserved_quota()) {
-    // Quota is held for more than one job. The time at which this one can start
-    // is not known, so no job may run on the held quota until then.
+    // Quota is reserved for more than one job. The time at which this one can
+    // start is not known, so no job may run on the reserved quota until then.
     team.seconds_until_reserved_use = 0;
   } else {
     team.released_before_reserved_use = usage.released + usage.transient;
     team.seconds_until_reserved_use =
-        SecondsOfTurnsBefore(team, usage.persistent);
+        RoundRobinSecondsBefore(team, usage.persistent);
   }
   team.reserved_for_waiting += job.spec().need * tasks;
   if (enough) StopVictims(chosen, job.spec(), now);
 }
 
-void PreemptionPlanner::RecordTakingTurns(const Job& job) {
+void PreemptionPlanner::RecordRoundRobinJob(const Job& job) {
   QuotaUsage& team = cluster_.quota(job.team());
   if (!team.has_reserved_quota()) team.round_robin_jobs.push_back(&job);
 }
@@ -204,7 +204,7 @@
 // Tasks that already run may end at any moment, so they count for nothing. The
 // waiting tasks of an array run in batches, each as large as the maximum of the
 // quota allows beside `persistent`.
-double PreemptionPlanner::SecondsOfTurnsBefore(
+double PreemptionPlanner::RoundRobinSecondsBefore(
     const QuotaUsage& team, const Resources& persistent) const {
   double longest_seconds = 0;
   for (const Job* job : team.round_robin_jobs) {
--- a/core/scheduler/preemption_planner.h
+++ b/core/scheduler/preemption_planner.h
@@ -38,16 +38,16 @@
 
   // Called when the maximum of the team's quota prevents `tasks` tasks of the
   // job from starting. Stops tasks of the same team that have lower priority if
-  // that lets the job start. Also holds quota for the job for the rest of the
-  // round, so that later jobs of the team may start only if they fit beside it
-  // once it has started, or are estimated to end before it can start. Does
+  // that lets the job start. Also reserves quota for the job for the rest of
+  // the round, so that later jobs of the team may start only if they fit beside
+  // it once it has started, or are estimated to end before it can start. Does
   // neither if the job could not start even with every victim stopped, or not
-  // beside the quota that is held for earlier jobs.
+  // beside the quota that is reserved for earlier jobs.
   void PreemptWithinQuota(Job& job, uint32_t tasks, Time now);
   // Called when the maximum of the team's quota prevents tasks of an array from
-  // starting. No quota is held for the array: its next tasks start in turn as
+  // starting. No quota is reserved for the array: its tasks start in turn as
   // earlier tasks of the team end.
-  void RecordTakingTurns(const Job& job);
+  void RecordRoundRobinJob(const Job& job);
 
  private:
   // A task that may be stopped.
@@ -64,7 +64,7 @@
     Resources released;    // used by tasks that are stopping
     Resources persistent;  // used by service tasks that may not be stopped
     // Used by all other tasks, without those that started only because they fit
-    // beside quota held for another job.
+    // beside quota reserved for another job.
     Resources transient;
     std::vector<Victim> victims;
   };
@@ -86,8 +86,8 @@
   // A lower bound, in seconds, of the time until the arrays that come before
   // this job in turn have run all of their waiting tasks. `persistent`: as
   // TeamUsage::persistent.
-  double SecondsOfTurnsBefore(const QuotaUsage& team,
-                              const Resources& persistent) const;
+  double RoundRobinSecondsBefore(const QuotaUsage& team,
+                                 const Resources& persistent) const;
   // How many of `tasks` fit into the maximum of the team's quota beside
   // `persistent`. For a gang, either all of them or none.
   uint32_t TasksWithinMaximum(const Job& job, uint32_t tasks,
--- a/core/scheduler/scheduler.cc
+++ b/core/scheduler/scheduler.cc
@@ -90,7 +90,7 @@
   pass.all_machines_accounted_for = cluster_.AllMachinesAccountedFor();
   ComputeGuaranteedJobs();
   maintenance_.CountWindowUse();
-  // Quota that is held for jobs already served stays held for the whole round.
+  // Quota reserved for jobs already served stays reserved for the whole round.
   if (!round_.unfinished()) ResetQuotas();
   // The pointers are dropped in each pass, since jobs may have been removed
   // since the last one.
--- a/core/scheduler/scheduler.h
+++ b/core/scheduler/scheduler.h
@@ -75,7 +75,7 @@
 
   // Marks the jobs that are within the guaranteed quota of their team.
   void ComputeGuaranteedJobs();
-  // Clears the quota held for waiting jobs. Called at the beginning of a round.
+  // Clears the quota reserved for waiting jobs, when a round begins.
   void ResetQuotas();
   std::vector<Job*> SchedulableJobs(const SchedulingPass& pass) const;
   bool IsSchedulable(const Job& job, const SchedulingPass& pass) const;
--- a/core/scheduler/task_scheduler.cc
+++ b/core/scheduler/task_scheduler.cc
@@ -57,7 +57,7 @@
       preemption_planner_.PreemptWithinQuota(
           job, rollout_manager_.StartableTasks(job), pass.now);
     } else {
-      preemption_planner_.RecordTakingTurns(job);
+      preemption_planner_.RecordRoundRobinJob(job);
     }
     return false;
   }
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr double kMemorySeconds = 300;
-constexpr double kSettleSeconds = 1;
+constexpr double kUpdateSeconds = 1;
 constexpr double kMeanBandwidth = 0.25;  // GB/s
 
 class Packing : public testing::Test {
  protected:
   Packing()
-      : fragmentation_(kMemorySeconds, kSettleSeconds), placer_(tuning_, 1) {
+      : fragmentation_(kMemorySeconds, kUpdateSeconds), placer_(tuning_, 1) {
     tuning_.fragmentation_weight = 2;
     type_.name = "big";
     type_.total = {64, 8, 384};
@@ -43,7 +43,7 @@
   // Records the job and updates the mix.
   void Submit(const JobSpec& spec, Time now = 0) {
     fragmentation_.AddJobToMix(spec, now);
-    fragmentation_.UpdateMix(now + 2 * kSettleSeconds * ++submitted_);
+    fragmentation_.UpdateMix(now + 2 * kUpdateSeconds * ++submitted_);
   }
   // Adds a machine on which long-running work uses `gpus_used` accelerators.
   Machine* Add(double gpus_used, const std::string& zone = "a") {
--- a/tests/quota_backfill_test.cc
+++ b/tests/quota_backfill_test.cc
@@ -122,9 +122,9 @@
   int next_id_ = 100;
 };
 
-// Guards against two failures. Quota held for the gang must not keep other jobs
-// waiting while the gang cannot use it yet, and jobs that start meanwhile must
-// not delay the gang.
+// Guards against two failures. Quota reserved for the gang must not keep other
+// jobs waiting while the gang cannot use it yet, and jobs that start meanwhile
+// must not delay the gang.
 TEST(QuotaBackfill, TheGangStartsInTimeAndNoJobWaitsInVain) {
   for (const uint32_t services : {6U, 7U}) {
     for (const double array_cores : {1.0, 2.0}) {
