--- a/core/fair_queueing/fair_queueing.cc
+++ b/core/fair_queueing/fair_queueing.cc
@@ -6,7 +6,7 @@
 namespace oxbow {
 namespace {
 
-// Of the largest size seen: jobs above it are among the largest.
+// Jobs above this share of the largest size seen are among the largest.
 constexpr double kLargestShare = 0.75;
 
 }  // namespace
@@ -15,7 +15,7 @@
                                             Time now) const {
   const double kept =
       std::exp(-std::max(0.0, now - account.at) / memory_seconds_);
-  return {account.minimum_share * kept, account.quickest * kept, now};
+  return {account.minimum_share * kept, account.least_work * kept, now};
 }
 
 bool FairQueueing::MinimumShareFirst(const std::string& job_class,
@@ -23,7 +23,7 @@
   const auto it = accounts_.find(job_class);
   if (it == accounts_.end()) return minimum_share_ > 0;
   const Account account = Decayed(it->second, now);
-  const double placed = account.minimum_share + account.quickest;
+  const double placed = account.minimum_share + account.least_work;
   return account.minimum_share < minimum_share_ * placed ||
          (minimum_share_ > 0 && placed <= 0);
 }
@@ -33,7 +33,7 @@
   Account& account = accounts_[job_class];
   account = Decayed(account, now);
   (side == QueueOrder::kMinimumShare ? account.minimum_share
-                                     : account.quickest) += work;
+                                     : account.least_work) += work;
 }
 
 void JobSizeTracker::OnJobAdded(const std::string& job_class, uint32_t tasks) {
--- a/core/limits/removal_limiter.cc
+++ b/core/limits/removal_limiter.cc
@@ -6,11 +6,11 @@
 namespace oxbow {
 namespace {
 
-constexpr std::array<std::string_view, kRemovalCauses> kNames = {
+constexpr std::array<std::string_view, kRemovalCauses> kCauseNames = {
     "silent", "unlisted", "never up", "idle", "moved", "distrusted"};
 
-// How many a share allows. One always, or a small fleet could never replace a
-// dead machine.
+// The number of removals that a share allows. At least one, since a small
+// cluster could otherwise never replace a failed machine.
 int Allowance(double share, int basis) {
   return std::max(1, static_cast<int>(std::floor(share * basis)));
 }
@@ -18,7 +18,7 @@
 }  // namespace
 
 std::string_view NameOf(RemovalCause cause) {
-  return kNames[static_cast<size_t>(cause)];
+  return kCauseNames[static_cast<size_t>(cause)];
 }
 
 std::string_view NameOf(RemovalDecision decision) {
@@ -35,7 +35,7 @@
   return "";
 }
 
-void RemovalLimiter::Forget(Time now) {
+void RemovalLimiter::DropExpired(Time now) {
   while (!entries_.empty() &&
          entries_.front().at <= now - limits_.window_seconds) {
     const CapacityRemoval& loss = entries_.front().loss;
@@ -52,13 +52,13 @@
 }
 
 int RemovalLimiter::CountInWindow(RemovalCause cause, Time now) {
-  Forget(now);
+  DropExpired(now);
   return by_cause_[static_cast<size_t>(cause)];
 }
 
 RemovalDecision RemovalLimiter::RequestRemoval(const CapacityRemoval& loss,
                                                int fleet, int zone, Time now) {
-  Forget(now);
+  DropExpired(now);
   const auto cause = static_cast<size_t>(loss.cause);
   const RemovalDecision decision = Decide(loss, fleet, zone);
   if (decision != RemovalDecision::kAllowed) {
@@ -73,23 +73,24 @@
 RemovalDecision RemovalLimiter::Decide(const CapacityRemoval& loss, int fleet,
                                        int zone) const {
   const auto cause = static_cast<size_t>(loss.cause);
-  const int asked = by_cause_[cause];
-  if (asked + 1 > Allowance(limits_.fleet[cause], fleet + asked)) {
+  const int removed = by_cause_[cause];
+  if (removed + 1 > Allowance(limits_.fleet[cause], fleet + removed)) {
     return RemovalDecision::kFleetLimit;
   }
   const auto it = by_zone_.find({loss.cause, loss.zone});
-  const int asked_in_zone = it == by_zone_.end() ? 0 : it->second;
+  const int removed_in_zone = it == by_zone_.end() ? 0 : it->second;
   const double zone_share = std::max(limits_.zone, limits_.fleet[cause]);
-  if (asked_in_zone + 1 > Allowance(zone_share, zone + asked_in_zone)) {
+  if (removed_in_zone + 1 > Allowance(zone_share, zone + removed_in_zone)) {
     return RemovalDecision::kZoneLimit;
   }
   for (const CapacityRemoval::AffectedService& part : loss.services) {
-    const auto taken = by_service_.find(part.job);
-    const int before = taken == by_service_.end() ? 0 : taken->second;
-    // The first act may take everything: where all replicas are on one machine,
-    // that one must still be replaceable.
-    if (before > 0 &&
-        before + part.replicas > Allowance(limits_.service, part.size)) {
+    const auto service = by_service_.find(part.job);
+    const int removed_replicas =
+        service == by_service_.end() ? 0 : service->second;
+    // The first removal within the window may exceed the share: if all replicas
+    // are on one machine, that machine must still be replaceable.
+    if (removed_replicas > 0 && removed_replicas + part.replicas >
+                                    Allowance(limits_.service, part.size)) {
       return RemovalDecision::kServiceLimit;
     }
   }
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -6,10 +6,13 @@
 namespace oxbow {
 namespace {
 
-// A cluster has few classes of work; more shapes would only cost time.
+// A cluster runs only a few classes of work, so more shapes would cost time
+// without adding information.
 constexpr size_t kMaxShapes = 12;
-// Needs that differ by a smaller share are one shape; the larger is kept.
+// Needs that differ by at most this share of the larger one are merged into one
+// shape, which has the larger need.
 constexpr double kSimilarShare = 0.25;
+// Differences below this are rounding errors.
 constexpr double kEpsilon = 1e-6;
 
 bool Similar(double left, double right) {
@@ -46,7 +49,7 @@
     Resources& need = entry.shape.need;
     need.cpus = std::max(need.cpus, spec.need.cpus);
     need.memory_gb = std::max(need.memory_gb, spec.need.memory_gb);
-    // Both weights as of the later of the two times.
+    // Both weights are decayed up to the later of the two times.
     const Time at = std::max(entry.at, submitted);
     entry.weight = DecayedWeight(entry, at) +
                    weight * std::exp(-(at - submitted) / memory_seconds_);
@@ -67,7 +70,8 @@
 }
 
 bool ShapeMix::UpdateMix(Time now) {
-  // All weights decay alike, so without new jobs the shares stay.
+  // All weights decay at the same rate, so the shares change only with new
+  // jobs.
   if (!has_new_jobs_) return false;
   has_new_jobs_ = false;
   shapes_.clear();
@@ -81,7 +85,7 @@
   return true;
 }
 
-bool MayBeOn(const TaskShape& shape, const Machine& machine) {
+bool ShapeAllowsMachine(const TaskShape& shape, const Machine& machine) {
   if (machine.spot && !shape.spot) return false;
   if (shape.zone && *shape.zone != machine.zone) return false;
   return !shape.types || std::find(shape.types->begin(), shape.types->end(),
@@ -89,8 +93,8 @@
 }
 
 void FragmentationIndex::UpdateMix(Time now) {
-  if (now < next_settle_) return;
-  next_settle_ = now + settle_seconds_;
+  if (now < next_update_) return;
+  next_update_ = now + update_seconds_;
   if (mix_.UpdateMix(now)) ++version_;
 }
 
@@ -99,8 +103,9 @@
   if (free.gpus <= kEpsilon) return 0;
   double unusable = 0;
   for (const TaskShape& shape : mix_.shapes()) {
-    const uint32_t times =
-        MayBeOn(shape, machine) ? shape.need.TimesIn(free, kMaxTasks) : 0;
+    const uint32_t times = ShapeAllowsMachine(shape, machine)
+                               ? shape.need.TimesIn(free, kMaxTasks)
+                               : 0;
     unusable +=
         shape.share * std::max(0.0, free.gpus - shape.need.gpus * times);
   }
@@ -159,7 +164,8 @@
     if (free.gpus <= kEpsilon) continue;
     count.free += free.gpus;
     count.unusable += UnusableAccelerators(*machine);
-    const bool whole = largest != nullptr && MayBeOn(*largest, *machine) &&
+    const bool whole = largest != nullptr &&
+                       ShapeAllowsMachine(*largest, *machine) &&
                        largest->need.FitsIn(free);
     ++(whole ? count.whole : count.fragmented);
   }
