--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -9,9 +9,10 @@
 LeaderHealth::Limits LeaderHealthLimits(const Settings& settings,
                                         const Tuning& tuning,
                                         const SilenceTimeouts& timeouts) {
-  // Of a lease. Most of it must be left: each worker tries a controller that
-  // doesn't answer for one heartbeat timeout, and then pauses, until it finds
-  // the next leader.
+  // How long this controller keeps leading while it receives next to no
+  // heartbeats and no controller answers, in worker leases. Most of the lease
+  // must remain for the workers to find the next leader: each spends one
+  // heartbeat timeout and a pause on every controller that doesn't answer.
   constexpr double kBlindAfterLeases = 0.2;
   const double lease = settings.workers.lease_seconds;
   LeaderHealth::Limits limits;
@@ -20,8 +21,8 @@
   limits.pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
   limits.longest_pause_seconds = lease / 2;
   limits.blind_after_seconds = kBlindAfterLeases * lease;
-  // A new leader's first seconds take all of its processor time: its own probes
-  // are late then and prove nothing.
+  // In its first seconds a new leader uses all of its processor time. Its own
+  // probes are late then, so their results prove nothing.
   limits.settle_seconds =
       std::max(timeouts.overdue, tuning.leader_lease_ratio * lease);
   return limits;
@@ -39,10 +40,10 @@
   return limits;
 }
 
-// Since when the machine has been silent as far as this leadership can tell, or
-// since when it has received no response: the heartbeats of such a machine
-// prove no more than that it exists.
-Time QuietSince(const Machine& machine, Time started) {
+// Since when the machine has been silent under this leadership or, if that is
+// earlier, since when it has received no responses: heartbeats from a machine
+// that receives no responses show that it exists, but do not renew its lease.
+Time NoContactSince(const Machine& machine, Time started) {
   const Time last_useful =
       machine.reachability.receives_no_responses()
           ? std::min(machine.last_heard,
@@ -51,16 +52,17 @@
   return std::max(last_useful, started);
 }
 
-// Whether the machine's silence would be evidence about this controller. One
-// that was given up for its silence keeps counting until the cloud has
-// confirmed the deletion, or each deletion would make the rest look healthier.
-// One deleted for another reason falls silent because of that.
-bool Counts(const Machine& machine) {
+// Whether the machine's silence counts as evidence that this controller's
+// network is faulty. A machine that was given up because of its silence counts
+// until the cloud has confirmed the deletion; otherwise each deletion would
+// lower the share of silent machines. A machine that is being deleted for
+// another reason doesn't count, since the deletion explains its silence.
+bool SilenceCounts(const Machine& machine) {
   return machine.recorded_up && machine.state() != MachineState::kGone &&
          (machine.state() != MachineState::kDeleting || machine.given_up);
 }
 
-// What the removal of the machine takes away from services.
+// What removing the machine would cost: its replicas, by service.
 Loss LossOf(const Machine& machine, LossCause cause) {
   Loss loss;
   loss.cause = cause;
@@ -92,32 +94,36 @@
       actions_(actions),
       leader_health_(LeaderHealthLimits(settings, tuning, timeouts), started),
       limiter_(LossLimits(settings, tuning)),
-      sampling_(seed) {}
+      sample_rng_(seed) {}
 
 void LivenessMonitor::Log(std::string message, LogFields fields) {
   actions_.push_back(LogEvent{std::move(message), std::move(fields)});
 }
 
 bool LivenessMonitor::HeartbeatOverdue(const Machine& machine, Time now) const {
-  // Until a worker has waited in vain and tried another controller, its silence
-  // is no evidence against a leader that has just been elected. Neither is that
-  // of a worker whose heartbeats another controller forwards, which may have
-  // ended: each restart of one would move the leadership for nothing.
-  constexpr double kFindsAnotherSeconds =
+  // How long a worker takes to give up on a controller that doesn't answer and
+  // to try the next one. Until then its missing heartbeats say nothing
+  // about the network of a leader that has just been elected. The same time
+  // is granted to a worker whose heartbeats another controller forwards, since
+  // that controller may have stopped: otherwise each restart of a controller
+  // would cause a needless leadership transfer.
+  constexpr double kControllerSwitchSeconds =
       kHeartbeatTimeoutSeconds + kRetryPauseSeconds;
-  const Time from = std::max(
-      machine.last_heartbeat + (machine.forwarded ? kFindsAnotherSeconds : 0),
-      started_ + kFindsAnotherSeconds);
+  const Time from =
+      std::max(machine.last_heartbeat +
+                   (machine.forwarded ? kControllerSwitchSeconds : 0),
+               started_ + kControllerSwitchSeconds);
   return now - from > timeouts_.overdue;
 }
 
 void LivenessMonitor::Count(Time now) {
   heartbeats_received_ = CountReceived(now);
-  // An alarm ends when nothing has been refused for a window: there may never
-  // be another act of its kind to be allowed.
+  // An alarm about refused removals ends when none has been refused for one
+  // window. It can't wait for a removal that is allowed, since there may be no
+  // further request for that cause.
   for (size_t i = 0; i < kLossCauses; ++i) {
-    if (now - refused_at_[i] > limiter_.limits().window_seconds) {
-      refusals_[i] = LossDecision::kAllowed;
+    if (now - last_refused_at_[i] > limiter_.limits().window_seconds) {
+      latest_decisions_[i] = LossDecision::kAllowed;
     }
   }
   const LeaderHealthState before = leader_health_.state();
@@ -133,10 +139,10 @@
 HeartbeatsReceived LivenessMonitor::CountReceived(Time now) const {
   HeartbeatsReceived received;
   for (const auto& machine : machines_) {
-    if (!Counts(*machine)) continue;
+    if (!SilenceCounts(*machine)) continue;
     ++received.recorded;
     const bool silent =
-        now - QuietSince(*machine, started_) > timeouts_.overdue;
+        now - NoContactSince(*machine, started_) > timeouts_.overdue;
     received.silent += silent;
     received.troubled += silent || now < machine->direct_broken_until ||
                          machine->reachability.receives_no_responses() ||
@@ -145,49 +151,54 @@
   return received;
 }
 
-bool LivenessMonitor::FewSilent() const {
-  // One in six may be dead machines; more at once is the network, and they
-  // will be back. At least one that is not silent proves that messages arrive.
-  constexpr int kOneIn = 6;
+bool LivenessMonitor::FewMachinesSilent() const {
+  // Up to one machine in six may be dead. When more fall silent at once, the
+  // cause is the network, and the machines will come back. At least one machine
+  // must be heard, as proof that messages arrive here at all.
+  constexpr int kMachinesPerSilentOne = 6;
   return heartbeats_received_.silent < heartbeats_received_.recorded &&
          heartbeats_received_.silent <=
-             std::max(1, heartbeats_received_.recorded / kOneIn);
+             std::max(1, heartbeats_received_.recorded / kMachinesPerSilentOne);
 }
 
-// Machines that lose the responses together are found out one after the other,
-// over the time between two heartbeats and a worker's timeout; all must count
-// before one is given up.
+// When several machines stop receiving responses at the same moment, the leader
+// notices one after the other, over a time of up to a worker's heartbeat
+// timeout. The extra wait (`spread`) makes sure that all of them count as
+// silent before the first one is given up.
 bool LivenessMonitor::SilentTooLong(const Machine& machine, Time now) const {
   const double spread = machine.reachability.receives_no_responses()
                             ? kHeartbeatTimeoutSeconds / 2
                             : 0;
-  return now - QuietSince(machine, started_) > timeouts_.give_up + spread;
+  return now - NoContactSince(machine, started_) > timeouts_.give_up + spread;
 }
 
-// A single silent machine is given up, if nobody else reaches it either.
+// A machine is given up only while few are silent, and only if no other
+// controller reaches it either.
 bool LivenessMonitor::MayGiveUp(const Machine& machine, Time now) const {
-  if (!FewSilent()) return false;
+  if (!FewMachinesSilent()) return false;
   if (settings_.peers.empty()) {
-    // One that receives no responses but may be reached at its address is left
-    // until its lease expires.
+    // There is no other controller to ask. A machine that receives no responses
+    // but can still be reached at its address is kept until its lease expires.
     return !machine.reachability.receives_no_responses() ||
            now < machine.direct_broken_until;
   }
-  const Time quiet_since = QuietSince(machine, started_);
-  if (machine.reached_by_other > quiet_since &&
+  const Time no_contact_since = NoContactSince(machine, started_);
+  if (machine.reached_by_other > no_contact_since &&
       now - machine.reached_by_other < timeouts_.give_up) {
     return false;
   }
-  // An answer from before many were silent is no evidence: nobody has been
-  // asked since.
+  // Only a recent answer counts. While many machines were silent no survey was
+  // made, so an answer from before that time says nothing about the
+  // present.
   return machine.reached_by_none >
-         std::max(quiet_since, now - timeouts_.give_up);
+         std::max(no_contact_since, now - timeouts_.give_up);
 }
 
 bool LivenessMonitor::LossAllowed(const Machine& machine, LossCause cause,
                                   Time now) {
-  // A leader that suspects its own network removes nothing for other reasons
-  // either: idle, listed and booted are concluded from what it receives.
+  // A leader that suspects its own network removes nothing for other causes
+  // either: that a machine is idle, unlisted or did not boot is also concluded
+  // from the messages that the leader receives.
   if (cause != LossCause::kSilent && !leader_health_.healthy()) return false;
   int fleet = 0;
   int zone = 0;
@@ -200,7 +211,7 @@
       limiter_.Ask(LossOf(machine, cause), fleet, zone, now);
   const auto index = static_cast<size_t>(cause);
   if (decision != LossDecision::kAllowed &&
-      refusals_[index] == LossDecision::kAllowed) {
+      latest_decisions_[index] == LossDecision::kAllowed) {
     Log("alarm: removal of machines is limited",
         {{"cause", NameOf(cause)},
          {"limit", NameOf(decision)},
@@ -208,8 +219,8 @@
          {"window_seconds", limiter_.limits().window_seconds},
          {"machines", fleet}});
   }
-  refusals_[index] = decision;
-  if (decision != LossDecision::kAllowed) refused_at_[index] = now;
+  latest_decisions_[index] = decision;
+  if (decision != LossDecision::kAllowed) last_refused_at_[index] = now;
   return decision == LossDecision::kAllowed;
 }
 
@@ -223,10 +234,10 @@
         " machines");
   }
   for (size_t i = 0; i < kLossCauses; ++i) {
-    if (refusals_[i] == LossDecision::kAllowed) continue;
+    if (latest_decisions_[i] == LossDecision::kAllowed) continue;
     alarms.push_back("nothing more taken away as " +
                      std::string(NameOf(static_cast<LossCause>(i))) + ": " +
-                     std::string(NameOf(refusals_[i])));
+                     std::string(NameOf(latest_decisions_[i])));
   }
   return alarms;
 }
@@ -246,51 +257,55 @@
   return round;
 }
 
-// Before a machine is given up, every controller is asked about it, early
-// enough for the answer to be there in time.
+// Asks every controller about each silent machine before the machine can be
+// given up, early enough for the answers to arrive in time.
 void LivenessMonitor::SurveySilentMachines(Time now) {
-  // Each machine costs every controller a connection for a moment.
-  constexpr size_t kMaxSurveyed = 64;
-  if (settings_.peers.empty() || silent_round_ != 0 || !FewSilent()) return;
-  std::vector<Machine*> about;
+  // Machines in one survey: each of them costs every controller a short-lived
+  // connection.
+  constexpr size_t kMaxMachinesPerSurvey = 64;
+  if (settings_.peers.empty() || silent_survey_round_ != 0 ||
+      !FewMachinesSilent())
+    return;
+  std::vector<Machine*> to_survey;
   for (auto& machine : machines_) {
     if (!machine->recorded_up || machine->state() == MachineState::kGone ||
         machine->state() == MachineState::kDeleting ||
         machine->endpoint.empty() ||
-        now - QuietSince(*machine, started_) <= timeouts_.asked ||
+        now - NoContactSince(*machine, started_) <= timeouts_.asked ||
         now - machine->asked_about <
             settings_.workers.heartbeat_interval_seconds) {
       continue;
     }
     machine->asked_about = now;
-    about.push_back(machine.get());
-    if (about.size() == kMaxSurveyed) break;
+    to_survey.push_back(machine.get());
+    if (to_survey.size() == kMaxMachinesPerSurvey) break;
   }
-  if (!about.empty()) {
-    silent_round_ = StartSurvey(about, SurveyKind::kSilent, now);
+  if (!to_survey.empty()) {
+    silent_survey_round_ = StartSurvey(to_survey, SurveyKind::kSilent, now);
   }
 }
 
 void LivenessMonitor::StartSurveys(Time now) {
   SurveySilentMachines(now);
-  SurveySample(now);
+  SurveyMachineSample(now);
 }
 
-// A sample of all machines, silent or not: a controller that reached only what
-// this one does not would be no better leader.
-void LivenessMonitor::SurveySample(Time now) {
+// Asks about a sample of all machines, silent or not. A survey of the
+// silent ones alone would favour a controller that reaches just these and none
+// of the others, which would be no better leader.
+void LivenessMonitor::SurveyMachineSample(Time now) {
   if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
   std::vector<Machine*> all;
   for (const auto& machine : machines_) {
-    if (Counts(*machine) && !machine->endpoint.empty())
+    if (SilenceCounts(*machine) && !machine->endpoint.empty())
       all.push_back(machine.get());
   }
   std::vector<Machine*> sample;
   std::sample(all.begin(), all.end(), std::back_inserter(sample), kReachSample,
-              sampling_);
+              sample_rng_);
   if (sample.empty()) return;
   leader_health_.RoundAsked(now);
-  health_round_ = StartSurvey(sample, SurveyKind::kSample, now);
+  sample_survey_round_ = StartSurvey(sample, SurveyKind::kSample, now);
 }
 
 bool LivenessMonitor::OnReach(uint64_t round, std::vector<Reach> answers,
@@ -302,9 +317,9 @@
   for (size_t i = 0; i < survey.machines.size(); ++i) {
     ApplyAnswers(*survey.machines[i], i, survey.asked_at, &answers, now);
   }
-  if (round == silent_round_) silent_round_ = 0;
-  if (round != health_round_) return true;
-  health_round_ = 0;
+  if (round == silent_survey_round_) silent_survey_round_ = 0;
+  if (round != sample_survey_round_) return true;
+  sample_survey_round_ = 0;
   const LeaderHealth::Decision decision =
       leader_health_.RoundAnswered(answers, now);
   switch (decision.kind) {
@@ -331,12 +346,12 @@
   if (reached_by_other) {
     machine.reached_by_other = now;
   } else if (own.Denies(index)) {
-    // As of the question: a leader that was stalled reads the answer late, and
-    // the machine may have come back since.
+    // Dated at the time of the question: a leader that was stalled reads the
+    // answer late, and the machine may have become reachable since.
     machine.reached_by_none = std::max(machine.reached_by_none, asked_at);
   }
-  // A machine whose heartbeats don't arrive does not count as reached, whether
-  // or not it answers probes: only heartbeats renew its lease.
+  // A machine whose heartbeats don't arrive counts as not reached even if it
+  // answers probes, since only heartbeats renew its lease.
   if (own.Reaches(index) && HeartbeatOverdue(machine, now)) {
     own.machines[index] = Reach::kNotReached;
   }
--- a/core/worker_sessions/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -1,7 +1,7 @@
-// Which machines are silent, what the other controllers reach of them, and
-// which may therefore be removed. Reads the machines; changes only the fields
-// about surveys (asked_about, reached_by_other, reached_by_none). Owns
-// LeaderHealth and the LossLimiter.
+// Detects machines that have fallen silent, asks the other controllers whether
+// they can reach them, and decides which machines the leader may remove. Of the
+// machines it changes only the fields about these surveys (asked_about,
+// reached_by_other, reached_by_none). Owns LeaderHealth and the LossLimiter.
 #pragma once
 
 #include <array>
@@ -20,7 +20,8 @@
 
 namespace oxbow {
 
-// One per leadership. Its questions to other controllers leave as actions.
+// One per leadership. Does no I/O: its questions to the other controllers and
+// its log entries are appended to `actions`.
 class LivenessMonitor {
  public:
   using Machines = std::vector<std::unique_ptr<Machine>>;
@@ -29,53 +30,66 @@
                   const SilenceTimeouts& timeouts, const Machines& machines,
                   Time started, uint64_t seed, std::vector<Action>& actions);
 
-  // Once in each tick, before anything is decided on it.
+  // Counts the machines that are silent or troubled, updates the leader's
+  // health from these numbers and ends alarms that are over. Called once per
+  // tick, before any decision that depends on the numbers.
   void Count(Time now);
-  // Asks the other controllers about machines whose state is uncertain.
+  // Starts the surveys that are due: asks every controller which of the silent
+  // machines, and which of a sample of all machines, it can reach.
   void StartSurveys(Time now);
-  // The answers to a survey, this controller's first. False: this leadership is
-  // over.
+  // Evaluates the answers to the survey with the number `round`; this
+  // controller's own answer is the first. Returns false if this controller must
+  // stop leading.
   [[nodiscard]] bool OnReach(uint64_t round, std::vector<Reach> answers,
                              Time now);
   void OnTransferAccepted() { leader_health_.TransferAccepted(); }
   void OnTransferRejected(const std::string& why, Time now);
 
-  // Whether a machine has been silent, or received no responses, for long
-  // enough.
+  // Whether a machine has been silent, or has received no responses, for long
+  // enough to be given up.
   bool SilentTooLong(const Machine& machine, Time now) const;
-  // Whether such a machine may be given up.
+  // Whether a machine for which SilentTooLong() holds may be given up: few
+  // machines are silent, and no other controller reaches this one.
   bool MayGiveUp(const Machine& machine, Time now) const;
-  // Whether it may be removed for this cause; counts the removal if so.
+  // Whether the limits on removals allow this machine to be removed for this
+  // cause now. If so, counts the removal against the limits; if not, raises an
+  // alarm.
   bool LossAllowed(const Machine& machine, LossCause cause, Time now);
 
   LeaderHealthState leader_health() const { return leader_health_.state(); }
   const HeartbeatsReceived& heartbeats_received() const {
     return heartbeats_received_;
   }
-  // What is limited at this moment; a line each, for a person.
+  // The alarms in force, one readable line each: that few heartbeats arrive,
+  // and each cause for which removals are refused at present.
   std::vector<std::string> Alarms() const;
 
  private:
   enum class SurveyKind : uint8_t {
-    kSilent,  // of silent machines, before they are given up
-    kSample,  // of all machines, to compare the controllers
+    kSilent,  // asks about silent machines before they are given up
+    kSample,  // asks about a sample of all machines to compare the controllers
   };
+  // A question to all controllers that has not been answered yet.
   struct Survey {
     std::vector<Machine*> machines;
     Time asked_at = 0;
   };
 
+  // Whether the machine's next heartbeat is late, although its messages of
+  // other kinds may still arrive.
   bool HeartbeatOverdue(const Machine& machine, Time now) const;
-  // Whether so few are silent that it is the machines and not the network.
-  bool FewSilent() const;
+  // Whether so few machines are silent that the machines themselves are the
+  // likely cause, and not a network fault.
+  bool FewMachinesSilent() const;
   HeartbeatsReceived CountReceived(Time now) const;
   void SurveySilentMachines(Time now);
-  void SurveySample(Time now);
-  // Returns the number of the round.
+  void SurveyMachineSample(Time now);
+  // Sends the question; returns its number, the round.
   uint64_t StartSurvey(const std::vector<Machine*>& machines, SurveyKind kind,
                        Time now);
-  // Applies what the answers say about the machine, whose index in the survey
-  // is given, and corrects this controller's own answer.
+  // Stores what the answers say about the machine at position `index` of the
+  // survey. In this controller's own answer, marks the machine as not reached
+  // if its heartbeats are overdue.
   void ApplyAnswers(Machine& machine, size_t index, Time asked_at,
                     std::vector<Reach>* answers, Time now) const;
   void Log(std::string message, LogFields fields = {});
@@ -89,13 +103,15 @@
   LossLimiter limiter_;
   HeartbeatsReceived heartbeats_received_;
   uint64_t next_round_ = 1;
-  uint64_t health_round_ = 0;  // in progress; 0: none
-  uint64_t silent_round_ = 0;
+  // The survey of each kind that is in progress; 0 if there is none.
+  uint64_t sample_survey_round_ = 0;
+  uint64_t silent_survey_round_ = 0;
   std::map<uint64_t, Survey> surveys_;  // in progress, by round
-  // The latest decision on each cause, and when one was last refused.
-  std::array<LossDecision, kLossCauses> refusals_{};
-  std::array<Time, kLossCauses> refused_at_{};
-  std::mt19937_64 sampling_;
+  // For each cause of removal: the latest decision, and when a removal was last
+  // refused.
+  std::array<LossDecision, kLossCauses> latest_decisions_{};
+  std::array<Time, kLossCauses> last_refused_at_{};
+  std::mt19937_64 sample_rng_;
 };
 
 }  // namespace oxbow
