--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -102,9 +102,9 @@
 
 bool LivenessMonitor::HeartbeatOverdue(const Machine& machine, Time now) const {
   // How long a worker takes to give up on a controller that doesn't answer and
-  // to try the next one. Until then its missing heartbeats say nothing
-  // about the network of a leader that has just been elected. The same time
-  // is granted to a worker whose heartbeats another controller forwards, since
+  // to try the next one. Until then its missing heartbeats say nothing about
+  // the network of a leader that has just been elected. The same time is
+  // granted to a worker whose heartbeats another controller forwards, since
   // that controller may have stopped: otherwise each restart of a controller
   // would cause a needless leadership transfer.
   constexpr double kControllerSwitchSeconds =
@@ -162,14 +162,16 @@
 }
 
 // When several machines stop receiving responses at the same moment, the leader
-// notices one after the other, over a time of up to a worker's heartbeat
-// timeout. The extra wait (`spread`) makes sure that all of them count as
-// silent before the first one is given up.
+// notices this for one after the other, over the time between two heartbeats
+// and a worker's heartbeat timeout. The extra wait makes sure that all of them
+// count as silent before the first one is given up.
 bool LivenessMonitor::SilentTooLong(const Machine& machine, Time now) const {
-  const double spread = machine.reachability.receives_no_responses()
-                            ? kHeartbeatTimeoutSeconds / 2
-                            : 0;
-  return now - NoContactSince(machine, started_) > timeouts_.give_up + spread;
+  const double detection_spread_seconds =
+      machine.reachability.receives_no_responses()
+          ? kHeartbeatTimeoutSeconds / 2
+          : 0;
+  return now - NoContactSince(machine, started_) >
+         timeouts_.give_up + detection_spread_seconds;
 }
 
 // A machine is given up only while few are silent, and only if no other
@@ -188,8 +190,7 @@
     return false;
   }
   // Only a recent answer counts. While many machines were silent no survey was
-  // made, so an answer from before that time says nothing about the
-  // present.
+  // made, so an answer from before that time says nothing about the present.
   return machine.reached_by_none >
          std::max(no_contact_since, now - timeouts_.give_up);
 }
@@ -290,9 +291,9 @@
   SurveyMachineSample(now);
 }
 
-// Asks about a sample of all machines, silent or not. A survey of the
-// silent ones alone would favour a controller that reaches just these and none
-// of the others, which would be no better leader.
+// Asks about a sample of all machines, silent or not. A survey of the silent
+// ones alone would favour a controller that reaches just these and none of the
+// others, which would be no better leader.
 void LivenessMonitor::SurveyMachineSample(Time now) {
   if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
   std::vector<Machine*> all;
--- a/core/worker_sessions/machine_health.cc
+++ b/core/worker_sessions/machine_health.cc
@@ -11,9 +11,11 @@
   return now - machine.last_heard > timeouts_.suspect;
 }
 
-// Commands may reach a machine that reaches no controller, and it answers them.
-// But nothing renews its lease then: what is started there is lost when the
-// lease expires. A new leader gives each worker the time to find it.
+// Heartbeats must arrive, not just any messages: a machine that can't reach a
+// controller may still receive commands and answer them, but nothing renews its
+// lease, and the tasks started there are lost when the lease expires. After an
+// election each worker has the time to find the new leader before its missing
+// heartbeats count.
 bool MachineHealth::Usable(const Machine& machine, Time now) const {
   const Time last_heartbeat = std::max(
       machine.last_heartbeat,
--- a/core/worker_sessions/machine_lifecycle.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -16,10 +16,10 @@
 namespace oxbow {
 namespace {
 
-// The cloud's name for a machine that has failed.
+// The state that the cloud's list shows for a machine that has failed.
 constexpr const char* kFailedListState = "failed";
 
-// Indexed by LossCause; for the log.
+// The reason that is logged for a removal, indexed by LossCause.
 constexpr std::array<const char*, kLossCauses> kLossReasons = {
     "silent", "neither listed nor sending", "did not boot in time",
     "idle",   "its replicas fit elsewhere", "several jobs failed there"};
@@ -37,18 +37,18 @@
                      });
 }
 
-// How long a stopped task may take to save its state, if `seconds_left` remain
-// until its machine is gone; 0 if that is not enough to save anything.
+// How long, in seconds, a stopped task may take to save its state if its
+// machine disappears in `seconds_left`; 0 if the time is too short for it.
 double SaveGraceSeconds(const JobSpec& spec, double seconds_left) {
   const bool can_save =
       spec.checkpoint_seconds > 0 && spec.save_seconds < seconds_left;
   return can_save ? std::max(spec.save_seconds, seconds_left) : 0;
 }
 
-// Whether an attempt leaves a drained machine at once. Services do, and work
-// that can save its state, while there is time. Other work stays: it may yet
-// end before the machine is gone.
-bool LeavesAtOnce(const JobSpec& spec) {
+// Whether an attempt is stopped as soon as its machine is drained. Services and
+// tasks that can save their state are. Other tasks keep running, since they may
+// still end before the machine is gone.
+bool StopsWhenDrained(const JobSpec& spec) {
   return spec.kind == JobKind::kService || spec.checkpoint_seconds > 0;
 }
 
@@ -90,8 +90,8 @@
     return;
   }
   const JobSpec& spec = attempt.job->spec();
-  if (!LeavesAtOnce(spec)) return;
-  // If not, the next review asks again.
+  if (!StopsWhenDrained(spec)) return;
+  // If the disruption is not allowed now, the next review asks again.
   if (!rollout_manager_.DisruptionAllowed(KeyOf(attempt), *attempt.job, now)) {
     return;
   }
@@ -99,7 +99,8 @@
       machine.notice_until ? *machine.notice_until - now : 0;
   const double grace = SaveGraceSeconds(spec, seconds_left);
   if (spec.kind == JobKind::kGang && spec.tasks > 1) {
-    // A gang saves only if every task of it gets its stop in time.
+    // The tasks of a gang can save their state only if all of them are told to
+    // stop in time.
     dispatcher_.StopTasks(*attempt.job, grace, now);
   } else {
     dispatcher_.QueueStop(machine, attempt, grace, now);
@@ -116,7 +117,7 @@
   }
   if (cause == LossCause::kDistrusted) {
     machine.distrusted_until =
-        now + kDistrustLeases * settings_.workers.lease_seconds;
+        now + kCordonLeases * settings_.workers.lease_seconds;
     context_.Log("cordoning machine",
                  {{"host", machine.host()}, {"reason", reason}});
     return true;
@@ -158,7 +159,8 @@
       break;
   }
   if (DeleteIfSilent(machine, now)) return;
-  // The review of all attempts is not urgent: twice in a heartbeat interval.
+  // Reviewing all attempts is not urgent: twice per heartbeat interval is
+  // enough.
   if (now < machine.next_review) return;
   machine.next_review = now + settings_.workers.heartbeat_interval_seconds / 2;
   ReviewAttempts(machine, now);
@@ -182,20 +184,22 @@
   return true;
 }
 
-// A silent machine is deleted before its lease expires: the confirmation frees
-// its tasks sooner. Not when many are silent at once, for then it is the
-// network, and they will be back.
+// Deletes a silent machine before its worker's lease expires: once the cloud
+// has confirmed the deletion, its tasks can be restarted elsewhere. MayGiveUp()
+// forbids this when many machines are silent at once, since the cause is then
+// the network and the machines will come back.
 bool MachineLifecycle::DeleteIfSilent(Machine& machine, Time now) {
   const double lease = settings_.workers.lease_seconds;
   const bool has_attempts = !machine.task_attempts.empty();
-  // One that has never reported to a new leader counts from the failover, in
-  // which every machine was probed: the tasks it may have keep all old jobs
-  // waiting.
-  const bool worth_it =
+  // A machine with attempts is worth deleting, but not during the first lease
+  // of a new leader. A machine that has not reported to this leader is deleted
+  // without that wait, since every machine was probed at the failover: it may
+  // run unknown tasks, and all jobs from before the failover wait for it.
+  const bool worth_deleting =
       machine.reported
           ? has_attempts && now - context_.started > lease
           : has_attempts || now < machine.incarnation.MayLiveUntil(lease);
-  return machine.recorded_up && worth_it &&
+  return machine.recorded_up && worth_deleting &&
          liveness_.SilentTooLong(machine, now) &&
          liveness_.MayGiveUp(machine, now) &&
          RemoveMachine(machine, LossCause::kSilent, now);
@@ -203,7 +207,8 @@
 
 void MachineLifecycle::ReviewAttempts(Machine& machine, Time now) {
   if (machine.state() == MachineState::kDraining) EvictTasks(machine, now);
-  // A heartbeat lists every exit until it is forgotten; its size is limited.
+  // A heartbeat lists every exit until the worker may forget it, and the size
+  // of a heartbeat is limited. Beyond this number all exits are forgotten.
   constexpr size_t kMaxListedExits = 250;
   std::vector<TaskAttemptKey> to_stop;
   size_t exited = 0;
@@ -231,8 +236,8 @@
   dispatcher_.DispatchCommands(machine, now);
 }
 
-// The exit of a done task stays until the end of its job is recorded: if the
-// leader ended before that, the next one would start every task again.
+// The exit of a task that is done is kept until the end of its job is recorded.
+// Without it, a leader elected before that would start the task again.
 bool MachineLifecycle::ExitMayBeForgotten(const Machine& machine,
                                           const TaskAttempt& attempt,
                                           Time now) {
@@ -264,7 +269,7 @@
                               {"reason", reason}});
 }
 
-void MachineLifecycle::LoseTasks(Machine& machine, const char* reason) {
+void MachineLifecycle::MarkTasksLost(Machine& machine, const char* reason) {
   LogLostTasks(machine, reason);
   cluster_.MarkAllLost(machine);
 }
@@ -307,7 +312,8 @@
 }
 
 void MachineLifecycle::OnListedMachine(const ListedMachine& entry, Time now) {
-  if (cluster_.IsDeleted(entry.host)) return;  // the list lags
+  // The cloud's list lags: it still shows machines whose deletion is confirmed.
+  if (cluster_.IsDeleted(entry.host)) return;
   Machine* machine = cluster_.FindMachine(entry.host);
   if (machine == nullptr) {
     context_.Log("unexpected machine listed, taken into use",
@@ -325,18 +331,19 @@
   }
 }
 
-// Once listed, a machine stays listed until it is gone. The deletion of one
-// that is neither sending nor listed long after it was requested is asked for:
-// the confirmation makes certain what is only likely.
+// A machine that is listed once stays listed until it is gone. So a machine
+// that was requested long ago and is neither listed nor sending is probably
+// gone. Its deletion is requested, since only the cloud's confirmation makes
+// that certain.
 void MachineLifecycle::OnUnlistedMachine(Machine& machine, Time asked,
                                          Time now) {
-  const double lag = 2 * settings_.cloud.list_lag_seconds;
-  const bool silent = now - machine.last_heard > lag &&
-                      now - machine.requested_at > 2 * lag &&
-                      asked - context_.started > lag;
+  const double max_list_lag_seconds = 2 * settings_.cloud.list_lag_seconds;
+  const bool silent = now - machine.last_heard > max_list_lag_seconds &&
+                      now - machine.requested_at > 2 * max_list_lag_seconds &&
+                      asked - context_.started > max_list_lag_seconds;
   if (silent && machine.missing_in_list &&
       machine.state() != MachineState::kDeleting &&
-      now - machine.reached_by_other > lag) {
+      now - machine.reached_by_other > max_list_lag_seconds) {
     RemoveMachine(machine, LossCause::kUnlisted, now);
   }
   machine.missing_in_list = true;
--- a/core/worker_sessions/machine_limits.h
+++ b/core/worker_sessions/machine_limits.h
@@ -1,14 +1,15 @@
-// Limits that several modules share when they deal with machines.
+// Limits on machines and their workers that several modules share.
 #pragma once
 
 #include <cstddef>
 
 namespace oxbow {
 
-// A cordoned machine gets no new work for so many worker leases.
-inline constexpr double kDistrustLeases = 3;
+// How long a cordoned machine gets no new work, in worker leases.
+inline constexpr double kCordonLeases = 3;
 
-// Commands in one message to a worker; about 24 KiB.
+// The most commands in one message to a worker. Such a message has about 24
+// KiB.
 inline constexpr size_t kMaxCommandsPerBatch = 300;
 
 }  // namespace oxbow
--- a/core/worker_sessions/machine_record_operations.h
+++ b/core/worker_sessions/machine_record_operations.h
@@ -1,5 +1,6 @@
-// The writes of machines' records: a new leader must know every machine that
-// may run tasks.
+// Store operations that write and delete the records of machines. A machine is
+// recorded before it gets tasks, so that a new leader knows every machine that
+// may run some.
 #pragma once
 
 #include <string>
@@ -10,7 +11,8 @@
 
 namespace oxbow {
 
-// Records a machine that has sent a heartbeat, with its endpoint.
+// Records a machine that has sent a heartbeat, with the worker's endpoint, or
+// updates the record when the endpoint has changed.
 class RecordMachineOperation : public StoreOperation {
  public:
   RecordMachineOperation(LeaderContext& context, std::string host);
--- a/core/worker_sessions/task_attempt_tracker.cc
+++ b/core/worker_sessions/task_attempt_tracker.cc
@@ -54,8 +54,8 @@
   return "unknown";
 }
 
-// Whether the worker must have the attempt's image in its cache: it is past
-// fetching, or has run to its end.
+// Whether the status proves that the attempt's image is in the worker's cache:
+// the attempt is past fetching it, or has run to its end.
 bool ShowsCachedImage(const TaskStatus& status) {
   if (status.phase == TaskPhase::kExited) {
     return status.reason == ExitReason::kDone;
@@ -162,16 +162,16 @@
   if (!ClusterState::IsCurrent(machine, attempt)) return;
   const TaskState reported = StateOf(phase);
   const TaskState recorded = attempt.job->task(attempt.task).state;
-  // Never backwards: a gang that lost a task is reported as running until it
-  // exits, although its tasks are already saving.
+  // A task's state never moves back: the tasks of a gang that has lost one are
+  // reported as running until they exit, although they are already saving.
   if (recorded != TaskState::kSaving && reported > recorded) {
     attempt.job->ChangeTask(attempt.task, reported);
   }
 }
 
-// Stops an attempt whose job is unknown or has ended, or whose task runs
-// elsewhere. While the job's end is being recorded its attempts stay: the write
-// may fail.
+// An attempt must not run if its job is unknown or has ended, or if the task's
+// current attempt is another one. While the end of its job is still being
+// recorded, an attempt is kept, since that write may fail.
 void TaskAttemptTracker::StopIfUnwanted(Machine& machine, TaskAttempt& attempt,
                                         Time now) {
   if (attempt.job == nullptr && !reconciler_.MayStopUnknownTask(attempt, now)) {
@@ -221,8 +221,8 @@
   job_lifecycle_.RetireIfClear(*job);
 }
 
-// The exit is not forgotten on the machine until the end of the job is
-// recorded: a new leader learns from it that this task need not run again.
+// The worker keeps reporting this exit until the end of the job is recorded: it
+// tells a new leader that the task need not run again.
 void TaskAttemptTracker::OnTaskDone(Job& job, const TaskAttempt& attempt,
                                     bool was_running, Time now) {
   if (was_running) {
@@ -265,8 +265,9 @@
   }
   if (spec.kind == JobKind::kGang && spec.tasks > 1 &&
       !cluster_.HasLaterAttempt(job, attempt.attempt)) {
-    // The gang is incomplete: its other tasks stop as well, and the next
-    // attempt starts once every task of this one is surely gone.
+    // A gang can't run without one of its tasks. Its other tasks are stopped,
+    // and its next attempt starts once all tasks of this one have certainly
+    // ended.
     dispatcher_.StopTasks(job, /*grace_seconds=*/0, now);
   }
   dispatcher_.QueueForget(machine, attempt);
@@ -280,16 +281,18 @@
       settings_.workers.heartbeat_interval_seconds *
       (1 << std::min<uint32_t>(job.errors, kMaxDoublings));
   const double longest_backoff_seconds =
-      2 * kDistrustLeases * settings_.workers.lease_seconds;
-  // Many tasks of one array failing at once are one event.
+      2 * kCordonLeases * settings_.workers.lease_seconds;
+  // The maximum, not a sum: if many tasks of an array fail at once, the job is
+  // not delayed once for each of them.
   job.not_before = std::max(
       job.not_before, now + std::min(backoff_seconds, longest_backoff_seconds));
 }
 
-// One job's errors may be the job's own fault. Those of several jobs are the
-// machine's, unless these jobs fail everywhere: two faulty jobs would have
-// every machine cordoned that they run on, and nothing could be placed any
-// more. So the loss limiter bounds how many are.
+// The errors of one job may be its own fault. If several jobs fail on a
+// machine, the machine is probably faulty, unless these jobs fail everywhere:
+// two faulty jobs could get every machine cordoned that they run on, until no
+// machine is left for new work. So the loss limiter bounds the number of
+// cordoned machines.
 void TaskAttemptTracker::CordonIfJobsFailThere(Machine& machine,
                                                const std::string& job_id,
                                                Time now) {
--- a/core/worker_sessions/task_attempt_tracker.h
+++ b/core/worker_sessions/task_attempt_tracker.h
@@ -1,7 +1,8 @@
-// Applies what a heartbeat says of the tasks on its machine: adopts attempts
-// that this leader did not start, follows their phases, handles their exits and
-// drops those that are gone. Owns nothing; changes the cluster state through
-// its functions. Used by WorkerSessions alone.
+// Applies the task statuses in a heartbeat to the task attempts on the machine:
+// adopts attempts that this leader did not start, updates the phases of the
+// others, handles exits, and removes attempts that no longer exist. Owns
+// nothing; changes the cluster through the functions of ClusterState. Used by
+// WorkerSessions alone.
 #pragma once
 
 #include "core/leader_context/leader_context.h"
@@ -25,33 +26,43 @@
   };
   TaskAttemptTracker(LeaderContext& context, const Modules& modules);
 
-  // Brings the attempts on the machine in line with a heartbeat that is newer
-  // than every one applied before. `machine.seq` is already that of the
-  // heartbeat.
+  // Updates the attempts on the machine to match a heartbeat that is newer than
+  // all that were applied before. The caller has already set `machine.seq` to
+  // the heartbeat's sequence number.
   void ApplyTaskStatuses(Machine& machine, const Heartbeat& heartbeat,
                          Time now);
 
  private:
-  // A task that this leader did not know of: started by an earlier leader, or
-  // by a command whose outcome was given up.
+  // Adds an attempt that this leader did not know: an earlier leader has
+  // started it, or a command that this leader no longer expected to be
+  // executed.
   void AdoptRunningTask(Machine& machine, const TaskStatus& status, Time now);
   void UpdateAttempt(Machine& machine, TaskAttempt& attempt,
                      const TaskStatus& status, Time now);
   void UpdatePhase(Machine& machine, TaskAttempt& attempt, TaskPhase phase,
                    Time now);
+  // Stops an attempt that must not run.
   void StopIfUnwanted(Machine& machine, TaskAttempt& attempt, Time now);
+  // Removes the attempts that the heartbeat does not list, and that no start
+  // command in flight can still create.
   void RemoveUnlistedAttempts(Machine& machine, uint64_t heartbeat_seq);
 
-  // The attempt is shown to have exited, for the first time.
+  // Handles the first heartbeat that reports the exit of the attempt. It calls
+  // one of the next three functions.
   void OnExit(Machine& machine, TaskAttempt& attempt, ExitReason reason,
               Time now);
-  // Of an attempt that no live job counts on.
+  // The attempt's job is unknown, has ended, or has a later attempt of the
+  // task.
   void OnIrrelevantExit(Machine& machine, TaskAttempt& attempt, Time now);
+  // The attempt has completed its task.
   void OnTaskDone(Job& job, const TaskAttempt& attempt, bool was_running,
                   Time now);
-  // Of an attempt whose task has to run again.
+  // The task has to run again.
   void OnUnfinishedExit(Machine& machine, TaskAttempt& attempt, Time now);
+  // The task has failed: delays the job's next start, longer with each error.
   void OnTaskError(Job& job, Machine& machine, Time now);
+  // Counts the failed job, and cordons the machine once several jobs have
+  // failed there.
   void CordonIfJobsFailThere(Machine& machine, const std::string& job_id,
                              Time now);
 
