--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -39,17 +39,17 @@
                        /*endpoint=*/"", now + context_.wall_minus_steady,
                        /*mod_revision=*/0});
   machine.requested_at = now;
-  // While records that the key-value store lost are being written back, a
-  // living machine may be in none.
+  // Until all records that the key-value store has lost are written back, a
+  // living machine may be without a record, so its absence proves nothing.
   machine.stranger = catalog_.epoch().rebuilt;
   return machine;
 }
 
-// No task goes to a machine before its record is in the store: a new leader
-// must know every machine that can have one. A delayed copy of a heartbeat of a
-// deleted machine must not bring a record about, for every old job would wait
-// for that machine. So one without a record first has to show a token of this
-// leader.
+// A machine gets no task before its record is in the store, since a new leader
+// must know every machine that may run tasks. A delayed copy of a heartbeat
+// from a deleted machine must not create a record: after a failover every old
+// job would wait for that machine. So a machine without a record first has to
+// show a fencing token of this leader.
 void WorkerSessions::RecordMachineUp(Machine& machine, Time now) {
   if (machine.recorded_up || machine.state() != MachineState::kUp ||
       machine.stranger) {
@@ -83,10 +83,12 @@
   return machine;
 }
 
-// Whether a heartbeat is newer than all before it. If not, it is a copy, was
-// delayed or overtaken on its way, or is of an incarnation that is over.
-bool WorkerSessions::IsNews(const Machine& machine, const Heartbeat& heartbeat,
-                            Time now) const {
+// Whether a heartbeat is newer than all that were applied before. If not, it is
+// a duplicate, was delayed or overtaken on its way, or belongs to an
+// incarnation that has ended.
+bool WorkerSessions::IsNewHeartbeat(const Machine& machine,
+                                    const Heartbeat& heartbeat,
+                                    Time now) const {
   if (!machine.incarnation.MayBeNews(heartbeat.incarnation)) return false;
   if (heartbeat.incarnation != machine.incarnation.number()) return true;
   return heartbeat.seq > machine.seq &&
@@ -95,16 +97,17 @@
              delegated_leases_.MayBeRenewed(machine.zone, now), now);
 }
 
-// Whether the worker may be waiting for the answer to this heartbeat. One that
-// was overtaken by the response to a command or a probe was sent before that
-// was made, and is waited for no longer than the heartbeat's timeout. Each
-// answer to a heartbeat extends the time until which the machine's tasks may
-// live: for a dead machine, copies of its heartbeats extend it for one timeout
-// after the last new one, and not without an end.
+// Whether the worker may still be waiting for the answer to this heartbeat. If
+// the worker's response to a command or a probe has overtaken the heartbeat,
+// the heartbeat was sent before that response, and the worker waits for its
+// answer no longer than the heartbeat timeout. Each answer extends the time
+// until which the leader assumes that the machine's tasks may live. With this
+// bound, duplicates of a dead machine's heartbeats can extend it only for one
+// timeout after the last new heartbeat, not forever.
 bool WorkerSessions::WorkerMayAwaitResponse(const Machine& machine,
                                             const Heartbeat& heartbeat,
                                             Time now) const {
-  if (IsNews(machine, heartbeat, now)) return true;
+  if (IsNewHeartbeat(machine, heartbeat, now)) return true;
   return heartbeat.incarnation == machine.incarnation.number() &&
          machine.incarnation.alive() && heartbeat.seq <= machine.seq &&
          now - machine.last_heard <= kHeartbeatTimeoutSeconds * (1 + kDrift);
@@ -125,7 +128,7 @@
     return refusal;
   }
   Machine& machine = MachineForHeartbeat(heartbeat, now);
-  if (AllowsLeaseToExpire(machine, heartbeat.token, now)) {
+  if (MustLetLeaseExpire(machine, heartbeat.token, now)) {
     ApplyHeartbeat(machine, heartbeat, HeartbeatChannel::kWorkerResponse, now);
     HeartbeatResponse withheld;
     withheld.withheld = true;
@@ -137,16 +140,17 @@
 HeartbeatResponse WorkerSessions::Respond(Machine& machine,
                                           const Heartbeat& heartbeat,
                                           Time now) {
-  // Even one that is not new: its worker takes the answer as a renewal.
+  // This applies even to a heartbeat that is not new, since its worker takes
+  // the answer as a renewal of the lease.
   machine.incarnation.Change(IncarnationEvent::kAnswered, 0, now);
   if (machine.first_answer < context_.started) machine.first_answer = now;
   machine.last_answer = now;
-  const bool news = IsNews(machine, heartbeat, now);
+  const bool is_new = IsNewHeartbeat(machine, heartbeat, now);
   dispatcher_.SetRespondingTo(&machine);
   ApplyHeartbeat(machine, heartbeat, HeartbeatChannel::kHeartbeat, now);
   dispatcher_.SetRespondingTo(nullptr);
   maintenance_.DropLateStarts(machine, now);
-  if (news) {
+  if (is_new) {
     machine.last_heartbeat = now;
     machine.forwarded = heartbeat.forwarded;
   }
@@ -158,7 +162,7 @@
   dispatcher_.FillResponse(machine, &response, now);
   AddStopCommands(machine, &response);
   response.token = machine.token;
-  if (news) {
+  if (is_new) {
     machine.reachability.OnResponse(
         {.heartbeat_seq = heartbeat.seq,
          .sent_token = machine.token,
@@ -170,9 +174,10 @@
   return response;
 }
 
-// An answer renews the lease, and may be the only one for long that gets
-// through. So each repeats the commands that stop the tasks of ended jobs.
-// Executing one twice does no harm; they are not counted as a batch.
+// An answer that renews the lease may be the last one to get through for a long
+// time. So each answer repeats the commands that stop the tasks of ended jobs.
+// Executing a stop twice does no harm. These commands are not part of a batch,
+// so the worker need not acknowledge them.
 void WorkerSessions::AddStopCommands(const Machine& machine,
                                      HeartbeatResponse* response) const {
   for (const auto& [key, attempt] : machine.task_attempts) {
@@ -198,7 +203,7 @@
 void WorkerSessions::ApplyHeartbeat(Machine& machine,
                                     const Heartbeat& heartbeat,
                                     HeartbeatChannel channel, Time now) {
-  if (!IsNews(machine, heartbeat, now)) return;
+  if (!IsNewHeartbeat(machine, heartbeat, now)) return;
   if (heartbeat.token > machine.token &&
       TermOfToken(heartbeat.token) > context_.term) {
     context_.GiveUp(machine.host() + " has seen a newer leader's token");
@@ -256,7 +261,7 @@
         {.seq = heartbeat.seq,
          .shown_token = heartbeat.token,
          .seconds_since_last = now - machine.last_heartbeat,
-         .lacks_command_effects = MissesCommandEffects(machine, heartbeat)},
+         .lacks_command_effects = LacksCommandEffects(machine, heartbeat)},
         settings_.workers, now);
   }
   machine.reachability.OnTokenShown(heartbeat.token, machine.token,
@@ -264,10 +269,10 @@
   LogReachabilityChange(machine, before);
 }
 
-// Whether a heartbeat lacks tasks that start commands in the response to the
-// one before it must have begun.
-bool WorkerSessions::MissesCommandEffects(const Machine& machine,
-                                          const Heartbeat& heartbeat) const {
+// Whether the heartbeat does not list a task that the response to the previous
+// heartbeat has told the worker to start. If so, that response did not arrive.
+bool WorkerSessions::LacksCommandEffects(const Machine& machine,
+                                         const Heartbeat& heartbeat) const {
   if (!machine.batch || !machine.batch->in_response) return false;
   const auto lists_task_of = [&](const WorkerCommand& command) {
     return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
@@ -310,14 +315,15 @@
 
 // --- lease expiry
 
-// Whether to leave the machine's heartbeats unanswered so that its lease
-// expires: for a whole lease no response and no command of this leader has had
-// an effect there. Once the last lease that was renewed has expired, everything
-// that former leaders started or sent there is over, whatever it reports. While
-// such machines were answered, every old job, and every job of a team with a
-// maximum, waited for them without an end.
-bool WorkerSessions::AllowsLeaseToExpire(const Machine& machine,
-                                         FencingToken shown, Time now) const {
+// Whether to leave the machine's heartbeats unanswered so that its worker's
+// lease expires. This is the case when no response and no command of this
+// leader has had an effect there for a whole lease. Once the lease that was
+// renewed last has expired, all tasks and commands of earlier leaders are void
+// there, whatever the worker reports. If such machines were answered instead,
+// every job from before the failover, and every job of a team with a quota,
+// would wait for them forever.
+bool WorkerSessions::MustLetLeaseExpire(const Machine& machine,
+                                        FencingToken shown, Time now) const {
   const FencingToken highest_shown =
       std::max(machine.seen_fencing_token, shown);
   return machine.recorded_up && !machine.reported &&
@@ -329,7 +335,7 @@
 }
 
 bool WorkerSessions::LeaseExpired(const Machine& machine, Time now) const {
-  return AllowsLeaseToExpire(machine, machine.seen_fencing_token, now) &&
+  return MustLetLeaseExpire(machine, machine.seen_fencing_token, now) &&
          !delegated_leases_.MayBeRenewed(machine.zone, now) &&
          now > TasksMayLiveUntil(machine.last_answer,
                                  settings_.workers.lease_seconds);
@@ -338,7 +344,8 @@
 bool WorkerSessions::IncarnationExpired(const Machine& machine, Time now) {
   const double lease = settings_.workers.lease_seconds;
   const Time expires_at = machine.incarnation.MayLiveUntil(lease);
-  // Delegates are asked a little before, so that nothing waits for them.
+  // The delegates are asked to yield a little before the lease ends, so that
+  // the expiry need not wait for their answers.
   const double early = 2 * LeaseYieldSeconds(settings_.workers);
   if (now <= expires_at - early) return false;
   const std::vector<std::string> asked =
@@ -350,12 +357,12 @@
 void WorkerSessions::Expire(Machine& machine, Time now) {
   machine.incarnation.Change(IncarnationEvent::kExpire, 0, now);
   machine_lifecycle_.LoseTasks(machine, "lease expired, no heartbeat answered");
-  machine.reported = true;  // accounted for
+  machine.reported = true;  // The machine's tasks are known now: none is left.
   machine.idle_since = now;
   cluster_.MarkChanged();
 }
 
-void WorkerSessions::BeginTick() { incarnations_unsettled_ = false; }
+void WorkerSessions::BeginTick() { delegates_may_have_renewed_ = false; }
 
 void WorkerSessions::ExpireIfOver(Machine& machine, Time now) {
   const bool may_have_tasks = !machine.task_attempts.empty() || machine.batch ||
@@ -366,8 +373,8 @@
   }
   const double silent_seconds =
       now - std::max(machine.last_heard, context_.started);
-  incarnations_unsettled_ =
-      incarnations_unsettled_ || silent_seconds > context_.timeouts.suspect;
+  delegates_may_have_renewed_ =
+      delegates_may_have_renewed_ || silent_seconds > context_.timeouts.suspect;
   if (IncarnationExpired(machine, now)) {
     Expire(machine, now);
   } else if (LeaseExpired(machine, now)) {
@@ -380,7 +387,7 @@
 }
 
 void WorkerSessions::EndTick(Time now) {
-  if (!incarnations_unsettled_ || now < next_delegates_read_) return;
+  if (!delegates_may_have_renewed_ || now < next_delegates_read_) return;
   next_delegates_read_ = now + LeaseYieldSeconds(settings_.workers);
   actions_.push_back(ReadDelegates{});
 }
@@ -389,7 +396,7 @@
 
 bool WorkerSessions::ZoneSettled(const std::string& zone, Time now) const {
   for (const auto& machine : cluster_.machines()) {
-    // Which tasks it has is not known yet.
+    // A machine that has not reported to this leader may have any tasks.
     if (machine->zone == zone && machine->recorded_up && !machine->reported &&
         machine->state() != MachineState::kGone) {
       return false;
--- a/core/worker_sessions/worker_sessions.h
+++ b/core/worker_sessions/worker_sessions.h
@@ -1,7 +1,8 @@
-// What a heartbeat changes: incarnation, fencing token, lease and reachability
-// of its worker, and by way of TaskAttemptTracker the task attempts there.
-// Decides which heartbeats are new, which are answered, and when the lease of a
-// silent worker has surely expired. Owns the delegated leases.
+// The leader's sessions with the workers. A heartbeat updates the incarnation,
+// fencing token, lease and reachability of its worker and, through
+// TaskAttemptTracker, the task attempts on its machine. This module decides
+// which heartbeats are new, which of them are answered, and when the lease of a
+// silent worker has certainly expired. Owns the delegated leases.
 #pragma once
 
 #include <optional>
@@ -21,12 +22,14 @@
 class Reconciler;
 class MachineLifecycle;
 
-// How a heartbeat's content has come.
+// The way in which the content of a heartbeat has reached the leader.
 enum class HeartbeatChannel : uint8_t {
-  // The worker has sent it by itself, and it is answered. Only an answer to
-  // such a one renews the worker's lease.
+  // In a heartbeat that the worker has sent of its own accord and that the
+  // leader answers. Only the answer to such a heartbeat renews the worker's
+  // lease.
   kHeartbeat,
-  // In the worker's response to commands or to a probe; or it is not answered.
+  // In the worker's response to commands or to a probe, or in a heartbeat that
+  // the leader does not answer.
   kWorkerResponse,
 };
 
@@ -41,15 +44,16 @@
     Reconciler& reconciler;
     MachineLifecycle& machine_lifecycle;
   };
-  // `delegates`: controllers with a recorded delegated lease as of the
-  // beginning of this leadership; nothing: that is not known.
+  // `delegates`: the controllers that had a recorded delegated lease when this
+  // leadership began; nullopt if that is not known.
   WorkerSessions(LeaderContext& context, const Modules& modules,
                  const std::optional<std::set<std::string>>& delegates);
 
   // --- heartbeats
-  // The answer to a worker's heartbeat.
+  // Applies a worker's heartbeat and returns the answer to it.
   HeartbeatResponse OnHeartbeat(const Heartbeat& heartbeat, Time now);
-  // A worker's answer to a probe. False if its machine is deleted.
+  // Applies a worker's answer to a probe. Returns false if the machine has been
+  // deleted.
   bool OnProbeAnswer(const Heartbeat& heartbeat, Time now);
   // Applies a heartbeat to its machine; one that is not new changes nothing.
   void ApplyHeartbeat(Machine& machine, const Heartbeat& heartbeat,
@@ -59,33 +63,40 @@
   // BeginTick, ExpireIfOver for each machine and EndTick, in this order, once
   // in each tick of the leader.
   void BeginTick();
-  // Takes what is on the machine for lost once its lease has surely expired.
-  // Only while the right to lead rests on the leader key's lease.
+  // Marks the tasks on the machine as lost once its worker's lease has
+  // certainly expired. To be called only while this controller leads by the
+  // lease of the leader key.
   void ExpireIfOver(Machine& machine, Time now);
   void EndTick(Time now);
-  // Leases that have expired of workers that then sent a heartbeat again.
+  // How many leases have expired of workers that were heard again afterwards,
+  // in a new incarnation.
   uint64_t expired_leases() const { return expired_leases_; }
 
   // --- delegated leases
   DelegatedLeases& delegated_leases() { return delegated_leases_; }
-  // Whether the zone has no task, known or possible, that must be gone before
-  // a delegated lease granted now could end.
+  // Whether a delegated lease may be granted for the zone: false if it has, or
+  // may have, tasks that must have ended before such a lease would expire.
   bool ZoneSettled(const std::string& zone, Time now) const;
-  // A controller asks for a delegated lease of the workers in its zone. False:
-  // refused. `process_incarnation` and `age` (s) are of its process.
+  // The controller `peer` asks for a delegated lease for the workers in its
+  // zone. Returns whether it is granted. `process_incarnation` and `age`, in
+  // seconds, are those of that controller's process.
   bool OnDelegationAsked(const std::string& peer,
                          const std::string& process_incarnation, double age,
                          Time now);
 
  private:
   // --- heartbeats
-  // The machine of the heartbeat, added if it is unknown, and up.
+  // Returns the machine that has sent the heartbeat, in the up state if it was
+  // booting. Adds the machine if it is unknown.
   Machine& MachineForHeartbeat(const Heartbeat& heartbeat, Time now);
   Machine& AddUnexpectedMachine(const Heartbeat& heartbeat, Time now);
+  // Records the machine in the key-value store, once that is allowed.
   void RecordMachineUp(Machine& machine, Time now);
+  // Whether the heartbeat must not be answered, since its machine is deleted or
+  // its worker no longer waits for the answer.
   bool MustRefuse(const Heartbeat& heartbeat, Time now) const;
-  bool IsNews(const Machine& machine, const Heartbeat& heartbeat,
-              Time now) const;
+  bool IsNewHeartbeat(const Machine& machine, const Heartbeat& heartbeat,
+                      Time now) const;
   bool WorkerMayAwaitResponse(const Machine& machine,
                               const Heartbeat& heartbeat, Time now) const;
   HeartbeatResponse Respond(Machine& machine, const Heartbeat& heartbeat,
@@ -96,18 +107,22 @@
                          Time now);
   void UpdateReachability(Machine& machine, const Heartbeat& heartbeat,
                           HeartbeatChannel channel, Time now);
-  bool MissesCommandEffects(const Machine& machine,
-                            const Heartbeat& heartbeat) const;
+  bool LacksCommandEffects(const Machine& machine,
+                           const Heartbeat& heartbeat) const;
   void LogReachabilityChange(const Machine& machine, ReachabilityState before);
   void ApplyPreemptionNotice(Machine& machine, double notice_seconds, Time now);
 
   // --- lease expiry
-  bool AllowsLeaseToExpire(const Machine& machine, FencingToken shown,
-                           Time now) const;
+  bool MustLetLeaseExpire(const Machine& machine, FencingToken shown,
+                          Time now) const;
+  // Whether the lease has expired of a worker whose heartbeats have been left
+  // unanswered for that purpose.
   bool LeaseExpired(const Machine& machine, Time now) const;
-  // Whether the machine's incarnation is over: not while a delegate in its zone
-  // may have renewed its lease. Asks the delegates to yield before.
+  // Whether the lease of the machine's incarnation has expired. False while a
+  // delegate in its zone may have renewed that lease; to rule this out, asks
+  // the delegates to yield shortly before the lease ends.
   bool IncarnationExpired(const Machine& machine, Time now);
+  // Ends the incarnation and marks its tasks as lost.
   void Expire(Machine& machine, Time now);
 
   LeaderContext& context_;
@@ -121,8 +136,9 @@
   MachineLifecycle& machine_lifecycle_;
   TaskAttemptTracker task_attempts_;
   DelegatedLeases delegated_leases_;
-  // In this tick: a delegate may have renewed a silent incarnation.
-  bool incarnations_unsettled_ = false;
+  // Whether this tick has found a silent machine whose lease a delegate may
+  // have renewed, so that the records of the delegates are to be read again.
+  bool delegates_may_have_renewed_ = false;
   uint64_t expired_leases_ = 0;
   Time next_delegates_read_ = 0;
 };
