--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -15,7 +15,8 @@
   return {command.job_id, command.task, command.attempt};
 }
 
-// The attempt that the command is about; null if it is not there.
+// The attempt that the command refers to, or null if the machine does not have
+// it.
 TaskAttempt* FindAttempt(Machine& machine, const WorkerCommand& command) {
   const auto it = machine.task_attempts.find(KeyOf(command));
   return it == machine.task_attempts.end() ? nullptr : &it->second;
@@ -35,7 +36,7 @@
                                   double grace_seconds, Time now) {
   if (attempt.phase == TaskPhase::kExited) return;
   if (attempt.start_progress == StartProgress::kQueued) {
-    // Its start was never sent, so it is not there.
+    // The start command was never sent, so there is no task to stop.
     cluster_.RemoveAttempt(machine, KeyOf(attempt));
     return;
   }
@@ -48,11 +49,12 @@
 }
 
 void CommandDispatcher::QueueForget(Machine& machine, TaskAttempt& attempt) {
-  // A start of this attempt that is still in flight would be executed anew
-  // once the worker has forgotten it; the batch has to be acknowledged first.
+  // A worker that has forgotten the attempt would execute a start command for
+  // it that is still in flight once more. So that batch must be acknowledged
+  // first.
   if (attempt.forgetting || attempt.phase != TaskPhase::kExited) return;
   if (!machine.confirmed() || machine.batch_lost)
-    return;  // TickMachine tries again
+    return;  // MachineLifecycle::TickMachine tries again.
   attempt.forgetting = true;
   machine.queue.push_back(
       {CommandKind::kForget, attempt.job_id, attempt.task, attempt.attempt, 0});
@@ -107,21 +109,23 @@
 }
 
 bool CommandDispatcher::HasDirectCommands(const Machine& machine) const {
-  // An empty batch makes the worker show its token. That of a delivery check
-  // must not be sent this way.
+  // An empty batch makes the worker show the current token. The token of a
+  // delivery check must not be sent this way, since the check is to prove that
+  // heartbeat responses arrive.
   const bool wants_empty_batch =
       !machine.confirmed() && !machine.reachability.needs_proof();
   if (machine.queue.empty() && !wants_empty_batch) return false;
   if (!maintenance_.HasCalendarStart(machine)) return true;
-  // The response to the machine's heartbeat takes everything: what was sent
-  // directly now would be in flight, and no start could be in the response.
+  // While the machine's heartbeat is being answered, all commands wait for the
+  // response. A batch sent directly now would be in flight, and then the
+  // response could not carry the start commands.
   if (responding_to_ == &machine) return false;
-  const bool all_in_response =
+  const bool all_wait_for_response =
       std::all_of(machine.queue.begin(), machine.queue.end(),
                   [&](const WorkerCommand& command) {
                     return maintenance_.SentInHeartbeatResponse(command);
                   });
-  return !machine.confirmed() || !all_in_response;
+  return !machine.confirmed() || !all_wait_for_response;
 }
 
 void CommandDispatcher::DispatchCommands(Machine& machine, Time now) {
@@ -137,13 +141,14 @@
 
 std::vector<WorkerCommand> CommandDispatcher::TakeDirectCommands(
     Machine& machine) {
-  const bool some_in_response = maintenance_.HasCalendarStart(machine);
+  const bool some_wait_for_response = maintenance_.HasCalendarStart(machine);
   std::vector<WorkerCommand> commands;
   std::deque<WorkerCommand> remaining;
   while (!machine.queue.empty() && commands.size() < kMaxCommandsPerBatch) {
     WorkerCommand command = std::move(machine.queue.front());
     machine.queue.pop_front();
-    if (some_in_response && maintenance_.SentInHeartbeatResponse(command)) {
+    if (some_wait_for_response &&
+        maintenance_.SentInHeartbeatResponse(command)) {
       remaining.push_back(std::move(command));
       continue;
     }
@@ -160,11 +165,12 @@
   return commands;
 }
 
-// A worker whose heartbeats get through while nothing reaches its address has
-// to get its commands in the responses. After an unanswered batch it takes two
-// heartbeats until its token is confirmed. With a pause of one, every second
-// attempt used the broken path again, and a cancelled task outlived the time
-// that a cancellation has.
+// A worker whose heartbeats arrive while nothing reaches its address must get
+// its commands in the heartbeat responses. After an unanswered batch it takes
+// two heartbeats until the worker has shown the new token. So from the second
+// failure on the pause is longer than that. When it was one heartbeat long,
+// every second attempt used the broken path again, and a cancelled task ran for
+// longer than a cancellation may take.
 void CommandDispatcher::OnDirectCommandFailed(Machine& machine, Time now) {
   constexpr uint32_t kMaxDoublings = 4;
   const uint32_t doublings = std::min(machine.direct_failures++, kMaxDoublings);
@@ -196,7 +202,7 @@
 void CommandDispatcher::OnCommandResponse(Machine& machine, uint64_t batch,
                                           CommandOutcome outcome, Time now) {
   if (!machine.batch || machine.batch->id != batch || machine.batch_lost) {
-    return;  // settled in another way meanwhile
+    return;  // The outcome of this batch has been settled by other means.
   }
   switch (outcome) {
     case CommandOutcome::kExecuted:
@@ -219,11 +225,12 @@
   const std::vector<WorkerCommand> commands = machine.batch->commands;
   machine.direct_failures = 0;
   AcknowledgeBatch(machine);
-  AllowRepetition(machine, commands);
+  AllowRequeue(machine, commands);
 }
 
-// Certainly not executed. Starts are placed anew, maybe elsewhere; the other
-// commands are queued again.
+// The commands have certainly not been executed. Tasks that were to be started
+// are placed anew, maybe on other machines. The other commands are queued
+// again.
 void CommandDispatcher::OnBatchNotSent(Machine& machine, Time now) {
   std::vector<WorkerCommand> commands = std::move(machine.batch->commands);
   machine.batch.reset();
@@ -237,18 +244,18 @@
   }
 }
 
-// It may be executed minutes from now, unless the worker has seen a higher
-// token by then.
+// The batch may still be executed, even minutes from now, unless the worker has
+// seen a higher fencing token by then.
 void CommandDispatcher::OnBatchOutcomeUnknown(Machine& machine, Time now) {
   machine.batch_lost = true;
   OnDirectCommandFailed(machine, now);
-  AllowRepetition(machine, machine.batch->commands);
+  AllowRequeue(machine, machine.batch->commands);
   RaiseFencingToken(machine);
   context_.Log("commands unanswered, fencing token raised",
                {{"host", machine.host()}});
 }
 
-void CommandDispatcher::AllowRepetition(
+void CommandDispatcher::AllowRequeue(
     Machine& machine, const std::vector<WorkerCommand>& commands) {
   for (const WorkerCommand& command : commands) {
     if (command.kind == CommandKind::kStart) continue;
--- a/core/command_dispatch/command_dispatcher.h
+++ b/core/command_dispatch/command_dispatcher.h
@@ -1,7 +1,9 @@
-// Commands to the workers: queued for each machine and sent in batches, to the
-// worker's address or in the response to its heartbeat. One batch at a time is
-// in flight for a machine; it is acknowledged, or its outcome is settled by a
-// higher fencing token. Changes the queues and batches of the machines.
+// Sends commands to the workers. Commands are queued for each machine and leave
+// in batches, either directly to the worker's address or in the response to its
+// heartbeat. Each machine has at most one batch in flight, until the batch is
+// acknowledged or the worker has shown a higher fencing token, after which the
+// batch can no longer be executed. Changes the queues and batches of the
+// machines.
 #pragma once
 
 #include <cstdint>
@@ -22,56 +24,65 @@
   };
   CommandDispatcher(LeaderContext& context, const Modules& modules);
 
-  // Queues a stop of the attempt and dispatches. The task has `grace_seconds`
-  // to save its state. An attempt whose start was never sent is removed, and
-  // the reference to it is invalid then.
+  // Queues a stop command for the attempt and sends it if possible. The task
+  // has `grace_seconds` to save its state. An attempt whose start command was
+  // never sent is removed instead, which invalidates the reference to it.
   void QueueStop(Machine& machine, TaskAttempt& attempt, double grace_seconds,
                  Time now);
-  // Queues that the worker may forget an exit. Does nothing while a start of
-  // the attempt may still be in flight.
+  // Queues the command that lets the worker forget the attempt's exit and stop
+  // reporting it. Does nothing while a start command for the attempt may still
+  // be in flight.
   void QueueForget(Machine& machine, TaskAttempt& attempt);
-  // Stops every task of the job that is not being stopped already.
+  // Queues stop commands for all tasks of the job that are not being stopped
+  // already.
   void StopTasks(Job& job, double grace_seconds, Time now);
-  // The end of the job is recorded: its tasks are stopped at once, its exits
-  // forgotten.
+  // Called when the end of the job is recorded. Stops its remaining tasks
+  // without time to save, and lets the workers forget the exits of the others.
   void StopJob(Job& job, Time now);
 
-  // Sends what is queued to the worker's address, if no batch is in flight. An
-  // empty batch under a token that the worker has not shown yet settles what
-  // an earlier leader may have sent.
+  // Sends a batch of queued commands to the worker's address if none is in
+  // flight and direct commands may be sent now. The batch may be empty: if the
+  // worker has not shown the current fencing token, an empty batch with that
+  // token makes sure that no earlier command, of this leader or another, can
+  // still be executed.
   void DispatchCommands(Machine& machine, Time now);
-  // The outcome of a batch that was sent to the worker's address.
+  // Handles the outcome of a batch that was sent to the worker's address.
+  // `batch` is its id.
   void OnCommandResponse(Machine& machine, uint64_t batch,
                          CommandOutcome outcome, Time now);
-  // The worker has shown the effects of the batch in flight, of which there is
-  // one.
+  // The worker has shown the effects of the batch in flight, so the next one
+  // may be sent. The machine must have a batch in flight.
   void AcknowledgeBatch(Machine& machine);
-  // Gives the machine a new fencing token.
+  // Gives the machine a new, higher fencing token. Once the worker has seen it,
+  // the worker refuses all commands that carry a lower one.
   void RaiseFencingToken(Machine& machine);
 
-  // The machine's heartbeat is being answered, until it is called with null:
-  // starts that may be sent in a heartbeat response only wait for it.
+  // Says whose heartbeat is being answered at the moment; null: none. Starts
+  // that may only be sent in a heartbeat response then wait for this response.
   void SetRespondingTo(const Machine* machine) { responding_to_ = machine; }
-  // Puts the queued commands into the response, where they may not, or can't,
-  // be sent to the worker's address.
+  // Puts the queued commands into the response to the machine's heartbeat if
+  // they must not be sent to the worker's address, or if direct commands have
+  // failed lately.
   void FillResponse(Machine& machine, HeartbeatResponse* response, Time now);
 
  private:
   // Whether a batch may be sent to the worker's address now.
   bool MayDispatch(const Machine& machine, Time now) const;
-  // Whether there is something to send that need not wait for a response.
+  // Whether there is something to send that need not wait for the next
+  // heartbeat response.
   bool HasDirectCommands(const Machine& machine) const;
-  // Takes the commands of one batch from the queue.
+  // Removes the commands of the next direct batch from the queue and returns
+  // them.
   std::vector<WorkerCommand> TakeDirectCommands(Machine& machine);
-  // Delays the next batch to the worker's address, longer each time.
+  // Delays the next batch to the worker's address, longer with each failure.
   void OnDirectCommandFailed(Machine& machine, Time now);
   void OnBatchRefused(Machine& machine);
   void OnBatchNotSent(Machine& machine, Time now);
   void OnBatchOutcomeUnknown(Machine& machine, Time now);
-  // Stops and forgets among the commands may have had no effect: they may be
+  // Lets the stop and forget commands of a batch that may have had no effect be
   // queued again.
-  void AllowRepetition(Machine& machine,
-                       const std::vector<WorkerCommand>& commands);
+  void AllowRequeue(Machine& machine,
+                    const std::vector<WorkerCommand>& commands);
 
   LeaderContext& context_;
   const Settings& settings_;
@@ -79,7 +90,7 @@
   std::vector<Action>& actions_;
   MaintenanceManager& maintenance_;
   uint64_t next_batch_ = 1;
-  const Machine* responding_to_ = nullptr;  // whose heartbeat is being answered
+  const Machine* responding_to_ = nullptr;  // its heartbeat is being answered
 };
 
 }  // namespace oxbow
