--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -49,9 +49,9 @@
 }
 
 void CommandDispatcher::QueueForget(Machine& machine, TaskAttempt& attempt) {
-  // A worker that has forgotten the attempt would execute a start command for
-  // it that is still in flight once more. So that batch must be acknowledged
-  // first.
+  // A start command for this attempt that is still in flight would be executed
+  // again once the worker has forgotten the attempt. So the batch with that
+  // command must be acknowledged first.
   if (attempt.forgetting || attempt.phase != TaskPhase::kExited) return;
   if (!machine.confirmed() || machine.batch_lost)
     return;  // MachineLifecycle::TickMachine tries again.
--- a/core/reconciliation/reconciler.cc
+++ b/core/reconciliation/reconciler.cc
@@ -11,9 +11,9 @@
 namespace oxbow {
 namespace {
 
-// The order in which records are written back. Machines come first: a leader
-// that is elected meanwhile has to know which ones to ask. Then live services,
-// then the other jobs that users wait for.
+// The order in which records are written back. Machines come first, since a
+// leader that is elected meanwhile must know which machines to ask. Then come
+// live production jobs, then the other live jobs that users wait for.
 enum class Urgency { kMachine, kProductionJob, kOtherJob, kOther };
 
 Urgency UrgencyOf(const Catalog& catalog, const std::string& key) {
@@ -42,8 +42,9 @@
       dependencies_(modules.dependencies),
       job_lifecycle_(modules.job_lifecycle) {}
 
-// Either the task's job has ended, which is known or can be read, or its record
-// is lost. In the latter case stopping it would lose the work as well.
+// A task's job is unknown either because it has ended, which is known or can be
+// read from the store, or because its record is lost. In the latter case, to
+// stop the task would lose its work as well.
 bool Reconciler::MayStopUnknownTask(const TaskAttempt& attempt, Time now) {
   if (!RecoveryEnabled() ||
       catalog_.FindTerminalState(attempt.job_id) != TerminalState::kNone) {
@@ -103,10 +104,12 @@
 
 void Reconciler::TickReconciliation(Time now) {
   CompareWithRecords(now);
-  // After the rebuild nothing is pending, except on a leader that had no part
-  // in it and was elected before it has contributed what it remembers.
+  // Once this store epoch is rebuilt nothing is pending, except on a leader
+  // that had no part in the rebuild and was elected before it has contributed
+  // the records that it retains.
   if (catalog_.epoch().rebuilt && catalog_.pending_writes().empty()) return;
-  // Current writes come first; these fill the rest of the transactions.
+  // Current writes come first. Writes of the reconciliation only fill the rest
+  // of a transaction.
   const auto batch = static_cast<size_t>(settings_.store.txn_ops);
   if (writes_.waiting() >= batch) return;
   size_t queued = QueuePendingRecords(batch);
@@ -120,19 +123,19 @@
   writes_.Flush(now);
 }
 
-// A record may escape every event: its notification was lost, its job was
-// accepted while this leader was being elected, or a terminal state was read on
-// the side. Without this comparison the job would stay as it is for ever, and a
-// cancellation of it would be refused for as long.
+// This leader may learn of a record by no event: the notification was lost, the
+// job was accepted while this leader was being elected, or its terminal state
+// was read for another purpose. Without this comparison the job would keep its
+// state forever, and a request to cancel it would be refused forever.
 void Reconciler::CompareWithRecords(Time now) {
   if (next_comparison_ && now < *next_comparison_) return;
   next_comparison_ = now + settings_.workers.lease_seconds;
-  TakeUpMissedJobRecords(now);
-  TakeUpMissedWaitingRecords(now);
+  ProcessMissedJobRecords(now);
+  ProcessMissedWaitingRecords(now);
   ResolveJobsWithoutRecord(now);
 }
 
-void Reconciler::TakeUpMissedJobRecords(Time now) {
+void Reconciler::ProcessMissedJobRecords(Time now) {
   std::vector<std::string> missed;
   for (const auto& [id, record] : catalog_.jobs()) {
     const auto it = cluster_.jobs().find(id);
@@ -145,7 +148,7 @@
   for (const std::string& id : missed) job_lifecycle_.OnJobRecord(id, now);
 }
 
-void Reconciler::TakeUpMissedWaitingRecords(Time now) {
+void Reconciler::ProcessMissedWaitingRecords(Time now) {
   std::vector<std::string> missed;
   for (const auto& [id, record] : catalog_.waiting()) {
     if (dependencies_.Find(id) == nullptr) missed.push_back(id);
--- a/core/reconciliation/reconciliation_operations.cc
+++ b/core/reconciliation/reconciliation_operations.cc
@@ -37,8 +37,8 @@
       catalog_(context.catalog),
       dependencies_(dependencies) {}
 
-// A job that is remembered as live, and whose terminal state has been read
-// since, is written back as one that has ended.
+// A job whose retained record is that of a live job, and whose terminal state
+// has been read since, is written back as a job that has ended.
 Record ReconcileRecordOperation::PendingRecord() const {
   Record record = catalog_.RecordOf(name());
   auto* job = std::get_if<JobRecord>(&record);
@@ -57,21 +57,24 @@
   if (!catalog_.pending_writes().contains(name())) {
     return BuildResult::kNothingToDo;
   }
-  // Something newer is in this very transaction, and would be undone.
+  // The transaction already contains a newer write to this key, which this
+  // write would undo.
   if (Mutates(*txn, name())) return BuildResult::kNothingToDo;
   const Record record = PendingRecord();
   if (std::holds_alternative<std::monostate>(record)) {
     return BuildResult::kNothingToDo;
   }
   txn->preconditions.push_back({name(), ModRevisionOf(record)});
-  // Applied late, after the job has ended and its record has moved, the write
-  // would make it live again.
+  // The write may be applied late, after the job has ended and its record has
+  // been replaced by a terminal record. Without this precondition it would make
+  // the job live again.
   const auto* job = std::get_if<JobRecord>(&record);
   if (job != nullptr && job->terminal_state == TerminalState::kNone) {
     const std::string id = name().substr(keys::kJob.size());
     txn->preconditions.push_back({keys::Of(keys::kTerminal, id), 0});
   }
-  // Likewise, after the job was released or cancelled, it would wait again.
+  // For the same reason: without these preconditions, a late write would make a
+  // job wait again that has been released or cancelled.
   if (std::holds_alternative<WaitingRecord>(record)) {
     const std::string id = name().substr(keys::kWaiting.size());
     if (catalog_.FindWaiting(id) == nullptr) return BuildResult::kNothingToDo;
--- a/core/reconciliation/reconciliation_operations.h
+++ b/core/reconciliation/reconciliation_operations.h
@@ -1,4 +1,5 @@
-// The writes that bring a store that has lost data up to date again.
+// Store operations that restore the records of a key-value store that has lost
+// data.
 #pragma once
 
 #include <string>
@@ -12,7 +13,8 @@
 class DependencyCoordinator;
 class Reconciler;
 
-// Writes back a record that is pending; see Catalog::pending_writes.
+// Writes back a record that the store has lost or holds in an older version;
+// see Catalog::pending_writes.
 class ReconcileRecordOperation : public StoreOperation {
  public:
   ReconcileRecordOperation(LeaderContext& context,
@@ -23,14 +25,14 @@
   void OnRecorded(uint64_t revision, Time now) override;
 
  private:
-  // The record to write; monostate if it is not known any more.
+  // The record to write; monostate if it is no longer known.
   Record PendingRecord() const;
 
   Catalog& catalog_;
   DependencyCoordinator& dependencies_;
 };
 
-// Writes the terminal state of a job that the store does not hold any more.
+// Writes the terminal state of a job whose terminal record the store has lost.
 class ReconcileTerminalStateOperation : public StoreOperation {
  public:
   ReconcileTerminalStateOperation(LeaderContext& context, std::string job_id,
@@ -44,7 +46,8 @@
   const TerminalState terminal_state_;
 };
 
-// Records that nothing is pending any more in this epoch of the store.
+// Records in the epoch record that all records of this store epoch are written
+// back.
 class CompleteReconciliationOperation : public StoreOperation {
  public:
   CompleteReconciliationOperation(LeaderContext& context,
@@ -54,6 +57,7 @@
   void OnRecorded(uint64_t revision, Time now) override;
 
  private:
+  // The current epoch record, marked as rebuilt.
   StoreEpoch CompletedEpoch() const;
 
   LeaderContext& context_;
