--- a/core/autoscaler/autoscaler.cc
+++ b/core/autoscaler/autoscaler.cc
@@ -23,17 +23,20 @@
     std::pair{kRequesting, kSettled},
 };
 
-// Machines requested in one run, of all pools; and in one request.
+// The most machines requested in one run of the autoscaler, for all pools
+// together; and the most in one request.
 constexpr int kMaxNewMachines = 40;
 constexpr int kMaxMachinesInRequest = 20;
-// A pool that has refused is not asked again for so long.
+// How long a pool that has refused a request is not asked again, in worker
+// leases.
 constexpr double kRefusalLeases = 1.5;
-// A request without a response is repeated after so many times the lag of the
-// cloud's list.
+// After what time a request without a response is repeated, as a multiple of
+// the lag of the cloud's machine list.
 constexpr double kRetryListLags = 2;
-// A response changes the capacity: the next run follows so soon.
+// A response changes the capacity, so the next run follows soon: after this
+// share of a heartbeat interval.
 constexpr double kRerunHeartbeats = 0.1;
-// How far ahead the tasks of an array count as demand.
+// How far ahead the tasks of a job array count as demand, in worker leases.
 constexpr double kArrayHorizonLeases = 3;
 
 MachinePool PoolOf(const ScaleOutRecord& record) {
@@ -101,7 +104,8 @@
     const bool up = machine->state() == MachineState::kUp &&
                     !machine_health_.Suspect(*machine, now);
     if (!booting && !up) continue;
-    // Capacity that is being freed for a job counts as free for it.
+    // Tasks that are being stopped will free their capacity, so it counts as
+    // free.
     capacity.push_back({{machine->type_name, machine->zone, machine->spot},
                         machine->free() + machine->leaving});
   }
@@ -133,9 +137,9 @@
                      const double second_gpus = total_gpus(second);
                      if (first_gpus != second_gpus)
                        return first_gpus < second_gpus;
-                     // Fragments first: a small task packed into a whole
-                     // machine would have another one requested for the next
-                     // large task.
+                     // Partly used machines come first. If a small task were
+                     // packed into an empty machine, the next large task would
+                     // need another machine.
                      return tuning_.fragmentation_weight > 0 &&
                             first.free.gpus < second.free.gpus;
                    });
@@ -144,7 +148,7 @@
 std::vector<const Job*> Autoscaler::JobsWithUnplacedTasks(Time now) const {
   std::vector<const Job*> waiting;
   for (const auto& [id, job] : cluster_.jobs()) {
-    // What waits for its maintenance window needs no machine yet.
+    // A job that waits for its maintenance window needs no machine yet.
     if (!maintenance_.MayStartNow(*job, now)) continue;
     if (job->live() && job->unplaced() > 0 && now >= job->not_before) {
       waiting.push_back(job.get());
@@ -180,8 +184,10 @@
   const JobSpec& spec = job.spec();
   double tasks = rollout_manager_.StartableTasks(job);
   if (spec.kind == JobKind::kArray) {
-    // Short tasks follow one another on the same capacity: as many as keep the
-    // backlog shorter than a machine takes to come up.
+    // Several short tasks can run one after the other on the same capacity. So
+    // only as many count as must run at the same time for the backlog to be
+    // done within the horizon, which is about the time that a machine takes to
+    // boot.
     const double horizon =
         kArrayHorizonLeases * settings_.workers.lease_seconds;
     const double run_seconds = std::max(1.0, run_times_.RunSeconds(spec));
@@ -222,8 +228,8 @@
   if (cluster_.last_demand() == now || now - context_.started < idle_seconds) {
     return;
   }
-  // The next step of a dependency chain starts sooner on a machine that is up
-  // than on one that has to boot.
+  // Keeps capacity for jobs that wait for others and are due soon: they start
+  // sooner on a machine that is up than on one that has to boot.
   Resources expected = dependencies_.ResourcesOfNextSteps(now);
   for (const auto& machine : cluster_.machines()) {
     if (machine->state() != MachineState::kUp ||
@@ -244,8 +250,8 @@
 void Autoscaler::Request(const std::string& name, Time now) {
   ScaleOutRequest& scale_out = scale_outs_.at(name);
   if (scale_out.state != ScaleOutState::kRequesting) return;
-  // The cloud answers within a second or not at all. A request is idempotent by
-  // its name and may be repeated at any time.
+  // The cloud answers within a second or not at all. A request can be repeated
+  // at any time: its name makes it idempotent.
   scale_out.next_try = now + kRetryListLags * settings_.cloud.list_lag_seconds;
   scale_out.requested_at = now;
   actions_.push_back(RequestScaleOut{name, scale_out.record});
@@ -267,7 +273,7 @@
       return;
     case ScaleOutOutcome::kNoCapacity:
     case ScaleOutOutcome::kRejected:
-      NoteRefusal(scale_out.record, now);
+      MarkPoolRefused(scale_out.record, now);
       context_.Log("scale-out refused", ScaleOutFields(name, scale_out.record));
       break;
     case ScaleOutOutcome::kGranted:
@@ -287,7 +293,7 @@
   writes_.Flush(now);
 }
 
-void Autoscaler::NoteRefusal(const ScaleOutRecord& record, Time now) {
+void Autoscaler::MarkPoolRefused(const ScaleOutRecord& record, Time now) {
   refused_until_[PoolOf(record)] =
       now + kRefusalLeases * settings_.workers.lease_seconds;
 }
@@ -297,7 +303,7 @@
                                     const std::vector<std::string>& hosts,
                                     Time now) {
   if (static_cast<int>(hosts.size()) < scale_out.record.count) {
-    NoteRefusal(scale_out.record, now);
+    MarkPoolRefused(scale_out.record, now);
   }
   for (const std::string& host : hosts) {
     if (cluster_.FindMachine(host) != nullptr || cluster_.IsDeleted(host)) {
@@ -312,10 +318,10 @@
   context_.Log("scale-out granted", std::move(fields));
 }
 
-// Machines are recorded one by one, as many as fit into each transaction, and
-// the record of the request is removed last: a leader that is elected until
-// then repeats the request, which names the same machines, and records what is
-// missing.
+// Each granted machine is recorded by an operation of its own, as many as fit
+// into each transaction, and the record of the request is deleted last. A
+// leader that is elected before that repeats the request, is granted the same
+// machines, and records those that are missing.
 void Autoscaler::SettleScaleOut(const std::string& name) {
   const auto it = scale_outs_.find(name);
   if (it == scale_outs_.end() || it->second.state != ScaleOutState::kSettled)
@@ -339,8 +345,8 @@
 
 void Autoscaler::Restore(const std::string& name,
                          const ScaleOutRecord& record) {
-  // It may have been sent to the cloud already: repeated under the same name it
-  // gets the same answer.
+  // The earlier leader may have sent the request to the cloud already. Repeated
+  // under the same name, it gets the same answer.
   ScaleOutRequest& scale_out = scale_outs_[name];
   scale_out.record = record;
   scale_out.Change(kRequesting);
--- a/core/autoscaler/autoscaler.h
+++ b/core/autoscaler/autoscaler.h
@@ -1,6 +1,7 @@
-// Scale-out and scale-in: requests machines for tasks without a place and
-// returns those that are not needed. Owns the open scale-out requests, each of
-// which is recorded in the store before it is sent to the cloud.
+// Scales the cluster out and in: requests machines from the cloud for tasks
+// that no machine has room for, and returns machines that are not needed. Owns
+// the open scale-out requests, each of which is recorded in the key-value store
+// before it is sent to the cloud.
 #pragma once
 
 #include <map>
@@ -20,7 +21,7 @@
 class TierManager;
 class MachineLifecycle;
 
-// One per leadership. Called by the leader at each tick and when the cloud or
+// One per leadership. Called by the leader in each tick, and when the cloud or
 // the store responds.
 class Autoscaler {
  public:
@@ -35,36 +36,42 @@
   };
   Autoscaler(LeaderContext& context, const Modules& modules);
 
-  // Takes up a scale-out that an earlier leader has recorded, and perhaps
-  // requested; before the first tick.
+  // Restores a scale-out request that an earlier leader has recorded and may
+  // have sent to the cloud. Called before the first tick.
   void Restore(const std::string& name, const ScaleOutRecord& record);
-  // Repeats requests without a response, and settles those with one.
+  // Repeats the requests that have had no response for some time, and settles
+  // those that have one.
   void TickRequests(Time now);
-  // Lets pools be asked again some time after they have refused.
+  // Lets machines of a pool be requested again once its last refusal is old
+  // enough.
   void ForgetRefusals(Time now);
   bool IsDue(Time now) const { return now >= next_autoscaler_run_; }
   void SetNextRun(Time at) { next_autoscaler_run_ = at; }
-  // One pass: compares capacity and demand, requests machines, returns idle
-  // ones. Not before every machine is accounted for: until then it scales
+  // One pass: compares capacity with demand, requests machines and returns idle
+  // ones. Until every machine is accounted for after an election, it scales
   // neither out nor in.
   void RunAutoscaler(Time now);
-  // Null: no request of that name is open.
+  // The record of the open request with this name; null if there is none.
   const ScaleOutRecord* FindRecord(const std::string& name) const;
-  // The record of the request is in the store: machines may be requested.
+  // Called when the record of the request is in the store: sends the request to
+  // the cloud.
   void OnScaleOutRecorded(const std::string& name, Time now);
-  // The record of the request has been removed from the store.
+  // Called when the record of the request has been removed from the store: the
+  // request is no longer open.
   void RemoveScaleOut(const std::string& name) { scale_outs_.erase(name); }
   size_t open_scale_outs() const { return scale_outs_.size(); }
-  // Sends the request, unless it is not recorded yet or has its response. A
-  // request of that name must be open.
+  // Sends the request to the cloud, unless it is not recorded yet or has had
+  // its response. A request with this name must be open.
   void Request(const std::string& name, Time now);
-  // Asks for the removal of its record when all of its machines are recorded.
+  // Queues the deletion of the request's record once all machines that it was
+  // granted are recorded.
   void SettleScaleOut(const std::string& name);
-  // `hosts`: the machines that the cloud has granted. A second response to the
-  // same request is ignored.
+  // Handles the cloud's response to a request. `hosts`: the machines that the
+  // cloud has granted. A second response to the same request is ignored.
   void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& hosts, Time now);
-  // The record of a granted machine; it has no endpoint yet.
+  // The record of a machine that was granted to the scale-out. It has no
+  // endpoint until the machine's worker has sent a heartbeat.
   MachineRecord RecordOfNewMachine(const ScaleOutRecord& scale_out,
                                    Time requested_at) const;
 
@@ -80,33 +87,41 @@
   };
 
   // --- capacity
-  // Of machines that are up, booting or requested, in the order in which
-  // demand is packed into it.
+  // The free capacity of the machines that are up, booting or requested, in the
+  // order in which demand is packed into it.
   std::vector<PoolCapacity> ExistingCapacity(Time now) const;
   void AddRequestedCapacity(std::vector<PoolCapacity>& capacity) const;
-  // Machines with few accelerators first, as placement does where it can.
+  // Sorts machines with few accelerators first, which is also the order that
+  // placement prefers.
   void SortForPacking(std::vector<PoolCapacity>& capacity) const;
 
   // --- demand
-  // In the order of placement.
+  // The jobs with tasks that have no machine yet and may start now, in the
+  // order of placement.
   std::vector<const Job*> JobsWithUnplacedTasks(Time now) const;
+  // The unplaced tasks that new machines would help, by job, in the same order.
   std::vector<PoolDemand> UnplacedDemand(Time now) const;
-  // Of the job's unplaced tasks, those that new machines would help.
+  // How many of the job's unplaced tasks new machines would help.
   int TasksNeedingCapacity(const Job& job) const;
-  // At most `tasks`, fewer where the team's maximum allows no more; negative
-  // where the team is above its maximum.
+  // `tasks`, or as many as the quota of the job's team still allows if that is
+  // less; negative if the team exceeds its quota.
   double WithinQuota(const Job& job, double tasks) const;
 
   // --- scale-out and scale-in
-  // Has a request recorded. False: this leadership is over.
+  // Opens a request for `count` machines and queues the write of its record.
+  // Returns false if this leadership is over.
   [[nodiscard]] bool BeginScaleOut(const MachinePool& pool, int count);
-  void NoteRefusal(const ScaleOutRecord& record, Time now);
+  // Excludes the pool from new requests for some time, since it has no
+  // machines.
+  void MarkPoolRefused(const ScaleOutRecord& record, Time now);
+  // Adds the granted machines to the cluster, as booting.
   void AddGrantedMachines(const std::string& name,
                           const ScaleOutRequest& scale_out,
                           const std::vector<std::string>& hosts, Time now);
-  // Only when there was no demand for a while, since between two bursts of work
-  // a machine is cheaper kept than booted again; and not straight after a
-  // failover, when not every task is known yet.
+  // Returns machines that have been idle for long enough. Does nothing while
+  // there is demand, or directly after a failover, when not every task is known
+  // yet. The idle time is long, since between two bursts of work it costs less
+  // to keep a machine than to boot one again.
   void ScaleInIdleMachines(Time now);
 
   LeaderContext& context_;
--- a/core/autoscaler/capacity_planning.cc
+++ b/core/autoscaler/capacity_planning.cc
@@ -7,13 +7,16 @@
 namespace oxbow {
 namespace {
 
-// A machine is paid for whole, yet what one job leaves free is used by the next
-// ones: the share that the tasks take counts, and this much of the rest.
+// A whole machine is paid for, but capacity that one job leaves unused can be
+// used by other jobs. So the cost of a task counts the share of the machine
+// that the tasks use in full, and the unused share with this weight.
 constexpr double kUnusedShareWeight = 0.15;
-// For each machine planned in a zone already: keeps zones balanced, so that the
-// loss of one takes less.
+// How much each machine that is already planned in a zone adds to the cost
+// there. This keeps the zones balanced, so that the loss of one zone costs
+// fewer machines.
 constexpr double kZoneBalanceWeight = 0.02;
-// Work without accelerators avoids machines that have them.
+// The factor on the cost of machines with accelerators for tasks that use none,
+// so that these machines stay free for tasks that do.
 constexpr double kUnusedAcceleratorFactor = 1.5;
 
 int TasksThatFit(const Resources& need, const Resources& capacity) {
@@ -33,19 +36,21 @@
   return static_cast<int>(kMaxTasks);
 }
 
-// One job's demand, as far as it is not packed yet.
+// The part of one job's demand that is not packed yet.
 struct RemainingDemand {
   const JobSpec& spec;
   ZoneSpread zones;
   int tasks = 0;
 };
 
+// A pool that could take tasks of a demand, and the cost of one task there.
 struct PoolOffer {
   MachinePool pool;
   const MachineType* type = nullptr;
   double cost_per_task = 0;
 };
 
+// Makes one plan: Add() for each demand, in order, then TakePlan().
 class ScaleOutPlanner {
  public:
   explicit ScaleOutPlanner(const AutoscalerInput& input)
@@ -55,10 +60,10 @@
   std::map<MachinePool, int> TakePlan() { return std::move(plan_); }
 
  private:
-  // Packs tasks into the capacity; returns how many.
+  // Packs as many tasks as possible into the machine; returns how many.
   static int Pack(RemainingDemand& demand, PoolCapacity& capacity);
   std::optional<PoolOffer> CheapestPool(const RemainingDemand& demand);
-  // Nothing: the pool can't take any task of the demand.
+  // nullopt: the pool can't take any task of the demand, or has refused lately.
   std::optional<PoolOffer> OfferOf(const RemainingDemand& demand,
                                    const MachineType& type, MachinePool pool);
 
--- a/core/autoscaler/capacity_planning.h
+++ b/core/autoscaler/capacity_planning.h
@@ -1,6 +1,6 @@
-// Capacity planning: how many machines of which pool to request so that tasks
-// without a place get one. A pure function of its input; knows nothing of the
-// cloud, of time or of requests under way.
+// Capacity planning: how many machines of which pool to request for the tasks
+// that no machine has room for. PlanScaleOut is a pure function of its input:
+// it does no I/O and does not depend on the time or on requests in progress.
 #pragma once
 
 #include <compare>
@@ -15,8 +15,8 @@
 
 namespace oxbow {
 
-// Machines that the cloud treats alike: one request asks for machines of one
-// pool.
+// A kind of machine that the cloud offers: a type in a zone, as a spot instance
+// or not. Each request to the cloud is for machines of one pool.
 struct MachinePool {
   std::string type;
   std::string zone;
@@ -24,32 +24,34 @@
   auto operator<=>(const MachinePool&) const = default;
 };
 
-// Free capacity of one machine that is up, booting or requested.
+// The free capacity of one machine that is up, booting or requested.
 struct PoolCapacity {
   MachinePool pool;
   Resources free;
 };
 
-// Tasks of one job that have no place.
+// The tasks of one job for which machines are needed.
 struct PoolDemand {
   const JobSpec* spec = nullptr;
   int tasks = 0;
-  // Where the job's placed tasks are, for `spread` and `one_zone`.
+  // The zones of the job's tasks that are placed already, for the `spread` and
+  // `one_zone` constraints of the job.
   ZoneSpread zones = {};
 };
 
-// What a plan is made of. `types` and the specs must outlive the call.
+// The input of PlanScaleOut. `types` and the job specs must outlive the call.
 struct AutoscalerInput {
   const std::map<std::string, MachineType>* types = nullptr;
   std::vector<PoolCapacity> capacity;  // filled in this order
-  std::vector<PoolDemand> demand;      // in the order of placement
-  std::set<MachinePool> refused;       // pools without machines at present
-  int max_new_machines = 0;            // of all pools together
+  std::vector<PoolDemand> demand;      // served in this order
+  std::set<MachinePool> refused;       // pools that had no machines lately
+  int max_new_machines = 0;            // for all pools together
 };
 
-// Packs the demand into the capacity that exists; what is left is packed into
-// new machines of the pool that costs least for it. Returns the number of
-// machines to request of each pool; no pool is listed with zero.
+// Packs the demand into the existing capacity, and what is left into new
+// machines of the pool that costs least for it. Returns the number of machines
+// to request from each pool; pools from which none are requested are not
+// listed.
 std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input);
 
 }  // namespace oxbow
--- a/core/autoscaler/consolidation.cc
+++ b/core/autoscaler/consolidation.cc
@@ -11,13 +11,15 @@
 namespace oxbow {
 namespace {
 
-// Of all replicas, how many may move in one round.
+// The largest share of all replicas that may move in one round. A round may
+// exceed it if it drains a single machine.
 constexpr double kMaxMovedShare = 0.01;
-// Where one machine holds more than that share, the next round waits for up to
-// so many worker leases.
+// After a round that exceeds that share the next round comes later, in
+// proportion, but after at most this many worker leases.
 constexpr double kMaxPauseLeases = 3;
-// A replica that has run for less is not worth another start.
-constexpr double kSettledLeases = 3;
+// How long a replica must have run before it is moved, in worker leases: moving
+// a replica that has just started would cost another start.
+constexpr double kMinRunLeases = 3;
 
 bool MoreExpensive(const Machine* first, const Machine* second) {
   if (first->type->price != second->type->price) {
@@ -75,10 +77,10 @@
                                    kMaxPauseLeases);
 }
 
-bool Consolidator::HasOnlySettledReplicas(const Machine& machine,
+bool Consolidator::HasOnlyMovableReplicas(const Machine& machine,
                                           Time now) const {
-  const double settled_seconds =
-      kSettledLeases * settings_.workers.lease_seconds;
+  const double min_run_seconds =
+      kMinRunLeases * settings_.workers.lease_seconds;
   return std::all_of(machine.task_attempts.begin(), machine.task_attempts.end(),
                      [&](const auto& entry) {
                        const TaskAttempt& attempt = entry.second;
@@ -86,7 +88,7 @@
                        return attempt.phase == TaskPhase::kRunning &&
                               attempt.job != nullptr &&
                               attempt.job->spec().kind == JobKind::kService &&
-                              now - attempt.running_since > settled_seconds;
+                              now - attempt.running_since > min_run_seconds;
                      });
 }
 
@@ -98,7 +100,7 @@
         !machine->queue.empty()) {
       continue;
     }
-    if (HasOnlySettledReplicas(*machine, now)) candidates.push_back(machine);
+    if (HasOnlyMovableReplicas(*machine, now)) candidates.push_back(machine);
   }
   std::sort(candidates.begin(), candidates.end(), MoreExpensive);
   return candidates;
@@ -121,8 +123,8 @@
         machine->CapacityFor(attempt.job, spec.priority) - planned[machine];
     if (!spec.need.FitsIn(capacity)) continue;
     if (machine->type->price > from.type->price) continue;
-    // Only from the emptier to the fuller, or two machines would swap their
-    // replicas for ever.
+    // Between machines of equal price, replicas move only to the one that is
+    // used more. Otherwise two machines would swap their replicas forever.
     if (machine->type->price == from.type->price &&
         machine->staying.cpus < from.staying.cpus) {
       continue;
--- a/core/autoscaler/consolidation.h
+++ b/core/autoscaler/consolidation.h
@@ -1,6 +1,6 @@
 // Consolidation: while the cluster is quiescent, drains expensive machines that
-// only replicas still use, if all of these can run elsewhere. Owns the time of
-// the next round; the drain itself is the machine lifecycle's.
+// run nothing but service replicas, if all of these can run on other machines.
+// Owns the time of the next round; MachineLifecycle carries out the draining.
 #pragma once
 
 #include <map>
@@ -13,31 +13,34 @@
 class MachineHealth;
 class MachineLifecycle;
 
-// Called by the autoscaler, after scale-in.
+// Owned and called by the autoscaler, after scale-in.
 class Consolidator {
  public:
-  // All must outlive it.
+  // The parameters must outlive the consolidator.
   Consolidator(LeaderContext& context, MachineHealth& machine_health,
                MachineLifecycle& machine_lifecycle);
 
-  // Drains what can be drained now, unless the cluster is busy or the previous
-  // round was too recent. Each move is a short gap for the users of a replica,
-  // so only a small share of all replicas moves at a time.
+  // Drains the machines that can be drained now, unless the cluster is busy or
+  // the previous round was too recent. A replica that is moved is unavailable
+  // for a short time, so only a small share of all replicas moves in one round.
   void RunIfDue(Time now);
 
  private:
   void Run(Time now);
-  // Whether only replicas that have run for a while use the machine.
-  bool HasOnlySettledReplicas(const Machine& machine, Time now) const;
-  // Of the usable machines those that may be drained, the most expensive first.
+  // Whether all attempts on the machine are service replicas that have been
+  // running for a while; exited attempts don't matter.
+  bool HasOnlyMovableReplicas(const Machine& machine, Time now) const;
+  // The usable machines that may be drained, the most expensive first.
   std::vector<Machine*> Candidates(const std::vector<Machine*>& usable,
                                    Time now) const;
-  // Whether all tasks of the machine fit on others, and so much stays free that
-  // the loss of any one machine could still be made good.
+  // Whether all replicas of `from` fit on other machines, and `spare_cpus` then
+  // remain free. That is as much as the services use on any one machine, so
+  // that the loss of one machine can still be absorbed.
   bool CanMoveAll(const Machine& from, const std::vector<Machine*>& usable,
                   double spare_cpus) const;
-  // Null: the attempt can run on no other machine. `planned`: capacity that
-  // earlier moves of the same plan take.
+  // The machine to move the attempt to; null if it can run on no other machine.
+  // `planned`: the capacity that earlier moves of the same plan take, by
+  // machine.
   const Machine* FindTarget(const Machine& from, const TaskAttempt& attempt,
                             const std::vector<Machine*>& usable,
                             std::map<const Machine*, Resources>& planned) const;
--- a/core/autoscaler/quiescence.h
+++ b/core/autoscaler/quiescence.h
@@ -1,5 +1,6 @@
-// When and where replicas may be consolidated: after a while without demand,
-// and on no machine that accelerator work could still use.
+// Decides when and where replicas may be consolidated: when there has been no
+// demand for some time, and only on machines that tasks with accelerators can't
+// use anyway.
 #pragma once
 
 #include "core/cluster_state/cluster_state.h"
@@ -8,8 +9,9 @@
 
 namespace oxbow {
 
-// Whether no job has arrived or waited for so long that idle capacity costs
-// more than the time it would save the next job.
+// Whether the cluster is quiescent: no job has arrived or waited for a time
+// after which idle capacity costs more than it would save the next job in
+// waiting.
 inline bool IsQuiescent(const ClusterState& cluster, const Settings& settings,
                         const Tuning& tuning, Time now) {
   return now - cluster.last_demand() >
--- a/core/autoscaler/scale_out_operations.cc
+++ b/core/autoscaler/scale_out_operations.cc
@@ -41,9 +41,9 @@
       scale_out_(std::move(scale_out)) {}
 
 BuildResult RecordScaledOutMachineOperation::Build(CompareAndSwap* txn) const {
-  // Without the scale-out's record this is a late answer to one that is
-  // settled. A machine that has sent a heartbeat meanwhile is recorded with its
-  // endpoint (RecordMachineOperation).
+  // If the scale-out has no record, it is settled already and this was a late
+  // response. If the machine has an endpoint, it has sent a heartbeat meanwhile
+  // and is recorded by RecordMachineOperation.
   const auto scale_out = catalog_.scale_outs().find(scale_out_);
   const Machine* machine = context_.cluster.FindMachine(name());
   if (scale_out == catalog_.scale_outs().end() || machine == nullptr ||
@@ -69,7 +69,7 @@
                      scale_out->second,
                      machine != nullptr ? machine->requested_at : now),
                  revision);
-    // Deleted while its record was in flight.
+    // The machine was deleted while the write of its record was in flight.
     if (machine == nullptr) {
       context_.writes.Enqueue(
           std::make_unique<ForgetMachineOperation>(context_, name()),
--- a/core/autoscaler/scale_out_operations.h
+++ b/core/autoscaler/scale_out_operations.h
@@ -1,6 +1,7 @@
-// The writes of a scale-out: its record comes first, so that a new leader
-// repeats the request under the same name; then each machine is recorded; then
-// the scale-out's own record is deleted.
+// Store operations of a scale-out, in this order: the scale-out is recorded, so
+// that a new leader can repeat its request under the same name; each machine
+// that the cloud grants is recorded; and the record of the scale-out is
+// deleted.
 #pragma once
 
 #include <string>
@@ -13,7 +14,7 @@
 
 class Autoscaler;
 
-// Records a scale-out before it is requested.
+// Records a scale-out before its request is sent to the cloud.
 class RecordScaleOutOperation : public StoreOperation {
  public:
   RecordScaleOutOperation(LeaderContext& context, Autoscaler& autoscaler,
