--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -1,4 +1,5 @@
-// Whether heartbeat responses are taken to reach a machine.
+// Reachability: how the leader concludes from a worker's messages whether its
+// heartbeat responses reach the worker.
 
 #include "core/model/reachability.h"
 
@@ -11,13 +12,14 @@
 
 class ReachabilityTest : public testing::Test {
  protected:
-  // A heartbeat with this token that is answered with `answer`.
-  void SendHeartbeat(FencingToken token, uint64_t answer, double apart = 1) {
-    now_ += apart;
-    reachability_.OnHeartbeat({++seq_, token, apart, false}, workers_, now_);
-    reachability_.OnTokenShown(token, answer, workers_, now_);
-    reachability_.OnResponse({seq_, answer, token, false},
-                             workers_.lease_seconds, now_);
+  // The worker sends a heartbeat that shows the token `shown`, `interval`
+  // seconds after the one before it; the leader answers with the token `sent`.
+  void SendHeartbeat(FencingToken shown, uint64_t sent, double interval = 1) {
+    now_ += interval;
+    reachability_.OnHeartbeat({++seq_, shown, interval, false}, workers_, now_);
+    reachability_.OnTokenShown(shown, sent, workers_, now_);
+    reachability_.OnResponse({seq_, sent, shown, false}, workers_.lease_seconds,
+                             now_);
   }
   bool MustBeOld(FencingToken token) {
     return reachability_.MustBeOld(token, workers_.lease_seconds, false, now_);
@@ -50,8 +52,9 @@
   ASSERT_TRUE(reachability_.NeedsDeliveryCheck(now_));
   reachability_.OnDeliveryCheckSent(kToken + 1);
   reachability_.OnCommandsSent(kToken + 1);
-  EXPECT_TRUE(
-      reachability_.NeedsDeliveryCheck(now_));  // it went the other way as well
+  // The check's token was also sent with commands to the worker's address, so
+  // showing it proves nothing about responses: another check is needed.
+  EXPECT_TRUE(reachability_.NeedsDeliveryCheck(now_));
   SendHeartbeat(kToken + 1, kToken + 1);
   EXPECT_FALSE(reachability_.MayTakeWork());
   reachability_.OnDeliveryCheckSent(kToken + 2);
--- a/tests/worker_incarnation_test.cc
+++ b/tests/worker_incarnation_test.cc
@@ -1,4 +1,5 @@
-// How long the leader takes a worker's tasks for possibly there.
+// WorkerIncarnation: until when the leader must assume that a worker's tasks
+// may still run, and which messages of the worker are new.
 
 #include "core/model/worker_incarnation.h"
 
@@ -7,14 +8,15 @@
 namespace oxbow {
 namespace {
 
-constexpr double kLease = 10;
+constexpr double kLease = 10;  // seconds
 
 TEST(WorkerIncarnation, CountsFromWhenItWasFirstShown) {
   WorkerIncarnation incarnation;
   incarnation.Change(IncarnationEvent::kFailover, 0, 100);
   EXPECT_TRUE(incarnation.Change(IncarnationEvent::kShown, 3, 106));
   EXPECT_GE(incarnation.MayLiveUntil(kLease), 106 + kLease);
-  // Shown again it is no newer, and what renews it is an answer to a report.
+  // A second message of the same incarnation extends nothing. Only an answer to
+  // one of its heartbeats does.
   EXPECT_FALSE(incarnation.Change(IncarnationEvent::kShown, 3, 109));
   EXPECT_LT(incarnation.MayLiveUntil(kLease), 107 + kLease);
   incarnation.Change(IncarnationEvent::kAnswered, 0, 109);
@@ -28,15 +30,16 @@
   EXPECT_GE(incarnation.MayLiveUntil(kLease), 109 + kLease);
 }
 
-// The protocol allows two steady clocks to differ by 0.05 %: the worker's may
-// be slow and the leader's fast at the same time.
+// The protocol allows two steady clocks to differ by 0.05 %. If the worker's
+// clock is slow and the leader's is fast, the worker's lease lasts longer than
+// its nominal time on the leader's clock.
 TEST(WorkerIncarnation, LastsLongerThanASlowWorkersLease) {
-  constexpr double kApart = 0.0005;
-  constexpr double kLong = 600;
+  constexpr double kMaxClockDrift = 0.0005;
+  constexpr double kLongLease = 600;
   WorkerIncarnation incarnation;
   incarnation.Change(IncarnationEvent::kShown, 1, 0);
-  const double by_leader = kLong * (1 + kApart);
-  EXPECT_GT(incarnation.MayLiveUntil(kLong), by_leader);
+  const double lease_on_leader_clock = kLongLease * (1 + kMaxClockDrift);
+  EXPECT_GT(incarnation.MayLiveUntil(kLongLease), lease_on_leader_clock);
 }
 
 TEST(WorkerIncarnation, OnceOverOnlyALaterOneIsNews) {
