--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -140,8 +140,8 @@
 HeartbeatResponse WorkerSessions::Respond(Machine& machine,
                                           const Heartbeat& heartbeat,
                                           Time now) {
-  // This applies even to a heartbeat that is not new, since its worker takes
-  // the answer as a renewal of the lease.
+  // The lease counts as renewed even if the heartbeat is not new, since its
+  // worker takes any answer as a renewal.
   machine.incarnation.Change(IncarnationEvent::kAnswered, 0, now);
   if (machine.first_answer < context_.started) machine.first_answer = now;
   machine.last_answer = now;
