--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -341,10 +341,10 @@
                                    Time now) const {
   if (machine.state() == MachineState::kGone) return;
   Reach& own = answers->front();
-  const bool reached_by_other =
+  const bool peer_reaches_it =
       std::any_of(answers->begin() + 1, answers->end(),
                   [index](const Reach& other) { return other.Reaches(index); });
-  if (reached_by_other) {
+  if (peer_reaches_it) {
     machine.reached_by_other = now;
   } else if (own.Denies(index)) {
     // Dated at the time of the question: a leader that was stalled reads the
