--- a/core/autoscaler/autoscaler.h
+++ b/core/autoscaler/autoscaler.h
@@ -44,7 +44,7 @@
   void TickRequests(Time now);
   // Lets machines of a pool be requested again once its last refusal is old
   // enough.
-  void ForgetRefusals(Time now);
+  void ExpireRefusals(Time now);
   bool IsDue(Time now) const { return now >= next_autoscaler_run_; }
   void SetNextRun(Time at) { next_autoscaler_run_ = at; }
   // One pass: compares capacity with demand, requests machines and returns idle
@@ -89,11 +89,11 @@
   // --- capacity
   // The free capacity of the machines that are up, booting or requested, in the
   // order in which demand is packed into it.
-  std::vector<PoolCapacity> ExistingCapacity(Time now) const;
-  void AddRequestedCapacity(std::vector<PoolCapacity>& capacity) const;
+  std::vector<MachineCapacity> ExistingCapacity(Time now) const;
+  void AddRequestedCapacity(std::vector<MachineCapacity>& capacity) const;
   // Sorts machines with few accelerators first, which is also the order that
   // placement prefers.
-  void SortForPacking(std::vector<PoolCapacity>& capacity) const;
+  void SortForPacking(std::vector<MachineCapacity>& capacity) const;
 
   // --- demand
   // The jobs with tasks that have no machine yet and may start now, in the
--- a/core/autoscaler/capacity_planning.h
+++ b/core/autoscaler/capacity_planning.h
@@ -25,7 +25,7 @@
 };
 
 // The free capacity of one machine that is up, booting or requested.
-struct PoolCapacity {
+struct MachineCapacity {
   MachinePool pool;
   Resources free;
 };
@@ -40,18 +40,18 @@
 };
 
 // The input of PlanScaleOut. `types` and the job specs must outlive the call.
-struct AutoscalerInput {
+struct ScaleOutInput {
   const std::map<std::string, MachineType>* types = nullptr;
-  std::vector<PoolCapacity> capacity;  // filled in this order
-  std::vector<PoolDemand> demand;      // served in this order
-  std::set<MachinePool> refused;       // pools that had no machines lately
-  int max_new_machines = 0;            // for all pools together
+  std::vector<MachineCapacity> capacity;  // filled in this order
+  std::vector<PoolDemand> demand;         // served in this order
+  std::set<MachinePool> refused;          // pools that had no machines lately
+  int max_new_machines = 0;               // for all pools together
 };
 
 // Packs the demand into the existing capacity, and what is left into new
 // machines of the pool that costs least for it. Returns the number of machines
 // to request from each pool; pools from which none are requested are not
 // listed.
-std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input);
+std::map<MachinePool, int> PlanScaleOut(const ScaleOutInput& input);
 
 }  // namespace oxbow
--- a/core/autoscaler/consolidation.cc
+++ b/core/autoscaler/consolidation.cc
@@ -25,8 +25,8 @@
   if (first->type->price != second->type->price) {
     return first->type->price > second->type->price;
   }
-  if (first->staying.cpus != second->staying.cpus) {
-    return first->staying.cpus < second->staying.cpus;
+  if (first->used_by_services.cpus != second->used_by_services.cpus) {
+    return first->used_by_services.cpus < second->used_by_services.cpus;
   }
   return first->index() < second->index();
 }
@@ -56,7 +56,7 @@
     if (!machine_health_.Usable(*machine, now)) continue;
     usable.push_back(machine.get());
     largest_staying_cpus =
-        std::max(largest_staying_cpus, machine->staying.cpus);
+        std::max(largest_staying_cpus, machine->used_by_services.cpus);
     replicas += machine->task_attempts.size();
   }
   const double max_moved = kMaxMovedShare * static_cast<double>(replicas);
@@ -65,7 +65,8 @@
     const size_t moved_with_it = moved + machine->task_attempts.size();
     if (moved > 0 && static_cast<double>(moved_with_it) > max_moved) break;
     if (!CanMoveAll(*machine, usable, largest_staying_cpus)) continue;
-    if (!machine_lifecycle_.RemoveMachine(*machine, LossCause::kMoved, now)) {
+    if (!machine_lifecycle_.RemoveMachine(*machine, RemovalCause::kConsolidated,
+                                          now)) {
       break;
     }
     moved = moved_with_it;
@@ -96,7 +97,7 @@
     const std::vector<Machine*>& usable, Time now) const {
   std::vector<Machine*> candidates;
   for (Machine* machine : usable) {
-    if (machine->staying.cpus <= 0 || machine->batch ||
+    if (machine->used_by_services.cpus <= 0 || machine->batch ||
         !machine->queue.empty()) {
       continue;
     }
@@ -116,7 +117,7 @@
   const Machine* target = nullptr;
   for (const Machine* machine : usable) {
     if (machine == &from || !machine->HasImage(spec.image) ||
-        !Allowed(spec, *machine, zones)) {
+        !ConstraintsAllow(spec, *machine, zones)) {
       continue;
     }
     const Resources capacity =
@@ -126,7 +127,7 @@
     // Between machines of equal price, replicas move only to the one that is
     // used more. Otherwise two machines would swap their replicas forever.
     if (machine->type->price == from.type->price &&
-        machine->staying.cpus < from.staying.cpus) {
+        machine->used_by_services.cpus < from.used_by_services.cpus) {
       continue;
     }
     if (target == nullptr || (IsConsolidationTarget(cluster_, *machine) &&
--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -18,18 +18,19 @@
   LeaderHealth::Limits limits;
   limits.troubled_share = tuning.troubled_share;
   limits.minimum_received_share = tuning.deaf_share;
-  limits.pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
-  limits.longest_pause_seconds = lease / 2;
-  limits.blind_after_seconds = kBlindAfterLeases * lease;
+  limits.survey_pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
+  limits.max_survey_pause_seconds = lease / 2;
+  limits.step_down_after_seconds = kBlindAfterLeases * lease;
   // In its first seconds a new leader uses all of its processor time. Its own
   // probes are late then, so their results prove nothing.
-  limits.settle_seconds =
+  limits.min_leadership_seconds =
       std::max(timeouts.overdue, tuning.leader_lease_ratio * lease);
   return limits;
 }
 
-LossLimiter::Limits LossLimits(const Settings& settings, const Tuning& tuning) {
-  LossLimiter::Limits limits;
+RemovalLimiter::Limits LossLimits(const Settings& settings,
+                                  const Tuning& tuning) {
+  RemovalLimiter::Limits limits;
   limits.window_seconds =
       tuning.limit_window_leases * settings.workers.lease_seconds;
   limits.fleet = {tuning.silent_share,   tuning.unlisted_share,
@@ -58,13 +59,14 @@
 // lower the share of silent machines. A machine that is being deleted for
 // another reason doesn't count, since the deletion explains its silence.
 bool SilenceCounts(const Machine& machine) {
-  return machine.recorded_up && machine.state() != MachineState::kGone &&
-         (machine.state() != MachineState::kDeleting || machine.given_up);
+  return machine.recorded_up && machine.state() != MachineState::kDeleted &&
+         (machine.state() != MachineState::kDeleting ||
+          machine.deleted_for_silence);
 }
 
 // What removing the machine would cost: its replicas, by service.
-Loss LossOf(const Machine& machine, LossCause cause) {
-  Loss loss;
+CapacityRemoval LossOf(const Machine& machine, RemovalCause cause) {
+  CapacityRemoval loss;
   loss.cause = cause;
   loss.zone = machine.zone;
   for (const auto& [key, attempt] : machine.task_attempts) {
@@ -116,14 +118,14 @@
   return now - from > timeouts_.overdue;
 }
 
-void LivenessMonitor::Count(Time now) {
+void LivenessMonitor::CountSilentMachines(Time now) {
   heartbeats_received_ = CountReceived(now);
   // An alarm about refused removals ends when none has been refused for one
   // window. It can't wait for a removal that is allowed, since there may be no
   // further request for that cause.
-  for (size_t i = 0; i < kLossCauses; ++i) {
+  for (size_t i = 0; i < kRemovalCauses; ++i) {
     if (now - last_refused_at_[i] > limiter_.limits().window_seconds) {
-      latest_decisions_[i] = LossDecision::kAllowed;
+      latest_decisions_[i] = RemovalDecision::kAllowed;
     }
   }
   const LeaderHealthState before = leader_health_.state();
@@ -144,7 +146,8 @@
     const bool silent =
         now - NoContactSince(*machine, started_) > timeouts_.overdue;
     received.silent += silent;
-    received.troubled += silent || now < machine->direct_broken_until ||
+    received.troubled += silent ||
+                         now < machine->direct_commands_disabled_until ||
                          machine->reachability.receives_no_responses() ||
                          HeartbeatOverdue(*machine, now);
   }
@@ -182,47 +185,47 @@
     // There is no other controller to ask. A machine that receives no responses
     // but can still be reached at its address is kept until its lease expires.
     return !machine.reachability.receives_no_responses() ||
-           now < machine.direct_broken_until;
+           now < machine.direct_commands_disabled_until;
   }
   const Time no_contact_since = NoContactSince(machine, started_);
-  if (machine.reached_by_other > no_contact_since &&
-      now - machine.reached_by_other < timeouts_.give_up) {
+  if (machine.last_reached_by_peer > no_contact_since &&
+      now - machine.last_reached_by_peer < timeouts_.give_up) {
     return false;
   }
   // Only a recent answer counts. While many machines were silent no survey was
   // made, so an answer from before that time says nothing about the present.
-  return machine.reached_by_none >
+  return machine.last_unreached_by_peers >
          std::max(no_contact_since, now - timeouts_.give_up);
 }
 
-bool LivenessMonitor::LossAllowed(const Machine& machine, LossCause cause,
-                                  Time now) {
+bool LivenessMonitor::RemovalAllowed(const Machine& machine, RemovalCause cause,
+                                     Time now) {
   // A leader that suspects its own network removes nothing for other causes
   // either: that a machine is idle, unlisted or did not boot is also concluded
   // from the messages that the leader receives.
-  if (cause != LossCause::kSilent && !leader_health_.healthy()) return false;
+  if (cause != RemovalCause::kSilent && !leader_health_.healthy()) return false;
   int fleet = 0;
   int zone = 0;
   for (const auto& other : machines_) {
-    if (other->state() == MachineState::kGone) continue;
+    if (other->state() == MachineState::kDeleted) continue;
     ++fleet;
     zone += other->zone == machine.zone;
   }
-  const LossDecision decision =
-      limiter_.Ask(LossOf(machine, cause), fleet, zone, now);
+  const RemovalDecision decision =
+      limiter_.RequestRemoval(LossOf(machine, cause), fleet, zone, now);
   const auto index = static_cast<size_t>(cause);
-  if (decision != LossDecision::kAllowed &&
-      latest_decisions_[index] == LossDecision::kAllowed) {
+  if (decision != RemovalDecision::kAllowed &&
+      latest_decisions_[index] == RemovalDecision::kAllowed) {
     Log("alarm: removal of machines is limited",
         {{"cause", NameOf(cause)},
          {"limit", NameOf(decision)},
-         {"removed", limiter_.Asked(cause, now)},
+         {"removed", limiter_.CountInWindow(cause, now)},
          {"window_seconds", limiter_.limits().window_seconds},
          {"machines", fleet}});
   }
   latest_decisions_[index] = decision;
-  if (decision != LossDecision::kAllowed) last_refused_at_[index] = now;
-  return decision == LossDecision::kAllowed;
+  if (decision != RemovalDecision::kAllowed) last_refused_at_[index] = now;
+  return decision == RemovalDecision::kAllowed;
 }
 
 std::vector<std::string> LivenessMonitor::Alarms() const {
@@ -234,10 +237,10 @@
         " troubled of " + std::to_string(heartbeats_received_.recorded) +
         " machines");
   }
-  for (size_t i = 0; i < kLossCauses; ++i) {
-    if (latest_decisions_[i] == LossDecision::kAllowed) continue;
+  for (size_t i = 0; i < kRemovalCauses; ++i) {
+    if (latest_decisions_[i] == RemovalDecision::kAllowed) continue;
     alarms.push_back("nothing more taken away as " +
-                     std::string(NameOf(static_cast<LossCause>(i))) + ": " +
+                     std::string(NameOf(static_cast<RemovalCause>(i))) + ": " +
                      std::string(NameOf(latest_decisions_[i])));
   }
   return alarms;
@@ -269,15 +272,15 @@
     return;
   std::vector<Machine*> to_survey;
   for (auto& machine : machines_) {
-    if (!machine->recorded_up || machine->state() == MachineState::kGone ||
+    if (!machine->recorded_up || machine->state() == MachineState::kDeleted ||
         machine->state() == MachineState::kDeleting ||
         machine->endpoint.empty() ||
         now - NoContactSince(*machine, started_) <= timeouts_.asked ||
-        now - machine->asked_about <
+        now - machine->peers_last_asked <
             settings_.workers.heartbeat_interval_seconds) {
       continue;
     }
-    machine->asked_about = now;
+    machine->peers_last_asked = now;
     to_survey.push_back(machine.get());
     if (to_survey.size() == kMaxMachinesPerSurvey) break;
   }
@@ -295,22 +298,22 @@
 // ones alone would favour a controller that reaches just these and none of the
 // others, which would be no better leader.
 void LivenessMonitor::SurveyMachineSample(Time now) {
-  if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
+  if (settings_.peers.empty() || !leader_health_.IsSurveyDue(now)) return;
   std::vector<Machine*> all;
   for (const auto& machine : machines_) {
     if (SilenceCounts(*machine) && !machine->endpoint.empty())
       all.push_back(machine.get());
   }
   std::vector<Machine*> sample;
-  std::sample(all.begin(), all.end(), std::back_inserter(sample), kReachSample,
-              sample_rng_);
+  std::sample(all.begin(), all.end(), std::back_inserter(sample),
+              kSurveySampleSize, sample_rng_);
   if (sample.empty()) return;
-  leader_health_.RoundAsked(now);
+  leader_health_.OnSurveyStarted(now);
   sample_survey_round_ = StartSurvey(sample, SurveyKind::kSample, now);
 }
 
-bool LivenessMonitor::OnReach(uint64_t round, std::vector<Reach> answers,
-                              Time now) {
+bool LivenessMonitor::OnReachabilityAnswers(
+    uint64_t round, std::vector<ReachabilityAnswer> answers, Time now) {
   const auto it = surveys_.find(round);
   if (it == surveys_.end() || answers.empty()) return true;
   const Survey survey = std::move(it->second);
@@ -322,7 +325,7 @@
   if (round != sample_survey_round_) return true;
   sample_survey_round_ = 0;
   const LeaderHealth::Decision decision =
-      leader_health_.RoundAnswered(answers, now);
+      leader_health_.OnSurveyAnswered(answers, now);
   switch (decision.kind) {
     case LeaderHealth::Decision::Kind::kStay:
       break;
@@ -337,24 +340,28 @@
 }
 
 void LivenessMonitor::ApplyAnswers(Machine& machine, size_t index,
-                                   Time asked_at, std::vector<Reach>* answers,
+                                   Time asked_at,
+                                   std::vector<ReachabilityAnswer>* answers,
                                    Time now) const {
-  if (machine.state() == MachineState::kGone) return;
-  Reach& own = answers->front();
+  if (machine.state() == MachineState::kDeleted) return;
+  ReachabilityAnswer& own = answers->front();
   const bool peer_reaches_it =
       std::any_of(answers->begin() + 1, answers->end(),
-                  [index](const Reach& other) { return other.Reaches(index); });
+                  [index](const ReachabilityAnswer& other) {
+                    return other.Reaches(index);
+                  });
   if (peer_reaches_it) {
-    machine.reached_by_other = now;
-  } else if (own.Denies(index)) {
+    machine.last_reached_by_peer = now;
+  } else if (own.FailsToReach(index)) {
     // Dated at the time of the question: a leader that was stalled reads the
     // answer late, and the machine may have become reachable since.
-    machine.reached_by_none = std::max(machine.reached_by_none, asked_at);
+    machine.last_unreached_by_peers =
+        std::max(machine.last_unreached_by_peers, asked_at);
   }
   // A machine whose heartbeats don't arrive counts as not reached even if it
   // answers probes, since only heartbeats renew its lease.
   if (own.Reaches(index) && HeartbeatOverdue(machine, now)) {
-    own.machines[index] = Reach::kNotReached;
+    own.machines[index] = ReachabilityAnswer::kNotReached;
   }
 }
 
--- a/core/worker_sessions/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -1,7 +1,8 @@
 // Detects machines that have fallen silent, asks the other controllers whether
 // they can reach them, and decides which machines the leader may remove. Of the
-// machines it changes only the fields about these surveys (asked_about,
-// reached_by_other, reached_by_none). Owns LeaderHealth and the LossLimiter.
+// machines it changes only the fields about these surveys (peers_last_asked,
+// last_reached_by_peer, last_unreached_by_peers). Owns LeaderHealth and the
+// RemovalLimiter.
 #pragma once
 
 #include <array>
@@ -13,7 +14,7 @@
 
 #include "core/leader_context/actions.h"
 #include "core/leader_health/leader_health.h"
-#include "core/limits/loss_limiter.h"
+#include "core/limits/removal_limiter.h"
 #include "core/model/machine.h"
 #include "core/model/settings.h"
 #include "core/model/timeouts.h"
@@ -33,15 +34,15 @@
   // Counts the machines that are silent or troubled, updates the leader's
   // health from these numbers and ends alarms that are over. Called once per
   // tick, before any decision that depends on the numbers.
-  void Count(Time now);
+  void CountSilentMachines(Time now);
   // Starts the surveys that are due: asks every controller which of the silent
   // machines, and which of a sample of all machines, it can reach.
   void StartSurveys(Time now);
   // Evaluates the answers to the survey with the number `round`; this
   // controller's own answer is the first. Returns false if this controller must
   // stop leading.
-  [[nodiscard]] bool OnReach(uint64_t round, std::vector<Reach> answers,
-                             Time now);
+  [[nodiscard]] bool OnReachabilityAnswers(
+      uint64_t round, std::vector<ReachabilityAnswer> answers, Time now);
   void OnTransferAccepted() { leader_health_.TransferAccepted(); }
   void OnTransferRejected(const std::string& why, Time now);
 
@@ -54,7 +55,7 @@
   // Whether the limits on removals allow this machine to be removed for this
   // cause now. If so, counts the removal against the limits; if not, raises an
   // alarm.
-  bool LossAllowed(const Machine& machine, LossCause cause, Time now);
+  bool RemovalAllowed(const Machine& machine, RemovalCause cause, Time now);
 
   LeaderHealthState leader_health() const { return leader_health_.state(); }
   const HeartbeatsReceived& heartbeats_received() const {
@@ -91,7 +92,7 @@
   // survey. In this controller's own answer, marks the machine as not reached
   // if its heartbeats are overdue.
   void ApplyAnswers(Machine& machine, size_t index, Time asked_at,
-                    std::vector<Reach>* answers, Time now) const;
+                    std::vector<ReachabilityAnswer>* answers, Time now) const;
   void Log(std::string message, LogFields fields = {});
 
   const Settings& settings_;
@@ -100,7 +101,7 @@
   const Time started_;
   std::vector<Action>& actions_;
   LeaderHealth leader_health_;
-  LossLimiter limiter_;
+  RemovalLimiter limiter_;
   HeartbeatsReceived heartbeats_received_;
   uint64_t next_round_ = 1;
   // The survey of each kind that is in progress; 0 if there is none.
@@ -109,8 +110,8 @@
   std::map<uint64_t, Survey> surveys_;  // in progress, by round
   // For each cause of removal: the latest decision, and when a removal was last
   // refused.
-  std::array<LossDecision, kLossCauses> latest_decisions_{};
-  std::array<Time, kLossCauses> last_refused_at_{};
+  std::array<RemovalDecision, kRemovalCauses> latest_decisions_{};
+  std::array<Time, kRemovalCauses> last_refused_at_{};
   std::mt19937_64 sample_rng_;
 };
 
--- a/core/worker_sessions/machine_lifecycle.h
+++ b/core/worker_sessions/machine_lifecycle.h
@@ -38,7 +38,7 @@
   void Drain(Machine& machine, Time now, const char* reason);
   // Drains, cordons or deletes the machine, depending on the cause. Returns
   // false, and changes nothing, if the loss limiter forbids it now.
-  bool RemoveMachine(Machine& machine, LossCause cause, Time now);
+  bool RemoveMachine(Machine& machine, RemovalCause cause, Time now);
   // Asks the cloud to delete the machine. No limit applies, so this is only for
   // machines that certainly have to go or whose removal was allowed before.
   void RequestDeletion(Machine& machine, Time now, const char* reason);
--- a/core/worker_sessions/worker_sessions.h
+++ b/core/worker_sessions/worker_sessions.h
@@ -60,13 +60,13 @@
                       HeartbeatChannel channel, Time now);
 
   // --- lease expiry
-  // BeginTick, ExpireIfOver for each machine and EndTick, in this order, once
-  // in each tick of the leader.
+  // BeginTick, ExpireIfLeaseEnded for each machine and EndTick, in this order,
+  // once in each tick of the leader.
   void BeginTick();
   // Marks the tasks on the machine as lost once its worker's lease has
   // certainly expired. To be called only while this controller leads by the
   // lease of the leader key.
-  void ExpireIfOver(Machine& machine, Time now);
+  void ExpireIfLeaseEnded(Machine& machine, Time now);
   void EndTick(Time now);
   // How many leases have expired of workers that were heard again afterwards,
   // in a new incarnation.
@@ -76,13 +76,13 @@
   DelegatedLeases& delegated_leases() { return delegated_leases_; }
   // Whether a delegated lease may be granted for the zone: false if it has, or
   // may have, tasks that must have ended before such a lease would expire.
-  bool ZoneSettled(const std::string& zone, Time now) const;
+  bool ZoneMayBeDelegated(const std::string& zone, Time now) const;
   // The controller `peer` asks for a delegated lease for the workers in its
   // zone. Returns whether it is granted. `process_incarnation` and `age`, in
   // seconds, are those of that controller's process.
-  bool OnDelegationAsked(const std::string& peer,
-                         const std::string& process_incarnation, double age,
-                         Time now);
+  bool OnDelegationRequested(const std::string& peer,
+                             const std::string& process_incarnation, double age,
+                             Time now);
 
  private:
   // --- heartbeats
