--- a/core/autoscaler/consolidation.cc
+++ b/core/autoscaler/consolidation.cc
@@ -49,14 +49,14 @@
 
 void Consolidator::Run(Time now) {
   std::vector<Machine*> usable;
-  double largest_staying_cpus = 0;
+  double largest_service_cpus = 0;
   size_t replicas = 0;
   for (const auto& machine : cluster_.machines()) {
     if (machine->state() == MachineState::kDraining) return;
     if (!machine_health_.Usable(*machine, now)) continue;
     usable.push_back(machine.get());
-    largest_staying_cpus =
-        std::max(largest_staying_cpus, machine->used_by_services.cpus);
+    largest_service_cpus =
+        std::max(largest_service_cpus, machine->used_by_services.cpus);
     replicas += machine->task_attempts.size();
   }
   const double max_moved = kMaxMovedShare * static_cast<double>(replicas);
@@ -64,7 +64,7 @@
   for (Machine* machine : Candidates(usable, now)) {
     const size_t moved_with_it = moved + machine->task_attempts.size();
     if (moved > 0 && static_cast<double>(moved_with_it) > max_moved) break;
-    if (!CanMoveAll(*machine, usable, largest_staying_cpus)) continue;
+    if (!CanMoveAll(*machine, usable, largest_service_cpus)) continue;
     if (!machine_lifecycle_.RemoveMachine(*machine, RemovalCause::kConsolidated,
                                           now)) {
       break;
--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -28,8 +28,8 @@
   return limits;
 }
 
-RemovalLimiter::Limits LossLimits(const Settings& settings,
-                                  const Tuning& tuning) {
+RemovalLimiter::Limits RemovalLimits(const Settings& settings,
+                                     const Tuning& tuning) {
   RemovalLimiter::Limits limits;
   limits.window_seconds =
       tuning.limit_window_leases * settings.workers.lease_seconds;
@@ -65,22 +65,22 @@
 }
 
 // What removing the machine would cost: its replicas, by service.
-CapacityRemoval LossOf(const Machine& machine, RemovalCause cause) {
-  CapacityRemoval loss;
-  loss.cause = cause;
-  loss.zone = machine.zone;
+CapacityRemoval CapacityRemovalOf(const Machine& machine, RemovalCause cause) {
+  CapacityRemoval removal;
+  removal.cause = cause;
+  removal.zone = machine.zone;
   for (const auto& [key, attempt] : machine.task_attempts) {
     if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
         attempt.job->spec().kind != JobKind::kService) {
       continue;
     }
-    if (loss.services.empty() || loss.services.back().job != key.job_id) {
-      loss.services.push_back(
+    if (removal.services.empty() || removal.services.back().job != key.job_id) {
+      removal.services.push_back(
           {key.job_id, 0, static_cast<int>(attempt.job->size())});
     }
-    ++loss.services.back().replicas;
+    ++removal.services.back().replicas;
   }
-  return loss;
+  return removal;
 }
 
 }  // namespace
@@ -95,7 +95,7 @@
       started_(started),
       actions_(actions),
       leader_health_(LeaderHealthLimits(settings, tuning, timeouts), started),
-      limiter_(LossLimits(settings, tuning)),
+      limiter_(RemovalLimits(settings, tuning)),
       sample_rng_(seed) {}
 
 void LivenessMonitor::Log(std::string message, LogFields fields) {
@@ -211,8 +211,8 @@
     ++fleet;
     zone += other->zone == machine.zone;
   }
-  const RemovalDecision decision =
-      limiter_.RequestRemoval(LossOf(machine, cause), fleet, zone, now);
+  const RemovalDecision decision = limiter_.RequestRemoval(
+      CapacityRemovalOf(machine, cause), fleet, zone, now);
   const auto index = static_cast<size_t>(cause);
   if (decision != RemovalDecision::kAllowed &&
       latest_decisions_[index] == RemovalDecision::kAllowed) {
@@ -333,7 +333,8 @@
       actions_.push_back(OfferLeadershipTransfer{decision.to, decision.why});
       break;
     case LeaderHealth::Decision::Kind::kStepDown:
-      actions_.push_back(Resign{decision.why, /*unfit=*/true});
+      actions_.push_back(
+          Resign{decision.why, /*prefer_other_candidates=*/true});
       return false;
   }
   return true;
--- a/core/worker_sessions/machine_lifecycle.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -20,7 +20,7 @@
 constexpr const char* kFailedListState = "failed";
 
 // The reason that is logged for a removal, indexed by RemovalCause.
-constexpr std::array<const char*, kRemovalCauses> kLossReasons = {
+constexpr std::array<const char*, kRemovalCauses> kRemovalReasons = {
     "silent", "neither listed nor sending", "did not boot in time",
     "idle",   "its replicas fit elsewhere", "several jobs failed there"};
 
@@ -110,7 +110,7 @@
 bool MachineLifecycle::RemoveMachine(Machine& machine, RemovalCause cause,
                                      Time now) {
   if (!liveness_.RemovalAllowed(machine, cause, now)) return false;
-  const char* reason = kLossReasons[static_cast<size_t>(cause)];
+  const char* reason = kRemovalReasons[static_cast<size_t>(cause)];
   if (cause == RemovalCause::kConsolidated) {
     Drain(machine, now, reason);
     return true;
--- a/core/worker_sessions/machine_lifecycle.h
+++ b/core/worker_sessions/machine_lifecycle.h
@@ -1,7 +1,7 @@
 // The life cycle of machines from boot to deletion: draining, deletion,
 // comparison with the cloud's machine list, and the periodic review of the task
 // attempts on each machine. Every removal that rests on an assumption (silence,
-// a list, a timeout) needs the permission of the loss limiter. Owns nothing;
+// a list, a timeout) needs the permission of the removal limiter. Owns nothing;
 // changes the machines.
 #pragma once
 
@@ -37,7 +37,7 @@
   // eviction of its tasks.
   void Drain(Machine& machine, Time now, const char* reason);
   // Drains, cordons or deletes the machine, depending on the cause. Returns
-  // false, and changes nothing, if the loss limiter forbids it now.
+  // false, and changes nothing, if the removal limiter forbids it now.
   bool RemoveMachine(Machine& machine, RemovalCause cause, Time now);
   // Asks the cloud to delete the machine. No limit applies, so this is only for
   // machines that certainly have to go or whose removal was allowed before.
--- a/core/worker_sessions/task_attempt_tracker.cc
+++ b/core/worker_sessions/task_attempt_tracker.cc
@@ -291,7 +291,7 @@
 // The errors of one job may be its own fault. If several jobs fail on a
 // machine, the machine is probably faulty, unless these jobs fail everywhere:
 // two faulty jobs could get every machine cordoned that they run on, until no
-// machine is left for new work. So the loss limiter bounds the number of
+// machine is left for new work. So the removal limiter bounds the number of
 // cordoned machines.
 void TaskAttemptTracker::CordonIfJobsFailThere(Machine& machine,
                                                const std::string& job_id,
