--- a/app/election/epoch_election.cc
+++ b/app/election/epoch_election.cc
@@ -84,7 +84,7 @@
   context_.stop_leading();
   const bool led = opened_by == OpenedBy::kLeader;
   if (led && context_.IsValidLeader()) {
-    context_.leadership.Rewon(won.revision, won.lease_id, won.sent_at);
+    context_.leadership.OnKeyRewritten(won.revision, won.lease_id, won.sent_at);
   } else {
     if (led) {
       context_.leadership.Retire();
--- a/app/election/lease_renewer.cc
+++ b/app/election/lease_renewer.cc
@@ -85,7 +85,7 @@
     co_return false;
   }
   context_.stop_leading();
-  context_.leadership.Rewon(*revision, lease.lease_id, sent_at);
+  context_.leadership.OnKeyRewritten(*revision, lease.lease_id, sent_at);
   OnKeyWritten();
   context_.watcher.Apply(key, record, *revision);
   logging::Info("lost its lease and wrote the leader key again",
--- a/app/recovery/bootstrapper.cc
+++ b/app/recovery/bootstrapper.cc
@@ -56,11 +56,11 @@
     const bool has_later_epoch = answer.done > epoch.number;
     const bool has_other_epoch = answer.done == epoch.number &&
                                  answer.done > 0 && answer.text != epoch.id;
-    const bool misses_records =
+    const bool store_lacks_records =
         answer.running == static_cast<uint32_t>(StoreCheck::kMissing);
     view.remembers_other_store = view.remembers_other_store ||
                                  has_later_epoch || has_other_epoch ||
-                                 misses_records;
+                                 store_lacks_records;
     if (answer.text == epoch.id) {
       view.highest_term = std::max(view.highest_term, answer.mod_revision);
     }
--- a/app/recovery/data_loss_detector.cc
+++ b/app/recovery/data_loss_detector.cc
@@ -53,7 +53,7 @@
 net::Task<void> DataLossDetector::CheckObservedTerm() {
   const StoreCheck result = co_await inspector_.CheckEpoch();
   if (result == StoreCheck::kIntact && foreign_term_ > context_.HighestTerm()) {
-    Report(DataLossIndication::kTermAbove);
+    Report(DataLossIndication::kUnknownTerm);
   }
 }
 
@@ -114,7 +114,7 @@
   const StoreCheck epoch = co_await inspector_.CheckEpoch();
   if (epoch != StoreCheck::kIntact) co_return epoch;
   switch (verification_.indication()) {
-    case DataLossIndication::kTermAbove:
+    case DataLossIndication::kUnknownTerm:
       co_return foreign_term_ > context_.HighestTerm() ? StoreCheck::kMissing
                                                        : StoreCheck::kIntact;
     case DataLossIndication::kOtherEpoch:
--- a/app/recovery/epoch_history.cc
+++ b/app/recovery/epoch_history.cc
@@ -10,7 +10,7 @@
 // the leader, or its tasks have ended. A controller or machine that is still
 // away then is waited for up to the second.
 constexpr double kReportedLeases = 2;
-constexpr double kForgottenLeases = 7;
+constexpr double kRetentionLeases = 7;
 // The least that the first may be: with it, a lease that was renewed just
 // before the rebuild has ended.
 constexpr double kMinReportedLeases = 1.1;
@@ -26,15 +26,16 @@
   const bool is_first = last_epoch_ == 0;
   last_epoch_ = epoch.number;
   last_epoch_since_ = now;
-  was_complete_before_ = is_complete_now_;
+  previous_epoch_complete_ = present_epoch_complete_;
   if (!is_first) return Change::kLaterEpoch;
   first_epoch_ = epoch.number;
-  if (wall_now - epoch.opened_wall < lease_seconds_) founded_at_ = now;
+  if (wall_now - epoch.opened_wall < lease_seconds_)
+    new_deployment_since_ = now;
   return Change::kFirstEpoch;
 }
 
 void EpochHistory::OnFacts(const StoreEpoch& epoch, Time now) {
-  is_complete_now_ = epoch.whole;
+  present_epoch_complete_ = epoch.whole;
   if (epoch.rebuilt && rebuilt_epoch_ != epoch.number) {
     rebuilt_epoch_ = epoch.number;
     rebuilt_since_ = now;
@@ -48,11 +49,12 @@
                   std::max(last_epoch_since_ + kMaxWaitSeconds, earliest));
 }
 
-std::optional<Time> EpochHistory::ForgottenAt(const StoreEpoch& epoch) const {
+std::optional<Time> EpochHistory::RetentionEndsAt(
+    const StoreEpoch& epoch) const {
   const std::optional<Time> all_reported_at = AllReportedAt(epoch);
   if (!all_reported_at) return std::nullopt;
   return std::min(
-      rebuilt_since_ + kForgottenLeases * lease_seconds_,
+      rebuilt_since_ + kRetentionLeases * lease_seconds_,
       std::max(last_epoch_since_ + kMaxWaitSeconds, *all_reported_at));
 }
 
@@ -60,7 +62,8 @@
                                           Time now) const {
   // A first epoch may have been opened in a store that has lost everything,
   // together with all controllers: the workers would report within a lease.
-  if (founded_at_ && now <= *founded_at_ + lease_seconds_) return false;
+  if (new_deployment_since_ && now <= *new_deployment_since_ + lease_seconds_)
+    return false;
   if (epoch.whole) return true;
   const std::optional<Time> at = AllReportedAt(epoch);
   return at && now > *at;
@@ -69,7 +72,7 @@
 bool EpochHistory::MayBeKnownElsewhere(const StoreEpoch& epoch,
                                        Time now) const {
   if (epoch.whole) return false;
-  const std::optional<Time> at = ForgottenAt(epoch);
+  const std::optional<Time> at = RetentionEndsAt(epoch);
   return !at || now <= *at;
 }
 
--- a/app/recovery/epoch_history.h
+++ b/app/recovery/epoch_history.h
@@ -28,7 +28,7 @@
   uint64_t first_epoch() const { return first_epoch_; }
   // Whether all that was accepted up to the epoch before the present one was
   // recorded or remembered.
-  bool WasCompleteBefore() const { return was_complete_before_; }
+  bool WasCompleteBefore() const { return previous_epoch_complete_; }
 
   // Whether a job that neither the store nor a controller knows was never
   // accepted in `epoch`, as far as the workers' heartbeats can tell.
@@ -42,16 +42,16 @@
   // that nobody who has not been in contact retains anything; nothing before
   // the rebuild.
   std::optional<Time> AllReportedAt(const StoreEpoch& epoch) const;
-  std::optional<Time> ForgottenAt(const StoreEpoch& epoch) const;
+  std::optional<Time> RetentionEndsAt(const StoreEpoch& epoch) const;
 
   const double lease_seconds_;
   uint64_t last_epoch_ = 0;
   Time last_epoch_since_ = 0;  // when its record was first seen here
   uint64_t first_epoch_ = 0;
-  bool was_complete_before_ = true;  // the epoch before the present one
-  bool is_complete_now_ = true;
+  bool previous_epoch_complete_ = true;  // the epoch before the present one
+  bool present_epoch_complete_ = true;
   // When the first epoch of the deployment was seen to be young.
-  std::optional<Time> founded_at_;
+  std::optional<Time> new_deployment_since_;
   uint64_t rebuilt_epoch_ = 0;  // seen to be rebuilt, and since when
   Time rebuilt_since_ = 0;
 };
--- a/app/recovery/epoch_opener.cc
+++ b/app/recovery/epoch_opener.cc
@@ -105,7 +105,7 @@
   EpochOpening opening;
   opening.epoch.number = highest.epoch_number + 1;
   opening.epoch.id = NewEpochId();
-  opening.epoch.base = NextBase(highest.term, net::WallNow());
+  opening.epoch.base = NextTermBase(highest.term, net::WallNow());
   opening.epoch.whole = false;
   opening.epoch.rebuilt = false;
   opening.epoch.opened_wall = net::WallNow();
--- a/app/recovery/peer_state_collector.cc
+++ b/app/recovery/peer_state_collector.cc
@@ -150,14 +150,14 @@
     is_witness = answer.message.running < context_.catalog.epoch().number;
     for (const RetainedRecord& retained : *page) {
       last_key = retained.key;
-      RememberRecord(retained);
+      RetainRecord(retained);
     }
     if (page->empty()) break;
   }
   co_return is_witness;
 }
 
-void PeerStateCollector::RememberRecord(const RetainedRecord& retained) {
+void PeerStateCollector::RetainRecord(const RetainedRecord& retained) {
   rapidjson::Document document;
   Record record;
   document.Parse(retained.record.data(), retained.record.size());
--- a/app/recovery/peer_state_collector.h
+++ b/app/recovery/peer_state_collector.h
@@ -63,7 +63,7 @@
   net::Task<std::optional<std::string>> ReadTerminalStatesPart(
       clients::PeerClient* peer, TerminalState part);
   net::Task<bool> CollectRetainedRecordsFrom(clients::PeerClient* peer);
-  void RememberRecord(const clients::RetainedRecord& retained);
+  void RetainRecord(const clients::RetainedRecord& retained);
 
   // Tells the leader of that term which known terminal states the store does
   // not hold.
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -11,20 +11,26 @@
 using enum LeaderHealthState;
 
 constexpr std::array kChanges = {
-    std::pair{kHealthy, kSuspect},  std::pair{kSuspect, kHealthy},
-    std::pair{kSuspect, kAsking},   std::pair{kAsking, kSuspect},
-    std::pair{kAsking, kOffering},  std::pair{kAsking, kYielding},
-    std::pair{kOffering, kSuspect}, std::pair{kOffering, kYielding},
+    std::pair{kHealthy, kSuspect},
+    std::pair{kSuspect, kHealthy},
+    std::pair{kSuspect, kSurveying},
+    std::pair{kSurveying, kSuspect},
+    std::pair{kSurveying, kOfferingTransfer},
+    std::pair{kSurveying, kSteppingDown},
+    std::pair{kOfferingTransfer, kSuspect},
+    std::pair{kOfferingTransfer, kSteppingDown},
 };
 
-// What the answers of one round say about who is best placed to lead.
+// The result of one survey.
 struct Comparison {
-  const Reach* best = nullptr;  // surely better than this controller; or none
-  int advantage = 0;            // of `best`, in machines
-  bool any_answer = false;      // from another controller
+  // The controller that is best placed to lead, if one is significantly better
+  // placed than this controller; else null.
+  const Reach* best = nullptr;
+  int advantage = 0;        // of `best`, in machines
+  bool any_answer = false;  // whether another controller has answered
 };
 
-Comparison CompareAnswers(const std::vector<Reach>& answers) {
+Comparison CompareReachability(const std::vector<Reach>& answers) {
   Comparison comparison;
   const Reach& self = answers.front();
   const auto asked = static_cast<int>(self.machines.size());
@@ -48,55 +54,57 @@
 void LeaderHealth::Change(LeaderHealthEvent event) {
   LeaderHealthState next = state_;
   switch (event) {
-    case LeaderHealthEvent::kFewReports:
+    case LeaderHealthEvent::kFewHeartbeats:
       if (state_ == kHealthy) next = kSuspect;
       break;
-    case LeaderHealthEvent::kEnoughReports:
-      // A round under way is let end: its answer says the same.
+    case LeaderHealthEvent::kEnoughHeartbeats:
+      // A survey in progress is not aborted: its result will agree.
       if (state_ == kSuspect) next = kHealthy;
       break;
-    case LeaderHealthEvent::kAsked:
-      next = kAsking;
+    case LeaderHealthEvent::kSurveyStarted:
+      next = kSurveying;
       break;
-    case LeaderHealthEvent::kNoneBetter:
-    case LeaderHealthEvent::kRefused:
+    case LeaderHealthEvent::kNoBetterPeer:
+    case LeaderHealthEvent::kTransferRefused:
       next = kSuspect;
       break;
-    case LeaderHealthEvent::kOneIsBetter:
-      next = kOffering;
+    case LeaderHealthEvent::kBetterPeer:
+      next = kOfferingTransfer;
       break;
-    case LeaderHealthEvent::kAgreed:
-    case LeaderHealthEvent::kBlind:
-      next = kYielding;
+    case LeaderHealthEvent::kTransferAccepted:
+    case LeaderHealthEvent::kNothingReceived:
+      next = kSteppingDown;
       break;
   }
   if (next != state_) CheckedChange(state_, next, kChanges, "leader health");
 }
 
-bool LeaderHealth::ReceivesTooFew() const {
+bool LeaderHealth::ReceivesTooFewHeartbeats() const {
   return heartbeats_received_.recorded > 0 &&
          heartbeats_received_.recorded - heartbeats_received_.silent <
              limits_.minimum_received_share * heartbeats_received_.recorded;
 }
 
 void LeaderHealth::Observe(const HeartbeatsReceived& received, Time now) {
-  // After a stall everything looks overdue until what has arrived meanwhile is
-  // read; and a lack of messages that was not watched is not known to have
-  // lasted.
-  const Time before = observed_;
+  // After a stall of the process every machine looks overdue until the messages
+  // that have arrived meanwhile are read. How long messages have been missing
+  // is not known either, so that time starts anew.
+  const Time before = last_observed_at_;
   const bool stalled = now - before > limits_.pause_seconds / 2;
-  observed_ = now;
+  last_observed_at_ = now;
   heartbeats_received_ = received;
   if (stalled) {
     too_few_since_.reset();
-    next_round_ = std::max(next_round_, now + limits_.pause_seconds / 2);
+    next_survey_at_ =
+        std::max(next_survey_at_, now + limits_.pause_seconds / 2);
   }
-  NoteTooFew(now);
-  // The round that may end it comes when it is due, not after a pause.
+  UpdateTooFewSince(now);
+  // The survey after which this leader may step down is made as soon as that is
+  // allowed, not after a pause.
   if (too_few_since_) {
     const Time blind_at = *too_few_since_ + limits_.blind_after_seconds;
     if (before < blind_at && now >= blind_at) {
-      next_round_ = std::min(next_round_, now);
+      next_survey_at_ = std::min(next_survey_at_, now);
     }
   }
   const bool few =
@@ -104,61 +112,62 @@
       received.troubled >= limits_.troubled_share * received.recorded;
   if (state_ == kHealthy && few) {
     pause_seconds_ = limits_.pause_seconds;
-    Change(LeaderHealthEvent::kFewReports);
+    Change(LeaderHealthEvent::kFewHeartbeats);
   } else if (!few) {
-    Change(LeaderHealthEvent::kEnoughReports);
+    Change(LeaderHealthEvent::kEnoughHeartbeats);
   }
 }
 
-void LeaderHealth::NoteTooFew(Time now) {
-  if (!ReceivesTooFew()) {
+void LeaderHealth::UpdateTooFewSince(Time now) {
+  if (!ReceivesTooFewHeartbeats()) {
     too_few_since_.reset();
     return;
   }
   if (too_few_since_) return;
   too_few_since_ = now;
-  // Worse than what the last rounds were about: the pauses start anew. A leader
-  // suspect for long over one dead machine asked too late otherwise.
+  // This is worse than what the last surveys were about, so the pauses start
+  // anew. Otherwise a leader that had been suspect for a long time because of
+  // one dead machine would survey too late.
   pause_seconds_ = limits_.pause_seconds;
-  next_round_ = std::min(next_round_, now + limits_.pause_seconds / 2);
+  next_survey_at_ = std::min(next_survey_at_, now + limits_.pause_seconds / 2);
 }
 
 bool LeaderHealth::WantsRound(Time now) const {
-  return state_ == kSuspect && now >= next_round_ &&
+  return state_ == kSuspect && now >= next_survey_at_ &&
          now - started_ >= limits_.settle_seconds;
 }
 
 void LeaderHealth::RoundAsked(Time now) {
-  Change(LeaderHealthEvent::kAsked);
-  // The longer it lasts without one better placed, the less often it is asked.
-  next_round_ = now + pause_seconds_;
+  Change(LeaderHealthEvent::kSurveyStarted);
+  // The longer no controller is better placed, the rarer the surveys become.
+  next_survey_at_ = now + pause_seconds_;
   pause_seconds_ = std::min(2 * pause_seconds_, limits_.longest_pause_seconds);
 }
 
 LeaderHealth::Decision LeaderHealth::RoundAnswered(
     const std::vector<Reach>& answers, Time now) {
-  if (state_ != kAsking || answers.empty()) return {};
-  const Comparison comparison = CompareAnswers(answers);
+  if (state_ != kSurveying || answers.empty()) return {};
+  const Comparison comparison = CompareReachability(answers);
   if (comparison.best != nullptr) {
-    Change(LeaderHealthEvent::kOneIsBetter);
+    Change(LeaderHealthEvent::kBetterPeer);
     return {Decision::Kind::kOfferLeadershipTransfer, comparison.best->node,
             comparison.best->node + " reaches " +
                 std::to_string(comparison.advantage) + " of " +
                 std::to_string(answers.front().machines.size()) +
                 " machines more"};
   }
-  // Nothing can be compared. Staying is right if all controllers receive
-  // nothing, and loses every task in the fleet if the others do; a leadership
-  // transfer to nobody in particular costs one failover. Once, after it has
-  // lasted.
+  // No other controller has answered, so nothing can be compared. Staying the
+  // leader is right if no controller receives heartbeats, but loses every task
+  // in the fleet if only this one doesn't. Stepping down costs one failover at
+  // most. So the leader steps down, once, after this has lasted for some time.
   const bool blind = !comparison.any_answer && answers.size() > 1 &&
                      too_few_since_ &&
                      now - *too_few_since_ >= limits_.blind_after_seconds;
   if (!blind) {
-    Change(LeaderHealthEvent::kNoneBetter);
+    Change(LeaderHealthEvent::kNoBetterPeer);
     return {};
   }
-  Change(LeaderHealthEvent::kBlind);
+  Change(LeaderHealthEvent::kNothingReceived);
   const int received =
       heartbeats_received_.recorded - heartbeats_received_.silent;
   return {Decision::Kind::kStepDown, "",
@@ -168,9 +177,9 @@
 }
 
 void LeaderHealth::OfferRefused(Time now) {
-  if (state_ != kOffering) return;
-  Change(LeaderHealthEvent::kRefused);
-  next_round_ = std::max(next_round_, now + pause_seconds_);
+  if (state_ != kOfferingTransfer) return;
+  Change(LeaderHealthEvent::kTransferRefused);
+  next_survey_at_ = std::max(next_survey_at_, now + pause_seconds_);
 }
 
 bool LeadershipTransferLog::Allows(Time now) {
--- a/core/leader_health/leader_health.h
+++ b/core/leader_health/leader_health.h
@@ -1,7 +1,9 @@
-// Whether the leader is the right one to lead. When it receives few heartbeats:
-// are the machines dead, is the network down for all, or only its own? No I/O,
-// no clock; safety never rests on what is decided here, only on the lease and
-// the fencing tokens. Used by LivenessMonitor.
+// Decides whether the present leader should hand leadership over. When the
+// leader receives few heartbeats, either the machines are down, or the network
+// is down for all controllers, or only the leader's own network is. In the last
+// case another controller is better placed. No I/O, no clock. Safety does not
+// depend on these decisions, only on the lease and the fencing tokens. Used by
+// LivenessMonitor.
 #pragma once
 
 #include <cstdint>
@@ -14,98 +16,121 @@
 
 namespace oxbow {
 
-// Whether this controller is fit to lead, by the heartbeats that it receives.
+// How well placed the leader is, judged by the heartbeats that it receives, and
+// how far a transfer of leadership has come.
 enum class LeaderHealthState : uint8_t {
-  kHealthy,   // as many machines send heartbeats as should
-  kSuspect,   // too few do: the other controllers are to be asked
-  kAsking,    // a survey of them is in progress
-  kOffering,  // another is surely better placed, and is offered leadership
-  kYielding,  // it has agreed; this leadership ends
+  kHealthy,           // heartbeats of enough machines arrive
+  kSuspect,           // too many machines have problems: a survey of the other
+                      // controllers is due, now or after a pause
+  kSurveying,         // a survey is in progress
+  kOfferingTransfer,  // another controller is significantly better placed, and
+                      // leadership is being offered to it
+  kSteppingDown,      // this leadership ends: the offer was accepted, or this
+                      // controller can neither receive heartbeats nor compare
 };
 
-// What may change that.
+// The events that may change the state.
 enum class LeaderHealthEvent : uint8_t {
-  kFewReports,
-  kEnoughReports,
-  kAsked,
-  kNoneBetter,  // or nothing could be compared
-  kOneIsBetter,
-  kRefused,  // the other can't, or there were too many transfers lately
-  kAgreed,
-  kBlind,  // nobody answers and next to nothing is received
+  kFewHeartbeats,
+  kEnoughHeartbeats,
+  kSurveyStarted,
+  kNoBetterPeer,  // or no other controller's answer could be compared
+  kBetterPeer,
+  kTransferRefused,  // the other controller can't lead, or there have been too
+                     // many transfers lately
+  kTransferAccepted,
+  kNothingReceived,  // no controller answers and hardly any heartbeat arrives
 };
 
-// From how much of the fleet messages arrive, counted in one pass over it.
+// How many machines messages arrive from, counted in one pass over the fleet.
 struct HeartbeatsReceived {
   int recorded = 0;  // machines that may hold tasks
-  // Of them: no message, or no heartbeat, for longer than one may take, or
-  // commands or responses that don't get through.
+  // Of those, the machines from which no message, or no heartbeat, has arrived
+  // for longer than a heartbeat may take, or which commands or responses don't
+  // reach.
   int troubled = 0;
-  int silent = 0;  // no message for longer than a heartbeat may take
+  // Of those, the machines from which no message has arrived for longer than a
+  // heartbeat may take.
+  int silent = 0;
 };
 
-// Decides when the other controllers are asked and when leadership is offered
-// to one of them. Makes no requests itself.
+// The state machine that decides when to survey the other controllers and when
+// to offer leadership to one of them. It makes no requests itself.
 class LeaderHealth {
  public:
   struct Limits {
-    double troubled_share = 0;  // troubled machines that make it suspect
-    // Receiving from a smaller share, it can't lead whoever else can.
+    // The share of troubled machines from which on the leader is suspect.
+    double troubled_share = 0;
+    // A controller that receives messages from a smaller share of the machines
+    // can't lead, whether another controller can or not.
     double minimum_received_share = 0;
-    double pause_seconds = 0;  // between two rounds, at first
-    double longest_pause_seconds = 0;
-    double blind_after_seconds = 0;  // of receiving too few with nobody to ask
-    double settle_seconds =
-        0;  // after taking office, before any leadership transfer
+    double pause_seconds = 0;  // between two surveys, at first
+    double longest_pause_seconds =
+        0;  // between two surveys; it doubles up to it
+    // How long too few machines must have sent messages, while no controller
+    // answers, before the leader steps down.
+    double blind_after_seconds = 0;
+    // No survey, and so no leadership transfer, earlier than this after the
+    // beginning of the leadership.
+    double settle_seconds = 0;
   };
   struct Decision {
     enum class Kind : uint8_t { kStay, kOfferLeadershipTransfer, kStepDown };
     Kind kind = Kind::kStay;
-    std::string to;  // of an offer
-    std::string why;
+    std::string to;   // the controller that leadership is offered to
+    std::string why;  // the reason, for the log
   };
 
+  // `started`: the beginning of this leadership.
   LeaderHealth(const Limits& limits, Time started)
       : limits_(limits), started_(started) {}
 
   LeaderHealthState state() const { return state_; }
   bool healthy() const { return state_ == LeaderHealthState::kHealthy; }
 
-  // With each count. A gap in the calls (the process was stalled) is no time in
-  // which anything could have been received.
+  // Takes in the latest count. A long gap between two calls means that the
+  // process was stalled and could not receive anything, and does not count as a
+  // time without messages.
   void Observe(const HeartbeatsReceived& received, Time now);
-  // Whether a round should be asked now; the caller asks it.
+  // Whether a survey is due; the caller carries it out.
   bool WantsRound(Time now) const;
+  // A survey has been started.
   void RoundAsked(Time now);
-  // The answers, this controller's first.
+  // A survey has ended. `answers`: this controller's own first.
   Decision RoundAnswered(const std::vector<Reach>& answers, Time now);
+  // The controller to which leadership was offered has refused it.
   void OfferRefused(Time now);
-  void TransferAccepted() { Change(LeaderHealthEvent::kAgreed); }
+  // It has accepted.
+  void TransferAccepted() { Change(LeaderHealthEvent::kTransferAccepted); }
 
  private:
-  // The one function for a change.
+  // The only function that changes the state.
   void Change(LeaderHealthEvent event);
-  bool ReceivesTooFew() const;
-  // Restarts the rounds when messages of too few machines arrive.
-  void NoteTooFew(Time now);
+  // Whether less than Limits::minimum_received_share of the machines send
+  // messages.
+  bool ReceivesTooFewHeartbeats() const;
+  // Updates too_few_since_, and has a survey made soon when it begins.
+  void UpdateTooFewSince(Time now);
 
   Limits limits_;
   Time started_;
   LeaderHealthState state_ = LeaderHealthState::kHealthy;
-  HeartbeatsReceived heartbeats_received_;
-  Time observed_ = -1e9;
-  Time next_round_ = 0;
+  HeartbeatsReceived heartbeats_received_;  // the latest count
+  Time last_observed_at_ = -1e9;
+  Time next_survey_at_ = 0;
   std::optional<Time> too_few_since_;
-  double pause_seconds_ = 0;
+  double pause_seconds_ = 0;  // the next pause between two surveys
 };
 
-// The leadership transfers that this controller has seen, its own and others'.
-// They are bounded, so that two controllers that receive little don't pass the
-// leadership to and fro.
+// Limits how many leadership transfers may take place within a time window, so
+// that two controllers that both receive few heartbeats don't pass leadership
+// back and forth. It records the transfers that this controller has seen, its
+// own and those of others.
 class LeadershipTransferLog {
  public:
   LeadershipTransferLog(double window_seconds, int max_in_window)
       : window_seconds_(window_seconds), max_in_window_(max_in_window) {}
+  // Whether another transfer is allowed now.
   bool Allows(Time now);
   void Record(Time now) { times_.push_back(now); }
 
--- a/core/leader_health/reachability_survey.cc
+++ b/core/leader_health/reachability_survey.cc
@@ -24,13 +24,15 @@
 }
 
 bool Surely(int more, int asked) {
-  constexpr double kProbeFails = 0.1;
-  constexpr double kChance = 0.0101;  // two of two count
+  constexpr double kProbeFailureProbability = 0.1;
+  // Slightly above 0.1 * 0.1, so that 2 of 2 machines are significant.
+  constexpr double kMaxChance = 0.0101;
   if (more <= 0 || asked <= 0 || more > asked) return false;
-  const boost::math::binomial_distribution<double> failures(asked, kProbeFails);
+  const boost::math::binomial_distribution<double> failures(
+      asked, kProbeFailureProbability);
   const double chance =
       boost::math::cdf(boost::math::complement(failures, more - 1));
-  return chance < kChance;
+  return chance < kMaxChance;
 }
 
 }  // namespace oxbow
--- a/core/leader_health/reachability_survey.h
+++ b/core/leader_health/reachability_survey.h
@@ -1,5 +1,6 @@
-// Who reaches which machines: one question, put to every controller about the
-// same machines at the same time, and what the answers say.
+// A reachability survey: every controller is asked at the same time which of
+// the same sample of machines it reaches. Here are the answers and their
+// comparison.
 #pragma once
 
 #include <cstdint>
@@ -8,16 +9,18 @@
 
 namespace oxbow {
 
-// One controller's answer. A text as it travels: one character a machine, in
-// the order of the question.
+// One controller's answer to a survey.
 struct Reach {
   static constexpr char kReached = '1';
   static constexpr char kNotReached = '0';
-  static constexpr char kNotAsked = '?';  // it does not know the machine
-
-  std::string node;
-  bool answered = false;
-  bool may_lead = false;  // by its own word: it could take office now
+  // The controller does not know the machine and did not ask it.
+  static constexpr char kNotAsked = '?';
+
+  std::string node;       // the name of the controller
+  bool answered = false;  // whether it answered the survey at all
+  bool may_lead = false;  // whether it reports that it could lead now
+  // As it is sent: one of the characters above for each machine, in the order
+  // of the question.
   std::string machines;
 
   bool Reaches(size_t i) const {
@@ -28,23 +31,27 @@
   }
 };
 
-// Whether the characters are such an answer to a question about `count`.
+// Whether `text` is a valid value of Reach::machines for a survey of `count`
+// machines.
 bool IsReachText(const std::string& text, size_t count);
 
-// How much better `other` stands than `self`: machines reached by it alone
-// less those reached by self alone.
+// How many machines more `other` reaches than `self`: the number that only
+// `other` reaches less the number that only `self` reaches. Machines that
+// `other` did not ask are left out.
 int Advantage(const Reach& self, const Reach& other);
 
-// Whether an advantage of `more` out of `asked` can't well be chance. A good
-// probe fails now and then (a lost packet, a pause on either side), here taken
-// as one in ten, far above what was seen; the advantage is sure when so many
-// failures at once would come less than once in a hundred rounds. No threshold
-// by hand fits both three machines and a sample of a thousand: 2 of 2, 3 of 3,
-// 4 of 8, 7 of 24.
+// Whether reaching `more` machines more, out of `asked`, is statistically
+// significant. A probe of a reachable machine fails now and then (a lost
+// packet, a pause on either side); the test assumes one failure in ten, far
+// above the rate that was observed. The advantage is significant if so many
+// failures at once would occur in less than about one survey in a hundred. A
+// binomial test is used because no fixed threshold fits both three machines and
+// a sample of a thousand. It requires 2 of 2, 3 of 3, 4 of 8 and 7 of 24
+// machines.
 bool Surely(int more, int asked);
 
-// How many machines are asked about: enough to tell a tenth that can't be
-// reached from a third, whatever the size of the fleet.
+// The number of machines in a survey: enough to distinguish one tenth of the
+// machines being unreachable from one third, whatever the size of the fleet.
 inline constexpr int kReachSample = 24;
 
 }  // namespace oxbow
--- a/core/lease/delegated_lease.cc
+++ b/core/lease/delegated_lease.cc
@@ -7,8 +7,8 @@
 namespace oxbow {
 
 double CancellationMargin(const WorkerSettings& workers) {
-  constexpr double kShareOfLease = 0.05;
-  return kShareOfLease * workers.lease_seconds;
+  constexpr double kLeaseRatio = 0.05;
+  return kLeaseRatio * workers.lease_seconds;
 }
 
 double DelegatedLeaseTerm(const WorkerSettings& workers) {
@@ -17,13 +17,13 @@
 }
 
 double DelegatedLeaseRecordTerm(const WorkerSettings& workers) {
-  constexpr double kLongerLeases = 0.2;
-  return DelegatedLeaseTerm(workers) + kLongerLeases * workers.lease_seconds;
+  constexpr double kExtraLeaseRatio = 0.2;
+  return DelegatedLeaseTerm(workers) + kExtraLeaseRatio * workers.lease_seconds;
 }
 
 double LeaseYieldSeconds(const WorkerSettings& workers) {
-  constexpr double kShareOfLease = 0.1;
-  return kShareOfLease * workers.lease_seconds;
+  constexpr double kLeaseRatio = 0.1;
+  return kLeaseRatio * workers.lease_seconds;
 }
 
 void DelegatedLease::Granted(Time sent) {
@@ -49,8 +49,8 @@
 }
 
 bool DelegatedLease::OnYieldRequested(Time now) {
-  // A delegate that renewed a lease a moment ago may well be in a partition: it
-  // continues.
+  // A delegate that renewed a worker's lease a moment ago may well be in a
+  // partition with that worker, so it continues.
   if (renewed_at_ >= 0 && now - renewed_at_ < yield_seconds_) return false;
   yielded_until_ =
       std::max(yielded_until_, now + yield_seconds_ * (1 + kDrift));
@@ -64,8 +64,9 @@
       term_seconds_(DelegatedLeaseTerm(settings.workers)),
       yield_seconds_(LeaseYieldSeconds(settings.workers)) {
   for (const PeerSettings& peer : settings.peers) {
-    // What an earlier leader granted expires by then. A controller without a
-    // record when this leadership began has no lease any more.
+    // A lease that an earlier leader granted expires at the latest one term
+    // after this leadership began. A controller that had no record at that time
+    // has no lease.
     Peer& delegate = peers_[peer.name];
     delegate.zone = peer.zone;
     delegate.expires_at = started;
@@ -75,11 +76,9 @@
   }
 }
 
-// A process that was restarted has forgotten that the one before it yielded,
-// and until when that one renewed leases.
-void DelegatedLeases::NoteProcess(Peer& peer,
-                                  const std::string& process_incarnation,
-                                  double age, Time now) {
+void DelegatedLeases::UpdateProcess(Peer& peer,
+                                    const std::string& process_incarnation,
+                                    double age, Time now) {
   if (peer.process_incarnation == process_incarnation) return;
   peer.process_incarnation = process_incarnation;
   peer.first_contact = now;
@@ -97,7 +96,7 @@
   delegate.expires_at =
       std::max(delegate.expires_at, now + term_seconds_ * (1 + kDrift));
   delegate.granted_at = now;
-  NoteProcess(delegate, process_incarnation, age, now);
+  UpdateProcess(delegate, process_incarnation, age, now);
 }
 
 void DelegatedLeases::RecordsRead(const std::set<std::string>& recorded,
@@ -116,12 +115,12 @@
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
   Peer& delegate = it->second;
-  // Delayed, of a process that has ended since.
+  // A delayed answer of a process that has ended since.
   if (delegate.process_incarnation != process_incarnation &&
       sent <= delegate.first_contact) {
     return;
   }
-  NoteProcess(delegate, process_incarnation, age, now);
+  UpdateProcess(delegate, process_incarnation, age, now);
   if (renewed_ago >= 0) {
     delegate.may_have_renewed_at = std::max(delegate.may_have_renewed_at,
                                             now - renewed_ago * (1 - kDrift));
@@ -145,8 +144,8 @@
 
 std::vector<std::string> DelegatedLeases::PeersToAsk(const std::string& zone,
                                                      Time now) {
-  constexpr double kRepeatAfter =
-      0.3;  // of the time for which a delegate yields
+  // As a share of the time for which a delegate yields.
+  constexpr double kRepeatAfter = 0.3;
   std::vector<std::string> names;
   for (auto& [name, peer] : peers_) {
     if (peer.zone != zone || term_seconds_ <= 0 ||
--- a/core/lease/fencing_token_source.h
+++ b/core/lease/fencing_token_source.h
@@ -1,4 +1,5 @@
-// Fencing tokens and attempt numbers, unique across leaders without a write.
+// Issues fencing tokens and task attempt numbers that are unique across
+// leaders, without a write to the key-value store for each.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +9,13 @@
 
 namespace oxbow {
 
-// A token's upper bits are the term of its leader: the revision of the leader
-// key, which the key-value store never issues twice. The lower bits count
-// within that term.
+// The upper bits of a token are the term of its leader: the revision of the
+// leader key, which the key-value store never issues twice within a store
+// epoch, plus the base of the epoch (TermOf). The lower kSequenceBits bits
+// count within the term.
 inline constexpr int kSequenceBits = 20;
 
+// The lowest value of the term's range. FencingTokenSource never issues it.
 inline FencingToken FirstFencingToken(uint64_t term) {
   return term << kSequenceBits;
 }
@@ -29,8 +32,9 @@
   explicit FencingTokenSource(uint64_t term)
       : next_(FirstFencingToken(term) + 1), end_(FirstFencingToken(term + 1)) {}
 
-  // Nothing once the term's range is exhausted: a number beyond it could be
-  // issued by the next leader too. The caller has to win a new term.
+  // The next number, or nullopt once the term's range is exhausted: a number
+  // beyond it could be issued by the next leader too. The caller then has to
+  // win the leader key again to get a new term.
   std::optional<FencingToken> Next() {
     if (next_ >= end_) return std::nullopt;
     return next_++;
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -9,11 +9,16 @@
 using enum LeaderState;
 
 constexpr std::array kChanges = {
-    std::pair{kFollower, kSeeking},  std::pair{kSeeking, kFollower},
-    std::pair{kSeeking, kLeading},   std::pair{kLeading, kProlonged},
-    std::pair{kSeeking, kRenewing},  std::pair{kRenewing, kLeading},
-    std::pair{kRenewing, kExpired},  std::pair{kLeading, kExpired},
-    std::pair{kProlonged, kLeading}, std::pair{kProlonged, kExpired},
+    std::pair{kFollower, kCampaigning},
+    std::pair{kCampaigning, kFollower},
+    std::pair{kCampaigning, kLeading},
+    std::pair{kLeading, kLeadingByPromises},
+    std::pair{kCampaigning, kRenewing},
+    std::pair{kRenewing, kLeading},
+    std::pair{kRenewing, kExpired},
+    std::pair{kLeading, kExpired},
+    std::pair{kLeadingByPromises, kLeading},
+    std::pair{kLeadingByPromises, kExpired},
     std::pair{kExpired, kFollower},
 };
 
@@ -32,25 +37,26 @@
   CheckedChange(state_, next, kChanges, "leadership");
 }
 
-Time Leadership::PromisedUntil() const {
-  if (peers_.empty()) return -1e9;  // nobody can promise: the lease decides
+Time Leadership::PeerPromisesUntil() const {
+  if (peers_.empty()) return -1e9;  // no peer can promise: the lease decides
   Time until = 1e18;
   for (const std::string& peer : peers_) {
-    const auto it = granted_until_.find(peer);
-    until = std::min(until, it == granted_until_.end() ? -1e9 : it->second);
+    const auto it = peer_promises_until_.find(peer);
+    until =
+        std::min(until, it == peer_promises_until_.end() ? -1e9 : it->second);
   }
   return until;
 }
 
 bool Leadership::Valid(Time now) {
-  if (state_ == kRenewing && now >= lease_until_) Change(kExpired);
-  if (state_ != kLeading && state_ != kProlonged) return false;
-  if (now < lease_until_) {
-    if (state_ == kProlonged) Change(kLeading);
+  if (state_ == kRenewing && now >= lease_expires_at_) Change(kExpired);
+  if (state_ != kLeading && state_ != kLeadingByPromises) return false;
+  if (now < lease_expires_at_) {
+    if (state_ == kLeadingByPromises) Change(kLeading);
     return true;
   }
-  if (now < PromisedUntil()) {
-    if (state_ == kLeading) Change(kProlonged);
+  if (now < PeerPromisesUntil()) {
+    if (state_ == kLeading) Change(kLeadingByPromises);
     return true;
   }
   Change(kExpired);
@@ -58,48 +64,51 @@
 }
 
 bool Leadership::MaySeek(Time now) const {
-  return state_ == kFollower && !Bound(now) && Proven(now);
+  return state_ == kFollower && !IsBoundByPromise(now) && Proven(now);
 }
 
 bool Leadership::MayTakeKey(Time now) const {
-  return delegation_seconds_ > 0 && state_ == kFollower && !Bound(now);
+  return delegation_seconds_ > 0 && state_ == kFollower &&
+         !IsBoundByPromise(now);
 }
 
-// By a promise that this process has given.
-bool Leadership::Bound(Time now) const {
+bool Leadership::IsBoundByPromise(Time now) const {
   if (now < promised_until_) return true;
-  return std::any_of(delegation_promised_.begin(), delegation_promised_.end(),
+  return std::any_of(given_delegation_promises_.begin(),
+                     given_delegation_promises_.end(),
                      [now](const auto& p) { return now < p.second.until; });
 }
 
 bool Leadership::Proven(Time now) const {
   if (now >= started_ + promise_seconds_ * (1 + kDrift)) return true;
-  return AllIdle(DelegationsAreOver(now));
+  return NoPeerReliesOnPromises(DelegationsAreOver(now));
 }
 
 bool Leadership::OwnProven(Time now) const {
-  return leading_.empty() && (DelegationsAreOver(now) || AllIdle(false));
+  return leading_peers_.empty() &&
+         (DelegationsAreOver(now) || NoPeerReliesOnPromises(false));
 }
 
 bool Leadership::DelegationsAreOver(Time now) const {
   return now >= started_ + delegation_seconds_ * (1 + kDrift);
 }
 
-bool Leadership::AllIdle(bool delegations_are_over) const {
+bool Leadership::NoPeerReliesOnPromises(bool delegations_are_over) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
-    return known_idle_.contains(peer) ||
-           (delegations_are_over && delegates_.contains(peer));
+    return idle_peers_.contains(peer) ||
+           (delegations_are_over && delegate_peers_.contains(peer));
   });
 }
 
 void Leadership::SeekStarted(uint64_t seen) {
-  Change(kSeeking);
+  Change(kCampaigning);
   seen_ = seen;
-  // A controller that learns that this one renews by the key, or leads, no
-  // longer honours its promise to a delegate; so one left over must not count
-  // here afterwards either.
-  delegation_over_ = std::max(delegation_over_, delegation_asked_);
-  delegation_granted_.clear();
+  // A controller that learns that this one holds the key stops honouring its
+  // promise to it as a delegate. So promises from before the campaign must not
+  // count here afterwards either.
+  delegation_ended_at_ =
+      std::max(delegation_ended_at_, delegation_requested_at_);
+  peer_delegations_until_.clear();
 }
 
 void Leadership::SeekFailed() { Change(kFollower); }
@@ -109,38 +118,43 @@
   Change(leads ? kLeading : kRenewing);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
-  granted_until_.clear();
+  lease_expires_at_ = sent + lease_seconds_ * (1 - kDrift);
+  peer_promises_until_.clear();
 }
 
 bool Leadership::Promote(Time now) {
-  if (state_ != kRenewing || now >= lease_until_ || !Proven(now)) return false;
+  if (state_ != kRenewing || now >= lease_expires_at_ || !Proven(now))
+    return false;
   Change(kLeading);
   return true;
 }
 
-void Leadership::Rewon(uint64_t revision, uint64_t lease_id, Time sent) {
-  if (state_ == kProlonged) Change(kLeading);
+void Leadership::OnKeyRewritten(uint64_t revision, uint64_t lease_id,
+                                Time sent) {
+  if (state_ == kLeadingByPromises) Change(kLeading);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
-  granted_until_.clear();
+  lease_expires_at_ = sent + lease_seconds_ * (1 - kDrift);
+  peer_promises_until_.clear();
 }
 
 void Leadership::Forget(Time now) {
   started_ = now;
-  known_idle_.clear();
-  delegates_.clear();
-  leading_.clear();
+  idle_peers_.clear();
+  delegate_peers_.clear();
+  leading_peers_.clear();
 }
 
 void Leadership::RenewGranted(Time sent) {
-  if (state_ != kLeading && state_ != kProlonged && state_ != kRenewing) return;
-  lease_until_ = std::max(lease_until_, sent + lease_seconds_ * (1 - kDrift));
+  if (state_ != kLeading && state_ != kLeadingByPromises && state_ != kRenewing)
+    return;
+  lease_expires_at_ =
+      std::max(lease_expires_at_, sent + lease_seconds_ * (1 - kDrift));
 }
 
 void Leadership::Lost() {
-  if (state_ == kLeading || state_ == kProlonged || state_ == kRenewing) {
+  if (state_ == kLeading || state_ == kLeadingByPromises ||
+      state_ == kRenewing) {
     Change(kExpired);
   }
 }
@@ -150,83 +164,85 @@
 }
 
 bool Leadership::WantsPromises(Time now) const {
-  // Ask as soon as one renewal is overdue: the promises have to be there before
-  // the lease expires, for afterwards they are of no use.
-  constexpr double kOverdueRenewal = 0.7;  // of the lease is left
-  return state_ == kProlonged ||
+  // The leader asks as soon as one renewal is overdue: promises that arrive
+  // after the lease has expired have no effect.
+  constexpr double kOverdueRenewal = 0.7;  // share of the lease that is left
+  return state_ == kLeadingByPromises ||
          (state_ == kLeading &&
-          lease_until_ - now < lease_seconds_ * kOverdueRenewal);
+          lease_expires_at_ - now < lease_seconds_ * kOverdueRenewal);
 }
 
 void Leadership::PromiseGranted(const std::string& peer, Time sent) {
-  Time& until = granted_until_[peer];
+  Time& until = peer_promises_until_[peer];
   until = std::max(until, sent + promise_seconds_ * (1 - kDrift));
 }
 
 bool Leadership::AskedToPromise(bool state_fails, Time now) {
-  // An attempt to win the key in progress has an unknown outcome: nothing can
-  // be promised.
+  // The outcome of a campaign in progress is unknown, so nothing can be
+  // promised.
   if (!state_fails || state_ != kFollower) return false;
   promised_until_ = now + promise_seconds_ * (1 + kDrift);
   return true;
 }
 
-// That a peer relies on no promise holds from then on: what it comes to rely on
-// later, this process has promised and remembers.
+// A peer that once relied on no promise stays in idle_peers_: whatever it
+// relies on later, this process has promised and remembers.
 void Leadership::PeerIs(const std::string& peer, LeaderRole role) {
   if (std::find(peers_.begin(), peers_.end(), peer) == peers_.end()) return;
   if (role == LeaderRole::kLeads) {
-    leading_.insert(peer);
+    leading_peers_.insert(peer);
     return;
   }
-  leading_.erase(peer);
+  leading_peers_.erase(peer);
   if (role == LeaderRole::kRenewsByPromises) {
-    delegates_.insert(peer);
+    delegate_peers_.insert(peer);
   } else {
-    known_idle_.insert(peer);
+    idle_peers_.insert(peer);
   }
 }
 
 LeaderRole Leadership::Role(Time now) const {
-  if (state_ == kLeading || state_ == kProlonged) return LeaderRole::kLeads;
+  if (state_ == kLeading || state_ == kLeadingByPromises)
+    return LeaderRole::kLeads;
   if (state_ == kRenewing) return LeaderRole::kRenewsByKey;
-  // From the request on: a promise may be in flight while the controller that
-  // gave it, restarted, asks who relies on it.
-  return delegation_over_ < delegation_asked_ &&
-                 now < delegation_asked_ + delegation_seconds_
+  // This controller counts as a delegate from its request on: a promise may
+  // still be in flight when the controller that gave it has restarted and asks
+  // for this controller's role.
+  return delegation_ended_at_ < delegation_requested_at_ &&
+                 now < delegation_requested_at_ + delegation_seconds_
              ? LeaderRole::kRenewsByPromises
              : LeaderRole::kNone;
 }
 
 bool Leadership::MayRenew(Time now) {
   if (state_ == kRenewing) {
-    if (now < lease_until_) return true;
+    if (now < lease_expires_at_) return true;
     Change(kExpired);
     return false;
   }
   if (state_ != kFollower || delegation_seconds_ <= 0 || peers_.empty())
     return false;
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
-    const auto it = delegation_granted_.find(peer);
-    return it != delegation_granted_.end() && now < it->second;
+    const auto it = peer_delegations_until_.find(peer);
+    return it != peer_delegations_until_.end() && now < it->second;
   });
 }
 
 uint64_t Leadership::DelegationAsked(Time sent) {
-  delegation_asked_ = sent;
+  delegation_requested_at_ = sent;
   return ++delegation_number_;
 }
 
 void Leadership::DelegationGranted(const std::string& peer, Time sent) {
-  if (sent <= delegation_over_) return;
-  Time& until = delegation_granted_[peer];
+  if (sent <= delegation_ended_at_) return;
+  Time& until = peer_delegations_until_[peer];
   until = std::max(until, sent + delegation_seconds_ * (1 - kDrift));
 }
 
 uint64_t Leadership::DelegationOver(Time now) {
-  if (delegation_over_ >= delegation_asked_) return 0;
-  delegation_over_ = now;
-  delegation_granted_.clear();
+  if (delegation_ended_at_ >= delegation_requested_at_) return 0;
+  delegation_ended_at_ = now;
+  peer_delegations_until_.clear();
   return delegation_number_;
 }
 
@@ -235,7 +251,7 @@
                                  uint64_t number, bool state_fails, Time now) {
   if (delegation_seconds_ <= 0 || !state_fails || state_ != kFollower)
     return false;
-  DelegationPromise& promise = delegation_promised_[peer];
+  DelegationPromise& promise = given_delegation_promises_[peer];
   promise.process_incarnation = process_incarnation;
   promise.number = number;
   promise.until =
@@ -246,11 +262,11 @@
 void Leadership::DelegationReleased(const std::string& peer,
                                     const std::string& process_incarnation,
                                     uint64_t number) {
-  const auto it = delegation_promised_.find(peer);
-  if (it != delegation_promised_.end() &&
+  const auto it = given_delegation_promises_.find(peer);
+  if (it != given_delegation_promises_.end() &&
       it->second.process_incarnation == process_incarnation &&
       it->second.number <= number) {
-    delegation_promised_.erase(it);
+    given_delegation_promises_.erase(it);
   }
 }
 
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -1,7 +1,8 @@
-// Who leads: a leased key in the key-value store, and promises between the
-// controllers that let the leader continue through an outage of the store. No
-// I/O, no clock: the caller tells the time and makes the requests. Owned by one
-// controller; its state is changed by the functions here alone.
+// Leader election, as seen by one controller. The leader is the controller that
+// holds a leased key in the key-value store. During an outage of the store the
+// leader continues on promises of all other controllers not to campaign for the
+// key. The class does no I/O and reads no clock: the caller passes the time and
+// makes the requests. Only the functions declared here change the state.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +16,42 @@
 
 namespace oxbow {
 
-// The controller's own right to lead, from seeking the key to its end.
+// The controller's own right to lead, from the campaign for the leader key to
+// the end of the leadership.
 enum class LeaderState : uint8_t {
-  kFollower,  // somebody else leads, or nobody
-  kSeeking,   // a lease is asked for, the key is being written
-  kRenewing,  // has the key, but somebody may still lead by a promise that this
-              // process has forgotten: renews workers' leases, no commands
-  kLeading,   // the lease is known to be granted
-  kProlonged,  // the store is unavailable; every other controller has promised
-  kExpired,    // was leader, the lease has expired; becomes follower again
+  kFollower,     // another controller leads, or none does
+  kCampaigning,  // creates a lease and writes the leader key
+  kRenewing,     // holds the key, but another controller may still lead by a
+                 // promise that an earlier process of this controller gave:
+                 // renews workers' leases and sends no commands
+  kLeading,      // the lease of the key is known to be valid
+  kLeadingByPromises,  // the lease has expired while the store is unavailable;
+                       // the promises of all other controllers are valid
+  kExpired,  // the right to lead has expired; a follower again after the
+             // leader's state has been torn down
 };
 
-// What a controller is to the others, sent with every answer to them.
+// What a controller reports about itself in every answer to another controller:
+// whether it relies on promises, and on which kind.
 enum class LeaderRole : uint8_t {
   kNone,              // relies on no promise
-  kLeads,             // may come to rely on promises, the longest-lived ones
-  kRenewsByKey,       // has the key and relies on no promise
-  kRenewsByPromises,  // relies on short-lived promises
+  kLeads,             // may rely on promises to a leader (`promise_seconds`)
+  kRenewsByKey,       // holds the leader key and relies on no promise
+  kRenewsByPromises,  // relies on promises to a delegate, which are shorter
+                      // (`delegation_seconds`)
 };
 
 // The state machine of one controller's right to lead, by the lease of the
-// leader key or by promises of the others. Makes no requests; its owner reports
-// what was sent and answered. Times are of the steady clock, s.
+// leader key or by the other controllers' promises. It makes no requests; its
+// owner reports what was sent and answered. Times are seconds of the steady
+// clock.
 class Leadership {
  public:
-  // `peers`: the names of the other controllers. `promise_seconds`: how long a
-  // promise to the leader lasts. `delegation_seconds`: how long one to a
-  // delegate lasts; 0: there are no delegates.
+  // `peers`: the names of the other controllers. `lease_seconds`: the lease of
+  // the leader key. `promise_seconds`: how long a promise to the leader lasts.
+  // `delegation_seconds`: how long a promise to a delegate lasts, that is, to a
+  // controller that renews workers' leases without leading; 0: there are no
+  // delegates. `started`: when this process started.
   Leadership(std::vector<std::string> peers, double lease_seconds,
              double promise_seconds, double delegation_seconds, Time started);
 
@@ -50,126 +60,153 @@
   uint64_t lease_id() const { return lease_id_; }
 
   // Whether this controller may act as the leader at this moment. Changes the
-  // state when the right has expired, so the answer never changes back to true
-  // without a new revision.
+  // state when the right to lead has expired, so once the answer is false it
+  // stays false until the key has been won again.
   bool Valid(Time now);
 
-  // --- winning and renewing the key
-  // Whether to try to become the leader. A starting controller has forgotten
-  // what it promised: it waits out the longest promise, unless every other one
-  // answers that it does not lead.
+  // --- Winning and renewing the leader key.
+  // Whether this controller may campaign for leadership. A process that has
+  // just started does not know which promises an earlier process of this
+  // controller gave: it waits until the longest promise must have expired,
+  // unless every other controller answers that it does not lead.
   bool MaySeek(Time now) const;
-  // Whether it may take a free key, at least to renew.
+  // Whether this controller may take a free leader key, if only to renew
+  // workers' leases.
   bool MayTakeKey(Time now) const;
-  // Whether nobody can rely on a promise that this process has forgotten.
+  // Whether no other controller can still rely on a promise that an earlier
+  // process of this controller gave.
   bool Proven(Time now) const;
-  // The same where the key is this controller's own, from before a restart:
-  // nobody has led since, so only delegates by promises have to be waited for.
-  // Whoever leads by data that the key-value store has lost would have answered
-  // so.
+  // The same where the leader key is this controller's own, written by an
+  // earlier process: no other controller has won the key since, so only
+  // promises to delegates count. A controller that still leads by a key that
+  // the key-value store has lost is known from its own answer
+  // (LeaderRole::kLeads).
   bool OwnProven(Time now) const;
-  // `seen` is the leader key's revision that the search was decided on. The
-  // write needs it as precondition, not what the watch delivers meanwhile: that
-  // may be the key of a controller that has just won.
+  // `seen`: the revision of the leader key on which the decision to campaign
+  // was based. The write of the key has this revision as its precondition, and
+  // not a later one that the watch delivers meanwhile: that may be the revision
+  // of a controller that has just won.
   void SeekStarted(uint64_t seen);
   uint64_t seen() const { return seen_; }
   void SeekFailed();
-  // `sent`: when the request was sent that the lease counts from. `leads`: it
-  // was proven by then (Proven, OwnProven); else this controller only renews.
+  // `sent`: when the request was sent from which the lease counts. `leads`:
+  // Proven or OwnProven was true by then; if false, this controller holds the
+  // key and only renews workers' leases.
   void Won(uint64_t revision, uint64_t lease_id, Time sent, bool leads = true);
-  // A controller that renews by the key leads once that is proven. True if it
-  // does from now on.
+  // Makes a controller in kRenewing the leader once Proven is true. Returns
+  // whether it became the leader.
   bool Promote(Time now);
+  // The lease of the leader key was renewed by a request sent at `sent`.
   void RenewGranted(Time sent);
-  // The key was written anew while the right to lead was still valid: into a
-  // store that had lost it.
-  void Rewon(uint64_t revision, uint64_t lease_id, Time sent);
-  // The key-value store has lost data, and with it perhaps the key of a leader:
-  // as after a start, every controller has to be asked, or the longest promise
-  // waited out.
+  // The leader key was written again, while the right to lead was still valid,
+  // because the key-value store had lost the key or its lease.
+  void OnKeyRewritten(uint64_t revision, uint64_t lease_id, Time sent);
+  // The key-value store has lost data, possibly including the key of a leader.
+  // As after a start, every controller has to be asked for its role, or the
+  // longest promise has to expire.
   void Forget(Time now);
-  // The key is known to be another's, or gone.
+  // The leader key belongs to another controller, or does not exist any more.
   void Lost();
   // Becomes a follower once the leader's state has been torn down.
   void Retire();
 
-  // --- promises, as the one that needs them
+  // --- Promises, on the side of the leader that needs them.
+  // Whether to ask the other controllers for promises now.
   bool WantsPromises(Time now) const;
+  // `peer` has promised, in answer to a request sent at `sent`.
   void PromiseGranted(const std::string& peer, Time sent);
 
-  // --- promises, as the one that gives them
-  // `state_fails`: this controller cannot reach the key-value store. One that
-  // can must refuse, or a leader that alone is partitioned off would lead for
-  // ever. False: refused.
+  // --- Promises, on the side of the controller that gives them.
+  // The leader asks this controller to promise not to campaign. Returns false
+  // if the promise is refused. `state_fails`: this controller cannot reach the
+  // key-value store. A controller that can reach it must refuse, or a leader
+  // that is the only one cut off from the store would lead for ever.
   bool AskedToPromise(bool state_fails, Time now);
+  // A peer has answered that it has this role.
   void PeerIs(const std::string& peer, LeaderRole role);
   void PeerDoesNotLead(const std::string& peer) {
     PeerIs(peer, LeaderRole::kNone);
   }
+  // Until when this controller has promised a leader not to campaign.
   Time promised_until() const { return promised_until_; }
   double promise_seconds() const { return promise_seconds_; }
+  // This controller's own role, to be reported to the others.
   LeaderRole Role(Time now) const;
 
-  // --- renewing workers' leases without leading: heartbeats are answered
-  // without commands while nobody can lead. Any number of controllers may do so
-  // at the same time; but no leader may treat an incarnation as expired whose
-  // lease another controller renews. So a delegate by promises has every other
-  // controller's promise not to seek, and a delegate by the key has the key; a
-  // leader by promises, which a delegate may not know of, treats no incarnation
-  // as expired (Leader::Tick).
+  // --- Renewing workers' leases without leading: heartbeats are answered
+  // without commands while no controller can lead. Several controllers may do
+  // so at the same time, but no leader may treat a worker incarnation as
+  // expired while another controller renews its lease. Therefore a delegate
+  // either holds the leader key, or has every other controller's promise not to
+  // campaign. A leader that leads by promises may exist unknown to a delegate,
+  // and therefore treats no incarnation as expired (Leader::Tick). Whether this
+  // controller may renew workers' leases now.
   bool MayRenew(Time now);
   double delegation_seconds() const { return delegation_seconds_; }
-  // The promises of all others are asked for. Returns the number of the
-  // request, to be sent with it and released with DelegationOver.
+  // This controller asks all others for promises to a delegate. Returns the
+  // number of the request, which is sent along with it.
   uint64_t DelegationAsked(Time sent);
+  // `peer` has promised, in answer to a request sent at `sent`.
   void DelegationGranted(const std::string& peer, Time sent);
-  // Stops relying on promises. Returns the number of the last request, to
-  // release it and all before; 0: did not rely on any.
+  // This controller stops relying on promises to a delegate. Returns the number
+  // of its last request, to be sent to the others so that they release their
+  // promises up to that request; 0 if it relied on none.
   uint64_t DelegationOver(Time now);
-  // As the one that promises. `process_incarnation`: of the asking process.
-  // False: refused.
+  // A delegate asks this controller to promise not to campaign. Returns false
+  // if the promise is refused. `process_incarnation`: of the asking process.
+  // `number`: of its request. `state_fails`: as for AskedToPromise.
   bool AskedToDelegate(const std::string& peer,
                        const std::string& process_incarnation, uint64_t number,
                        bool state_fails, Time now);
-  // The promise is released. A delayed release may be older than the promise.
+  // The delegate releases the promises up to request `number`. Has no effect on
+  // a promise to a later request or to another process: the release may have
+  // been delayed.
   void DelegationReleased(const std::string& peer,
                           const std::string& process_incarnation,
                           uint64_t number);
 
  private:
+  // The only function that changes the state.
   void Change(LeaderState next);
-  Time PromisedUntil() const;
-  bool Bound(Time now) const;
-  bool AllIdle(bool delegations_are_over) const;
+  // Until when all other controllers' promises to this leader are valid.
+  Time PeerPromisesUntil() const;
+  // Whether a promise that this process has given is still valid.
+  bool IsBoundByPromise(Time now) const;
+  // Whether no peer can rely on a promise that an earlier process of this
+  // controller gave. `delegations_are_over`: promises to delegates don't count.
+  bool NoPeerReliesOnPromises(bool delegations_are_over) const;
+  // Whether promises to delegates that an earlier process gave have expired.
   bool DelegationsAreOver(Time now) const;
 
   LeaderState state_ = LeaderState::kFollower;
   std::vector<std::string> peers_;
   double lease_seconds_;
   double promise_seconds_;
-  Time started_;
-  uint64_t revision_ = 0;
+  Time started_;           // of the process, or when data loss was found
+  uint64_t revision_ = 0;  // of the leader key won last
   uint64_t lease_id_ = 0;
   uint64_t seen_ = 0;
-  Time lease_until_ = -1e9;
-  std::map<std::string, Time> granted_until_;
+  Time lease_expires_at_ = -1e9;
+  std::map<std::string, Time> peer_promises_until_;
   Time promised_until_ = -1e9;
-  std::set<std::string> known_idle_;  // rely on nothing forgotten here
-  // May rely on promises to delegates, for delegation_seconds_ from the start.
-  std::set<std::string> delegates_;
-  std::set<std::string> leading_;  // when last asked
+  // Peers that rely on no promise of an earlier process of this controller.
+  std::set<std::string> idle_peers_;
+  // Peers that may rely on an earlier process's promise to a delegate, for at
+  // most delegation_seconds_ from started_.
+  std::set<std::string> delegate_peers_;
+  std::set<std::string> leading_peers_;  // those that led when last asked
   struct DelegationPromise {
     std::string process_incarnation;
     uint64_t number = 0;
     Time until = -1e9;
   };
   double delegation_seconds_;
-  uint64_t delegation_number_ = 0;
-  Time delegation_asked_ = -1e9;  // the last request
-  // Promises in answer to requests before this are void.
-  Time delegation_over_ = -1e9;
-  std::map<std::string, Time> delegation_granted_;
-  std::map<std::string, DelegationPromise> delegation_promised_;
+  uint64_t delegation_number_ = 0;       // of the last request
+  Time delegation_requested_at_ = -1e9;  // when the last request was sent
+  // Promises in answer to requests sent up to this time are void.
+  Time delegation_ended_at_ = -1e9;
+  std::map<std::string, Time> peer_delegations_until_;
+  std::map<std::string, DelegationPromise> given_delegation_promises_;
 };
 
 }  // namespace oxbow
--- a/core/lease/partition_detector.cc
+++ b/core/lease/partition_detector.cc
@@ -6,16 +6,18 @@
 namespace oxbow {
 namespace {
 
-// In worker leases.
+// In worker leases: how long evidence counts, and for how long a redirected
+// worker is not redirected again.
 constexpr double kEvidenceLeases = 0.5;
 constexpr double kRoundLeases = 1;
-// Far more machines than a zone has.
+// Bounds the memory used; far more machines than a zone has.
 constexpr size_t kMaxWorkers = 20'000;
 
 }  // namespace
 
-// A worker tries the next controller kRetryPauseSeconds after it has failed
-// with one: whoever is back in less time has tried no other.
+// A worker tries the next controller kRetryPauseSeconds after a controller has
+// failed to answer it. A worker that is back within next_heartbeat_seconds_ has
+// tried no other controller.
 PartitionDetector::PartitionDetector(const WorkerSettings& workers)
     : next_heartbeat_seconds_(SilenceTimeouts::kLatest *
                                   workers.heartbeat_interval_seconds +
@@ -23,9 +25,9 @@
       evidence_seconds_(kEvidenceLeases * workers.lease_seconds),
       round_seconds_(kRoundLeases * workers.lease_seconds) {}
 
-// Only between two heartbeats of which the first was answered here and the
-// second came in time: a worker that has tried others meanwhile, in vain, has
-// made messages for them too.
+// Compares only two heartbeats of which the first was answered here and the
+// second came in time. A worker that has tried other controllers in between, in
+// vain, has used sequence numbers for the messages to them too.
 bool PartitionDetector::ReachedByOthers(const Seen& before,
                                         const Heartbeat& heartbeat,
                                         Time now) const {
@@ -54,7 +56,7 @@
 void PartitionDetector::OnAnswered(const Heartbeat& heartbeat, Time now) {
   if (seen_.size() >= kMaxWorkers) seen_.clear();
   Seen& seen = seen_[heartbeat.host];
-  // A copy of an older heartbeat is no evidence about the next one.
+  // A duplicate of an older heartbeat says nothing about the next one.
   if (heartbeat.incarnation < seen.incarnation ||
       (heartbeat.incarnation == seen.incarnation &&
        heartbeat.seq <= seen.seq)) {
--- a/core/read_consistency/read_consistency_gate.cc
+++ b/core/read_consistency/read_consistency_gate.cc
@@ -47,7 +47,8 @@
     case JobObservation::kEnded:
       break;
   }
-  return StatusDecision::kNothing;  // a record has been lost
+  // The leader knows the job, but the store has no record of it: data was lost.
+  return StatusDecision::kNothing;
 }
 
 void ReadConsistencyGate::Change(const std::string& job, Event event) {
@@ -60,7 +61,7 @@
       next = outcome_unknown ? State::kSentWhileUnknown : State::kSent;
       break;
     case Event::kRejected:
-      // This one was not applied; an earlier one may still be.
+      // This write was not applied, but an earlier one may still be.
       next = outcome_unknown ? State::kOutcomeUnknown : State::kClear;
       break;
     case Event::kUnanswered:
@@ -78,16 +79,17 @@
   OnUnanswered(last_sent_txn_);
   last_sent_txn_ = txn;
   for (const TerminalStateWrite& write : writes) {
-    // What was requeued and asked for again is twice in a transaction.
-    const bool twice = std::any_of(in_flight_.begin(), in_flight_.end(),
-                                   [&](const TerminalStateWrite& other) {
-                                     return other.job == write.job;
-                                   });
-    if (twice) continue;
+    // A write that was put back into the queue and then requested again occurs
+    // twice in a transaction.
+    const bool is_duplicate = std::any_of(in_flight_.begin(), in_flight_.end(),
+                                          [&](const TerminalStateWrite& other) {
+                                            return other.job == write.job;
+                                          });
+    if (is_duplicate) continue;
     const auto earlier = pending_.find(write.job);
     if (earlier != pending_.end() &&
         earlier->second.mod_revision != write.mod_revision) {
-      // The record has changed since: the earlier write can't be applied.
+      // The record has changed since, so the earlier write can't be applied.
       Change(write.job, Event::kConfirmed);
     }
     Change(write.job, Event::kSent);
@@ -123,7 +125,7 @@
 }
 
 void ReadConsistencyGate::OnConfirmed(const std::string& job) {
-  // The answer to one that is in flight does not matter any more.
+  // The outcome of a write of this job that is in flight no longer matters.
   std::erase_if(in_flight_, [&](const TerminalStateWrite& write) {
     return write.job == job;
   });
--- a/core/read_consistency/read_consistency_gate.h
+++ b/core/read_consistency/read_consistency_gate.h
@@ -1,12 +1,13 @@
-// What a controller may answer users about a job, decided in one place for
-// every controller and every kind of answer, so that reads are monotonic: no
-// answer may be older than one that any controller has given. A terminal state
-// is always true. A denial and a live state are true as of a read that began
-// after the question. A live state is also true as of the leader's view, since
-// nobody but the leader writes terminal states. That last rule needs the leader
-// to know what it has written itself: while the outcome of a write is unknown,
-// its jobs do not count as live, because others may have read the terminal
-// state, and answered with it, already.
+// Decides what a controller may answer users about a job. All controllers use
+// this one rule for every kind of answer, so that reads are monotonic: no
+// answer may reflect an older state than an answer that any controller has
+// given before. A terminal state may always be given as the answer. The answers
+// "no such job" and a live state require a read of the key-value store that
+// began after the query arrived. The leader may also answer with a live state
+// without a read, since only the leader writes terminal states. This requires
+// the leader to know the outcome of its own writes. While the outcome of a
+// write of a terminal state is unknown, its job does not count as live: another
+// controller may already have read the terminal state and answered with it.
 #pragma once
 
 #include <cstdint>
@@ -19,28 +20,27 @@
 
 namespace oxbow {
 
-// What the leader's view says about a job.
+// What the leader knows about a job.
 enum class JobObservation : uint8_t {
-  kUnseen,
-  kLive,
-  kInDoubt,     // a write that ends it was sent, and its outcome is unknown
-  kUnrecorded,  // tasks of it run, but it has no record
-  kEnded,
+  kUnseen,      // nothing; always so on a controller that does not lead
+  kLive,        // the job has a record and no terminal state
+  kInDoubt,     // a write of its terminal state was sent; outcome unknown
+  kUnrecorded,  // tasks of the job run, but the store has no record of it
+  kEnded,       // the job has a terminal state
 };
 
-// A record as found by a read that began after the user's question.
+// The result of a read of the job's records that began after the user's query.
 enum class RecordRead : uint8_t {
   kNone,     // not read yet
   kUnclear,  // the read failed, or its result is not reliable
-  kLive,
-  kMissing,  // neither among the live records nor then among the terminal ones
+  kLive,     // the job has a live record
+  kMissing,  // a live record was not found, nor after that a terminal state
 };
 
-// All that an answer is based on.
+// All that an answer about a job is based on.
 struct StatusEvidence {
-  // Recorded, as far as this controller knows.
+  // The recorded terminal state, as far as this controller knows.
   TerminalState end = TerminalState::kNone;
-  // kUnseen also on a controller that does not lead.
   JobObservation observation = JobObservation::kUnseen;
   RecordRead read = RecordRead::kNone;
 };
@@ -49,44 +49,50 @@
 enum class StatusDecision : uint8_t {
   kEnd,        // answer with the terminal state
   kLive,       // answer with the live state
-  kDenial,     // there is no such job
-  kReadFirst,  // decide again after a read
-  kNothing,    // unavailable: the user has to ask again
+  kDenial,     // answer that there is no such job
+  kReadFirst,  // read the job's records, then decide again
+  kNothing,    // answer "unavailable": the user has to ask again
 };
 
-// The one rule for every answer about a job.
+// The rule for every answer to a user about a job.
 StatusDecision Decide(const StatusEvidence& evidence);
 
-// A write that ends a job, conditioned on the mod revision of its record.
+// A write of a job's terminal state. Its precondition is the mod revision of
+// the job's live record.
 struct TerminalStateWrite {
   std::string job;
   uint64_t mod_revision = 0;
 };
 
-// The state of a leader's writes of terminal states, by job. One transaction is
-// in flight at a time.
+// Tracks, for each job, whether a terminal state that this leader has sent to
+// the key-value store may have been applied without the leader knowing. At most
+// one transaction is in flight at a time.
 class ReadConsistencyGate {
  public:
   enum class State : uint8_t {
-    kClear,             // every write that was sent has an outcome
-    kSent,              // one is in flight
-    kOutcomeUnknown,    // one is unanswered, and may be applied even now
-    kSentWhileUnknown,  // the same, and another one is in flight
+    kClear,             // the outcome of every write that was sent is known
+    kSent,              // a write is in flight
+    kOutcomeUnknown,    // a write was not answered, and may still be applied
+    kSentWhileUnknown,  // the same, and another write is in flight
   };
 
-  // The transaction is sent. An earlier one without an outcome counts as
-  // unanswered.
+  // The transaction `txn` is sent with these writes. An earlier transaction
+  // that has no outcome yet counts as unanswered.
   void OnSent(uint64_t txn, const std::vector<TerminalStateWrite>& writes);
+  // The transaction was applied.
   void OnApplied(uint64_t txn);
-  // Not applied, and it never will be. `differing`: jobs whose records are not
-  // as this leader knows them; these have to be read.
+  // The transaction was not applied and never will be. `differing`: the jobs
+  // whose records differ from what this leader knows; they stay in doubt until
+  // they have been read.
   void OnRejected(uint64_t txn, const std::set<std::string>& differing = {});
+  // The outcome of the transaction is unknown.
   void OnUnanswered(uint64_t txn);
   // A read or a write has shown that the job's terminal state is recorded.
   void OnConfirmed(const std::string& job);
-  // Whether a write that ends the job may have been applied unnoticed.
-  // `mod_revision`: of the job's record as this leader knows it. A write that
-  // is conditioned on another one can't be applied any more.
+  // Whether a write of the job's terminal state may have been applied without
+  // this leader knowing. `mod_revision`: of the job's record as this leader
+  // knows it. A write whose precondition is another mod revision can't be
+  // applied any more.
   bool InDoubt(const std::string& job, uint64_t mod_revision) const;
   State StateOf(const std::string& job) const;
 
@@ -94,14 +100,16 @@
   enum class Event : uint8_t { kSent, kRejected, kUnanswered, kConfirmed };
   struct PendingWrite {
     State state = State::kClear;
-    uint64_t mod_revision = 0;  // that it is conditioned on
+    uint64_t mod_revision = 0;  // the precondition of the write
   };
   // The one function that changes a job's state.
   void Change(const std::string& job, Event event);
-  // The writes of the transaction in flight; none if `txn` is another one.
+  // Removes and returns the writes of the transaction in flight; none if `txn`
+  // is not the transaction that was sent last.
   std::vector<TerminalStateWrite> TakeInFlight(uint64_t txn);
 
-  std::map<std::string, PendingWrite> pending_;  // those that are not clear
+  // The jobs whose state is not kClear.
+  std::map<std::string, PendingWrite> pending_;
   uint64_t last_sent_txn_ = 0;
   std::vector<TerminalStateWrite> in_flight_;
 };
--- a/core/recovery/peer_choice.cc
+++ b/core/recovery/peer_choice.cc
@@ -10,40 +10,40 @@
 using enum PeerState;
 
 constexpr std::array kChanges = {
-    std::pair{kAnswers, kResting}, std::pair{kResting, kOnTrial},
-    std::pair{kResting, kAnswers},  // the answer to an earlier request
-    std::pair{kOnTrial, kAnswers}, std::pair{kOnTrial, kResting},
+    std::pair{kResponsive, kBackingOff}, std::pair{kBackingOff, kProbing},
+    std::pair{kBackingOff, kResponsive},  // the answer to an earlier request
+    std::pair{kProbing, kResponsive},    std::pair{kProbing, kBackingOff},
 };
 
 }  // namespace
 
-PeerChoice::PeerChoice(size_t peers, double rest_seconds,
-                       double max_rest_seconds, double fruitless_per_second)
-    : peers_(peers, {kAnswers, 0, rest_seconds}),
-      rest_seconds_(rest_seconds),
-      max_rest_seconds_(max_rest_seconds),
-      fruitless_per_second_(fruitless_per_second),
-      fruitless_allowance_(std::max(1.0, fruitless_per_second)) {}
+PeerChoice::PeerChoice(size_t peers, double backoff_seconds,
+                       double max_backoff_seconds, double unresolved_per_second)
+    : peers_(peers, {kResponsive, 0, backoff_seconds}),
+      backoff_seconds_(backoff_seconds),
+      max_backoff_seconds_(max_backoff_seconds),
+      unresolved_per_second_(unresolved_per_second),
+      unresolved_allowance_(std::max(1.0, unresolved_per_second)) {}
 
 void PeerChoice::Change(Peer& peer, PeerEvent event) {
   switch (event) {
-    case PeerEvent::kAnswer:
-      return CheckedChange(peer.state, kAnswers, kChanges, "peer");
-    case PeerEvent::kSilence:
-      return CheckedChange(peer.state, kResting, kChanges, "peer");
-    case PeerEvent::kTrial:
-      return CheckedChange(peer.state, kOnTrial, kChanges, "peer");
+    case PeerEvent::kAnswered:
+      return CheckedChange(peer.state, kResponsive, kChanges, "peer");
+    case PeerEvent::kNoAnswer:
+      return CheckedChange(peer.state, kBackingOff, kChanges, "peer");
+    case PeerEvent::kProbeStarted:
+      return CheckedChange(peer.state, kProbing, kChanges, "peer");
   }
 }
 
 bool PeerChoice::MayAskAround(Time now) {
-  const double max_allowance = std::max(1.0, fruitless_per_second_);
-  fruitless_allowance_ = std::min(
-      max_allowance, fruitless_allowance_ +
-                         (now - allowance_updated_at_) * fruitless_per_second_);
+  const double max_allowance = std::max(1.0, unresolved_per_second_);
+  unresolved_allowance_ = std::min(
+      max_allowance, unresolved_allowance_ + (now - allowance_updated_at_) *
+                                                 unresolved_per_second_);
   allowance_updated_at_ = now;
-  if (fruitless_allowance_ < 1) return false;
-  fruitless_allowance_ -= 1;
+  if (unresolved_allowance_ < 1) return false;
+  unresolved_allowance_ -= 1;
   return true;
 }
 
@@ -57,30 +57,32 @@
 
 bool PeerChoice::MayTry(size_t peer, Time now) {
   Peer& entry = peers_[peer];
-  if (entry.state != kResting || now < entry.until) return false;
-  Change(entry, PeerEvent::kTrial);
+  if (entry.state != kBackingOff || now < entry.backoff_ends_at) return false;
+  Change(entry, PeerEvent::kProbeStarted);
   return true;
 }
 
 void PeerChoice::Answered(size_t peer) {
   Peer& entry = peers_[peer];
-  entry.rest_seconds = rest_seconds_;
-  if (entry.state != kAnswers) Change(entry, PeerEvent::kAnswer);
+  entry.backoff_seconds = backoff_seconds_;
+  if (entry.state != kResponsive) Change(entry, PeerEvent::kAnswered);
 }
 
 void PeerChoice::Silent(size_t peer, Time now) {
   Peer& entry = peers_[peer];
-  // Of several requests that waited for it at once, one counts.
-  if (entry.state == kResting) return;
-  Change(entry, PeerEvent::kSilence);
-  entry.until = now + entry.rest_seconds;
-  entry.rest_seconds = std::min(2 * entry.rest_seconds, max_rest_seconds_);
+  // If several requests waited for the peer at the same time, only the first
+  // one that gets no answer starts a back-off.
+  if (entry.state == kBackingOff) return;
+  Change(entry, PeerEvent::kNoAnswer);
+  entry.backoff_ends_at = now + entry.backoff_seconds;
+  entry.backoff_seconds =
+      std::min(2 * entry.backoff_seconds, max_backoff_seconds_);
 }
 
 void PeerChoice::Helped(size_t peer) {
   preferred_ = peer;
-  fruitless_allowance_ =
-      std::min(std::max(1.0, fruitless_per_second_), fruitless_allowance_ + 1);
+  unresolved_allowance_ = std::min(std::max(1.0, unresolved_per_second_),
+                                   unresolved_allowance_ + 1);
 }
 
 }  // namespace oxbow
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_choice.h
@@ -1,5 +1,6 @@
-// Which of the other controllers a user's request is forwarded to, and when one
-// that gives no answer is asked again. No I/O: the caller reports the outcomes.
+// Selects the other controllers to which a user's request is forwarded, and
+// backs off from controllers that give no answer. No I/O: the caller reports
+// the outcomes.
 #pragma once
 
 #include <cstddef>
@@ -11,65 +12,71 @@
 
 namespace oxbow {
 
-// Whether requests wait for a peer.
+// Whether requests wait for the answer of a peer.
 enum class PeerState : uint8_t {
-  kAnswers,  // as far as is known
-  kResting,  // gave no answer: no request waits for it until its rest is over
-  kOnTrial,  // the rest is over, and a request of its own finds out
+  kResponsive,  // as far as is known
+  kBackingOff,  // the peer gave no answer: no request waits for it
+  kProbing,     // the back-off has ended, and a probe that no user waits for
+                // finds out whether the peer answers again
 };
 
-// What changes that.
-enum class PeerEvent : uint8_t { kAnswer, kSilence, kTrial };
+// The events that change the state.
+enum class PeerEvent : uint8_t { kAnswered, kNoAnswer, kProbeStarted };
 
-// Peers are numbered from 0, in the order of the caller.
+// The state machines of all peers, a circuit breaker for each. Peers are
+// numbered from 0, in the order of the caller.
 class PeerChoice {
  public:
-  // `rest_seconds`: after the first silence; doubled with each further one up
-  // to `max_rest_seconds`. `fruitless_per_second`: how many requests a second
-  // may be forwarded though none of the earlier ones was answered.
-  PeerChoice(size_t peers, double rest_seconds, double max_rest_seconds,
-             double fruitless_per_second);
+  // `backoff_seconds`: the back-off after the first missing answer; it doubles
+  // with each further one up to `max_backoff_seconds`. `unresolved_per_second`:
+  // how many requests per second may be forwarded if no peer can resolve any of
+  // them.
+  PeerChoice(size_t peers, double backoff_seconds, double max_backoff_seconds,
+             double unresolved_per_second);
 
-  // Whether a request may be forwarded. In an outage that all controllers
-  // share, forwarding each would only add to the load. Limited by their number
-  // and not by a pause: a pause that is renewed by every unanswered request can
-  // keep out, for ever, the one that another controller could answer.
+  // Whether a request may be forwarded; if so, it is counted. In an outage that
+  // affects all controllers, forwarding every request would only add to the
+  // load. The rate is limited rather than a pause made after each failure: a
+  // pause that every unresolved request renews could keep out for ever a
+  // request that another controller could resolve.
   bool MayAskAround(Time now);
-  // All peers, the one that helped last first: a request asks one after the
-  // other, so that an answer does not depend on whose turn it is.
+  // All peers, starting with the peer that resolved a request last. A request
+  // asks all of them in turn, so its result does not depend on the order.
   std::vector<size_t> PreferenceOrder() const;
-  // Whether a request may wait for this one.
+  // Whether a request may wait for this peer.
   bool IsResponsive(size_t peer) const {
-    return peers_[peer].state == PeerState::kAnswers;
+    return peers_[peer].state == PeerState::kResponsive;
   }
-  // Whether to find out, on nobody's behalf, if a peer whose rest is over
-  // answers again. True begins the trial: Answered() or Silent() has to follow.
-  // If users waited for trials, each request of an unlucky one could be a
-  // trial.
+  // Whether to probe a peer whose back-off has ended. If true, the probe has
+  // begun, and the caller has to report Answered or Silent. No user's request
+  // waits for a probe: otherwise every request of one user could happen to be a
+  // probe.
   bool MayTry(size_t peer, Time now);
+  // The peer has answered a request or probe.
   void Answered(size_t peer);
+  // The peer has not answered a request or probe.
   void Silent(size_t peer, Time now);
-  // The peer had what was asked for.
+  // The peer could resolve the request that was forwarded to it.
   void Helped(size_t peer);
 
   PeerState state(size_t peer) const { return peers_[peer].state; }
 
  private:
   struct Peer {
-    PeerState state = PeerState::kAnswers;
-    Time until = 0;
-    double rest_seconds = 0;  // the length of the next rest
+    PeerState state = PeerState::kResponsive;
+    Time backoff_ends_at = 0;
+    double backoff_seconds = 0;  // the length of the next back-off
   };
-  // The only function that changes a state.
+  // The only function that changes the state of a peer.
   void Change(Peer& peer, PeerEvent event);
 
   std::vector<Peer> peers_;
-  const double rest_seconds_;
-  const double max_rest_seconds_;
-  const double fruitless_per_second_;
-  double fruitless_allowance_;  // requests that may be forwarded now
+  const double backoff_seconds_;
+  const double max_backoff_seconds_;
+  const double unresolved_per_second_;
+  double unresolved_allowance_;  // requests that may be forwarded now
   Time allowance_updated_at_ = 0;
-  size_t preferred_ = 0;  // the peer that helped last
+  size_t preferred_ = 0;  // the peer that resolved a request last
 };
 
 }  // namespace oxbow
--- a/core/recovery/store_epoch.h
+++ b/core/recovery/store_epoch.h
@@ -1,7 +1,7 @@
-// The identity of what the key-value store holds. A store that has lost data
-// assigns revisions a second time; everything that was unique by them, fencing
-// tokens, attempts, names of scale-out requests and preconditions of writes,
-// stays unique by the epoch.
+// Store epochs. A key-value store that has lost data assigns the same revisions
+// again. Fencing tokens, attempt numbers, names of scale-out requests and the
+// preconditions of writes depend on revisions being unique. A new store epoch
+// is opened after each data loss, and keeps all of these unique.
 #pragma once
 
 #include <algorithm>
@@ -11,59 +11,62 @@
 
 namespace oxbow {
 
-// One record, never deleted, replaced only by that of a later epoch.
+// The record of the present epoch. There is one such record; it is never
+// deleted, and replaced only by the record of a later epoch.
 struct StoreEpoch {
-  uint64_t number = 0;  // 0: none is known
-  // Random. Another key is named after it, which is a precondition of every
-  // write of the epoch: a revision that is assigned again can't fulfil the
-  // precondition of a write of the epoch before, since its key is gone.
+  uint64_t number = 0;  // 0: no epoch is known
+  // A random string. The key of the EpochMark is named after it, and the mark's
+  // revision is a precondition of every write in this epoch. So a write of the
+  // epoch before is rejected even if revisions repeat, since the mark with the
+  // earlier name is gone.
   std::string id;
-  // Added to the leader key's revision in fencing tokens.
+  // Added to the leader key's revision to form the term; see TermOf.
   uint64_t base = 0;
-  // Whatever was accepted is recorded or retained. If false, a job that nobody
-  // knows may have been accepted before the loss.
+  // True if every job that was accepted is recorded in the store or retained by
+  // a controller. If false, a job that no controller knows may have been
+  // accepted before the data loss.
   bool whole = true;
-  // Reconciliation is complete: all retained records are in the store.
+  // True if reconciliation is complete: all retained records are in the store.
   bool rebuilt = true;
   double opened_wall = 0;  // seconds since 1970
   uint64_t mod_revision = 0;
 };
 
-// The record of the key that is named after the epoch.
+// The record of the key that is named after StoreEpoch::id.
 struct EpochMark {
   uint64_t number = 0;
   uint64_t mod_revision = 0;
 };
 
-// Orders two copies of one record: the later epoch, within it the higher
-// revision.
+// Orders two copies of a record: the copy of the later epoch is the newer one,
+// and within an epoch the copy with the higher revision.
 struct Version {
   uint64_t epoch = 0;
   uint64_t mod_revision = 0;
   auto operator<=>(const Version&) const = default;
 };
 
-// The term of a leader, the upper part of its fencing tokens: no two leaders
-// share one. Within an epoch the
-// leader key's revisions differ; between epochs see NextBase.
+// The term of a leader, which is the upper part of its fencing tokens. No two
+// leaders share a term: within an epoch the revisions of their leader keys
+// differ, and between epochs NextTermBase keeps the terms apart.
 inline uint64_t TermOf(const StoreEpoch& epoch, uint64_t leader_revision) {
   return epoch.base + leader_revision;
 }
 
-// A fencing token has 64 bits, of which its term has this many.
+// The number of bits that the term takes up in a fencing token of 64 bits.
 inline constexpr int kTermBits = 44;
 
-// The base of a new epoch, so that each of its terms is above all of the ones
-// before. `highest_term` is the highest that any controller, worker or snapshot
-// has shown. A leader may have won without anybody's knowledge, so the base is
-// that much higher; as the leader's revisions came from the same store, the
-// margin covers as many changes as a store makes in months. When nobody
-// remembers anything, the base is taken from the clock: no store makes so many
-// changes a second, so an epoch that was opened earlier has a lower one.
-// `wall_seconds`: seconds since 1970.
-inline uint64_t NextBase(uint64_t highest_term, double wall_seconds) {
+// The base of a new epoch, chosen so that every term of the epoch is above all
+// earlier terms. `highest_term` is the highest term that any controller, worker
+// or snapshot has shown. A leader that none of them knows of may have won with
+// a higher revision, so a margin is added that covers the revisions that a
+// store assigns in months. If no earlier term is known at all, the base follows
+// from the clock: no store assigns kChangesPerSecond revisions per second, so
+// an epoch that was opened earlier has lower terms. `wall_seconds`: seconds
+// since 1970.
+inline uint64_t NextTermBase(uint64_t highest_term, double wall_seconds) {
   constexpr uint64_t kMargin = uint64_t{1} << 32;
-  constexpr double kClockOrigin = 1.7e9;  // in 2023
+  constexpr double kClockOrigin = 1.7e9;  // seconds since 1970: in 2023
   constexpr double kChangesPerSecond = 4096;
   constexpr uint64_t kMaxBase = (uint64_t{1} << kTermBits) - kMargin;
   const double by_clock =
--- a/core/recovery/store_verification.cc
+++ b/core/recovery/store_verification.cc
@@ -16,7 +16,8 @@
     std::pair{kRebuilding, kSuspected},
 };
 
-// Rounds that must agree: one answer from a stale copy is no loss.
+// How many rounds in a row must find something missing: a single answer may
+// come from a replica of the store that lags behind.
 constexpr int kRequiredRounds = 2;
 
 }  // namespace
@@ -31,7 +32,7 @@
       return "its epoch's records are missing";
     case DataLossIndication::kRecordMissing:
       return "a record that nobody deleted is missing";
-    case DataLossIndication::kTermAbove:
+    case DataLossIndication::kUnknownTerm:
       return "a worker has seen a token above all of this epoch";
     case DataLossIndication::kOtherEpoch:
       return "another controller remembers an epoch that is not there";
@@ -61,14 +62,15 @@
   if (state_ == kSuspected || state_ == kLost) return false;
   Change(StoreVerificationEvent::kIndication);
   indication_ = indication;
-  agreeing_rounds_ = 0;
+  missing_rounds_ = 0;
   return true;
 }
 
 void StoreVerification::OnRound(StoreCheck mine, PeerFinding peers) {
   if (mine == StoreCheck::kNoAnswer) return;
   if (state_ == kLost && mine == StoreCheck::kIntact) {
-    // What was missing is there: it was this controller's view that lacked it.
+    // The missing record is there: the store had lost nothing, this controller
+    // had only read a replica that lagged behind.
     Change(StoreVerificationEvent::kCleared);
     return;
   }
@@ -77,13 +79,13 @@
     Change(StoreVerificationEvent::kCleared);
     return;
   }
-  // Only this controller misses something: it reads a stale copy, and stays
-  // undecided until it reads what the others do.
+  // Only this controller finds something missing, so it reads a replica that
+  // lags behind. The suspicion remains until its reads agree with the others'.
   if (peers == PeerFinding::kIntact) {
-    agreeing_rounds_ = 0;
+    missing_rounds_ = 0;
     return;
   }
-  if (++agreeing_rounds_ >= kRequiredRounds)
+  if (++missing_rounds_ >= kRequiredRounds)
     Change(StoreVerificationEvent::kConfirmed);
 }
 
@@ -102,7 +104,7 @@
     }
     return;
   }
-  // A suspicion about this epoch is for the checks to settle.
+  // A suspicion about the present epoch is left to the rounds of checks.
   if (state_ == kRebuilding && rebuilt) {
     Change(StoreVerificationEvent::kReconciliationComplete);
   }
--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -1,7 +1,7 @@
-// Whether this controller may believe what the key-value store says. Only then
-// does a missing record prove anything. An indication of data loss raises a
-// suspicion, which is settled by fresh checks of this and the other
-// controllers. No I/O, no clock.
+// Whether this controller may rely on the contents of the key-value store. Only
+// if it may does a missing record prove that the record does not exist. An
+// indication of data loss raises a suspicion, which is confirmed or cleared by
+// fresh reads by this and the other controllers. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,72 +12,82 @@
 
 namespace oxbow {
 
-// What the store may be believed.
+// How far the contents of the store may be relied on.
 enum class StoreVerificationState : uint8_t {
-  kVerified,    // a record that it does not hold does not exist
-  kSuspected,   // an indication of a loss is being examined
-  kLost,        // it has lost data; a new epoch has to be opened
-  kRebuilding,  // one is open, and retained records are being written back
+  kVerified,    // a record that the store does not hold does not exist
+  kSuspected,   // an indication of data loss is being examined
+  kLost,        // the store has lost data; a new epoch has to be opened
+  kRebuilding,  // a new epoch is open; retained records are being written back
 };
 
-// Sent between controllers by number: new ones go to the end.
+// The indications of data loss. They are sent between controllers by number, so
+// new ones are added at the end.
 enum class DataLossIndication : uint8_t {
   kNone,
-  kStepBack,       // a lower revision than in an earlier answer
-  kEpochMissing,   // the epoch's records are not there, or are another's
-  kRecordMissing,  // a record that nobody deleted
-  kTermAbove,      // a worker shows a token that no leader here can have given
-  kUnknownTask,    // a task runs whose job has no record
-  kOtherEpoch,     // another controller remembers another epoch
+  kStepBack,       // an answer had a lower revision than an earlier answer
+  kEpochMissing,   // the epoch's records are missing, or are of another epoch
+  kRecordMissing,  // a record is missing that no controller deleted
+  kUnknownTerm,  // a worker shows a fencing token whose term is higher than any
+                 // leader known to this controller can have
+  kUnknownTask,  // a task runs whose job has no record
+  kOtherEpoch,   // another controller remembers a different epoch
 };
-// In words, for the log.
+// The indication in words, for the log.
 std::string_view NameOf(DataLossIndication indication);
 
-// The result of a fresh read of what an indication is about. Sent between
-// controllers by number.
+// The result of a fresh read of the record that an indication is about. Sent
+// between controllers by number.
 enum class StoreCheck : uint8_t {
   kNoAnswer,
-  kIntact,   // the store holds it
-  kMissing,  // it does not, or holds an older copy
+  kIntact,   // the store holds the record
+  kMissing,  // the store does not hold the record, or holds an older copy
 };
 
-// What another controller that read the store at the same moment found.
-enum class PeerFinding : uint8_t { kNone, kIntact };
+// What the other controllers have found in reads of their own at the same time.
+enum class PeerFinding : uint8_t {
+  kNone,    // no controller found the store intact
+  kIntact,  // at least one did
+};
 
-// What changes that.
+// The events that may change the state.
 enum class StoreVerificationEvent : uint8_t {
-  kIndication,
-  kCleared,
-  kConfirmed,
-  kEpochOpened,  // a later epoch that is not yet rebuilt was observed
-  kReconciliationComplete,  // one that is rebuilt
+  kIndication,              // an indication of data loss
+  kCleared,                 // the checks found that no data was lost
+  kConfirmed,               // the checks found that data was lost
+  kEpochOpened,             // an epoch whose records are still being written
+                            // back was observed
+  kReconciliationComplete,  // an epoch was observed whose retained records have
+                            // all been written back
 };
 
-// The state machine; the owner carries out the checks.
+// The state machine. It makes no requests; its owner carries out the checks.
 class StoreVerification {
  public:
   StoreVerificationState state() const { return state_; }
-  // What raised the latest suspicion.
+  // The indication that raised the latest suspicion.
   DataLossIndication indication() const { return indication_; }
 
-  // True if it raises a suspicion, which then has to be settled by rounds;
-  // false while one is being settled or a loss is certain.
+  // Returns true if the indication raises a suspicion, which then has to be
+  // confirmed or cleared by rounds of checks; false if a suspicion is being
+  // examined already or data loss is certain.
   bool OnIndication(DataLossIndication indication);
-  // A round of checks is over, while a loss is suspected, or later while nobody
-  // has opened a new epoch.
+  // A round of checks has ended. Rounds are made while data loss is suspected,
+  // and after it is certain until a new epoch has been opened. `mine`: the
+  // result of this controller's own read.
   void OnRound(StoreCheck mine, PeerFinding peers);
-  // The epoch as recorded now.
+  // The epoch as it is recorded now. `rebuilt`: see StoreEpoch.
   void OnEpoch(uint64_t number, bool rebuilt);
 
-  // Whether a record that nobody remembers never existed, and may be denied.
+  // Whether this controller may answer that a job does not exist if neither the
+  // store nor a controller has a record of it.
   bool MayDeny() const { return state_ == StoreVerificationState::kVerified; }
-  // Whether a submission may be accepted: by anybody, or, while retained
-  // records are being written back, by the leader, which has all of them.
+  // Whether a submission may be accepted. While retained records are being
+  // written back only the leader may, since it has all of them.
   bool MayAccept(bool is_leading) const {
     return state_ == StoreVerificationState::kVerified ||
            (state_ == StoreVerificationState::kRebuilding && is_leading);
   }
-  // Whether a free leader key means that nobody leads.
+  // Whether a missing leader key proves that no controller leads by the key.
   bool MaySeek() const {
     return state_ == StoreVerificationState::kVerified ||
            state_ == StoreVerificationState::kRebuilding;
@@ -89,9 +99,9 @@
 
   StoreVerificationState state_ = StoreVerificationState::kVerified;
   DataLossIndication indication_ = DataLossIndication::kNone;
-  uint64_t epoch_ = 0;
-  bool rebuilt_ = true;
-  int agreeing_rounds_ = 0;  // in a row that found something missing
+  uint64_t epoch_ = 0;      // the number of the latest epoch observed
+  bool rebuilt_ = true;     // whether that epoch is rebuilt
+  int missing_rounds_ = 0;  // rounds in a row that found something missing
 };
 
 }  // namespace oxbow
--- a/core/recovery/terminal_state_index.cc
+++ b/core/recovery/terminal_state_index.cc
@@ -14,7 +14,8 @@
 std::optional<uint32_t> TerminalStateIndex::NumberOf(std::string_view id) {
   if (!id.starts_with(kPrefix)) return std::nullopt;
   id.remove_prefix(kPrefix.size());
-  // One form for each number, or two jobs would share an entry.
+  // Only one form of each number is indexed, or two job ids would share an
+  // entry.
   if (id.size() < kMinDigits || (id.size() > kMinDigits && id[0] == '0')) {
     return std::nullopt;
   }
--- a/core/recovery/terminal_state_index.h
+++ b/core/recovery/terminal_state_index.h
@@ -1,6 +1,7 @@
-// The terminal state of every job that this controller knows to have ended, in
-// two compressed bitmaps over the numbers in the ids: a few megabytes for
-// millions of jobs. A state that is in the index is never changed or removed.
+// The terminal state of every job that this controller knows to have ended. The
+// index consists of two compressed bitmaps over the numbers in the job ids, and
+// takes a few megabytes for millions of jobs. An entry is never changed or
+// removed.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +15,31 @@
 
 namespace oxbow {
 
-// A value type; copies are cheap for what they hold.
+// A value type; a copy costs little for the number of entries.
 class TerminalStateIndex {
  public:
-  // The number of a job id in its usual form, `job-000412`; nothing for another
-  // form, which is not indexed.
+  // The number in a job id of the usual form, `job-000412`; nullopt for an id
+  // of another form, which can't be indexed.
   static std::optional<uint32_t> NumberOf(std::string_view id);
   static std::string IdOf(uint32_t number);
 
-  // Has no effect on a job that is in the index.
+  // Adds the job unless the index has it already.
   void Add(std::string_view id, TerminalState state);
+  // kNone if the index does not have the job.
   TerminalState Find(std::string_view id) const;
   uint64_t size() const { return done_.cardinality() + aborted_.cardinality(); }
-  // Calls `visit` for each job that `other` does not have: those done first, by
-  // number.
+  // Calls `visit` for each job that `other` does not have: first the jobs that
+  // are done, then the aborted ones, each in the order of their numbers.
   void ForEachMissing(
       const TerminalStateIndex& other,
       const std::function<void(const std::string& id, TerminalState state)>&
           visit) const;
 
-  // The jobs with that state, for another controller.
+  // Serializes the jobs with the state `part`, to be sent to another
+  // controller.
   std::string Encode(TerminalState part) const;
-  // Adds what another controller has encoded; false if the bytes are not valid.
+  // Adds the jobs that another controller has serialized. Returns false if the
+  // bytes are not valid.
   bool Merge(TerminalState part, const std::string& bytes);
 
  private:
--- a/core/upgrade/version_gate.cc
+++ b/core/upgrade/version_gate.cc
@@ -11,13 +11,14 @@
 
 using enum GateState;
 
-// kOpen is final. A version that was recorded and not marked yet may be lost
-// with the store's data, and is recorded again.
+// kOpen is final. The change from kAllRecorded to kClosed happens if the store
+// loses a recorded version before the mark is written; the controller then
+// records its version again.
 constexpr std::array kChanges = {
-    std::pair{kClosed, kAllSeen},
+    std::pair{kClosed, kAllRecorded},
     std::pair{kClosed, kOpen},
-    std::pair{kAllSeen, kClosed},
-    std::pair{kAllSeen, kOpen},
+    std::pair{kAllRecorded, kClosed},
+    std::pair{kAllRecorded, kOpen},
 };
 
 const VersionRecord* Find(const VersionGate::Versions& versions,
@@ -42,11 +43,11 @@
   if (next != state_) CheckedChange(state_, next, kChanges, "version gate");
 }
 
-bool VersionGate::AllSeen(const Versions& versions) const {
+bool VersionGate::AllHaveRecorded(const Versions& versions) const {
   const auto is_present = [&](const std::string& name) {
     return IsPresentVersion(Find(versions, name));
   };
-  // The settings may count a controller that they do not name.
+  // The settings may count more controllers than they name.
   return names_.size() >= nodes_ &&
          std::all_of(names_.begin(), names_.end(), is_present);
 }
@@ -54,11 +55,11 @@
 void VersionGate::Update(const Versions& versions) {
   const VersionRecord* own = Find(versions, self_);
   const VersionRecord* mark = Find(versions, kMark);
-  const bool all = AllSeen(versions);
+  const bool all = AllHaveRecorded(versions);
   if (IsPresentVersion(mark)) {
     Change(kOpen);
   } else if (!open()) {
-    Change(all ? kAllSeen : kClosed);
+    Change(all ? kAllRecorded : kClosed);
   }
   required_write_ = GateWrite::kNothing;
   if (!IsPresentVersion(own)) {
--- a/core/upgrade/version_gate.h
+++ b/core/upgrade/version_gate.h
@@ -1,9 +1,10 @@
-// When records may be written that an earlier version of the program can't act
-// on safely. Every controller records the version of its records once, when it
-// starts; one that runs an earlier version records nothing. When all the
-// controllers of the settings have recorded the present version, a mark is
-// recorded, which is never withdrawn: a process that ends is started again with
-// the version that it ran. No I/O, no clock.
+// Decides when records may be written that an earlier version of the program
+// can't handle safely. Every controller that starts with the present version
+// records that version in the key-value store; version 1 recorded none. When
+// all controllers named in the settings have recorded the present version, a
+// mark is recorded: from then on the new records may be written. The mark is
+// never withdrawn, since a controller that is restarted runs the same version
+// as before. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +14,11 @@
 
 namespace oxbow {
 
-// The version of the records that this program writes. Version 1 had no jobs
-// with dependencies, and recorded no version.
+// The version of the records that this program writes. A program of version 1
+// had no jobs with dependencies and did not record its version.
 inline constexpr uint32_t kRecordsVersion = 2;
 
-// The version of one controller, or the mark for all of them.
+// The recorded version of one controller, or the mark for all of them.
 struct VersionRecord {
   uint32_t version = 0;
   uint64_t mod_revision = 0;  // of the record in the store
@@ -25,41 +26,45 @@
 
 // How far the controllers have recorded the present version.
 enum class GateState : uint8_t {
-  kClosed,   // some controller may run an earlier version
-  kAllSeen,  // all have recorded this one; the mark is still to be written
-  kOpen,     // marked, or known to have been marked: final
+  kClosed,       // some controller may run an earlier version
+  kAllRecorded,  // all have recorded this one; the mark is still to be written
+  kOpen,         // marked, or known to have been marked: final
 };
 
-// The record that a controller has to write next: none, its own, or the mark.
+// The record that a controller has to write next: none, its own version, or the
+// mark.
 enum class GateWrite : uint8_t { kNothing, kOwn, kMark };
 
-// The view of one controller; the owner writes what it requires.
+// The state machine on one controller. It makes no requests: its owner writes
+// the record that RequiredWrite names.
 class VersionGate {
  public:
-  // The name of the mark among those of the controllers, none of which can have
-  // it.
+  // The name under which the mark is recorded among the names of controllers.
+  // No controller can have this name.
   static constexpr const char* kMark = "*";
   using Versions = std::unordered_map<std::string, VersionRecord>;
 
-  // `self` and `peers` are the names of this and the other controllers, `nodes`
-  // is how many there are by the settings.
+  // `self` and `peers` are the names of this controller and of the others,
+  // `nodes` is the number of controllers in the settings.
   VersionGate(std::string self, std::vector<std::string> peers, size_t nodes);
 
-  // Takes in what is recorded, as far as it is known here.
+  // Updates the state from the recorded versions, as far as they are known
+  // here.
   void Update(const Versions& versions);
   GateState state() const { return state_; }
   bool open() const { return state_ == GateState::kOpen; }
   GateWrite RequiredWrite() const { return required_write_; }
-  // The revision of the record that the required write replaces; 0: none.
+  // The mod revision of the record that the required write replaces; 0: there
+  // is no such record yet.
   uint64_t replaces() const { return replaces_; }
 
  private:
   // The only function that changes the state.
   void Change(GateState next);
-  bool AllSeen(const Versions& versions) const;
+  bool AllHaveRecorded(const Versions& versions) const;
 
   const std::string self_;
-  std::vector<std::string> names_;  // all of them
+  std::vector<std::string> names_;  // of all controllers, including this one
   const size_t nodes_;
   GateState state_ = GateState::kClosed;
   GateWrite required_write_ = GateWrite::kNothing;
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -41,7 +41,7 @@
   l.PromiseGranted("b", 11);
   l.PromiseGranted("c", 12);
   EXPECT_TRUE(l.Valid(16));
-  EXPECT_EQ(l.state(), LeaderState::kProlonged);
+  EXPECT_EQ(l.state(), LeaderState::kLeadingByPromises);
   // It ends with the earliest of the promises.
   EXPECT_FALSE(l.Valid(11 + kPromise));
 }
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -46,26 +46,26 @@
 TEST(Epoch, TermsOfALaterEpochAreAboveAllBefore) {
   const uint64_t shown = 4711;
   StoreEpoch next;
-  next.base = NextBase(shown, 1.7e9);
+  next.base = NextTermBase(shown, 1.7e9);
   EXPECT_GT(TermOf(next, 1), shown + 1'000'000);
   StoreEpoch after;
-  after.base = NextBase(TermOf(next, 90'000), 1.7e9);
+  after.base = NextTermBase(TermOf(next, 90'000), 1.7e9);
   EXPECT_GT(TermOf(after, 1), TermOf(next, 90'000'000));
 }
 
 TEST(Epoch, WithNothingRememberedTheClockKeepsEpochsApart) {
   const double opened = 1.8e9;
   StoreEpoch first;
-  first.base = NextBase(0, opened);
+  first.base = NextTermBase(0, opened);
   // Two thousand changes a second for an hour, then everything is lost again.
   const uint64_t last = TermOf(first, 2000 * 3600);
-  EXPECT_GT(NextBase(0, opened + 3600), last);
+  EXPECT_GT(NextTermBase(0, opened + 3600), last);
 }
 
 TEST(Epoch, ATermFitsItsBitsForEver) {
-  EXPECT_LT(NextBase(0, 1e12), uint64_t{1} << kTermBits);
-  const uint64_t token = FirstFencingToken(NextBase(0, 1e12));
-  EXPECT_EQ(TermOfToken(token), NextBase(0, 1e12));
+  EXPECT_LT(NextTermBase(0, 1e12), uint64_t{1} << kTermBits);
+  const uint64_t token = FirstFencingToken(NextTermBase(0, 1e12));
+  EXPECT_EQ(TermOfToken(token), NextTermBase(0, 1e12));
 }
 
 // --- store verification
@@ -465,7 +465,7 @@
   leadership.SeekStarted(0);
   leadership.Won(41, 1, 0);
   ASSERT_TRUE(leadership.Valid(1));
-  leadership.Rewon(7, 2, 1);
+  leadership.OnKeyRewritten(7, 2, 1);
   EXPECT_TRUE(leadership.Valid(3));
   EXPECT_EQ(leadership.revision(), 7U);
   EXPECT_FALSE(leadership.Valid(4));
--- a/tests/version_gate_test.cc
+++ b/tests/version_gate_test.cc
@@ -29,7 +29,7 @@
   EXPECT_EQ(gate.state(), GateState::kClosed);
   versions["c"].version = kRecordsVersion;
   gate.Update(versions);
-  EXPECT_EQ(gate.state(), GateState::kAllSeen);
+  EXPECT_EQ(gate.state(), GateState::kAllRecorded);
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kMark);
   versions[VersionGate::kMark] = {kRecordsVersion, 9};
   gate.Update(versions);
