--- a/app/election/delegation_requester.cc
+++ b/app/election/delegation_requester.cc
@@ -9,9 +9,10 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-// How long one heartbeat keeps the delegation wanted, in heartbeat intervals.
+// How long a delegation is wanted after a heartbeat, in heartbeat intervals.
 constexpr double kWantedIntervals = 2;
-// Between two requests, as a share of the time that a delegation lasts.
+// The time between two requests, as a share of the time that a delegation
+// lasts.
 constexpr double kRequestAgainRatio = 0.25;
 
 }  // namespace
--- a/app/election/election_context.h
+++ b/app/election/election_context.h
@@ -1,6 +1,6 @@
-// What each class of the leader election works with. The LeaderElection owns
-// the one instance; the objects referred to live as long as the process, so a
-// coroutine may use them over a suspension.
+// The parts of the controller that the classes of the leader election share.
+// The LeaderElection owns the only instance. The objects referred to live as
+// long as the process, so a coroutine may use them across a suspension.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace oxbow::app {
 
-// References to the rest of the controller, and what follows from them.
+// References to other parts of the controller, and queries derived from them.
 struct ElectionContext {
   net::Loop& loop;
   const Settings& settings;
@@ -29,14 +29,16 @@
   const LeaderHealthCoordinator::Peers& peers;
   RecoveryCoordinator& recovery;
   Leadership& leadership;
-  // Ends what is done as the leader; the right to lead is not changed.
+  // Stops all work that this controller does as the leader. It does not change
+  // the right to lead.
   std::function<void()> stop_leading;
 
   // Whether this controller may act as the leader at this moment.
   bool IsValidLeader() const { return leadership.Valid(loop.Refresh()); }
 
-  // The leader key of this process. `may_lead`: it may do so now, as far as is
-  // known; else it only renews workers' leases until it may.
+  // The record that this process writes to the leader key. `may_lead`: whether
+  // it leads from the moment the key is written; if not, it only renews
+  // workers' leases until it is known that no other controller leads.
   LeaderRecord LeaderRecordFor(bool may_lead) const {
     return {settings.node, incarnation, 0, !may_lead};
   }
--- a/app/election/epoch_election.cc
+++ b/app/election/epoch_election.cc
@@ -18,15 +18,15 @@
 }  // namespace
 
 bool EpochElection::MayStillOpen(OpenedBy opened_by) const {
-  // A leader whose right has run out meanwhile is one candidate among all.
+  // A leader whose right to lead has expired meanwhile gives up this attempt;
+  // it is one candidate among all others from now on.
   return opened_by == OpenedBy::kLeader
              ? context_.IsValidLeader()
              : context_.leadership.MaySeek(context_.loop.Refresh());
 }
 
-// Under a right that is still valid, or with nobody who could lead. One
-// transaction opens the epoch and takes its leader key, at the revisions that
-// were read before, so of several controllers one opens it.
+// The preconditions of the transaction are the revisions that were read before,
+// so only one of several controllers that try opens the epoch.
 net::Task<void> EpochElection::OpenEpoch() {
   const OpenedBy opened_by =
       context_.IsValidLeader() ? OpenedBy::kLeader : OpenedBy::kCandidate;
@@ -60,9 +60,10 @@
   OnOpened(*opening, opened_by, {*revision, lease.lease_id, sent_at});
 }
 
-// Where the store takes too few changes at once, the marks of the earlier
-// epochs go first, under the same preconditions: they end with the new epoch
-// anyway. The pointer belongs to the awaiting caller.
+// Used if the store's limit of operations per transaction is too low for the
+// whole transaction. The marks of earlier epochs are then deleted first, under
+// the same preconditions; they end with the new epoch anyway. The caller owns
+// `mutations` and awaits this coroutine.
 net::Task<bool> EpochElection::CloseEarlierEpochs(
     const EpochOpening& opening, std::vector<Mutation>* mutations) {
   std::vector<Mutation> deletions;
@@ -79,8 +80,8 @@
 
 void EpochElection::OnOpened(const EpochOpening& opening, OpenedBy opened_by,
                              const WonKey& won) {
-  // What is known is taken for pending writes from here on, by a core that
-  // begins anew.
+  // In the new epoch all known records become pending writes, which a newly
+  // created Leader handles.
   context_.stop_leading();
   const bool led = opened_by == OpenedBy::kLeader;
   if (led && context_.IsValidLeader()) {
--- a/app/election/leader_key_writer.h
+++ b/app/election/leader_key_writer.h
@@ -1,5 +1,5 @@
-// Writes the leader key and finds out whether the write was carried out, also
-// when it was not answered.
+// Writes the leader key, and finds out whether the write was applied even if it
+// was not answered.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace oxbow::app {
 
-// The key is not this controller's.
+// The error of a write after which the leader key is not this controller's.
 struct LeaderKeyNotTaken {
-  // The keys whose preconditions failed; empty where that is not known.
+  // The keys whose preconditions failed; empty if they are not known.
   std::vector<std::string> failed_keys;
 };
 
@@ -23,7 +23,9 @@
 struct WonKey {
   uint64_t revision = 0;
   uint64_t lease_id = 0;
-  net::Time sent_at = 0;  // the request that the lease counts from
+  // When the request was sent that created the lease; the lease counts from
+  // then.
+  net::Time sent_at = 0;
 };
 
 // Stateless; several writes may be in flight.
@@ -33,15 +35,17 @@
   explicit LeaderKeyWriter(const ElectionContext& context)
       : context_(context) {}
 
-  // Sends the transaction that writes the leader key under that lease; the
-  // revision of the key if it was carried out. `replaced_revision`: of the key
-  // before. The arguments belong to the coroutine.
+  // Sends the transaction that writes the leader key under the lease
+  // `lease_id`. Returns the new revision of the key if the transaction was
+  // applied. `replaced_revision`: the revision of the key before; 0 if it did
+  // not exist.
   net::Task<Expected<uint64_t, LeaderKeyNotTaken>> Write(
       std::vector<Precondition> preconditions, std::vector<Mutation> mutations,
       uint64_t lease_id, uint64_t replaced_revision);
 
  private:
-  // After a write that was not answered.
+  // Reads the key after a write that was not answered, and returns its revision
+  // if the write was applied.
   net::Task<Expected<uint64_t, LeaderKeyNotTaken>> ReadOutcome(
       uint64_t replaced_revision);
 
--- a/app/election/lease_renewer.cc
+++ b/app/election/lease_renewer.cc
@@ -11,8 +11,9 @@
 using clients::StoreResult;
 using clients::StoreStatus;
 
-// Parts of the lease: the timeout of a renewal, the time from a renewal that
-// was granted to the next, and from one that was not.
+// How many times these fit into one lease of the leader key: the timeout of a
+// renewal, the interval after a successful renewal, the interval after a failed
+// one.
 constexpr double kTimeoutsPerLease = 3;
 constexpr double kRenewalsPerLease = 5;
 constexpr double kRetriesPerLease = 20;
@@ -51,8 +52,9 @@
     return;
   }
   const bool is_missing = result.status == StoreStatus::kNotFound;
-  // The right is still valid then, by what was granted before or by promises; a
-  // new lease comes with the new epoch.
+  // If the store has lost data, the right to lead remains valid until the last
+  // renewal or the other controllers' promises expire. A new epoch brings a new
+  // lease.
   const bool is_lost_with_epoch = is_missing && context_.recovery.IsEnabled() &&
                                   context_.IsValidLeader() &&
                                   IsLeaseLost(lease_id);
@@ -64,8 +66,9 @@
       context_.loop.Now() + context_.lease_seconds / kRetriesPerLease;
 }
 
-// A lease never ends early, so one that has is lost. If the key is still there
-// as this leader wrote it, nobody else can have taken it.
+// The store never ends a lease early, so a lease that is gone while the right
+// to lead is valid was lost by the store. If the leader key still has the
+// revision that this leader wrote, no other controller can have taken it.
 net::Task<bool> LeaseRenewer::Retake() {
   const std::string key(keys::kLeader);
   const LeaderRecord record = context_.LeaderRecordFor(/*may_lead=*/true);
@@ -88,12 +91,14 @@
   context_.leadership.OnKeyRewritten(*revision, lease.lease_id, sent_at);
   OnKeyWritten();
   context_.watcher.Apply(key, record, *revision);
-  logging::Info("lost its lease and wrote the leader key again",
-                {{"node", context_.settings.node}, {"revision", *revision}});
+  logging::Info(
+      "the key-value store lost the lease; wrote the leader key again",
+      {{"node", context_.settings.node}, {"revision", *revision}});
   co_return true;
 }
 
-// The key is not there as this leader wrote it: perhaps lost with all else.
+// Called if the leader key could not be written again: the store may have lost
+// the key together with other data.
 bool LeaseRenewer::IsLeaseLost(uint64_t lease_id) {
   if (reported_lease_ != lease_id) {
     reported_lease_ = lease_id;
--- a/app/election/peer_role_survey.cc
+++ b/app/election/peer_role_survey.cc
@@ -8,7 +8,8 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-// Between two rounds, and for each answer, in heartbeat intervals.
+// The pause between two rounds, and the timeout of each request, in heartbeat
+// intervals.
 constexpr double kPauseIntervals = 0.2;
 
 }  // namespace
--- a/app/election/peer_role_survey.h
+++ b/app/election/peer_role_survey.h
@@ -1,7 +1,7 @@
-// Asks every other controller whether it leads. If none does, no promise that
-// an earlier process of this controller gave can be outstanding. After a loss
-// in the store the same question is asked for the leader key, since whoever
-// leads by it can't be read any more.
+// Asks every other controller whether it leads. If none does, no controller
+// relies on a promise that an earlier process of this controller gave. The same
+// question is asked after data loss in the key-value store, because a leader
+// whose key was lost can no longer be found by reading the store.
 #pragma once
 
 #include "app/leader_health_coordinator.h"
@@ -12,11 +12,12 @@
 
 namespace oxbow::app {
 
-// One survey at a time; it is prolonged rather than repeated.
+// Runs one survey at a time. Restart extends a survey that is in progress.
 class PeerRoleSurvey {
  public:
   // The references must outlive this object, and this object the event loop:
-  // the survey is a detached coroutine. The answers go to `leadership`.
+  // the survey is a detached coroutine. The answers are reported to
+  // `leadership`.
   PeerRoleSurvey(net::Loop& loop, const Settings& settings,
                  const LeaderHealthCoordinator::Peers& peers,
                  Leadership& leadership)
@@ -26,12 +27,13 @@
         leadership_(leadership),
         started_at_(loop.Now()) {}
 
-  // Asks until a promise that was given when this object was made has ended.
+  // Asks repeatedly until a promise that was given when this object was created
+  // must have expired.
   void Start();
-  // Asks until a promise that was given now has ended; a survey that is under
-  // way is prolonged.
+  // Asks repeatedly until a promise that was given at `now` must have expired.
+  // A survey that is in progress is extended until then.
   void Restart(net::Time now);
-  // Whether every other controller has been asked once.
+  // Whether every other controller has been asked at least once.
   bool HasAskedAll() const { return has_asked_all_; }
 
  private:
--- a/app/election/promise_exchange.cc
+++ b/app/election/promise_exchange.cc
@@ -10,9 +10,9 @@
 using clients::PeerMessage;
 using clients::Urgency;
 
-// Requests for promises in a lease of the leader key.
+// How many requests for promises are made within one lease of the leader key.
 constexpr double kRequestsPerLease = 5;
-// How long an answer is waited for, as a share of the workers' lease.
+// The timeout of a request, as a share of the workers' lease.
 constexpr double kAnswerTimeoutRatio = 0.15;
 
 }  // namespace
@@ -53,7 +53,8 @@
       context_.loop.Refresh());
 }
 
-// Data that is lost is as good as no answer: nobody can lead by it.
+// A store that has lost data counts as unavailable: no controller can lead by a
+// key in it.
 bool PromiseExchange::StoreFails() const {
   return context_.store.Failing() ||
          !context_.recovery.verification().MaySeek();
--- a/app/election/promise_exchange.h
+++ b/app/election/promise_exchange.h
@@ -1,6 +1,6 @@
-// The promises that carry a leader through an outage of the store: asks for
-// them as the leader, and gives them as a follower that has probed the store
-// itself.
+// Exchanges the promises that let a leader continue through an outage of the
+// key-value store. A leader asks for them; a follower gives them after it has
+// probed the store itself.
 #pragma once
 
 #include "app/election/election_context.h"
@@ -10,7 +10,8 @@
 
 namespace oxbow::app {
 
-// Both sides of a promise; a Leadership says what it permits.
+// Both sides of a promise. The rules are in Leadership; this class makes and
+// answers the requests.
 class PromiseExchange {
  public:
   // `context` must outlive this object, and this object the event loop: the
@@ -18,19 +19,23 @@
   explicit PromiseExchange(const ElectionContext& context)
       : context_(context) {}
 
-  // As the leader: asks all other controllers if it wants their promises.
+  // On the leader: asks all other controllers for promises if they are needed
+  // now.
   void RequestIfDue(net::Time now);
 
-  // As the one who is asked: whether this controller promises not to seek
-  // leadership for a while.
+  // On the controller that is asked: returns whether it promises not to
+  // campaign for leadership for Leadership::promise_seconds.
   net::Task<bool> Promise();
-  // The same for a delegate that renews workers' leases while nobody leads.
+  // The same for a delegate, which renews workers' leases while no controller
+  // leads. The promise lasts for Leadership::delegation_seconds.
   net::Task<bool> PromiseToDelegate(clients::PeerMessage request);
 
  private:
   net::Task<void> Request(clients::PeerClient* peer);
-  // Finds out whether the store answers this controller right now.
+  // Makes a request to the store so that its client notices whether it answers
+  // now.
   net::Task<void> ProbeStore();
+  // Whether the store is unavailable or its contents can't be relied on.
   bool StoreFails() const;
 
   const ElectionContext& context_;
--- a/app/recovery/bootstrapper.cc
+++ b/app/recovery/bootstrapper.cc
@@ -17,18 +17,21 @@
   const net::Time deadline =
       context_.loop.Now() + context_.settings.workers.lease_seconds;
   PeerView peers = co_await AskPeers();
-  // Somebody remembers another store than the one that is read here: it will
-  // open a new epoch, and none may be opened beside it. Not for ever: a peer
-  // that alone reads a stale copy would keep this controller out.
+  // A controller that remembers other contents of the store will open a new
+  // epoch, and this controller must not open another one beside it. The wait is
+  // bounded, since a single peer that reads a replica of the store that lags
+  // behind would otherwise keep this controller from starting.
   while (peers.remembers_other_store && context_.loop.Now() < deadline) {
     co_await context_.loop.Sleep(pause);
     peers = co_await AskPeers();
   }
-  // The watch shows how jobs end from the start on; what was before that the
-  // others know, and the store may lose it once they are gone.
+  // From now on the watch delivers the terminal states of jobs. The earlier
+  // ones are collected from the other controllers, since the store may lose
+  // them after those controllers have ended.
   co_await collector_.CollectTerminalStates();
-  // An older copy may hold as live what the others know to have ended: whoever
-  // leads by it runs a cancelled job again.
+  // If the store was reset to an older copy, jobs may be live in it that other
+  // controllers know to have ended. A leader that relied on such a copy would
+  // run a cancelled job again.
   while (!context_.watcher.ever_synced()) co_await context_.loop.Sleep(pause);
   is_complete_ = true;
   const std::string revived_key = inspector_.RevivedJobKey();
@@ -39,8 +42,9 @@
 }
 
 net::Task<Bootstrapper::PeerView> Bootstrapper::AskPeers() {
-  // This controller remembers nothing, so it can't recognize an older copy: the
-  // others are asked to check that all that changed last is in the store.
+  // This controller remembers nothing yet, so it can't recognize an older copy
+  // of the store. It asks the others to check that the records that changed
+  // last are in the store.
   PeerMessage request = detector_.VerificationRequest();
   request.running = static_cast<uint32_t>(DataLossIndication::kStepBack);
   const std::vector<PeerMessage> answers =
--- a/app/recovery/bootstrapper.h
+++ b/app/recovery/bootstrapper.h
@@ -1,5 +1,6 @@
-// The start of a controller: until it has learnt from the others what they
-// remember of the store, it must not take a missing leader key for a free one.
+// The start of a controller. Until the other controllers have told it what they
+// remember of the key-value store, it must not conclude from a missing leader
+// key that no controller leads: the store may have lost the key.
 #pragma once
 
 #include <string>
@@ -14,7 +15,7 @@
 
 namespace oxbow::app {
 
-// Runs once for each process.
+// Runs once in each process.
 class Bootstrapper {
  public:
   // All arguments must outlive this object, and this object the event loop:
@@ -29,20 +30,23 @@
         collector_(collector) {}
 
   void Start();
+  // Whether a missing leader key may now be taken for a free one.
   bool IsComplete() const { return is_complete_; }
 
  private:
-  // What the other controllers' answers say about the store that is read here.
+  // What the other controllers' answers say about the contents of the store.
   struct PeerView {
-    // Somebody remembers another store, or a later state of this one.
+    // A controller remembers another epoch, or records that the store lacks.
     bool remembers_other_store = false;
-    uint64_t highest_term = 0;  // of those that know the same epoch
+    // The highest term that controllers with the same epoch have seen.
+    uint64_t highest_term = 0;
   };
 
   net::Task<void> Run();
   net::Task<PeerView> AskPeers();
   PeerView Summarize(const std::vector<clients::PeerMessage>& answers) const;
-  // Whether the store lacks what peers of the same epoch have read.
+  // Reports an indication of data loss if controllers with the same epoch have
+  // seen a higher term than the store's present revision allows.
   net::Task<void> CompareTerms(uint64_t highest_peer_term);
 
   const RecoveryContext& context_;
--- a/app/recovery/data_loss_detector.cc
+++ b/app/recovery/data_loss_detector.cc
@@ -32,7 +32,8 @@
 
 void DataLossDetector::Report(DataLossIndication indication,
                               const std::string& key) {
-  // Without an epoch nothing was ever known that could be missing.
+  // Without an epoch this controller has never known a record that could be
+  // missing.
   if (!context_.IsEnabled() || context_.catalog.epoch().number == 0) return;
   if (!verification_.OnIndication(indication)) return;
   suspected_key_ = key;
@@ -49,7 +50,8 @@
   }
 }
 
-// Mostly a leader that has just won, of which this controller has not read.
+// The reason for an unknown term is usually that a leader has just won and this
+// controller has not read its key yet.
 net::Task<void> DataLossDetector::CheckObservedTerm() {
   const StoreCheck result = co_await inspector_.CheckEpoch();
   if (result == StoreCheck::kIntact && foreign_term_ > context_.HighestTerm()) {
@@ -139,13 +141,14 @@
 
 net::Task<StoreCheck> DataLossDetector::CheckNewestRecords() {
   const NewestRecordsCheck check = co_await inspector_.CheckNewestRecords();
-  // The other controllers are asked about the same record.
+  // The other controllers are then asked about the same record.
   if (check.result == StoreCheck::kMissing) suspected_key_ = check.missing_key;
   co_return check.result;
 }
 
 net::Task<void> DataLossDetector::ReexamineLoss() {
-  // The controller that can open the next epoch may have no indication.
+  // The controller that can open the next epoch may have no indication of its
+  // own.
   co_await NotifyPeers();
   const StoreCheck result = co_await Examine();
   if (verification_.state() == StoreVerificationState::kLost) {
@@ -163,9 +166,10 @@
   if (verification_.MaySeek()) return message;
   message.running = static_cast<uint32_t>(verification_.indication());
   message.job_id = suspected_key_;
-  // Only a record that is as new counts as found: a controller that knows an
-  // older copy would vouch for it, and the suspicion of the one that remembers
-  // more would never end.
+  // The other controllers must find a record that is at least as new. Otherwise
+  // a controller that knows only an older copy would report the store as
+  // intact, and the suspicion of the controller that remembers more would never
+  // end.
   if (!suspected_key_.empty()) {
     message.mod_revision =
         context_.catalog.VersionOf(suspected_key_).mod_revision;
@@ -192,7 +196,8 @@
   const StoreEpoch& epoch = context_.catalog.epoch();
   if (epoch.number > 0 && request.done >= epoch.number &&
       request.text != epoch.id) {
-    // Opened after a loss by a controller that had nothing to remember.
+    // The other epoch was opened after a data loss, by a controller that
+    // remembered none of the records.
     other_epoch_number_ = request.done;
     other_epoch_id_ = request.text;
     Report(DataLossIndication::kOtherEpoch);
@@ -207,15 +212,16 @@
 net::Task<StoreCheck> DataLossDetector::VerifyFor(PeerMessage request) {
   if (context_.catalog.epoch().number == 0) co_return StoreCheck::kNoAnswer;
   StoreCheck result = co_await inspector_.CheckEpoch();
-  // A controller that suspects a loss asks for more than a revision, which may
-  // have grown past what was lost.
+  // For a controller that suspects data loss it is not enough to compare
+  // revisions: since the loss the store's revision may have grown past the
+  // revisions of the lost records.
   const auto indication = static_cast<DataLossIndication>(request.running);
   if (result == StoreCheck::kIntact &&
       indication != DataLossIndication::kNone) {
     result = co_await CheckNewestRecords();
   }
-  // A controller that has just started does not know what is missing, and may
-  // have read as far by now: it vouches only for what it finds.
+  // A controller that has just started does not know which records are missing.
+  // So it reports the store as intact only if it finds the record in question.
   if (result == StoreCheck::kIntact && !request.job_id.empty()) {
     const bool found =
         co_await inspector_.Contains(request.job_id, request.mod_revision);
--- a/app/recovery/epoch_history.cc
+++ b/app/recovery/epoch_history.cc
@@ -5,17 +5,19 @@
 namespace oxbow::app {
 namespace {
 
-// Worker leases from a rebuild that may lack something, until an id that nobody
-// knows is denied again. After the first every machine has sent a heartbeat to
-// the leader, or its tasks have ended. A controller or machine that is still
-// away then is waited for up to the second.
+// After a data loss in which accepted jobs may have been lost, an unknown job
+// id is denied again only some time after the reconciliation. In worker leases:
+// after kReportedLeases every machine has sent a heartbeat to the leader, or
+// its tasks have ended. A controller or machine that has not been in contact
+// until then is waited for up to kRetentionLeases.
 constexpr double kReportedLeases = 2;
 constexpr double kRetentionLeases = 7;
-// The least that the first may be: with it, a lease that was renewed just
-// before the rebuild has ended.
+// The minimum of kReportedLeases when kMaxWaitSeconds shortens it: after this
+// time a worker lease that was renewed just before the reconciliation was
+// complete has ended.
 constexpr double kMinReportedLeases = 1.1;
-// Users expect a definite status within 75 s, and ask every few seconds. So
-// longer leases do not make the wait from the epoch's beginning any longer.
+// The maximum wait from the opening of the epoch, also if leases are long.
+// Users expect a definite status within 75 s, and ask every few seconds.
 constexpr double kMaxWaitSeconds = 65;
 
 }  // namespace
@@ -60,8 +62,9 @@
 
 bool EpochHistory::AllWorkersHaveReported(const StoreEpoch& epoch,
                                           Time now) const {
-  // A first epoch may have been opened in a store that has lost everything,
-  // together with all controllers: the workers would report within a lease.
+  // What looks like the first epoch of a deployment may have been opened after
+  // the store and all controllers had lost everything. The workers of the
+  // earlier deployment would send heartbeats within a lease.
   if (new_deployment_since_ && now <= *new_deployment_since_ + lease_seconds_)
     return false;
   if (epoch.whole) return true;
--- a/app/recovery/epoch_history.h
+++ b/app/recovery/epoch_history.h
@@ -1,5 +1,5 @@
-// The store epochs that this process has seen, and what may be concluded from
-// their age. No I/O and no clock.
+// The store epochs that this process has seen, and the conclusions from how
+// long ago each was opened and reconciled. No I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,50 +10,54 @@
 
 namespace oxbow::app {
 
-// Fed with every epoch record that is read or written here.
+// Takes in every epoch record that this controller reads or writes.
 class EpochHistory {
  public:
   enum class Change : uint8_t { kNone, kFirstEpoch, kLaterEpoch };
 
-  // `lease_seconds`: of the workers.
+  // `lease_seconds`: the workers' lease.
   explicit EpochHistory(double lease_seconds) : lease_seconds_(lease_seconds) {}
 
-  // An epoch as recorded now. `wall_now`: seconds since 1970.
+  // Takes in the number of the epoch as it is recorded now. `wall_now`: seconds
+  // since 1970.
   Change OnNumber(const StoreEpoch& epoch, Time now, double wall_now);
-  // Its other facts, once what follows from a change of the number is done.
+  // Takes in the other fields of the epoch. To be called after OnNumber, and
+  // after the caller has handled the change that OnNumber returned.
   void OnFacts(const StoreEpoch& epoch, Time now);
 
-  // The first epoch that this process has known; 0: none. It is no witness of
-  // what was lost before.
+  // The number of the first epoch that this process has known; 0: none. This
+  // process knows nothing of the data that was lost before that epoch.
   uint64_t first_epoch() const { return first_epoch_; }
-  // Whether all that was accepted up to the epoch before the present one was
-  // recorded or remembered.
+  // Whether, at the end of the epoch before the present one, every accepted job
+  // was recorded or remembered by a controller.
   bool WasCompleteBefore() const { return previous_epoch_complete_; }
 
-  // Whether a job that neither the store nor a controller knows was never
-  // accepted in `epoch`, as far as the workers' heartbeats can tell.
+  // Whether every worker has sent a heartbeat since the data loss, so that a
+  // job that neither the store nor a controller knows has no tasks left.
   bool AllWorkersHaveReported(const StoreEpoch& epoch, Time now) const;
-  // Whether an accepted job of `epoch` that is unknown here may still be known
-  // to a controller or worker that has not been in contact.
+  // Whether an accepted job that is unknown here may still be known to a
+  // controller or worker that has not been in contact since `epoch` was opened.
   bool MayBeKnownElsewhere(const StoreEpoch& epoch, Time now) const;
 
  private:
-  // When it may be said that every worker has reported since the rebuild, and
-  // that nobody who has not been in contact retains anything; nothing before
-  // the rebuild.
+  // From when on every worker counts as having sent a heartbeat since the
+  // reconciliation of the epoch; nullopt before the reconciliation is complete.
   std::optional<Time> AllReportedAt(const StoreEpoch& epoch) const;
+  // From when on controllers and workers that have not been in contact count as
+  // retaining no records; nullopt before the reconciliation is complete.
   std::optional<Time> RetentionEndsAt(const StoreEpoch& epoch) const;
 
   const double lease_seconds_;
   uint64_t last_epoch_ = 0;
   Time last_epoch_since_ = 0;  // when its record was first seen here
   uint64_t first_epoch_ = 0;
-  bool previous_epoch_complete_ = true;  // the epoch before the present one
+  bool previous_epoch_complete_ = true;
   bool present_epoch_complete_ = true;
-  // When the first epoch of the deployment was seen to be young.
+  // When this process saw the first epoch of the deployment, if the epoch had
+  // been opened less than a worker lease before.
   std::optional<Time> new_deployment_since_;
-  uint64_t rebuilt_epoch_ = 0;  // seen to be rebuilt, and since when
-  Time rebuilt_since_ = 0;
+  uint64_t rebuilt_epoch_ = 0;  // the last epoch that was seen to be rebuilt
+  Time rebuilt_since_ = 0;      // when that was first seen
 };
 
 }  // namespace oxbow::app
--- a/core/recovery/peer_choice.cc
+++ b/core/recovery/peer_choice.cc
@@ -17,19 +17,19 @@
 
 }  // namespace
 
-PeerChoice::PeerChoice(size_t peers, double backoff_seconds,
+PeerChoice::PeerChoice(size_t peers, double initial_backoff_seconds,
                        double max_backoff_seconds, double unresolved_per_second)
-    : peers_(peers, {kResponsive, 0, backoff_seconds}),
-      backoff_seconds_(backoff_seconds),
+    : peers_(peers, {kResponsive, 0, initial_backoff_seconds}),
+      initial_backoff_seconds_(initial_backoff_seconds),
       max_backoff_seconds_(max_backoff_seconds),
       unresolved_per_second_(unresolved_per_second),
       unresolved_allowance_(std::max(1.0, unresolved_per_second)) {}
 
 void PeerChoice::Change(Peer& peer, PeerEvent event) {
   switch (event) {
-    case PeerEvent::kAnswered:
+    case PeerEvent::kPeerAnswered:
       return CheckedChange(peer.state, kResponsive, kChanges, "peer");
-    case PeerEvent::kNoAnswer:
+    case PeerEvent::kPeerSilent:
       return CheckedChange(peer.state, kBackingOff, kChanges, "peer");
     case PeerEvent::kProbeStarted:
       return CheckedChange(peer.state, kProbing, kChanges, "peer");
@@ -64,8 +64,8 @@
 
 void PeerChoice::Answered(size_t peer) {
   Peer& entry = peers_[peer];
-  entry.backoff_seconds = backoff_seconds_;
-  if (entry.state != kResponsive) Change(entry, PeerEvent::kAnswered);
+  entry.next_backoff_seconds = initial_backoff_seconds_;
+  if (entry.state != kResponsive) Change(entry, PeerEvent::kPeerAnswered);
 }
 
 void PeerChoice::Silent(size_t peer, Time now) {
@@ -73,10 +73,10 @@
   // If several requests waited for the peer at the same time, only the first
   // one that gets no answer starts a back-off.
   if (entry.state == kBackingOff) return;
-  Change(entry, PeerEvent::kNoAnswer);
-  entry.backoff_ends_at = now + entry.backoff_seconds;
-  entry.backoff_seconds =
-      std::min(2 * entry.backoff_seconds, max_backoff_seconds_);
+  Change(entry, PeerEvent::kPeerSilent);
+  entry.backoff_ends_at = now + entry.next_backoff_seconds;
+  entry.next_backoff_seconds =
+      std::min(2 * entry.next_backoff_seconds, max_backoff_seconds_);
 }
 
 void PeerChoice::Helped(size_t peer) {
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_choice.h
@@ -21,18 +21,18 @@
 };
 
 // The events that change the state.
-enum class PeerEvent : uint8_t { kAnswered, kNoAnswer, kProbeStarted };
+enum class PeerEvent : uint8_t { kPeerAnswered, kPeerSilent, kProbeStarted };
 
 // The state machines of all peers, a circuit breaker for each. Peers are
 // numbered from 0, in the order of the caller.
 class PeerChoice {
  public:
-  // `backoff_seconds`: the back-off after the first missing answer; it doubles
-  // with each further one up to `max_backoff_seconds`. `unresolved_per_second`:
-  // how many requests per second may be forwarded if no peer can resolve any of
-  // them.
-  PeerChoice(size_t peers, double backoff_seconds, double max_backoff_seconds,
-             double unresolved_per_second);
+  // `initial_backoff_seconds`: the back-off after the first missing answer; it
+  // doubles with each further one up to `max_backoff_seconds`.
+  // `unresolved_per_second`: how many requests per second may be forwarded if
+  // no peer can resolve any of them.
+  PeerChoice(size_t peers, double initial_backoff_seconds,
+             double max_backoff_seconds, double unresolved_per_second);
 
   // Whether a request may be forwarded; if so, it is counted. In an outage that
   // affects all controllers, forwarding every request would only add to the
@@ -65,13 +65,13 @@
   struct Peer {
     PeerState state = PeerState::kResponsive;
     Time backoff_ends_at = 0;
-    double backoff_seconds = 0;  // the length of the next back-off
+    double next_backoff_seconds = 0;
   };
   // The only function that changes the state of a peer.
   void Change(Peer& peer, PeerEvent event);
 
   std::vector<Peer> peers_;
-  const double backoff_seconds_;
+  const double initial_backoff_seconds_;
   const double max_backoff_seconds_;
   const double unresolved_per_second_;
   double unresolved_allowance_;  // requests that may be forwarded now
