--- a/app/election/lease_renewer.cc
+++ b/app/election/lease_renewer.cc
@@ -33,8 +33,8 @@
   if (result.status == StoreStatus::kNotFound &&
       context_.recovery.IsEnabled() && context_.IsValidLeader() &&
       lease_id == context_.leadership.lease_id()) {
-    const bool is_retaken = co_await Retake();
-    if (is_retaken) {
+    const bool is_rewritten = co_await RewriteKey();
+    if (is_rewritten) {
       is_renewing_ = false;
       co_return;
     }
@@ -69,7 +69,7 @@
 // The store never ends a lease early, so a lease that is gone while the right
 // to lead is valid was lost by the store. If the leader key still has the
 // revision that this leader wrote, no other controller can have taken it.
-net::Task<bool> LeaseRenewer::Retake() {
+net::Task<bool> LeaseRenewer::RewriteKey() {
   const std::string key(keys::kLeader);
   const LeaderRecord record = context_.LeaderRecordFor(/*may_lead=*/true);
   const net::Time sent_at = context_.loop.Refresh();
--- a/app/election/lease_renewer.h
+++ b/app/election/lease_renewer.h
@@ -34,7 +34,7 @@
  private:
   net::Task<void> Renew();
   // Writes the key again under a new lease. Returns whether that succeeded.
-  net::Task<bool> Retake();
+  net::Task<bool> RewriteKey();
   void OnRenewed(const clients::StoreResult& result, uint64_t lease_id,
                  net::Time sent_at);
   // Reports that the store does not have the lease any more. Returns whether
--- a/app/recovery/epoch_history.h
+++ b/app/recovery/epoch_history.h
@@ -32,8 +32,9 @@
   // was recorded or remembered by a controller.
   bool WasCompleteBefore() const { return previous_epoch_complete_; }
 
-  // Whether every worker has sent a heartbeat since the data loss, so that a
-  // job that neither the store nor a controller knows has no tasks left.
+  // Whether every worker must have sent a heartbeat since the data loss, so
+  // that no worker can still show a task of a job that neither the store nor a
+  // controller knows.
   bool AllWorkersHaveReported(const StoreEpoch& epoch, Time now) const;
   // Whether an accepted job that is unknown here may still be known to a
   // controller or worker that has not been in contact since `epoch` was opened.
--- a/app/recovery/epoch_opener.cc
+++ b/app/recovery/epoch_opener.cc
@@ -19,7 +19,7 @@
   return fmt::format("{:08x}{:08x}", device(), device());
 }
 
-// The epoch that was read; null if there is none.
+// The epoch that was read; null if the store holds none.
 const StoreEpoch* EpochIn(const StoreResult& read) {
   return read.ok() ? std::get_if<StoreEpoch>(&read.items[0].record) : nullptr;
 }
@@ -56,8 +56,9 @@
     OpenedBy opened_by) {
   const uint64_t known_number = context_.catalog.epoch().number;
   const std::vector<PeerMessage> answers = co_await detector_.AskPeers();
-  // Read after everybody has said how far they have seen: what the store holds
-  // by now is replaced at the revisions that are read here.
+  // The store is read after the other controllers have answered. Their answers
+  // are then older than the revisions that become the preconditions of the
+  // opening.
   const StoreResult epoch =
       co_await context_.store.Get(std::string(keys::kEpoch), Urgency::kLease);
   const StoreResult leader =
@@ -71,7 +72,8 @@
     co_await inspector_.CheckEpoch();  // takes it into the catalog
     co_return std::nullopt;
   }
-  // The store may hold a key under which somebody leads who started since.
+  // The store may hold the leader key of a controller that has won it since the
+  // data loss.
   if (opened_by == OpenedBy::kCandidate && leader.ok()) {
     const bool is_orphaned =
         co_await leader_key_monitor_.IsOrphaned(leader.items[0]);
@@ -81,7 +83,7 @@
   highest.epoch_number = std::max(
       {highest.epoch_number, known_number, stored ? stored->number : 0});
   EpochOpening opening = Replace(highest, epoch, leader);
-  // From here on lower revisions are what is expected.
+  // From here on lower revisions of the store are expected.
   detector_.RaiseForeignTerm(highest.term);
   context_.store.Restart(0);
   co_return opening;
@@ -114,7 +116,8 @@
       {std::string(keys::kEpoch), RevisionIn(epoch)},
       {std::string(keys::kLeader), opening.leader_key_revision}};
   opening.mutations = MutationsThatOpen(opening.epoch);
-  // A mark that an older copy has brought back would let late writes in.
+  // Marks of earlier epochs are deleted: a mark that came back with an older
+  // copy of the store would let delayed writes of its epoch succeed.
   const StoreEpoch* stored = EpochIn(epoch);
   if (stored != nullptr) opening.mutations.push_back({MarkKey(*stored), {}});
   const StoreEpoch& known = context_.catalog.epoch();
@@ -127,11 +130,12 @@
 void EpochOpener::OnOpened(const EpochOpening& opening, uint64_t revision) {
   const StoreEpoch& epoch = opening.epoch;
   if (epoch.number == 0) return;
-  // The mark first, so that it is known when the epoch is.
+  // The mark comes first, so that it is known when the epoch becomes known.
   context_.watcher.Apply(MarkKey(epoch), EpochMark{epoch.number, 0}, revision);
   context_.watcher.Apply(std::string(keys::kEpoch), epoch, revision);
-  // Until the others know of the epoch their watches deliver nothing, and what
-  // is recorded now is retained here alone.
+  // Until the other controllers know of the epoch, their watches deliver
+  // nothing, so records that are written now are retained by this controller
+  // only.
   net::Spawn(detector_.NotifyPeers());
 }
 
--- a/app/recovery/epoch_opener.h
+++ b/app/recovery/epoch_opener.h
@@ -1,5 +1,5 @@
-// Puts together the records of a new store epoch. Whether this controller may
-// write them, and writes them, is for the LeaderElection.
+// Composes the transaction that opens a new store epoch. The LeaderElection
+// decides whether this controller may open one, and sends the transaction.
 #pragma once
 
 #include <cstdint>
@@ -18,21 +18,21 @@
 
 namespace oxbow::app {
 
-// A transaction that opens an epoch, without the leader key of the one who
-// opens it.
+// A transaction that opens an epoch, without the write of the leader key, which
+// the sender adds.
 struct EpochOpening {
-  StoreEpoch epoch;  // number 0: there is none to open
+  StoreEpoch epoch;  // number 0: there is no epoch to open
   std::vector<Precondition> preconditions;
   std::vector<Mutation> mutations;
-  // Of the leader key that is replaced; 0: there is none.
+  // The revision of the leader key that is replaced; 0: there is no such key.
   uint64_t leader_key_revision = 0;
 };
 
-// Whether a controller that opens an epoch has led until now.
+// Whether the controller that opens an epoch is the leader or a candidate.
 enum class OpenedBy : uint8_t { kLeader, kCandidate };
 
-// Composes the transaction and announces the epoch; see EpochElection for who
-// sends it.
+// Composes the transaction, and takes the epoch into the catalog after
+// EpochElection has sent it.
 class EpochOpener {
  public:
   // All arguments must outlive this object.
@@ -43,17 +43,21 @@
         detector_(detector),
         leader_key_monitor_(leader_key_monitor) {}
 
-  // The first epoch of a deployment; number 0 if there is one already.
+  // The opening of the first epoch of a deployment; its epoch has the number 0
+  // if an epoch is known already or recovery is disabled.
   EpochOpening InitialEpoch() const;
-  // Reads what the store holds now and asks all controllers how far they have
-  // seen. Nothing if the store does not answer, another controller was first,
-  // or, for a candidate, somebody may lead by the key that is there.
+  // Composes the opening of the next epoch from the epoch and leader key that
+  // the store holds now, and from the highest epoch and term that any
+  // controller has seen. Returns nullopt if the store does not answer, if
+  // another controller has opened an epoch first, or, for a candidate, if a
+  // controller may lead by the leader key in the store.
   net::Task<std::optional<EpochOpening>> Prepare(OpenedBy opened_by);
-  // Takes an epoch into the catalog that this controller has just written.
+  // Takes the epoch that this controller has just written into the catalog, and
+  // notifies the other controllers.
   void OnOpened(const EpochOpening& opening, uint64_t revision);
 
  private:
-  // The highest epoch number and term that anybody has shown.
+  // The highest epoch number and term that any controller or worker has shown.
   struct HighestSeen {
     uint64_t epoch_number = 0;
     uint64_t term = 0;
@@ -61,7 +65,7 @@
 
   HighestSeen HighestSeenBy(
       const std::vector<clients::PeerMessage>& answers) const;
-  // The opening that replaces what was read.
+  // The opening that replaces the epoch and leader key that were read.
   EpochOpening Replace(const HighestSeen& highest,
                        const clients::StoreResult& epoch,
                        const clients::StoreResult& leader) const;
--- a/app/recovery/leader_key_monitor.cc
+++ b/app/recovery/leader_key_monitor.cc
@@ -73,14 +73,15 @@
 }
 
 net::Task<bool> LeaderKeyMonitor::IsOrphaned(clients::KeyValue leader_key) {
-  // Asking renews a lease that is there, so each controller asks once, when the
-  // lease of a holder that has ended must have run out.
+  // The probe is a renewal, so it extends the lease if that still exists.
+  // Therefore each controller probes only once, at a time when the lease must
+  // have expired if its owner has ended.
   if (!IsProbeDue(leader_key.mod_revision)) co_return false;
   is_lease_probed_ = true;
   const StoreResult renewed =
       co_await context_.store.Renew(leader_key.lease, LeaderLeaseSeconds() / 3);
   if (renewed.status == StoreStatus::kNotFound) {
-    is_lease_probed_ = false;  // the next probe is as certain
+    is_lease_probed_ = false;  // the lease is gone: probing again is harmless
     co_return true;
   }
   if (!renewed.ok()) is_lease_probed_ = false;
--- a/app/recovery/peer_broadcast.cc
+++ b/app/recovery/peer_broadcast.cc
@@ -8,8 +8,9 @@
 
 using clients::PeerMessage;
 
-// Shares of the workers' lease: their leases run on while a new epoch is
-// opened, so all requests of that together have to stay well below one.
+// Shares of the workers' lease. Workers' leases keep elapsing while a new epoch
+// is opened, so all requests that this takes must together stay well below one
+// lease.
 constexpr double kRequestTimeoutRatio = 0.08;
 constexpr double kQuestionTimeoutRatio = 1.5 * kRequestTimeoutRatio;
 
--- a/app/recovery/peer_broadcast.h
+++ b/app/recovery/peer_broadcast.h
@@ -1,4 +1,4 @@
-// Asks all other controllers the same question at once.
+// Sends the same question to all other controllers at the same time.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 
 namespace oxbow::app {
 
-// Several questions may be in flight.
+// Several questions may be in flight at the same time.
 class PeerBroadcast {
  public:
-  // Which peers a question waits for. All of them are asked in either case.
+  // Which peers' answers a question waits for. All peers are asked in any case.
   enum class WaitFor : uint8_t {
     kAllPeers,
     kResponsivePeers,  // not for those that gave no answer the last time
--- a/app/recovery/peer_state_collector.cc
+++ b/app/recovery/peer_state_collector.cc
@@ -32,8 +32,9 @@
 }
 
 bool PeerStateCollector::HasCollected(uint64_t revision) {
-  // By its term: after a second loss the revision may be the same again, and
-  // the leader would wait for ever for a collection that it took to be running.
+  // Collections are identified by the term: after a second data loss the
+  // revision may be the same again, and the leader would then wait for ever for
+  // a collection that is not running.
   const StoreEpoch& epoch = context_.catalog.epoch();
   const uint64_t term = TermOf(epoch, revision);
   if (!context_.IsEnabled() || epoch.number == 0 || epoch.rebuilt ||
@@ -49,12 +50,12 @@
 
 net::Task<void> PeerStateCollector::CollectForTerm(uint64_t term) {
   const Catalog& catalog = context_.catalog;
-  // A controller that started after the loss does not know what an earlier
-  // process of its name may have accepted last.
+  // A controller that started after the data loss does not know which jobs its
+  // earlier process accepted last.
   bool is_complete = history_.WasCompleteBefore() &&
                      history_.first_epoch() < catalog.epoch().number;
-  // All terminal states first: a job that has ended is not revived by an older
-  // record that another controller retains.
+  // All terminal states come first, so that a job that has ended is not made
+  // live again by an older record that another controller retains.
   const bool has_all_states = co_await CollectTerminalStates();
   context_.catalog.ApplyTerminalStates();
   const bool has_all_records =
@@ -82,7 +83,8 @@
   for (const auto& peer : context_.peers) {
     net::Spawn(CollectFromOne(collection, collector, peer.get()));
   }
-  // Each of them ends by itself, with the first page that does not come.
+  // Each request chain ends by itself, at the latest with the first page that
+  // does not arrive in time.
   while (collection->outstanding > 0) {
     co_await collection->done.Wait(context_.settings.workers.lease_seconds);
   }
@@ -133,7 +135,8 @@
 
 net::Task<bool> PeerStateCollector::CollectRetainedRecordsFrom(
     clients::PeerClient* peer) {
-  bool is_witness = false;  // the peer was there before the loss
+  // Whether the peer has been running since before the data loss.
+  bool is_witness = false;
   std::string last_key;
   for (;;) {
     PeerMessage request;
@@ -211,7 +214,7 @@
           unrecorded.push_back({id, state});
         }
       });
-  // The leader may not have started yet.
+  // The Leader may not exist yet, so delivery is repeated until it does.
   bool is_delivered = false;
   while (!is_delivered && collected_term_ == term) {
     deliver_to_leader_(term, [&](Leader& leader) {
--- a/app/recovery/peer_state_collector.h
+++ b/app/recovery/peer_state_collector.h
@@ -1,6 +1,7 @@
-// Collects what all controllers remember for the leader of a new store epoch:
-// first how jobs have ended, then the retained records. What it collects goes
-// into the catalog; the leader's core writes it back.
+// Collects, for the leader of a new store epoch, the records that the other
+// controllers remember: first the terminal states of jobs, then the retained
+// records. They are added to the catalog, and the Leader writes them back to
+// the store.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +24,8 @@
 // The asking side of a PeerStateProvider.
 class PeerStateCollector {
  public:
-  // Calls the function with the leader of that revision if there is one.
+  // Calls the function with the Leader whose leader key has the given revision,
+  // if there is one.
   using DeliverToLeader = std::function<void(
       uint64_t revision, const std::function<void(Leader&)>&)>;
 
@@ -33,12 +35,13 @@
                      const EpochHistory& history,
                      DeliverToLeader deliver_to_leader);
 
-  // Whether the leader of that revision knows all that is remembered. Starts to
-  // collect if it does not.
+  // Whether the collection for the leader whose key has this revision is
+  // complete or not needed. Starts the collection if it is needed.
   bool HasCollected(uint64_t revision);
-  // Another epoch: what was collected was for an earlier one.
+  // A later epoch was observed: an earlier collection no longer counts.
   void OnLaterEpoch() { collected_term_ = 0; }
-  // From every other controller at once; true if each has sent all it knows.
+  // Collects from every other controller at the same time. Returns true if each
+  // has sent all terminal states that it knows.
   net::Task<bool> CollectTerminalStates();
 
  private:
@@ -49,7 +52,8 @@
     size_t outstanding = 0;
     bool is_complete = true;
   };
-  // Collects one kind of state from one peer; true if it has sent all it knows.
+  // Collects one kind of state from one peer. Returns true if the peer has sent
+  // everything it knows of that kind.
   using PeerCollector =
       net::Task<bool> (PeerStateCollector::*)(clients::PeerClient*);
 
@@ -59,17 +63,20 @@
                                  PeerCollector collector,
                                  clients::PeerClient* peer);
   net::Task<bool> CollectTerminalStatesFrom(clients::PeerClient* peer);
-  // The encoded states of one kind; nothing if the peer has not sent all.
+  // The encoded terminal states of one kind; nullopt if the peer has not sent
+  // all of them.
   net::Task<std::optional<std::string>> ReadTerminalStatesPart(
       clients::PeerClient* peer, TerminalState part);
   net::Task<bool> CollectRetainedRecordsFrom(clients::PeerClient* peer);
   void RetainRecord(const clients::RetainedRecord& retained);
 
-  // Tells the leader of that term which known terminal states the store does
-  // not hold.
+  // Tells the leader of this term which of the known terminal states the store
+  // does not hold. `is_complete`: whether all that was remembered has been
+  // collected.
   net::Task<void> ReportUnrecordedTerminalStates(uint64_t term,
                                                  bool is_complete);
-  // Those that the store holds; nothing once the term or epoch has changed.
+  // The terminal states that the store holds; nullopt if the term or epoch has
+  // changed meanwhile.
   net::Task<std::optional<TerminalStateIndex>> ListTerminalStates(
       uint64_t term);
   double PageTimeoutSeconds() const;
@@ -77,7 +84,9 @@
   const RecoveryContext& context_;
   const EpochHistory& history_;
   const DeliverToLeader deliver_to_leader_;
-  uint64_t collected_term_ = 0;  // for the leader of that term
+  // The terms of the leaders for which the last complete collection was made,
+  // and for which the last collection was started.
+  uint64_t collected_term_ = 0;
   uint64_t collecting_term_ = 0;
 };
 
--- a/app/recovery/peer_state_provider.cc
+++ b/app/recovery/peer_state_provider.cc
@@ -13,7 +13,7 @@
 using clients::PeerAnswer;
 using clients::PeerMessage;
 
-// What an entry takes in a page beside its key and record, in bytes: two
+// The bytes that an entry takes up in a page besides its key and record: two
 // lengths and two numbers.
 constexpr size_t kEntryOverheadBytes = 24;
 
@@ -35,8 +35,9 @@
   if (!broadcast_.IsPeer(request.node)) return;
   std::vector<std::string>& record_keys = transfers_[request.node].record_keys;
   const std::string& last_key = request.job_id;
-  // Once for all pages: a record that is written later is of this epoch, and
-  // the other controller reads it from the store.
+  // The keys are listed once for all pages: a record that is written later
+  // belongs to the present epoch, and the other controller reads it from the
+  // store.
   if (last_key.empty() || record_keys.empty()) record_keys = SortedRecordKeys();
   std::vector<clients::RetainedRecord> page;
   size_t page_bytes = 0;
--- a/app/recovery/peer_state_provider.h
+++ b/app/recovery/peer_state_provider.h
@@ -1,5 +1,6 @@
-// Sends what this controller remembers to another controller that collects it:
-// its retained records and how jobs have ended, page by page.
+// Sends the records that this controller remembers to another controller that
+// collects them: its retained records and the terminal states of jobs, page by
+// page.
 #pragma once
 
 #include <cstdint>
@@ -22,18 +23,21 @@
                     const PeerBroadcast& broadcast)
       : context_(context), history_(history), broadcast_(broadcast) {}
 
-  // Each fills `reply`, for a controller of the settings only.
-  // A page of retained records after the key of the request.
+  // Both functions fill `reply` only if the request is from a controller that
+  // is named in the settings. Sends a page of retained records, beginning after
+  // the key in the request.
   void FillRetainedRecords(const clients::PeerMessage& request,
                            clients::PeerMessage* reply);
-  // A page of the encoded terminal states from the offset of the request on.
+  // Sends a page of the encoded terminal states, beginning at the offset in the
+  // request.
   void FillTerminalStates(const clients::PeerMessage& request,
                           clients::PeerMessage* reply);
 
  private:
-  // What is being sent to one controller, as it was when the first page was
-  // asked for. Several may ask at once after many have restarted: with one copy
-  // for all, the end of the first one's pages would be the end of the second's.
+  // A copy of the data that is being sent to one controller, as of its request
+  // for the first page. Each controller has a copy of its own, since several
+  // may collect at the same time after many restarts: with a shared copy, the
+  // end of one transfer would also end the others.
   struct Transfer {
     std::vector<std::string> record_keys;             // sorted
     std::map<uint32_t, std::string> terminal_states;  // by part, encoded
--- a/app/recovery/recovery_context.h
+++ b/app/recovery/recovery_context.h
@@ -1,6 +1,7 @@
-// What each class of the recovery from data loss in the key-value store works
-// with. The RecoveryCoordinator owns the one instance; the objects referred to
-// live as long as the process, so a coroutine may use them over a suspension.
+// The parts of the controller that the classes for the recovery from data loss
+// in the key-value store share. The RecoveryCoordinator owns the only instance.
+// The objects referred to live as long as the process, so a coroutine may use
+// them across a suspension.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 namespace oxbow::app {
 
-// References to the rest of the controller, and what follows from them.
+// References to other parts of the controller, and queries derived from them.
 struct RecoveryContext {
   net::Loop& loop;
   const Settings& settings;
@@ -30,16 +31,17 @@
   // Whether this controller acts as the leader at this moment.
   std::function<bool()> is_leading;
 
-  // Whether data loss is looked for at all.
+  // Whether the detection of and recovery from data loss is enabled.
   bool IsEnabled() const { return tuning.recovery_checks > 0; }
 
-  // Seconds between two rounds of something that is tried until it succeeds.
+  // The pause, in seconds, before an operation is retried or a check repeated.
   double RoundPauseSeconds() const {
     constexpr double kHeartbeatIntervals = 0.1;
     return kHeartbeatIntervals * settings.workers.heartbeat_interval_seconds;
   }
 
-  // The highest term that a leader known to this controller can have.
+  // The highest term that a leader can have at the highest revision of the
+  // store that this controller has seen.
   uint64_t HighestTerm() const {
     return TermOf(catalog.epoch(), store.highest());
   }
@@ -53,12 +55,13 @@
   return {};
 }
 
-// Whether the store said if the key exists.
+// Whether the store has answered, with the record or that the key does not
+// exist.
 inline bool IsAnswered(const clients::StoreResult& result) {
   return result.ok() || result.status == clients::StoreStatus::kNotFound;
 }
 
-// The same, where a revision below an earlier one is expected.
+// The same, and an answer with a lower revision than an earlier one counts too.
 inline bool IsAnsweredOrSteppedBack(const clients::StoreResult& result) {
   return IsAnswered(result) || result.stepped_back;
 }
--- a/app/recovery/retained_records_writer.cc
+++ b/app/recovery/retained_records_writer.cc
@@ -54,7 +54,7 @@
     logging::Warning("wrote records that only this controller retained",
                      {{"records", written_count}});
   }
-  // A leader writes its pending writes by itself.
+  // A leader makes the pending writes itself.
   if (IsStale(epoch) || context_.is_leading() ||
       context_.catalog.pending_writes().empty()) {
     co_return;
@@ -63,7 +63,7 @@
   context_.watcher.Reread();
 }
 
-// Jobs and operators' records; all else the leader knows by itself.
+// Jobs and operators' records. The leader finds out all else by itself.
 std::vector<std::string> RetainedRecordsWriter::KeysToWrite() const {
   std::vector<std::string> selected;
   for (const auto& [key, version] : context_.catalog.pending_writes()) {
@@ -86,8 +86,9 @@
          context_.catalog.FindTerminalState(id) == TerminalState::kNone;
 }
 
-// A job is written as a submission is, provided that the store holds neither it
-// nor its terminal state; an operators' record if there is none of its name.
+// A job is written like a submission, if the store holds neither its record nor
+// its terminal state. An operators' record is written if the store holds none
+// with the same key.
 std::vector<Precondition> RetainedRecordsWriter::PreconditionsFor(
     const std::string& key) const {
   const std::string id = JobIdOfKey(key);
@@ -112,7 +113,7 @@
     context_.watcher.Apply(key, record, written.revision);
     co_return WriteOutcome::kWritten;
   }
-  // Too large for the store's present limits: it stays retained here.
+  // The record exceeds the store's present limits: it stays retained here.
   if (written.status == StoreStatus::kRefused) {
     co_return WriteOutcome::kNotNeeded;
   }
@@ -120,7 +121,7 @@
   if (detector_.GuardFailed(written.failed) || JobIdOfKey(key).empty()) {
     co_return WriteOutcome::kNotNeeded;
   }
-  // The job is in the store, or has ended.
+  // A precondition failed, so the job is in the store or has ended.
   const StoreCheck result = co_await inspector_.CheckRecord(key);
   co_return result == StoreCheck::kIntact ? WriteOutcome::kNotNeeded
                                           : WriteOutcome::kRetry;
--- a/app/recovery/retained_records_writer.h
+++ b/app/recovery/retained_records_writer.h
@@ -1,7 +1,7 @@
-// Writes to the store the jobs and operators' records that this controller
-// alone retains, after an epoch whose reconciliation it had no part in: the
-// leader that reconciled may not have reached this controller, and nobody else
-// would ever write them.
+// Writes to the store the jobs and operators' records that only this controller
+// retains. This is needed after the reconciliation of an epoch in which this
+// controller took no part: the leader may not have reached it, and no other
+// controller would ever write these records.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace oxbow::app {
 
-// Writes once for each epoch.
+// Runs once for each epoch.
 class RetainedRecordsWriter {
  public:
   // All arguments must outlive this object, and this object the event loop: the
@@ -29,20 +29,23 @@
         detector_(detector),
         collector_(collector) {}
 
-  // Whether the writing for that epoch has been started.
+  // Whether Start was called for this epoch.
   bool HasStarted(uint64_t epoch) const { return started_for_epoch_ == epoch; }
+  // Starts to write the records that are retained in this epoch.
   void Start(uint64_t epoch);
 
  private:
   enum class WriteOutcome : uint8_t {
     kWritten,
-    kNotNeeded,  // it is in the store, has ended, or will never be accepted
+    kNotNeeded,  // the record is in the store, its job has ended, or the store
+                 // would never accept the record
     kRetry,
   };
 
   net::Task<void> WriteAll(uint64_t epoch);
   net::Task<void> WaitUntilVerified(uint64_t epoch);
   net::Task<WriteOutcome> WriteOne(std::string key);
+  // Whether the epoch is no longer the present one, or its data has been lost.
   bool IsStale(uint64_t epoch) const;
   bool IsStillNeeded(const std::string& key, const Record& record) const;
   std::vector<std::string> KeysToWrite() const;
--- a/app/recovery/store_auditor.cc
+++ b/app/recovery/store_auditor.cc
@@ -8,7 +8,8 @@
 
 using clients::StoreResult;
 
-// Round pauses that the audit waits for the watch to follow a listing.
+// How many pauses of RoundPauseSeconds the audit waits for the watch to reach
+// the revision of a listing.
 constexpr int kWatchPauses = 50;
 
 }  // namespace
@@ -49,14 +50,15 @@
   page.last = page.is_final ? std::string() : listing.items.back().key;
   page.revision = listing.revision;
   live_position_ = page.last;
-  // A deletion that the page shows has to be delivered by the watch first.
+  // The watch has to deliver the deletions first that the page already
+  // reflects.
   const bool is_comparable = co_await WatchHasReached(page.revision);
   if (!is_comparable) co_return;
   const std::string missing_key = MissingKey(page);
   if (missing_key.empty()) co_return;
   std::string id = JobIdOfKey(missing_key);
   if (!id.empty()) {
-    // The job may have been released or have ended at this moment.
+    // The job may have been released or have ended just now.
     const StoreCheck result = co_await inspector_.CheckJob(std::move(id));
     if (result != StoreCheck::kMissing) co_return;
   }
--- a/app/recovery/store_auditor.h
+++ b/app/recovery/store_auditor.h
@@ -1,5 +1,6 @@
-// Compares the store's records with the catalog, a page at a time, while
-// nothing indicates a loss. A leader does not: its writes show it as well.
+// Compares the store's records with the catalog, one page at a time, while
+// nothing indicates data loss. A leader does not need the audit, since its
+// writes show a data loss too.
 #pragma once
 
 #include <string>
@@ -13,7 +14,7 @@
 
 namespace oxbow::app {
 
-// Audits live records and terminal states in turn.
+// Audits pages of live records and of terminal states alternately.
 class StoreAuditor {
  public:
   // All arguments must outlive this object, and this object the event loop:
@@ -28,36 +29,39 @@
   // One page of a listing of the live records.
   struct LivePage {
     std::unordered_set<std::string> keys;
-    std::string after;  // the page holds all keys between these two
+    // The page holds all keys above `after`, up to and including `last`.
+    std::string after;
     std::string last;
-    bool is_final = false;  // it holds all keys above `after`
-    uint64_t revision = 0;
+    bool is_final =
+        false;  // if true, there are no keys above those in the page
+    uint64_t revision = 0;  // of the store, as of the listing
   };
 
   net::Task<void> Run();
   bool IsAuditDue() const;
-  // Each audits one page and moves its position.
+  // Each function audits one page and advances its position.
   net::Task<void> AuditLivePage();
   net::Task<void> AuditTerminalStatesPage();
 
-  // Waits until the watch has delivered that revision; whether it has, and the
-  // store may still be believed.
+  // Waits until the watch has delivered this revision. Returns whether it has
+  // in time and the store is still verified.
   net::Task<bool> WatchHasReached(uint64_t revision);
-  // The key of a record that the catalog has and the page lacks, if any.
+  // The key of a record that the catalog has and the page lacks; empty if there
+  // is none.
   std::string MissingKey(const LivePage& page) const;
   void AddTerminalStates(const clients::StoreResult& page);
-  // A job whose terminal state was known when the round began and is not in
-  // the store, if any.
+  // The id of a job whose terminal state was known when the pass over the
+  // terminal states began and is not in the store; empty if there is none.
   std::string JobWithMissingState() const;
 
   const RecoveryContext& context_;
   StoreInspector& inspector_;
   DataLossDetector& detector_;
-  // After which key the next page begins; empty: a round begins.
+  // The key after which the next page begins; empty: a new pass begins.
   std::string live_position_;
   std::string terminal_position_;
-  TerminalStateIndex stored_states_;  // in this round of pages
-  TerminalStateIndex known_states_;   // when the round began
+  TerminalStateIndex stored_states_;  // read from the store in this pass
+  TerminalStateIndex known_states_;   // known when this pass began
 };
 
 }  // namespace oxbow::app
--- a/app/recovery/store_inspector.cc
+++ b/app/recovery/store_inspector.cc
@@ -51,8 +51,9 @@
   const StoreResult mark = co_await context_.store.Get(
       keys::Of(keys::kEpochMark, epoch->id), Urgency::kLease);
   if (!IsAnsweredOrSteppedBack(mark)) co_return StoreCheck::kNoAnswer;
-  // An epoch whose mark alone is lost is taken in without it: the next check
-  // finds the mark missing, while without the epoch no check would ever end.
+  // If only the epoch's mark is lost, the epoch is adopted without it. The next
+  // check then finds the mark missing; without the epoch, no check would ever
+  // come to a result.
   if (mark.ok()) {
     context_.watcher.Apply(mark.items[0].key, mark.items[0].record,
                            mark.items[0].mod_revision);
@@ -62,8 +63,8 @@
 }
 
 net::Task<StoreCheck> StoreInspector::CheckJob(std::string id) {
-  // The live record first: a terminal state that is recorded between the two
-  // reads is then not missed.
+  // The live record is read first, so that a terminal state that is recorded
+  // between the two reads is not missed.
   const StoreResult live =
       co_await context_.store.Get(keys::Of(keys::kJob, id), Urgency::kLeader);
   if (live.status == StoreStatus::kNotFound) {
@@ -72,7 +73,8 @@
   if (!live.ok()) co_return StoreCheck::kNoAnswer;
   const clients::KeyValue& item = live.items[0];
   context_.watcher.Apply(item.key, item.record, item.mod_revision);
-  // Live in the store though its terminal state is known: an older copy.
+  // If the job is live in the store though its terminal state is known, the
+  // store was reset to an older copy.
   const auto* job = std::get_if<JobRecord>(&item.record);
   const bool is_revived =
       job != nullptr && job->terminal_state == TerminalState::kNone &&
@@ -100,14 +102,15 @@
     co_return co_await CheckJob(std::move(id));
   }
   const StoreResult stored = co_await context_.store.Get(key, Urgency::kLeader);
-  // A job that does not wait any more has been released or has ended.
+  // If the job is no longer waiting, it has been released or has ended.
   if (key.starts_with(keys::kWaiting) &&
       stored.status == StoreStatus::kNotFound) {
     std::string id = JobIdOfKey(key);
     co_return co_await CheckJob(std::move(id));
   }
   const uint64_t known_revision = context_.catalog.VersionOf(key).mod_revision;
-  // The leader has deleted it since, and the watch has delivered that.
+  // The leader has deleted the record meanwhile, and the watch has delivered
+  // the deletion.
   if (known_revision == 0) co_return StoreCheck::kIntact;
   if (!IsAnswered(stored)) co_return StoreCheck::kNoAnswer;
   co_return stored.ok() && stored.items[0].mod_revision >= known_revision
@@ -131,16 +134,16 @@
   co_return terminal.ok();
 }
 
-// A revision that has stepped back may grow past the known one before anybody
-// reads it again; the records that were written in between are missing all the
-// same.
+// A revision that has decreased may grow past the known one before a controller
+// reads it again. The records that were lost are missing all the same, so the
+// records themselves are checked.
 net::Task<NewestRecordsCheck> StoreInspector::CheckNewestRecords() {
   constexpr size_t kCheckedRecords = 4;
   const Catalog& catalog = context_.catalog;
   std::vector<std::string> checked = catalog.NewestKeys(kCheckedRecords);
-  // A record that is still to be written back does not indicate a loss. Without
-  // this rule a controller that bootstraps, and asks all the time, would have
-  // each new epoch taken for lost before its reconciliation is complete.
+  // A record that is still to be written back does not indicate data loss. If
+  // it did, the repeated questions of a controller that is starting would make
+  // each new epoch count as lost before its reconciliation is complete.
   std::erase_if(checked, [&catalog](const std::string& key) {
     return catalog.pending_writes().contains(key);
   });
--- a/app/recovery/store_inspector.h
+++ b/app/recovery/store_inspector.h
@@ -1,5 +1,6 @@
-// Reads the key-value store afresh to see whether it holds what it should. It
-// decides nothing: what a missing record means is for the DataLossDetector.
+// Makes fresh reads of the key-value store to check whether it holds the
+// records that it should. What a missing record means is decided by the
+// DataLossDetector.
 #pragma once
 
 #include <cstdint>
@@ -13,34 +14,40 @@
 
 namespace oxbow::app {
 
-// Whether the records that changed last are in the store.
+// The result of checking whether the records that changed last are in the
+// store.
 struct NewestRecordsCheck {
   StoreCheck result = StoreCheck::kIntact;
-  std::string missing_key;  // with kMissing
+  std::string missing_key;  // if the result is kMissing
 };
 
 // Stateless; several reads may be in flight.
 class StoreInspector {
  public:
   // `context` must outlive this object, and this object the event loop. Keys
-  // and ids are taken by value: each coroutine owns what it reads over a
-  // suspension.
+  // and ids are taken by value, since the coroutines use them across
+  // suspensions.
   explicit StoreInspector(const RecoveryContext& context) : context_(context) {}
 
-  // Makes a write one of the epoch that is known here.
+  // Adds the precondition that the store holds the epoch that is known here.
   void AddGuard(std::vector<Precondition>* preconditions) const;
 
-  // Whether the store holds the epoch that is known here, or a later one, which
-  // is then taken into the catalog.
+  // Whether the store holds the epoch that is known here or a later one. A
+  // later epoch is taken into the catalog.
   net::Task<StoreCheck> CheckEpoch();
-  // kMissing: the job has neither a live record nor a terminal state, or is
-  // recorded as live though its terminal state is known.
+  // Whether the store holds the job's live record or its terminal state.
+  // kMissing also if the job is recorded as live though its terminal state is
+  // known here.
   net::Task<StoreCheck> CheckJob(std::string id);
-  // Whether the store holds a record that is known here, at least as new.
+  // Whether the store holds a version of the record that is at least as new as
+  // the version known here.
   net::Task<StoreCheck> CheckRecord(std::string key);
+  // Whether the store holds the records that changed last, as far as known
+  // here.
   net::Task<NewestRecordsCheck> CheckNewestRecords();
-  // Whether the store holds the record at least as new as `mod_revision`; for a
-  // job also, whether it holds what became of it.
+  // Whether the store holds the record with `mod_revision` or a later one. For
+  // a job, a later record of the job (live after waiting, or terminal) counts
+  // too.
   net::Task<bool> Contains(std::string key, uint64_t mod_revision);
 
   // The key of a job that is recorded as live though its terminal state is
--- a/core/recovery/store_verification.cc
+++ b/core/recovery/store_verification.cc
@@ -27,15 +27,15 @@
     case DataLossIndication::kNone:
       return "nothing";
     case DataLossIndication::kStepBack:
-      return "its revision has stepped back";
+      return "its revision has decreased";
     case DataLossIndication::kEpochMissing:
       return "its epoch's records are missing";
     case DataLossIndication::kRecordMissing:
       return "a record that nobody deleted is missing";
     case DataLossIndication::kUnknownTerm:
-      return "a worker has seen a token above all of this epoch";
+      return "a worker shows a fencing token above all tokens of this epoch";
     case DataLossIndication::kOtherEpoch:
-      return "another controller remembers an epoch that is not there";
+      return "another controller remembers an epoch that the store lacks";
     case DataLossIndication::kUnknownTask:
       return "a task runs whose job has no record";
   }
