--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -43,11 +43,9 @@
   kMissing,  // the store does not hold the record, or holds an older copy
 };
 
-// What the other controllers have found in reads of their own at the same time.
-enum class PeerFinding : uint8_t {
-  kNone,    // no controller found the store intact
-  kIntact,  // at least one did
-};
+// What the other controllers have found in reads of their own at the same time:
+// kIntact if at least one of them found the store intact.
+enum class PeerFinding : uint8_t { kNone, kIntact };
 
 // The events that may change the state.
 enum class StoreVerificationEvent : uint8_t {
--- a/tests/delegated_lease_test.cc
+++ b/tests/delegated_lease_test.cc
@@ -1,4 +1,5 @@
-// Each test names the failure that it prevents.
+// Delegated leases, their records, and PartitionDetector. Most tests are named
+// after the failure that they guard against. Times are in seconds.
 
 #include "core/lease/delegated_lease.h"
 
@@ -11,21 +12,22 @@
 namespace oxbow {
 namespace {
 
-// A lease of 10 s, a cancellation has 40: the right lasts 29.5 s.
-Settings Deployment() {
+// Workers' leases last 10 s and a cancellation may take 40 s, so a delegated
+// lease lasts 29.5 s.
+Settings TwoPeerSettings() {
   Settings s;
   s.peers = {{"b", "z", ""}, {"c", "y", ""}};
   return s;
 }
 
-DelegatedLease Ready(Time now) {
-  DelegatedLease lease(Deployment().workers);
+DelegatedLease GrantedLease(Time now) {
+  DelegatedLease lease(TwoPeerSettings().workers);
   lease.RecordedAnew(now, now);
   lease.Granted(now);
   return lease;
 }
 
-TEST(DelegatedZoneLease, TasksOutliveTheTimeThatACancellationHas) {
+TEST(DelegatedZoneLease, TasksOutliveTheTimeThatACancellationMayTake) {
   WorkerSettings w;
   EXPECT_DOUBLE_EQ(
       DelegatedLeaseTerm(w) + w.lease_seconds + CancellationMargin(w),
@@ -34,96 +36,99 @@
   EXPECT_EQ(DelegatedLeaseTerm(w), 0);
 }
 
-TEST(DelegatedZoneLease, KeepsBeyondTheRight) {
-  DelegatedLease lease = Ready(0);
+TEST(DelegatedZoneLease, RenewsWorkersAfterTheDelegatedLeaseHasExpired) {
+  DelegatedLease lease = GrantedLease(0);
   EXPECT_TRUE(lease.Renew(29));
   EXPECT_FALSE(lease.Renew(29.5));
 }
 
-TEST(DelegatedZoneLease, KeepsWhatANewLeaderWasToldItMayNot) {
-  // The record ended, a new leader found none, and it is written again: what
-  // the old leader granted is void.
-  DelegatedLease lease = Ready(0);
+TEST(DelegatedZoneLease, RenewsWorkersOnAGrantThatANewLeaderDoesNotKnowOf) {
+  // The record expired, a new leader found none, and the record is written
+  // again: the old leader's grant is void.
+  DelegatedLease lease = GrantedLease(0);
   lease.RecordedAnew(5, 5.1);
   EXPECT_FALSE(lease.Renew(6));
-  lease.Granted(5);  // asked before
+  lease.Granted(5);  // requested before the record was written
   EXPECT_FALSE(lease.Renew(6));
   lease.Granted(5.2);
   EXPECT_TRUE(lease.Renew(6));
 }
 
-TEST(DelegatedZoneLease, KeepsAlthoughItStandsBack) {
-  DelegatedLease lease = Ready(0);
+TEST(DelegatedZoneLease, RenewsWorkersWhileItYields) {
+  DelegatedLease lease = GrantedLease(0);
   EXPECT_TRUE(lease.OnYieldRequested(1));
   EXPECT_FALSE(lease.Renew(1.9));
   EXPECT_TRUE(lease.Renew(2.1));
-  EXPECT_FALSE(lease.OnYieldRequested(2.5));  // it has just kept
+  EXPECT_FALSE(lease.OnYieldRequested(2.5));  // it has just renewed a lease
   EXPECT_NEAR(lease.RenewedAgo(2.5), 0.4, 1e-9);
 }
 
-TEST(DelegatedZoneLease, SessionIsOverWhileItsDelegateIsOutOfReach) {
-  DelegatedLeases rights(Deployment(), 100, std::set<std::string>{"b"});
-  EXPECT_TRUE(rights.MayBeRenewed("z", 139));
-  // The right, and a lease after it.
-  EXPECT_FALSE(rights.MayBeRenewed("z", 100 + 29.5 + 10.2));
-  // Nobody's record is there for the other zone.
-  EXPECT_FALSE(rights.MayBeRenewed("y", 110.2));
-}
-
-TEST(DelegatedZoneLease, WhatIsNotKnownIsTakenForARight) {
-  DelegatedLeases rights(Deployment(), 100, std::nullopt);
-  EXPECT_TRUE(rights.MayBeRenewed("y", 139));
-}
-
-TEST(DelegatedZoneLease, DeadMachinesWaitForTheWholeRight) {
-  // One that can be asked stands back, and has not kept for a lease.
-  DelegatedLeases rights(Deployment(), 100, std::set<std::string>{"b"});
-  rights.Grant("b", "life", 50, 150);
-  rights.LeaseYielded("b", "life", 60, -1, 160, 160.1);
-  EXPECT_FALSE(rights.MayBeRenewed("z", 160.5));
-  EXPECT_TRUE(rights.MayBeRenewed("z", 161.1));  // its word is over
-  rights.LeaseYielded("b", "life", 62, 3, 162, 162.1);
-  EXPECT_TRUE(rights.MayBeRenewed("z", 162.5));  // kept three seconds ago
-}
-
-TEST(DelegatedZoneLease, StartedAgainItHasForgottenThatItStoodBack) {
-  DelegatedLeases rights(Deployment(), 100, std::set<std::string>{});
-  rights.Grant("b", "one", 50, 150);
-  rights.LeaseYielded("b", "one", 60, -1, 160, 160.1);
-  rights.Grant("b", "two", 0.1, 160.3);
-  EXPECT_TRUE(rights.MayBeRenewed("z", 160.5));
-  // The word of its former life was held back on the way.
-  rights.LeaseYielded("b", "one", 60, -1, 160.2, 160.6);
-  EXPECT_TRUE(rights.MayBeRenewed("z", 160.7));
-  // The new life has not kept; the former may have, until just before it.
-  rights.LeaseYielded("b", "two", 0.5, -1, 160.6, 160.7);
-  EXPECT_TRUE(rights.MayBeRenewed("z", 160.8));
-  rights.LeaseYielded("b", "two", 12, -1, 172, 172.1);
-  EXPECT_FALSE(rights.MayBeRenewed("z", 172.2));
+TEST(DelegatedZoneLease, WorkerCountsAsExpiredWhileItsDelegateIsUnreachable) {
+  DelegatedLeases leases(TwoPeerSettings(), 100, std::set<std::string>{"b"});
+  EXPECT_TRUE(leases.MayBeRenewed("z", 139));
+  // After the delegated lease, and a worker's lease after that.
+  EXPECT_FALSE(leases.MayBeRenewed("z", 100 + 29.5 + 10.2));
+  // No controller in the other zone has a record.
+  EXPECT_FALSE(leases.MayBeRenewed("y", 110.2));
+}
+
+TEST(DelegatedZoneLease, UnknownRecordsCountAsDelegatedLeases) {
+  DelegatedLeases leases(TwoPeerSettings(), 100, std::nullopt);
+  EXPECT_TRUE(leases.MayBeRenewed("y", 139));
+}
+
+TEST(DelegatedZoneLease, DeadMachinesWaitForTheEndOfTheDelegatedLease) {
+  // A delegate that can be asked yields, and has not renewed a worker's lease
+  // for the length of such a lease.
+  DelegatedLeases leases(TwoPeerSettings(), 100, std::set<std::string>{"b"});
+  leases.Grant("b", "process", 50, 150);
+  leases.LeaseYielded("b", "process", 60, -1, 160, 160.1);
+  EXPECT_FALSE(leases.MayBeRenewed("z", 160.5));
+  EXPECT_TRUE(leases.MayBeRenewed("z", 161.1));  // it no longer yields
+  leases.LeaseYielded("b", "process", 62, 3, 162, 162.1);
+  EXPECT_TRUE(leases.MayBeRenewed("z", 162.5));  // renewed 3 s ago
+}
+
+TEST(DelegatedZoneLease, RestartedDelegateDoesNotKnowThatItYielded) {
+  DelegatedLeases leases(TwoPeerSettings(), 100, std::set<std::string>{});
+  leases.Grant("b", "one", 50, 150);
+  leases.LeaseYielded("b", "one", 60, -1, 160, 160.1);
+  leases.Grant("b", "two", 0.1, 160.3);
+  EXPECT_TRUE(leases.MayBeRenewed("z", 160.5));
+  // A delayed answer of the earlier process.
+  leases.LeaseYielded("b", "one", 60, -1, 160.2, 160.6);
+  EXPECT_TRUE(leases.MayBeRenewed("z", 160.7));
+  // The new process has renewed no lease, but the earlier one may have, until
+  // just before the restart.
+  leases.LeaseYielded("b", "two", 0.5, -1, 160.6, 160.7);
+  EXPECT_TRUE(leases.MayBeRenewed("z", 160.8));
+  leases.LeaseYielded("b", "two", 12, -1, 172, 172.1);
+  EXPECT_FALSE(leases.MayBeRenewed("z", 172.2));
 }
 
 TEST(DelegatedZoneLease, RecordReadBeforeAGrantEndsIt) {
-  DelegatedLeases rights(Deployment(), 100, std::set<std::string>{"b"});
-  rights.Grant("b", "life", 50, 150);
-  rights.RecordsRead({}, 149.9, 150.1);
-  EXPECT_TRUE(rights.MayBeRenewed("z", 165));
-  rights.RecordsRead({}, 151, 151.1);
-  EXPECT_TRUE(rights.MayBeRenewed("z", 161));
-  EXPECT_FALSE(rights.MayBeRenewed("z", 161.3));
-}
-
-// --- the record, and what a former life has left under way
-
-TEST(DelegatedLeaseRecord, KeyOnALeaseThatNobodyRenews) {
-  // The write was not answered: it may yet come. The next one is made under
-  // what the key shows then, so only one of the two can succeed.
-  DelegatedLease lease(Deployment().workers);
+  DelegatedLeases leases(TwoPeerSettings(), 100, std::set<std::string>{"b"});
+  leases.Grant("b", "process", 50, 150);
+  leases.RecordsRead({}, 149.9, 150.1);
+  EXPECT_TRUE(leases.MayBeRenewed("z", 165));
+  leases.RecordsRead({}, 151, 151.1);
+  EXPECT_TRUE(leases.MayBeRenewed("z", 161));
+  EXPECT_FALSE(leases.MayBeRenewed("z", 161.3));
+}
+
+// --- The record, and delayed writes of an earlier process.
+
+TEST(DelegatedLeaseRecord, KeyIsAttachedToALeaseThatIsNotRenewed) {
+  // The first write was not answered and may still be applied. The precondition
+  // of the next one is the revision that the key has then, so only one of the
+  // two can succeed.
+  DelegatedLease lease(TwoPeerSettings().workers);
   DelegatedLeaseRecord record(lease);
   record.WasRead(0);
   record.LeaseGranted(7, 1);
   record.NotWritten();
   EXPECT_EQ(record.step(), RecordStep::kRead);
-  record.WasRead(40);  // it did come
+  record.WasRead(40);  // the first write was applied
   record.LeaseGranted(8, 2);
   EXPECT_EQ(record.mod_revision(), 40U);
   EXPECT_EQ(record.lease_id(), 8U);
@@ -132,15 +137,15 @@
   EXPECT_THROW(record.WasRead(41), IllegalTransition);
 }
 
-// Where no write was ever answered, the record was written anew for ever, and
-// its controller never had the right to renew its zone's workers.
+// Guards against writing the record again for ever if no write is answered: the
+// controller would never get a delegated lease.
 TEST(DelegatedLeaseRecord, AnUnansweredWriteIsFoundByItsLease) {
-  DelegatedLease lease(Deployment().workers);
+  DelegatedLease lease(TwoPeerSettings().workers);
   DelegatedLeaseRecord record(lease);
   record.WasReadWithLease(0, 0, 0);
   record.LeaseGranted(7, 0);
   record.NotWritten();
-  record.WasReadWithLease(40, 6, 0.4);  // a former process's, or an older try's
+  record.WasReadWithLease(40, 6, 0.4);  // of an earlier process or attempt
   EXPECT_EQ(record.step(), RecordStep::kLease);
   record.LeaseGranted(8, 0.5);
   record.NotWritten();
@@ -150,16 +155,16 @@
   EXPECT_FALSE(lease.Renew(0.8));
   lease.Granted(0.9);
   EXPECT_TRUE(lease.Renew(1));
-  // A lease that has ended proves nothing any more.
+  // A lease that has ended does not show that the write succeeded.
   record.LeaseEnded();
   record.WasReadWithLease(42, 8, 1.1);
   EXPECT_EQ(record.step(), RecordStep::kLease);
 }
 
-TEST(DelegatedLeaseRecord, KeepsBeyondItsRecord) {
-  DelegatedLease lease(Deployment().workers);
+TEST(DelegatedLeaseRecord, RenewsWorkersAfterItsRecordHasEnded) {
+  DelegatedLease lease(TwoPeerSettings().workers);
   DelegatedLeaseRecord record(lease);
-  lease.Granted(0);  // before there is one
+  lease.Granted(0);  // before there is a record
   record.WasRead(0);
   record.LeaseGranted(7, 0);
   record.Written(0.5);
@@ -173,9 +178,9 @@
   EXPECT_FALSE(lease.Renew(3));  // granted before the new record
 }
 
-// --- a zone that is cut off, or a controller that alone is
+// --- Whether a zone is partitioned off or only the controller in it.
 
-Heartbeat Shows(const std::string& host, uint64_t seq, uint64_t token) {
+Heartbeat HeartbeatOf(const std::string& host, uint64_t seq, uint64_t token) {
   Heartbeat heartbeat;
   heartbeat.host = host;
   heartbeat.incarnation = 1;
@@ -184,52 +189,54 @@
   return heartbeat;
 }
 
-TEST(PartitionDetector, WorkersAreKeptFromALeaderThatAsksForThem) {
-  PartitionDetector signs(Deployment().workers);
-  EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 0));
-  signs.OnAnswered(Shows("n", 5, 9), 0);
-  EXPECT_FALSE(signs.Redirected(Shows("n", 6, 9), 1));
-  signs.OnAnswered(Shows("n", 6, 9), 1);
-  // Between the two it has answered somebody.
-  EXPECT_TRUE(signs.Redirected(Shows("n", 8, 9), 2));
-  // So the others of the zone are not cut off either.
-  EXPECT_TRUE(signs.Redirected(Shows("m", 50, 9), 3));
+TEST(PartitionDetector, WorkersAreKeptFromALeaderThatProbesThem) {
+  PartitionDetector detector(TwoPeerSettings().workers);
+  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 5, 9), 0));
+  detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
+  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 6, 9), 1));
+  detector.OnAnswered(HeartbeatOf("n", 6, 9), 1);
+  // Between the two heartbeats the worker has answered another controller.
+  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 8, 9), 2));
+  // So the other workers of the zone are not partitioned off either.
+  EXPECT_TRUE(detector.Redirected(HeartbeatOf("m", 50, 9), 3));
 }
 
 TEST(PartitionDetector, WorkersAreKeptFromANewLeader) {
-  PartitionDetector signs(Deployment().workers);
-  signs.OnAnswered(Shows("n", 5, 9), 0);
-  EXPECT_TRUE(signs.Redirected(Shows("n", 6, 10), 1));
-}
-
-TEST(PartitionDetector, WorkerBehindACutLosesItsLeaseToAFalseSign) {
-  PartitionDetector signs(Deployment().workers);
-  signs.OnAnswered(Shows("n", 5, 9), 0);
-  // It has tried the others, in vain: each heartbeat made for them counts.
-  EXPECT_FALSE(signs.Redirected(Shows("n", 9, 9), 6));
-  signs.OnAnswered(Shows("n", 9, 9), 6);
+  PartitionDetector detector(TwoPeerSettings().workers);
+  detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
+  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 6, 10), 1));
+}
+
+TEST(PartitionDetector, FalseEvidenceCostsAPartitionedWorkerItsLease) {
+  PartitionDetector detector(TwoPeerSettings().workers);
+  detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
+  // The worker has tried the other controllers in vain: each heartbeat to them
+  // has used a sequence number.
+  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 9, 9), 6));
+  detector.OnAnswered(HeartbeatOf("n", 9, 9), 6);
   // A new incarnation counts from one again.
-  Heartbeat next = Shows("n", 3, 9);
+  Heartbeat next = HeartbeatOf("n", 3, 9);
   next.incarnation = 2;
-  EXPECT_FALSE(signs.Redirected(next, 7));
-  signs.OnAnswered(next, 7);
-  // A copy of an older report.
-  EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 7.5));
-  signs.OnAnswered(Shows("n", 5, 9), 7.5);
+  EXPECT_FALSE(detector.Redirected(next, 7));
+  detector.OnAnswered(next, 7);
+  // A duplicate of an older heartbeat.
+  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 5, 9), 7.5));
+  detector.OnAnswered(HeartbeatOf("n", 5, 9), 7.5);
   next.seq = 4;
-  EXPECT_FALSE(signs.Redirected(next, 8));
-}
-
-TEST(PartitionDetector, OneThatNobodyElseAnswersIsSentOnAgainAndAgain) {
-  PartitionDetector signs(Deployment().workers);
-  signs.OnAnswered(Shows("n", 5, 9), 0);
-  EXPECT_TRUE(signs.Redirected(Shows("n", 7, 9), 1));
-  EXPECT_FALSE(signs.Redirected(Shows("n", 12, 9), 5));  // it is back
-  signs.OnAnswered(Shows("n", 12, 9), 5);
-  EXPECT_FALSE(signs.Redirected(Shows("n", 14, 9), 6));
-  // For a lease, for there may be a leader by now.
-  signs.OnAnswered(Shows("n", 24, 9), 11);
-  EXPECT_TRUE(signs.Redirected(Shows("n", 26, 9), 12));
+  EXPECT_FALSE(detector.Redirected(next, 8));
+}
+
+TEST(PartitionDetector, WorkerThatNoOtherControllerAnswersIsRedirectedAgain) {
+  PartitionDetector detector(TwoPeerSettings().workers);
+  detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
+  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 7, 9), 1));
+  EXPECT_FALSE(
+      detector.Redirected(HeartbeatOf("n", 12, 9), 5));  // it has come back
+  detector.OnAnswered(HeartbeatOf("n", 12, 9), 5);
+  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 14, 9), 6));
+  // Only for the length of a lease: by then there may be a leader.
+  detector.OnAnswered(HeartbeatOf("n", 24, 9), 11);
+  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 26, 9), 12));
 }
 
 }  // namespace
--- a/tests/leader_health_test.cc
+++ b/tests/leader_health_test.cc
@@ -1,5 +1,5 @@
-// Who is fit to lead, what may be destroyed, and the order of timeouts, each by
-// itself.
+// Unit tests of LeaderHealth and the reachability survey, of LossLimiter, and
+// of the order of the silence timeouts.
 
 #include "core/leader_health/leader_health.h"
 
@@ -11,7 +11,7 @@
 namespace oxbow {
 namespace {
 
-TEST(Reach, AnAdvantageIsSureForAnyNumberOfMachines) {
+TEST(Reach, SignificanceOfAnAdvantageForAnyNumberOfMachines) {
   EXPECT_FALSE(Surely(1, 1));
   EXPECT_TRUE(Surely(2, 2));
   EXPECT_FALSE(Surely(2, 8));
@@ -22,7 +22,7 @@
   EXPECT_FALSE(Surely(25, 24));
 }
 
-TEST(Reach, WhatOneReachesAndTheOtherDoesNotCancelsOut) {
+TEST(Reach, MachinesReachedByOnlyOneControllerCancelOut) {
   const Reach self{"a", true, false, "1100"};
   EXPECT_EQ(Advantage(self, {"b", true, true, "0011"}), 0);
   EXPECT_EQ(Advantage(self, {"b", true, true, "1111"}), 2);
@@ -34,15 +34,14 @@
 
 LeaderHealth::Limits SomeLimits() { return {0.125, 0.2, 0.5, 5, 4, 2}; }
 
-// Receives nothing from the start, at a time when leadership transfers are
-// allowed.
+// A leader that receives no heartbeats from the start until `until`.
 LeaderHealth ReceivingNothing(Time until) {
   LeaderHealth health(SomeLimits(), 0);
   for (Time t = 0; t <= until; t += 0.05) health.Observe({20, 20, 20}, t);
   return health;
 }
 
-TEST(LeaderHealth, AsksOnlyAfterItHasSettled) {
+TEST(LeaderHealth, SurveysOnlySomeTimeAfterTheLeadershipBegan) {
   LeaderHealth health = ReceivingNothing(1.0);
   EXPECT_EQ(health.state(), LeaderHealthState::kSuspect);
   EXPECT_FALSE(health.WantsRound(1.0));
@@ -58,7 +57,7 @@
   const auto verdict = health.RoundAnswered(
       {{"a", true, false, none},
        {"b", true, true, most},
-       {"c", true, false, all},  // can't: no key-value store
+       {"c", true, false, all},  // can't lead: does not reach the store
        {"d", true, true, all}},
       4);
   EXPECT_EQ(verdict.kind,
@@ -68,7 +67,7 @@
   EXPECT_EQ(health.state(), LeaderHealthState::kSuspect);
 }
 
-TEST(LeaderHealth, AsksLessOftenTheLongerNobodyIsBetter) {
+TEST(LeaderHealth, SurveysBecomeRarerWhileNoPeerIsBetterPlaced) {
   LeaderHealth health = ReceivingNothing(3);
   const std::string none(20, '0');
   int rounds = 0;
@@ -85,9 +84,10 @@
   EXPECT_LE(rounds, 8);
 }
 
-// A leader suspect for long over one dead machine asked seldom, and found out
-// late that it received nothing meanwhile (seed 1256).
-TEST(LeaderHealth, ReceivingTooFewEndsALongPause) {
+// Guards against a late survey: a leader that has been suspect for a long time
+// because of one dead machine surveys rarely, and would find out late that it
+// now receives no heartbeats at all (seed 1256).
+TEST(LeaderHealth, ReceivingTooFewHeartbeatsEndsALongPause) {
   LeaderHealth health(SomeLimits(), 0);
   const std::string none(20, '0');
   Time t = 0;
@@ -104,10 +104,11 @@
   EXPECT_LT(t - too_few_from, SomeLimits().pause_seconds);
 }
 
-TEST(LeaderHealth, ReceivingTooFewUnwatchedHasNotLasted) {
+TEST(LeaderHealth, TimeInWhichTheProcessWasStalledDoesNotCount) {
   LeaderHealth health = ReceivingNothing(3);
   const std::string none(20, '0');
-  // The process stood still for ten seconds: no reason to step down blindly.
+  // The process was stalled for ten seconds, which is no reason to step down
+  // without a comparison.
   health.Observe({20, 20, 20}, 13);
   health.RoundAsked(13);
   EXPECT_EQ(health
@@ -117,7 +118,7 @@
             LeaderHealth::Decision::Kind::kStay);
 }
 
-TEST(LeadershipTransferLog, AllowsSoManyWithinItsWindow) {
+TEST(LeadershipTransferLog, LimitsTheTransfersWithinItsWindow) {
   LeadershipTransferLog log(10, 2);
   EXPECT_TRUE(log.Allows(0));
   log.Record(0);
@@ -135,9 +136,10 @@
   return limits;
 }
 
-// The brake of 1 December counted machines that were still silent, and what it
-// had deleted no longer was: 459 of a thousand went within 17 s.
-TEST(LossLimiter, CountsWhatWasAskedNotWhatIsLeft) {
+// Guards against a limiter that counts the machines that are silent now: those
+// that it has allowed to be deleted no longer are, so 459 of a thousand
+// machines were once deleted within 17 s.
+TEST(LossLimiter, CountsAllowedDeletionsAndNotSilentMachines) {
   LossLimiter limiter(Tenth());
   int fleet = 1000;
   int allowed = 0;
@@ -154,7 +156,7 @@
   EXPECT_EQ(limiter.refused(LossCause::kSilent), 800);
 }
 
-TEST(LossLimiter, ForgetsAfterItsWindowAndKeepsCausesApart) {
+TEST(LossLimiter, CountsWithinItsWindowAndForEachCause) {
   LossLimiter limiter(Tenth());
   const auto ask = [&](LossCause cause, Time now) {
     return limiter.Ask({cause, "a", {}}, 10, 10, now);
@@ -165,7 +167,7 @@
   EXPECT_EQ(ask(LossCause::kSilent, 10.5), LossDecision::kAllowed);
 }
 
-TEST(LossLimiter, HoldsAZoneAndAService) {
+TEST(LossLimiter, LimitsTheLossesOfAZoneAndOfAService) {
   LossLimiter limiter(Tenth());
   const auto ask = [&](const std::string& zone, std::vector<Loss::Part> parts) {
     return limiter.Ask({LossCause::kSilent, zone, std::move(parts)}, 100, 10,
@@ -174,14 +176,15 @@
   EXPECT_EQ(ask("a", {}), LossDecision::kAllowed);
   EXPECT_EQ(ask("a", {}), LossDecision::kAllowed);
   EXPECT_EQ(ask("a", {}), LossDecision::kZoneLimit);
-  // The first may take what it finds; then half of the service at most.
+  // The first loss is always allowed; after that at most half of the service.
   EXPECT_EQ(ask("b", {{"s", 2, 6}}), LossDecision::kAllowed);
   EXPECT_EQ(ask("c", {{"s", 2, 6}}), LossDecision::kServiceLimit);
   EXPECT_EQ(ask("c", {{"s", 1, 6}}), LossDecision::kAllowed);
 }
 
-// The two thresholds that lay the wrong way round at a heartbeat of 0.18 lease.
-TEST(SilenceTimeouts, IsInOrderForEveryRatioOfReportToLease) {
+// Guards against two thresholds in the wrong order, as once at a heartbeat
+// interval of 0.18 leases.
+TEST(SilenceTimeouts, AreInOrderForEveryRatioOfHeartbeatToLease) {
   for (double ratio = 0.05; ratio <= 1.0 / 3; ratio += 0.005) {
     for (const double suspect : {0.1, 0.3, 0.6, 1.0}) {
       for (const double give_up : {0.2, 0.45, 1.0}) {
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -1,4 +1,6 @@
-// Each test names the failure that it prevents.
+// Leadership: the right to lead by the lease of the leader key or by promises,
+// and the renewal of workers' leases without leading. Each test is named after
+// the failure that it guards against. Times are in seconds.
 
 #include "core/lease/leadership.h"
 
@@ -20,29 +22,30 @@
 }
 
 TEST(Leadership, TwoLeadersBecauseTheLeaseCountsFromTheAnswer) {
-  // The renewal was sent at 10 and answered at 12: the service may count from
-  // any moment in between, so the holder counts from 10, less the drift.
+  // The renewal was sent at 10 and answered at 12. The key-value store may
+  // count the lease from any time in between, so its holder counts from 10,
+  // less the drift of the clocks.
   Leadership l = ActiveLeader(8);
   l.RenewGranted(10);
   EXPECT_TRUE(l.Valid(10 + kLease * (1 - kDrift) - 0.001));
   EXPECT_FALSE(l.Valid(10 + kLease));
 }
 
-TEST(Leadership, TwoLeadersBecauseALapsedOneActsAgain) {
+TEST(Leadership, TwoLeadersBecauseAnExpiredOneLeadsAgain) {
   Leadership l = ActiveLeader(10);
   EXPECT_FALSE(l.Valid(13));
-  l.RenewGranted(13);  // an answer that was on its way
+  l.RenewGranted(13);  // a late answer
   EXPECT_FALSE(l.Valid(13.1));
   EXPECT_EQ(l.state(), LeaderState::kExpired);
 }
 
-TEST(Leadership, WorkersLostInAnOutageTheOthersCanBridge) {
+TEST(Leadership, WorkersLostInAnOutageThatPromisesCanBridge) {
   Leadership l = ActiveLeader(10);
   l.PromiseGranted("b", 11);
   l.PromiseGranted("c", 12);
   EXPECT_TRUE(l.Valid(16));
   EXPECT_EQ(l.state(), LeaderState::kLeadingByPromises);
-  // It ends with the earliest of the promises.
+  // The right to lead ends with the earliest of the promises.
   EXPECT_FALSE(l.Valid(11 + kPromise));
 }
 
@@ -52,7 +55,7 @@
   EXPECT_FALSE(l.Valid(13));
 }
 
-TEST(Leadership, TwoLeadersBecauseAPromiseComesAfterTheLapse) {
+TEST(Leadership, TwoLeadersBecauseAPromiseArrivesAfterExpiry) {
   Leadership l = ActiveLeader(10);
   EXPECT_FALSE(l.Valid(13));
   l.PromiseGranted("b", 12);
@@ -60,7 +63,7 @@
   EXPECT_FALSE(l.Valid(13));
 }
 
-TEST(Leadership, PromiserSeeksAlthoughItPromised) {
+TEST(Leadership, ControllerCampaignsInSpiteOfItsPromise) {
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
   l.PeerDoesNotLead("a");
   l.PeerDoesNotLead("c");
@@ -69,9 +72,10 @@
   EXPECT_TRUE(l.MaySeek(20 + kPromise * (1 + 2 * kDrift)));
 }
 
-TEST(Leadership, RestartedPromiserForgetsItsPromise) {
-  // It promised just before it crashed. The new process can't know, so it
-  // waits the longest promise out, unless nobody leads who could rely on it.
+TEST(Leadership, RestartedControllerDoesNotKnowOfItsPromise) {
+  // The controller promised just before it crashed. The new process can't know
+  // this, so it waits until the longest promise has expired, unless no other
+  // controller leads and could rely on the promise.
   Leadership l({"a", "c"}, kLease, kPromise, 0, 30);
   EXPECT_FALSE(l.MaySeek(31));
   l.PeerDoesNotLead("a");
@@ -82,23 +86,23 @@
   EXPECT_TRUE(alone.MaySeek(30 + kPromise * (1 + 2 * kDrift)));
 }
 
-TEST(Leadership, LeaderCutOffAloneFromTheStateServiceLeadsOnForEver) {
-  // The promiser reaches the service: it refuses, the leader lapses, and
-  // somebody who can record takes over.
+TEST(Leadership, LeaderAloneCutOffFromTheStoreLeadsForEver) {
+  // A controller that reaches the key-value store refuses to promise. The right
+  // of the leader then expires, and a controller that can write takes over.
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
   EXPECT_FALSE(l.AskedToPromise(/*state_fails=*/false, 20));
 }
 
-TEST(Leadership, PromiseGivenWhileItsOwnSearchMaySucceed) {
+TEST(Leadership, PromiseGivenWhileItsOwnCampaignMaySucceed) {
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
   l.SeekStarted(0);
   EXPECT_FALSE(l.AskedToPromise(/*state_fails=*/true, 20));
 }
 
-TEST(Leadership, WinnerIsOverthrownByASearchBegunBeforeItWon) {
-  // The search began on a key that was gone; while its lease was being made
-  // another controller won, and the watch said so. The write must still be
-  // conditioned on the key that was gone.
+TEST(Leadership, CampaignThatBeganEarlierReplacesTheKeyOfTheWinner) {
+  // The campaign began when there was no leader key. While its lease was being
+  // created, another controller won, and the watch delivered its key. The
+  // precondition of the write must still be that there is no key.
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
   l.SeekStarted(0);
   EXPECT_EQ(l.seen(), 0U);
@@ -106,7 +110,7 @@
   EXPECT_EQ(l.seen(), 0U);
 }
 
-TEST(Leadership, LapsedLeaderNeverLeadsAgain) {
+TEST(Leadership, ExpiredLeaderNeverLeadsAgain) {
   Leadership l = ActiveLeader(10);
   EXPECT_FALSE(l.Valid(13));
   EXPECT_FALSE(l.MaySeek(100));
@@ -125,7 +129,7 @@
   EXPECT_FALSE(l.Valid(12 + kLease));
 }
 
-// --- renewing workers' leases without leading
+// --- Renewing workers' leases without leading.
 
 constexpr double kDelegation = 1.5;
 
@@ -135,8 +139,10 @@
 
 TEST(DelegatedLease,
      AllWorkersLostThoughTheFirstOneIsBackBeforeTheirLeaseEnds) {
-  // Nobody else is there to say that nobody rests on a promise of its former
-  // life, so it may not lead: it keeps, and leads once they are.
+  // After all controllers have ended, the first one to start can't learn from
+  // the others that none relies on a promise of its earlier process. So it must
+  // not lead yet: it takes the key, renews workers' leases, and becomes the
+  // leader once the others have answered.
   Leadership l = Started(30);
   EXPECT_FALSE(l.MaySeek(30.5));
   EXPECT_TRUE(l.MayTakeKey(30.5));
@@ -151,7 +157,7 @@
   EXPECT_TRUE(l.Valid(31));
 }
 
-TEST(DelegatedLease, KeepsOnBeyondItsLease) {
+TEST(DelegatedLease, RenewsWorkersAfterTheLeaseOfItsKeyHasExpired) {
   Leadership l = Started(30);
   l.SeekStarted(0);
   l.Won(42, 7, 30.5, /*leads=*/false);
@@ -159,7 +165,7 @@
   EXPECT_EQ(l.state(), LeaderState::kExpired);
 }
 
-TEST(DelegatedLease, TendsWithoutEverybodysPromise) {
+TEST(DelegatedLease, RenewsWorkersWithoutThePromisesOfAllPeers) {
   Leadership l = Started(30);
   l.DelegationAsked(31);
   l.DelegationGranted("b", 31);
@@ -169,8 +175,9 @@
   EXPECT_FALSE(l.MayRenew(31 + kDelegation));
 }
 
-TEST(DelegatedLease, PromisesLeftOverFromBeforeItHeldTheKey) {
-  // Whoever was told that it holds the key counts with none of them.
+TEST(DelegatedLease, PromisesFromBeforeItHeldTheKeyStillCount) {
+  // A controller that has learnt that this one holds the key no longer honours
+  // its promise to it.
   Leadership l = Started(30);
   l.DelegationAsked(31);
   l.DelegationGranted("b", 31);
@@ -185,9 +192,10 @@
   EXPECT_FALSE(l.MayRenew(31.2));
 }
 
-TEST(DelegatedLease, PromiserIsBackWithinAFractionOfASecond) {
-  // It asks who relies on what it may have promised. A delegate by promises
-  // says so from its question on: the answer may still be under way.
+TEST(DelegatedLease, ControllerThatPromisedRestartsAtOnceAndCampaigns) {
+  // The new process asks the others whether they rely on a promise that it may
+  // have given. A delegate answers so from its request on, since the answer to
+  // the request may still be in flight.
   Leadership delegate = Started(0);
   delegate.DelegationAsked(31);
   EXPECT_EQ(delegate.Role(31.2), LeaderRole::kRenewsByPromises);
@@ -199,8 +207,10 @@
   EXPECT_EQ(delegate.Role(31 + kDelegation), LeaderRole::kNone);
 }
 
-TEST(DelegatedLease, LeaderTakesItsOwnKeyAgainWhileADelegateRestsOnItsPromise) {
-  // Between two lives it led in, one that only started may have promised.
+TEST(DelegatedLease,
+     LeaderTakesItsOwnKeyAgainWhileADelegateReliesOnItsPromise) {
+  // Between two processes of a controller that led there may have been a third
+  // one that did not lead and gave a promise.
   Leadership back = Started(31);
   back.PeerIs("b", LeaderRole::kRenewsByPromises);
   EXPECT_FALSE(back.OwnProven(31.2));
@@ -210,30 +220,32 @@
   EXPECT_FALSE(told.OwnProven(40));
 }
 
-TEST(DelegatedLease, SeeksAlthoughItPromisedADelegate) {
+TEST(DelegatedLease, ControllerCampaignsInSpiteOfItsPromiseToADelegate) {
   Leadership l = Started(0);
-  EXPECT_TRUE(l.AskedToDelegate("b", "life-1", 3, /*state_fails=*/true, 20));
+  EXPECT_TRUE(l.AskedToDelegate("b", "process-1", 3, /*state_fails=*/true, 20));
   EXPECT_FALSE(l.MaySeek(20.1));
   EXPECT_FALSE(l.MayTakeKey(20.1));
-  l.DelegationReleased("b", "life-1", 3);
+  l.DelegationReleased("b", "process-1", 3);
   EXPECT_TRUE(l.MaySeek(20.1));
 }
 
-TEST(DelegatedLease, ReleaseThatWasHeldBackFreesALaterPromise) {
+TEST(DelegatedLease, DelayedReleaseEndsALaterPromise) {
   Leadership l = Started(0);
-  EXPECT_TRUE(l.AskedToDelegate("b", "life-1", 5, /*state_fails=*/true, 20));
-  l.DelegationReleased("b", "life-1", 4);
+  EXPECT_TRUE(l.AskedToDelegate("b", "process-1", 5, /*state_fails=*/true, 20));
+  l.DelegationReleased("b", "process-1", 4);
   EXPECT_FALSE(l.MaySeek(20.1));
-  // Of a former life, which had counted further.
-  l.DelegationReleased("b", "life-0", 50);
+  // From an earlier process, whose request numbers were higher.
+  l.DelegationReleased("b", "process-0", 50);
   EXPECT_FALSE(l.MaySeek(20.1));
 }
 
-TEST(DelegatedLease, OneThatReachesTheStateServicePromisesADelegate) {
+TEST(DelegatedLease, ControllerThatReachesTheStorePromisesADelegate) {
   Leadership l = Started(0);
-  EXPECT_FALSE(l.AskedToDelegate("b", "life-1", 1, /*state_fails=*/false, 20));
+  EXPECT_FALSE(
+      l.AskedToDelegate("b", "process-1", 1, /*state_fails=*/false, 20));
   l.SeekStarted(0);
-  EXPECT_FALSE(l.AskedToDelegate("b", "life-1", 2, /*state_fails=*/true, 20));
+  EXPECT_FALSE(
+      l.AskedToDelegate("b", "process-1", 2, /*state_fails=*/true, 20));
 }
 
 }  // namespace
