--- a/tests/election_exploration_test.cc
+++ b/tests/election_exploration_test.cc
@@ -1,12 +1,13 @@
-// Restarts every controller at every step of an election, a failover, a
-// leadership transfer, and an outage bridged by promises or by delegates; each
-// is back within a fraction of a second. The long form restarts a second
-// controller as well: before, while and after the first is back. The plans are
+// Simulates elections, failovers, leadership transfers, and outages of the
+// key-value store that are bridged by promises or by delegates. Every
+// controller is restarted at every step of each of these events, and is back
+// within a fraction of a second. The long form restarts a second controller as
+// well: before, while and after the first one comes back. The plans are
 // enumerated, not random.
 //
-// What must hold: there are never two leaders at once, no leader takes a worker
-// incarnation for expired that another controller keeps alive, and some time
-// after the last fault somebody leads.
+// Invariants: there are never two leaders at the same time; no leader treats a
+// worker incarnation as expired whose lease another controller renews; some
+// time after the last fault there is a leader.
 
 #include <gtest/gtest.h>
 
@@ -21,22 +22,24 @@
 namespace {
 
 constexpr double kEventSeconds = 12;  // when the event begins
-constexpr double kWindowSeconds = 9;  // how long after it restarts begin
+constexpr double kWindowSeconds = 9;  // after it, in which restarts begin
 constexpr double kUntilSeconds = 52;  // when the simulation ends
 constexpr std::array kAwaySeconds = {0.05, 0.2, 0.5};
 
+// The event during which controllers are restarted.
 enum class Event {
-  kStart,               // all controllers start
-  kLeaderDown,          // the leader is away for ten seconds
-  kLeadershipTransfer,  // the leader releases the key
-  kOutage,              // of the store, bridged by promises
-  kOutageNoLeader,      // the leader ends in it: delegates by promises
-  kAllDown,             // all end and return one after the other: by the key
-  kLeaderRefused,       // by the store alone
-  kLeaderIsolated,      // from the store and the peers, not from workers
-  kFollowersIsolated,
-  kOutageLastsForLeader,  // the store is back, but not for the leader
-  kOutageEndsForOne,      // without a leader: back for one of three alone
+  kStart,                 // all controllers start
+  kLeaderDown,            // the leader ends and is down for ten seconds
+  kLeadershipTransfer,    // the leader releases the key
+  kOutage,                // an outage of the store, bridged by promises
+  kOutageNoLeader,        // the leader ends in an outage; delegates by promises
+  kAllDown,               // all end, and return one after the other; the first
+                          // renews workers' leases by the key
+  kLeaderRefused,         // the leader alone does not reach the store
+  kLeaderIsolated,        // from the store and its peers, not from the workers
+  kFollowersIsolated,     // the same for all followers
+  kOutageLastsForLeader,  // the outage ends for all but the leader
+  kOutageEndsForOne,      // without a leader, the outage ends for one of three
 };
 constexpr std::array kEvents = {Event::kStart,
                                 Event::kLeaderDown,
@@ -50,13 +53,14 @@
                                 Event::kOutageLastsForLeader,
                                 Event::kOutageEndsForOne};
 
-// A controller ends and is started again.
+// One restart of a controller.
 struct Restart {
   int node = 0;
   double at_seconds = 0;
   double away_seconds = 0;
 };
 
+// The simulation of one event with the given restarts.
 class Exploration : public Simulation {
  public:
   Exploration(Event event, std::vector<Restart> restarts)
@@ -68,7 +72,7 @@
   double begins() const { return begins_; }
   // Whether somebody leads at the end.
   bool HasLeader() { return Leader() >= 0; }
-  // The states in which controllers were restarted.
+  // The states in which the controllers were when they were restarted.
   const std::set<LeaderState>& states() const { return states_; }
 
  private:
@@ -148,8 +152,9 @@
 
 class ElectionExploration : public testing::TestWithParam<Event> {};
 
-// One controller is restarted at every step, and in the long form
-// (OXBOW_EXPLORE) a second one as well.
+// Restarts one controller at every step. In the long form, which the
+// environment variable OXBOW_EXPLORE enables, a second controller is restarted
+// as well.
 TEST_P(ElectionExploration, RestartAtEveryStepLeavesOneLeader) {
   const bool is_long = std::getenv("OXBOW_EXPLORE") != nullptr;
   const double step = is_long ? kStep : 0.25;
@@ -185,7 +190,7 @@
       }
     }
   }
-  std::printf("%d plans played; restarts in %zu kinds of state\n", played,
+  std::printf("%d plans played; restarts in %zu different states\n", played,
               states.size());
   EXPECT_GT(played, 300);
 }
--- a/tests/epoch_history_test.cc
+++ b/tests/epoch_history_test.cc
@@ -1,4 +1,5 @@
-// What may be concluded from the age of a store epoch.
+// EpochHistory: the conclusions from the age of a store epoch. Times are in
+// seconds.
 
 #include "app/recovery/epoch_history.h"
 
@@ -18,7 +19,7 @@
   return epoch;
 }
 
-TEST(EpochHistory, AnEpochIsAChangeOnceAndTheFirstIsKept) {
+TEST(EpochHistory, EachEpochIsReportedOnceAndTheFirstIsKept) {
   EpochHistory history(kLeaseSeconds);
   using enum EpochHistory::Change;
   EXPECT_EQ(history.OnNumber(EpochOf(3, 0), 1, 1000), kFirstEpoch);
@@ -38,7 +39,7 @@
   EXPECT_FALSE(history.WasCompleteBefore());
 }
 
-TEST(EpochHistory, AYoungFirstEpochWaitsALeaseForTheWorkers) {
+TEST(EpochHistory, ANewFirstEpochWaitsALeaseForTheWorkers) {
   EpochHistory history(kLeaseSeconds);
   const StoreEpoch young = EpochOf(1, 999);
   history.OnNumber(young, 1, 1000);
@@ -67,10 +68,11 @@
   EXPECT_FALSE(history.MayBeKnownElsewhere(epoch, 20.1 + 7 * kLeaseSeconds));
 }
 
-// Guards against questions that stay unanswered for longer than the rule allows
-// at the leases of the deployments: 75 s, or 7.5 shorter leases. Not before a
-// lease is over, in which a worker may still show a task of the job.
-TEST(EpochHistory, UnknownIdsAreDeniedWithinTheRuleAtEveryLease) {
+// Guards against queries that remain unanswered for too long: within 75 s, or
+// 7.5 leases if that is shorter, an unknown job id has to be denied, at all
+// lease lengths that deployments use. It must not be denied before one lease
+// has passed, in which a worker may still show a task of the job.
+TEST(EpochHistory, UnknownIdsAreDeniedInTimeAtEveryLeaseLength) {
   constexpr double kRuleSeconds = 75;
   constexpr double kRuleLeases = 7.5;
   constexpr double kOpened = 10;
--- a/tests/read_consistency_gate_test.cc
+++ b/tests/read_consistency_gate_test.cc
@@ -1,5 +1,6 @@
-// What may be told of a job: the gate by itself, and every order of what two
-// controllers, the key-value store and a user can do about the end of one job.
+// What users may be told about a job: unit tests of ReadConsistencyGate, and an
+// exhaustive exploration of the order in which two controllers, the key-value
+// store and a user can act while one job ends.
 
 #include "core/read_consistency/read_consistency_gate.h"
 
@@ -26,7 +27,7 @@
   return {{kId, mod_revision}};
 }
 
-TEST(ReadConsistencyGate, AConflictOverAnotherKeyIsARefusal) {
+TEST(ReadConsistencyGate, AConflictOverAnotherKeyIsARejection) {
   ReadConsistencyGate gate;
   gate.OnSent(1, End(7));
   EXPECT_TRUE(gate.InDoubt(kId, 7));
@@ -38,7 +39,7 @@
   EXPECT_FALSE(gate.InDoubt(kId, 8)) << "the record has been read since";
 }
 
-TEST(ReadConsistencyGate, ARefusalLeavesAnEarlierOneLoose) {
+TEST(ReadConsistencyGate, ARejectionLeavesAnEarlierWriteInDoubt) {
   ReadConsistencyGate gate;
   gate.OnSent(1, End(7));
   gate.OnUnanswered(1);
@@ -52,8 +53,10 @@
   EXPECT_EQ(gate.StateOf(kId), State::kClear);
 }
 
-// Seen in an outage storm: a move that was put back was asked for again.
-TEST(ReadConsistencyGate, AJobMayStandTwiceInATransaction) {
+// Guards against an illegal state change, as seen during repeated outages of
+// the store: a write that was put back into the queue was requested again, so
+// that a transaction had it twice.
+TEST(ReadConsistencyGate, AJobMayOccurTwiceInATransaction) {
   ReadConsistencyGate gate;
   gate.OnSent(1, {{kId, 7}, {kId, 7}});
   EXPECT_EQ(gate.StateOf(kId), State::kSent);
@@ -61,7 +64,7 @@
   EXPECT_EQ(gate.StateOf(kId), State::kOutcomeUnknown);
 }
 
-TEST(ReadConsistencyGate, WhatStandsOnAnotherStampIsVoid) {
+TEST(ReadConsistencyGate, AWriteConditionedOnAnEarlierRevisionIsVoid) {
   ReadConsistencyGate gate;
   gate.OnSent(1, End(7));
   gate.OnUnanswered(1);
@@ -70,50 +73,55 @@
   EXPECT_EQ(gate.StateOf(kId), State::kClear);
 }
 
-// --- exploration
+// --- Exploration.
 
-// Guards that are taken out to see that the exploration finds it.
+// A rule of the gate that is disabled, to test that the exploration then finds
+// a violation: that jobs in doubt don't count as live, that they remain in
+// doubt after a read, or that an answer requires a fresh read.
 enum class Without { kNothing, kDoubt, kDoubtAfterRead, kRead };
 
+// A state of the whole system.
 struct Model {
-  // The key-value store: one job, the leader key.
+  // The key-value store, with one job and the leader key.
   bool exists = false;
   bool ended = false;
   uint64_t mod_revision = 0;
-  uint64_t leadership_preconditions = 1;
+  uint64_t leader_key_revision = 1;
   uint64_t revision = 1;
-  // A write of the end that may be carried out late.
-  std::optional<std::pair<uint64_t, uint64_t>> late;  // stamp, mandate
-  std::optional<uint64_t> late_acceptance;            // stamp it rests on: 0
+  // A write of the terminal state that may be applied late: its preconditions
+  // on the revisions of the job's record and of the leader key.
+  std::optional<std::pair<uint64_t, uint64_t>> late;
+  // A submission that may be applied late: its precondition, 0 (no such key).
+  std::optional<uint64_t> late_acceptance;
 
   struct ControllerNode {
     bool knows_job = false;
     bool knows_end = false;
-    uint64_t mod_revision = 0;  // of the record as it is known
+    uint64_t mod_revision = 0;  // of the job's record, as known here
     bool leads = false;
-    uint64_t leadership_preconditions = 0;
+    uint64_t leader_key_revision = 0;
     ReadConsistencyGate gate;
     uint64_t txn = 0;
-    bool answer_due = false;  // of the write under way
-    bool carried_out = false;
-    bool must_read = false;  // before anything is written again
+    bool answer_due = false;  // a write is in flight
+    bool applied = false;     // whether that write was applied
+    bool must_read = false;   // a read is required before the next write
   };
   std::array<ControllerNode, 2> nodes;
 
-  // What the user has been told by any controller.
+  // What any controller has told the user.
   bool told_accepted = false;
   bool told_end = false;
-  // What may still go wrong.
-  int lost = 1;
-  int refusals = 1;
+  // How many more of these events may occur.
+  int lost = 1;  // answers lost, or writes applied late
+  int rejections = 1;
   int restarts = 1;
-  int mutations = 1;
+  int leader_changes = 1;
 
   auto Key() const {
     std::vector<uint64_t> key{exists,
                               ended,
                               mod_revision,
-                              leadership_preconditions,
+                              leader_key_revision,
                               revision,
                               late ? late->first + 1 : 0,
                               late ? late->second + 1 : 0,
@@ -121,17 +129,19 @@
                               told_accepted,
                               told_end,
                               static_cast<uint64_t>(lost),
-                              static_cast<uint64_t>(refusals),
+                              static_cast<uint64_t>(rejections),
                               static_cast<uint64_t>(restarts),
-                              static_cast<uint64_t>(mutations)};
+                              static_cast<uint64_t>(leader_changes)};
     for (const ControllerNode& n : nodes) {
-      uint64_t rests_on = 0;  // the write in doubt
-      while (rests_on <= revision && !n.gate.InDoubt(kId, rests_on)) ++rests_on;
-      key.insert(key.end(),
-                 {n.knows_job, n.knows_end, n.mod_revision, n.leads,
-                  n.leadership_preconditions,
-                  static_cast<uint64_t>(n.gate.StateOf(kId)), rests_on,
-                  n.answer_due, n.carried_out, n.must_read});
+      uint64_t doubtful_revision = 0;  // the precondition of a write in doubt
+      while (doubtful_revision <= revision &&
+             !n.gate.InDoubt(kId, doubtful_revision))
+        ++doubtful_revision;
+      key.insert(
+          key.end(),
+          {n.knows_job, n.knows_end, n.mod_revision, n.leads,
+           n.leader_key_revision, static_cast<uint64_t>(n.gate.StateOf(kId)),
+           doubtful_revision, n.answer_due, n.applied, n.must_read});
     }
     return key;
   }
@@ -141,15 +151,16 @@
  public:
   explicit Exploration(Without without) : without_(without) {}
 
-  // The states that were reached; `broken` is set to the first older answer.
-  size_t Run(std::string* broken) {
+  // Returns the number of states that were reached. `violation` is set to the
+  // first answer that is older than an earlier one; empty if there is none.
+  size_t Run(std::string* violation) {
     Model first;
     first.nodes[0].leads = true;
-    first.nodes[0].leadership_preconditions = first.leadership_preconditions;
+    first.nodes[0].leader_key_revision = first.leader_key_revision;
     Add(first);
-    while (!open_.empty() && broken_.empty()) {
-      const Model m = open_.front();
-      open_.pop_front();
+    while (!frontier_.empty() && violation_.empty()) {
+      const Model m = frontier_.front();
+      frontier_.pop_front();
       Accept(m);
       Late(m);
       for (size_t i = 0; i < m.nodes.size(); ++i) {
@@ -162,13 +173,13 @@
         TakeOver(m, i);
       }
     }
-    *broken = broken_;
-    return seen_.size();
+    *violation = violation_;
+    return visited_.size();
   }
 
  private:
   void Add(Model m) {
-    if (seen_.insert(m.Key()).second) open_.push_back(std::move(m));
+    if (visited_.insert(m.Key()).second) frontier_.push_back(std::move(m));
   }
 
   static void See(const Model& m, Model::ControllerNode* n) {
@@ -178,7 +189,8 @@
     if (n->knows_end) n->gate.OnConfirmed(kId);
   }
 
-  // A user submits: answered, lost, or to be carried out late.
+  // A user submits the job: the submission is answered, its answer is lost, or
+  // it is applied late.
   void Accept(Model m) {
     if (m.exists || m.late_acceptance) return;
     if (m.lost > 0) {
@@ -189,7 +201,7 @@
     }
     m.exists = true;
     m.mod_revision = ++m.revision;
-    Add(m);  // nobody was told: the answer was lost
+    Add(m);  // the answer was lost, so the user was told nothing
     m.told_accepted = true;
     Add(m);
   }
@@ -214,7 +226,7 @@
 
   static bool Execute(Model* m, std::pair<uint64_t, uint64_t> write) {
     if (!m->exists || write.first != m->mod_revision ||
-        write.second != m->leadership_preconditions) {
+        write.second != m->leader_key_revision) {
       return false;
     }
     m->ended = true;
@@ -222,7 +234,7 @@
     return true;
   }
 
-  // The leader writes the end; every way that can go.
+  // The leader writes the terminal state, with every possible outcome.
   void Write(Model m, size_t i) {
     Model::ControllerNode& n = m.nodes[i];
     if (!n.leads || !n.knows_job || n.knows_end || n.answer_due ||
@@ -230,15 +242,15 @@
       return;
     }
     n.gate.OnSent(++n.txn, End(n.mod_revision));
-    const std::pair write{n.mod_revision, n.leadership_preconditions};
+    const std::pair write{n.mod_revision, n.leader_key_revision};
     n.answer_due = true;
-    if (m.refusals > 0) {
-      Model refused = m;
-      --refused.refusals;
-      Model::ControllerNode& r = refused.nodes[i];
+    if (m.rejections > 0) {
+      Model rejected = m;
+      --rejected.rejections;
+      Model::ControllerNode& r = rejected.nodes[i];
       r.answer_due = false;
       r.gate.OnRejected(r.txn);
-      Add(refused);
+      Add(rejected);
     }
     if (m.lost > 0 && !m.late) {
       Model late = m;
@@ -252,7 +264,7 @@
       GiveUp(&lost.nodes[i]);
       Add(lost);
     }
-    n.carried_out = Execute(&m, write);
+    n.applied = Execute(&m, write);
     Add(m);
   }
 
@@ -266,7 +278,7 @@
     Model::ControllerNode& n = m.nodes[i];
     if (!n.answer_due) return;
     n.answer_due = false;
-    if (std::exchange(n.carried_out, false)) {
+    if (std::exchange(n.applied, false)) {
       n.gate.OnApplied(n.txn);
       See(m, &n);
     } else {
@@ -276,7 +288,7 @@
     Add(m);
   }
 
-  // The read before the leader writes again.
+  // The read that is required before the leader writes again.
   void Read(Model m, size_t i) {
     Model::ControllerNode& n = m.nodes[i];
     if (!n.must_read) return;
@@ -291,7 +303,7 @@
     Add(m);
   }
 
-  // A node that starts reads everything, and does not lead.
+  // A controller that starts reads all records and does not lead.
   void Restart(Model m, size_t i) {
     if (m.restarts == 0) return;
     --m.restarts;
@@ -299,18 +311,19 @@
     Add(m);
   }
 
-  // The right of the one before has run out by its own clock.
+  // The other controller takes over the leadership: the right to lead of the
+  // earlier leader has expired by its own clock.
   void TakeOver(Model m, size_t i) {
-    if (m.nodes[i].leads || m.mutations == 0) return;
-    --m.mutations;
+    if (m.nodes[i].leads || m.leader_changes == 0) return;
+    --m.leader_changes;
     Model::ControllerNode& old = m.nodes[1 - i];
-    old.leads = old.answer_due = old.carried_out = old.must_read = false;
+    old.leads = old.answer_due = old.applied = old.must_read = false;
     old.gate = {};
-    m.leadership_preconditions = ++m.revision;
+    m.leader_key_revision = ++m.revision;
     Model::ControllerNode& n = m.nodes[i];
     n.leads = true;
-    n.leadership_preconditions = m.leadership_preconditions;
-    See(m, &n);  // it has followed up to its own key
+    n.leader_key_revision = m.leader_key_revision;
+    See(m, &n);  // its watch has delivered everything up to its own key
     Add(m);
   }
 
@@ -322,7 +335,7 @@
     return doubt ? JobObservation::kInDoubt : JobObservation::kLive;
   }
 
-  // With the key-value store there for the node, and without it.
+  // The user asks a controller, which reaches the key-value store or does not.
   void Poll(const Model& before, size_t i) {
     for (const bool reaches : {false, true}) {
       Model m = before;
@@ -333,7 +346,7 @@
       StatusDecision decision = Decide(evidence);
       if (decision == StatusDecision::kReadFirst) {
         evidence.read = RecordRead::kUnclear;
-        // Not a fresh one: as the node knows it from before.
+        // Without a fresh read, the controller answers from what it knows.
         if (without_ == Without::kRead) {
           evidence.read =
               n.knows_job ? RecordRead::kLive : RecordRead::kMissing;
@@ -348,43 +361,43 @@
       }
       if (m.told_end && (decision == StatusDecision::kLive ||
                          decision == StatusDecision::kDenial)) {
-        broken_ = "an end was told, then something older";
+        violation_ = "a terminal state was reported, then an older state";
       }
       if (m.told_accepted && decision == StatusDecision::kDenial) {
-        broken_ = "accepted, then denied";
+        violation_ = "the job was accepted, then denied";
       }
       m.told_end = m.told_end || decision == StatusDecision::kEnd;
       m.told_accepted = m.told_accepted || decision == StatusDecision::kLive;
       if (decision == StatusDecision::kEnd && !m.ended)
-        broken_ = "invented end";
+        violation_ = "a terminal state was reported that was never recorded";
       Add(m);
     }
   }
 
   const Without without_;
-  std::string broken_;
-  std::deque<Model> open_;
-  std::set<std::vector<uint64_t>> seen_;
+  std::string violation_;
+  std::deque<Model> frontier_;
+  std::set<std::vector<uint64_t>> visited_;
 };
 
-// Two controllers, one job, one write that is lost or late, one refusal, one
-// restart and one change of leader, in every order.
+// Explores every order of events with two controllers, one job, one write that
+// is lost or applied late, one rejection, one restart and one change of leader.
 TEST(ReadConsistencyGate, NoOrderOfEventsBringsAnOlderAnswer) {
-  std::string broken;
-  const size_t states = Exploration(Without::kNothing).Run(&broken);
-  EXPECT_EQ(broken, "");
+  std::string violation;
+  const size_t states = Exploration(Without::kNothing).Run(&violation);
+  EXPECT_EQ(violation, "");
   std::printf("states explored: %zu\n", states);
   EXPECT_GT(states, 1000U);
 }
 
-TEST(ReadConsistencyGate, WithoutAGuardTheExplorationFindsAnOlderAnswer) {
+TEST(ReadConsistencyGate, WithoutARuleTheExplorationFindsAnOlderAnswer) {
   for (const Without without :
        {Without::kDoubt, Without::kDoubtAfterRead, Without::kRead}) {
-    std::string broken;
-    const size_t states = Exploration(without).Run(&broken);
-    EXPECT_NE(broken, "") << static_cast<int>(without);
-    std::printf("guard %d removed: found after %zu states: %s\n",
-                static_cast<int>(without), states, broken.c_str());
+    std::string violation;
+    const size_t states = Exploration(without).Run(&violation);
+    EXPECT_NE(violation, "") << static_cast<int>(without);
+    std::printf("rule %d disabled: violation found after %zu states: %s\n",
+                static_cast<int>(without), states, violation.c_str());
   }
 }
 
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -1,6 +1,7 @@
-// Store epochs, the verification of the key-value store, retained records
-// against what the store holds, terminal states, and the choice of peers: each
-// by itself.
+// Unit tests of the recovery from data loss: terms of store epochs,
+// StoreVerification, retained records in the Catalog, TerminalStateIndex, the
+// selection of peers, the tests' own check of answers to users, and Leadership
+// after data loss.
 
 #include <gtest/gtest.h>
 
@@ -38,11 +39,11 @@
   catalog.Put(std::string(keys::kEpoch), epoch, mod_revision);
 }
 
-// --- terms
+// --- Terms.
 
-// Whatever revision the store counts from after a loss, the terms of a later
-// epoch are above all that were shown; those that nobody knows of are within
-// the margin.
+// Whatever revision the store continues from after data loss, the terms of a
+// later epoch are above all known terms. Terms that no controller knows of are
+// within the margin.
 TEST(Epoch, TermsOfALaterEpochAreAboveAllBefore) {
   const uint64_t shown = 4711;
   StoreEpoch next;
@@ -53,11 +54,11 @@
   EXPECT_GT(TermOf(after, 1), TermOf(next, 90'000'000));
 }
 
-TEST(Epoch, WithNothingRememberedTheClockKeepsEpochsApart) {
+TEST(Epoch, IfNoTermIsKnownTheClockKeepsEpochsApart) {
   const double opened = 1.8e9;
   StoreEpoch first;
   first.base = NextTermBase(0, opened);
-  // Two thousand changes a second for an hour, then everything is lost again.
+  // Two thousand changes per second for an hour, then all data is lost again.
   const uint64_t last = TermOf(first, 2000 * 3600);
   EXPECT_GT(NextTermBase(0, opened + 3600), last);
 }
@@ -68,7 +69,7 @@
   EXPECT_EQ(TermOfToken(token), NextTermBase(0, 1e12));
 }
 
-// --- store verification
+// --- Store verification.
 
 class SuspectedDataLoss : public testing::Test {
  public:
@@ -79,7 +80,7 @@
 TEST_F(SuspectedDataLoss, AnIndicationAloneIsNoLoss) {
   EXPECT_TRUE(verification_.OnIndication(DataLossIndication::kStepBack));
   EXPECT_FALSE(verification_.OnIndication(
-      DataLossIndication::kEpochMissing));  // examined already
+      DataLossIndication::kEpochMissing));  // already being examined
   EXPECT_FALSE(verification_.MayDeny());
   verification_.OnRound(StoreCheck::kIntact, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kVerified);
@@ -91,7 +92,7 @@
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kSuspected);
   verification_.OnRound(StoreCheck::kNoAnswer,
-                        PeerFinding::kNone);  // an outage settles nothing
+                        PeerFinding::kNone);  // an outage: no result
   EXPECT_EQ(verification_.state(), kSuspected);
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kLost);
@@ -99,7 +100,8 @@
   EXPECT_FALSE(verification_.MaySeek());
 }
 
-// It reads a stale copy: the others find the store intact.
+// This controller reads a replica of the store that lags behind: the others
+// find the store intact.
 TEST_F(SuspectedDataLoss, ARecordThatOnlyThisControllerMissesIsNoLoss) {
   verification_.OnIndication(DataLossIndication::kStepBack);
   for (int i = 0; i < 20; ++i)
@@ -133,14 +135,15 @@
   EXPECT_EQ(verification_.state(), kRebuilding);
 }
 
-// An epoch's record that is read late says nothing about the present epoch.
+// The record of an earlier epoch that is read late says nothing about the
+// present epoch.
 TEST_F(SuspectedDataLoss, AnEarlierEpochIsIgnored) {
   verification_.OnEpoch(2, false);
   verification_.OnEpoch(1, true);
   EXPECT_EQ(verification_.state(), kRebuilding);
 }
 
-// --- retained records
+// --- Retained records.
 
 class RetainedRecords : public testing::Test {
  public:
@@ -156,14 +159,14 @@
   Catalog catalog_;
 };
 
-// An empty listing of a new epoch must not erase the last copies there are.
+// An empty listing in a new epoch must not erase the last copies of records.
 TEST_F(RetainedRecords, ANewEpochMakesAllRecordsPendingWrites) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.EraseMissing({}, 100);
   EXPECT_EQ(catalog_.pending_writes().size(), 2U);
   ASSERT_NE(catalog_.FindJob("job-000001"), nullptr);
   EXPECT_EQ(catalog_.FindJob("job-000001")->mod_revision, 0U);
-  // A read that does not find it either.
+  // A read does not find the record either.
   catalog_.Missing(JobKey("job-000001"), 100);
   EXPECT_NE(catalog_.FindJob("job-000001"), nullptr);
 }
@@ -190,7 +193,7 @@
 }
 
 TEST_F(RetainedRecords, ATerminalStateWinsOverALaterLiveRecord) {
-  // This controller lags behind: another one has seen the cancellation.
+  // This controller lags behind: another controller has seen the cancellation.
   OpenEpoch(catalog_, 2, 3);
   EXPECT_TRUE(catalog_.Remember(JobKey("job-000001"),
                                 JobOf("job-000001", TerminalState::kAborted),
@@ -208,13 +211,13 @@
   OpenEpoch(catalog_, 2, 15);
   catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
-  // Nor by another controller that retains it as live.
+  // Nor is it revived by another controller that retains it as live.
   EXPECT_FALSE(
       catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 10}));
 }
 
-// A controller that lags behind sends its records before another sends the
-// terminal state.
+// A controller that lags behind may send its records before another controller
+// sends the terminal state.
 TEST_F(RetainedRecords, ATerminalStateThatOthersKnowIsAppliedToALiveRecord) {
   OpenEpoch(catalog_, 2, 3);
   catalog_.ended().Add("job-000001", TerminalState::kAborted);
@@ -224,8 +227,8 @@
   EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kNone);
 }
 
-// It may have been acted on, or shown to its user, while the store had stepped
-// back.
+// The terminal state may have been acted on, or reported to the user, while the
+// store's revision had decreased.
 TEST_F(RetainedRecords, ATerminalStateThatWasReadIsNeverDropped) {
   EXPECT_TRUE(catalog_.Put(JobKey("job-000002"),
                            JobOf("job-000002", TerminalState::kAborted), 15));
@@ -235,8 +238,9 @@
   EXPECT_EQ(catalog_.FindTerminalState("job-000001"), TerminalState::kDone);
 }
 
-// Whoever watches the records has the cancellation before its tasks have ended,
-// and must not report it: another controller may still keep them alive.
+// A controller that watches the records learns of a cancellation before the
+// tasks have ended. It must not report the job as cancelled yet, since another
+// controller may still renew the leases of the tasks' workers.
 TEST_F(RetainedRecords, ACancellationIsTerminalOnceItsRecordHasMoved) {
   catalog_.Put(JobKey("job-000002"),
                JobOf("job-000002", TerminalState::kAborted), 25);
@@ -246,7 +250,7 @@
   catalog_.Erase(JobKey("job-000002"), 26);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalRecord("job-000002").tasks, 1U);
-  // A live record that is deleted alone is no terminal state.
+  // The deletion of a live record alone is no terminal state.
   catalog_.Erase(JobKey("job-000001"), 27);
   EXPECT_EQ(catalog_.FindTerminalState("job-000001"), TerminalState::kNone);
 }
@@ -273,16 +277,16 @@
   EXPECT_EQ(catalog_.epoch().number, 2U);
 }
 
-// The key's name belongs to the epoch: a write of the epoch before does not
-// meet its precondition, even if the revisions are the same.
-TEST_F(RetainedRecords, TheGuardsOfTwoEpochsDiffer) {
+// The key in the precondition is named after the epoch, so a write of an
+// earlier epoch fails its precondition even if the revisions are the same.
+TEST_F(RetainedRecords, ThePreconditionsOfTwoEpochsDiffer) {
   const auto before = catalog_.Guard();
   OpenEpoch(catalog_, 2, 5);
   EXPECT_EQ(catalog_.Guard().mod_revision, before.mod_revision);
   EXPECT_NE(catalog_.Guard().key, before.key);
 }
 
-// --- terminal states
+// --- Terminal states.
 
 TEST(TerminalStateIndex, OnlyOneFormOfAnIdIsIndexed) {
   EXPECT_EQ(TerminalStateIndex::NumberOf("job-000412"), 412U);
@@ -316,10 +320,10 @@
               i % 7 == 0 ? TerminalState::kAborted : TerminalState::kDone);
   }
   EXPECT_EQ(index.size(), 1'000'000U);
-  constexpr size_t kMost = 1'000'000;  // bytes
+  constexpr size_t kMaxBytes = 1'000'000;
   EXPECT_LT(index.Encode(TerminalState::kDone).size() +
                 index.Encode(TerminalState::kAborted).size(),
-            kMost);
+            kMaxBytes);
 }
 
 TEST(RetainedRecordsPage, DecodesWhatWasEncodedAndRefusesATruncatedPage) {
@@ -338,10 +342,10 @@
   }
 }
 
-// --- to whom users' requests are forwarded
+// --- The selection of peers that users' requests are forwarded to.
 
-// Three peers that have no answer and one that has: a request reaches it,
-// whatever those before it have reached.
+// If only one of four peers can resolve a request, the request reaches that
+// peer whatever earlier requests have reached.
 TEST(PeerChoice, EveryRequestMayReachEveryPeerThatAnswers) {
   PeerChoice choice(4, 0.1, 0.5, 5);
   choice.Helped(2);
@@ -350,26 +354,26 @@
     EXPECT_TRUE(choice.IsResponsive(peer));
 }
 
-TEST(PeerChoice, NoRequestWaitsForASilentPeerUntilATrialSucceeds) {
+TEST(PeerChoice, NoRequestWaitsForASilentPeerUntilAProbeSucceeds) {
   PeerChoice choice(2, 0.1, 0.5, 5);
   choice.Silent(0, 1);
-  choice.Silent(0, 1.01);  // another request that waited for it
+  choice.Silent(0, 1.01);  // another request that waited for the same peer
   EXPECT_FALSE(choice.IsResponsive(0));
   EXPECT_TRUE(choice.IsResponsive(1));
   EXPECT_FALSE(choice.MayTry(0, 1.05));
   EXPECT_TRUE(choice.MayTry(0, 1.11));
-  EXPECT_FALSE(choice.MayTry(0, 1.12));  // in progress
+  EXPECT_FALSE(choice.MayTry(0, 1.12));  // a probe is in progress
   EXPECT_FALSE(choice.IsResponsive(0));
   choice.Silent(0, 1.2);
-  EXPECT_FALSE(choice.MayTry(0, 1.35));  // twice as long
+  EXPECT_FALSE(choice.MayTry(0, 1.35));  // the back-off has doubled
   EXPECT_TRUE(choice.MayTry(0, 1.41));
   choice.Answered(0);
   EXPECT_TRUE(choice.IsResponsive(0));
   EXPECT_FALSE(choice.MayTry(0, 1.42));
 }
 
-// A rest is never longer than the maximum, however long the peer was silent.
-TEST(PeerChoice, ARestIsBounded) {
+// The back-off never exceeds its maximum, however long the peer was silent.
+TEST(PeerChoice, TheBackoffIsBounded) {
   PeerChoice choice(1, 0.1, 0.5, 5);
   double now = 0;
   for (int i = 0; i < 50; ++i) {
@@ -379,9 +383,9 @@
   }
 }
 
-// Many requests that nobody can answer don't keep out one that somebody can:
-// those that are answered cost nothing.
-TEST(PeerChoice, OnlyUnansweredRequestsAreLimited) {
+// Requests that no peer can resolve are limited. Those that a peer resolves
+// don't count, so they are not kept out by the others.
+TEST(PeerChoice, OnlyUnresolvedRequestsAreLimited) {
   PeerChoice choice(2, 0.1, 0.5, 5);
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(choice.MayAskAround(10)) << i;
@@ -393,7 +397,7 @@
   EXPECT_TRUE(choice.MayAskAround(10.21));
 }
 
-// --- the tests' own account of what users are told
+// --- KnownAccount, by which the tests check the answers that users get.
 
 class Account : public testing::Test {
  public:
@@ -405,7 +409,7 @@
   test::KnownAccount account_{75};
 };
 
-TEST_F(Account, SilenceIsCountedForEachJobAndFromTheLastTrouble) {
+TEST_F(Account, TimeWithoutAnAnswerCountsForEachJobFromTheLastFault) {
   account_.Accepted("job-000002", 10);
   for (double now = 10; now < 80; now += 5) {
     account_.Heard("job-000002", 200, R"({"status":"running"})", now, now);
@@ -427,14 +431,14 @@
   EXPECT_EQ(Heard(200, "done", 23), "");
 }
 
-TEST_F(Account, WhatWasAskedBeforeIsNotHeldAgainstTheAnswer) {
+TEST_F(Account, AnAnswerToAQueryFromBeforeTheEndMayBeOlder) {
   account_.CancelAsked("job-000001");
   account_.Ended("job-000001", "aborted", 20);
   EXPECT_EQ(Heard(200, "running", 19), "");
   EXPECT_NE(Heard(200, "running", 20.5), "");
 }
 
-TEST_F(Account, NothingIsInventedAndNothingCancelledByItself) {
+TEST_F(Account, UnknownJobsAndUnrequestedCancellationsAreFound) {
   account_.NeverSubmitted("job-000009");
   EXPECT_EQ(account_.Heard("job-000009", 404, "", 11, 11), "");
   EXPECT_NE(account_.Heard("job-000009", 200, "{}", 12, 12), "");
@@ -442,10 +446,11 @@
   EXPECT_NE(Heard(200, "aborted", 12), "");
 }
 
-// --- the right to lead
+// --- Leadership after data loss.
 
-// Whoever leads by lost data can't be read: the longest right is waited out,
-// unless all others say that they don't lead.
+// The key of a present leader may have been lost and then can't be read. So a
+// controller waits until the longest promise has expired, unless all others
+// answer that they don't lead.
 TEST(LeadershipAfterALoss, AllPeersAreAskedAgain) {
   Leadership leadership({"b", "c"}, 2.5, 6, 0, 0);
   for (const char* peer : {"b", "c"}) leadership.PeerDoesNotLead(peer);
@@ -460,7 +465,7 @@
   EXPECT_TRUE(leadership.MaySeek(20 + 6.1));
 }
 
-TEST(LeadershipAfterALoss, AValidRightContinuesUnderTheNewKey) {
+TEST(LeadershipAfterALoss, AValidRightToLeadContinuesUnderTheNewKey) {
   Leadership leadership({"b"}, 2.5, 6, 0, -100);
   leadership.SeekStarted(0);
   leadership.Won(41, 1, 0);
--- a/tests/version_gate_test.cc
+++ b/tests/version_gate_test.cc
@@ -1,4 +1,5 @@
-// When records of job dependencies may be written.
+// VersionGate: when records may be written that an earlier version can't
+// handle.
 
 #include "core/upgrade/version_gate.h"
 
@@ -23,7 +24,7 @@
   auto versions = With({"a", "b", "stranger"});
   gate.Update(versions);
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kNothing);
-  // One that runs an earlier version, should it ever record it.
+  // A controller that records an earlier version.
   versions["c"] = {kRecordsVersion - 1, 8};
   gate.Update(versions);
   EXPECT_EQ(gate.state(), GateState::kClosed);
@@ -47,7 +48,7 @@
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kOwn);
   gate.Update(With({"a"}));
   EXPECT_EQ(gate.RequiredWrite(), GateWrite::kMark);
-  // A version that was recorded and not marked may be lost as well.
+  // The store may also lose a recorded version before the mark is written.
   VersionGate unmarked("a", {"b"}, 2);
   unmarked.Update(With({"a", "b"}));
   unmarked.Update(With({"a"}));
