--- a/app/recovery/bootstrapper.h
+++ b/app/recovery/bootstrapper.h
@@ -30,7 +30,8 @@
         collector_(collector) {}
 
   void Start();
-  // Whether a missing leader key may now be taken for a free one.
+  // Whether this controller may now conclude from a missing leader key that the
+  // key is free.
   bool IsComplete() const { return is_complete_; }
 
  private:
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -160,10 +160,10 @@
   // leader is right if no controller receives heartbeats, but loses every task
   // in the fleet if only this one doesn't. Stepping down costs one failover.
   // So the leader steps down, once, after this has lasted for some time.
-  const bool blind = !comparison.any_answer && answers.size() > 1 &&
-                     too_few_since_ &&
-                     now - *too_few_since_ >= limits_.blind_after_seconds;
-  if (!blind) {
+  const bool cannot_compare =
+      !comparison.any_answer && answers.size() > 1 && too_few_since_ &&
+      now - *too_few_since_ >= limits_.blind_after_seconds;
+  if (!cannot_compare) {
     Change(LeaderHealthEvent::kNoBetterPeer);
     return {};
   }
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -177,10 +177,10 @@
   until = std::max(until, sent + promise_seconds_ * (1 - kDrift));
 }
 
-bool Leadership::AskedToPromise(bool state_fails, Time now) {
+bool Leadership::AskedToPromise(bool store_fails, Time now) {
   // The outcome of a campaign in progress is unknown, so nothing can be
   // promised.
-  if (!state_fails || state_ != kFollower) return false;
+  if (!store_fails || state_ != kFollower) return false;
   promised_until_ = now + promise_seconds_ * (1 + kDrift);
   return true;
 }
@@ -248,8 +248,8 @@
 
 bool Leadership::AskedToDelegate(const std::string& peer,
                                  const std::string& process_incarnation,
-                                 uint64_t number, bool state_fails, Time now) {
-  if (delegation_seconds_ <= 0 || !state_fails || state_ != kFollower)
+                                 uint64_t number, bool store_fails, Time now) {
+  if (delegation_seconds_ <= 0 || !store_fails || state_ != kFollower)
     return false;
   DelegationPromise& promise = given_delegation_promises_[peer];
   promise.process_incarnation = process_incarnation;
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -118,10 +118,10 @@
 
   // --- Promises, on the side of the controller that gives them.
   // The leader asks this controller to promise not to campaign. Returns false
-  // if the promise is refused. `state_fails`: this controller cannot reach the
+  // if the promise is refused. `store_fails`: this controller cannot reach the
   // key-value store. A controller that can reach it must refuse, or a leader
   // that is the only one cut off from the store would lead for ever.
-  bool AskedToPromise(bool state_fails, Time now);
+  bool AskedToPromise(bool store_fails, Time now);
   // A peer has answered that it has this role.
   void PeerIs(const std::string& peer, LeaderRole role);
   void PeerDoesNotLead(const std::string& peer) {
@@ -154,10 +154,10 @@
   uint64_t DelegationOver(Time now);
   // A delegate asks this controller to promise not to campaign. Returns false
   // if the promise is refused. `process_incarnation`: of the asking process.
-  // `number`: of its request. `state_fails`: as for AskedToPromise.
+  // `number`: of its request. `store_fails`: as for AskedToPromise.
   bool AskedToDelegate(const std::string& peer,
                        const std::string& process_incarnation, uint64_t number,
-                       bool state_fails, Time now);
+                       bool store_fails, Time now);
   // The delegate releases the promises up to request `number`. Has no effect on
   // a promise to a later request or to another process: the release may have
   // been delayed.
--- a/tests/election_exploration_test.cc
+++ b/tests/election_exploration_test.cc
@@ -70,7 +70,7 @@
     begins_ = event == Event::kStart ? 0 : kEventSeconds;
   }
   double begins() const { return begins_; }
-  // Whether somebody leads at the end.
+  // Whether there is a leader at the end.
   bool HasLeader() { return Leader() >= 0; }
   // The states in which the controllers were when they were restarted.
   const std::set<LeaderState>& states() const { return states_; }
--- a/tests/leadership_test.cc
+++ b/tests/leadership_test.cc
@@ -67,7 +67,7 @@
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
   l.PeerDoesNotLead("a");
   l.PeerDoesNotLead("c");
-  EXPECT_TRUE(l.AskedToPromise(/*state_fails=*/true, 20));
+  EXPECT_TRUE(l.AskedToPromise(/*store_fails=*/true, 20));
   EXPECT_FALSE(l.MaySeek(20 + kPromise));
   EXPECT_TRUE(l.MaySeek(20 + kPromise * (1 + 2 * kDrift)));
 }
@@ -90,13 +90,13 @@
   // A controller that reaches the key-value store refuses to promise. The right
   // of the leader then expires, and a controller that can write takes over.
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
-  EXPECT_FALSE(l.AskedToPromise(/*state_fails=*/false, 20));
+  EXPECT_FALSE(l.AskedToPromise(/*store_fails=*/false, 20));
 }
 
 TEST(Leadership, PromiseGivenWhileItsOwnCampaignMaySucceed) {
   Leadership l({"a", "c"}, kLease, kPromise, 0, 0);
   l.SeekStarted(0);
-  EXPECT_FALSE(l.AskedToPromise(/*state_fails=*/true, 20));
+  EXPECT_FALSE(l.AskedToPromise(/*store_fails=*/true, 20));
 }
 
 TEST(Leadership, CampaignThatBeganEarlierReplacesTheKeyOfTheWinner) {
@@ -222,7 +222,7 @@
 
 TEST(DelegatedLease, ControllerCampaignsInSpiteOfItsPromiseToADelegate) {
   Leadership l = Started(0);
-  EXPECT_TRUE(l.AskedToDelegate("b", "process-1", 3, /*state_fails=*/true, 20));
+  EXPECT_TRUE(l.AskedToDelegate("b", "process-1", 3, /*store_fails=*/true, 20));
   EXPECT_FALSE(l.MaySeek(20.1));
   EXPECT_FALSE(l.MayTakeKey(20.1));
   l.DelegationReleased("b", "process-1", 3);
@@ -231,7 +231,7 @@
 
 TEST(DelegatedLease, DelayedReleaseEndsALaterPromise) {
   Leadership l = Started(0);
-  EXPECT_TRUE(l.AskedToDelegate("b", "process-1", 5, /*state_fails=*/true, 20));
+  EXPECT_TRUE(l.AskedToDelegate("b", "process-1", 5, /*store_fails=*/true, 20));
   l.DelegationReleased("b", "process-1", 4);
   EXPECT_FALSE(l.MaySeek(20.1));
   // From an earlier process, whose request numbers were higher.
@@ -242,10 +242,10 @@
 TEST(DelegatedLease, ControllerThatReachesTheStorePromisesADelegate) {
   Leadership l = Started(0);
   EXPECT_FALSE(
-      l.AskedToDelegate("b", "process-1", 1, /*state_fails=*/false, 20));
+      l.AskedToDelegate("b", "process-1", 1, /*store_fails=*/false, 20));
   l.SeekStarted(0);
   EXPECT_FALSE(
-      l.AskedToDelegate("b", "process-1", 2, /*state_fails=*/true, 20));
+      l.AskedToDelegate("b", "process-1", 2, /*store_fails=*/true, 20));
 }
 
 }  // namespace
