--- a/app/election/election_context.h
+++ b/app/election/election_context.h
@@ -34,7 +34,9 @@
   std::function<void()> stop_leading;
 
   // Whether this controller may act as the leader at this moment.
-  bool IsValidLeader() const { return leadership.Valid(loop.Refresh()); }
+  bool IsValidLeader() const {
+    return leadership.MayActAsLeader(loop.Refresh());
+  }
 
   // The record that this process writes to the leader key. `may_lead`: whether
   // it leads from the moment the key is written; if not, it only renews
--- a/app/election/epoch_election.cc
+++ b/app/election/epoch_election.cc
@@ -22,7 +22,7 @@
   // it is one candidate among all others from now on.
   return opened_by == OpenedBy::kLeader
              ? context_.IsValidLeader()
-             : context_.leadership.MaySeek(context_.loop.Refresh());
+             : context_.leadership.MayCampaign(context_.loop.Refresh());
 }
 
 // The preconditions of the transaction are the revisions that were read before,
@@ -48,12 +48,14 @@
     }
     if (opened_by == OpenedBy::kLeader && !context_.IsValidLeader()) co_return;
   }
-  if (opened_by == OpenedBy::kCandidate) context_.leadership.SeekStarted(0);
+  if (opened_by == OpenedBy::kCandidate)
+    context_.leadership.OnCampaignStarted(0);
   const auto revision =
       co_await key_writer_.Write(opening->preconditions, std::move(mutations),
                                  lease.lease_id, opening->leader_key_revision);
   if (!revision) {
-    if (opened_by == OpenedBy::kCandidate) context_.leadership.SeekFailed();
+    if (opened_by == OpenedBy::kCandidate)
+      context_.leadership.OnCampaignFailed();
     co_await context_.store.EndLease(lease.lease_id);
     co_return;
   }
@@ -88,10 +90,10 @@
     context_.leadership.OnKeyRewritten(won.revision, won.lease_id, won.sent_at);
   } else {
     if (led) {
-      context_.leadership.Retire();
-      context_.leadership.SeekStarted(0);
+      context_.leadership.BecomeFollower();
+      context_.leadership.OnCampaignStarted(0);
     }
-    context_.leadership.Won(won.revision, won.lease_id, won.sent_at);
+    context_.leadership.OnElected(won.revision, won.lease_id, won.sent_at);
   }
   on_key_written_();
   is_opening_ = true;
--- a/app/election/epoch_election.h
+++ b/app/election/epoch_election.h
@@ -29,7 +29,7 @@
   net::Task<void> OpenEpoch();
   // Whether an epoch that is observed now is the one that this controller is
   // opening.
-  bool IsOpening() const { return is_opening_; }
+  bool IsOpeningEpoch() const { return is_opening_; }
 
  private:
   // Whether this controller may still open an epoch in the role in which the
--- a/app/recovery/data_loss_detector.h
+++ b/app/recovery/data_loss_detector.h
@@ -49,7 +49,7 @@
   // Whether a write was rejected because the store does not hold the present
   // epoch, judged by the keys whose preconditions failed. If so, reports the
   // indication.
-  bool GuardFailed(const std::vector<std::string>& failed_keys);
+  bool IsEpochPreconditionFailure(const std::vector<std::string>& failed_keys);
 
   // Checks a confirmed data loss again: it may have been only this controller
   // that read a replica of the store that lags behind.
--- a/app/recovery/epoch_history.h
+++ b/app/recovery/epoch_history.h
@@ -20,10 +20,10 @@
 
   // Takes in the number of the epoch as it is recorded now. `wall_now`: seconds
   // since 1970.
-  Change OnNumber(const StoreEpoch& epoch, Time now, double wall_now);
-  // Takes in the other fields of the epoch. To be called after OnNumber, and
-  // after the caller has handled the change that OnNumber returned.
-  void OnFacts(const StoreEpoch& epoch, Time now);
+  Change OnEpochObserved(const StoreEpoch& epoch, Time now, double wall_now);
+  // Takes in the other fields of the epoch. To be called after OnEpochObserved,
+  // and after the caller has handled the change that OnEpochObserved returned.
+  void OnEpochDetails(const StoreEpoch& epoch, Time now);
 
   // The number of the first epoch that this process has known; 0: none. This
   // process knows nothing of the data that was lost before that epoch.
--- a/app/recovery/recovery_context.h
+++ b/app/recovery/recovery_context.h
@@ -63,7 +63,7 @@
 
 // The same, and an answer with a lower revision than an earlier one counts too.
 inline bool IsAnsweredOrSteppedBack(const clients::StoreResult& result) {
-  return IsAnswered(result) || result.stepped_back;
+  return IsAnswered(result) || result.revision_decreased;
 }
 
 }  // namespace oxbow::app
--- a/app/recovery/store_inspector.h
+++ b/app/recovery/store_inspector.h
@@ -30,7 +30,7 @@
   explicit StoreInspector(const RecoveryContext& context) : context_(context) {}
 
   // Adds the precondition that the store holds the epoch that is known here.
-  void AddGuard(std::vector<Precondition>* preconditions) const;
+  void AddEpochPrecondition(std::vector<Precondition>* preconditions) const;
 
   // Whether the store holds the epoch that is known here or a later one. A
   // later epoch is taken into the catalog.
--- a/core/dependencies/dependency_coordinator.h
+++ b/core/dependencies/dependency_coordinator.h
@@ -35,12 +35,12 @@
   void PollDependencies(Time now);
   // A waiting job has become an ordinary one. True: its user has cancelled it
   // while the release was in flight.
-  bool StopWaiting(const std::string& id);
+  bool OnDependentReleased(const std::string& id);
   // Its user cancels a waiting job. False: it does not wait.
   bool CancelWaiting(const std::string& id, Time now);
   // What waiting jobs will need within the time in which a machine boots: those
   // whose dependencies are all about to end.
-  Resources ResourcesOfNextSteps(Time now) const;
+  Resources UpcomingReleaseDemand(Time now) const;
   // What the job inherits from those that depend on it.
   Inherited InheritedBy(const std::string& id) {
     return dependency_graph_.InheritedBy(id);
@@ -59,7 +59,7 @@
   // been released or has ended.
   void DeleteObsoleteWaitingRecord(const std::string& id);
   // Which jobs wait for which others, for people; a line each, not all of many.
-  std::vector<std::string> WaitingLines() const;
+  std::vector<std::string> DescribeWaitingJobs() const;
 
  private:
   struct TerminalStateRead {
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -25,21 +25,21 @@
 struct Comparison {
   // The controller that is best placed to lead, if one is significantly better
   // placed than this controller; else null.
-  const Reach* best = nullptr;
+  const ReachabilityAnswer* best = nullptr;
   int advantage = 0;        // of `best`, in machines
   bool any_answer = false;  // whether another controller has answered
 };
 
-Comparison CompareReachability(const std::vector<Reach>& answers) {
+Comparison CompareReachability(const std::vector<ReachabilityAnswer>& answers) {
   Comparison comparison;
-  const Reach& self = answers.front();
+  const ReachabilityAnswer& self = answers.front();
   const auto asked = static_cast<int>(self.machines.size());
   for (size_t i = 1; i < answers.size(); ++i) {
-    const Reach& other = answers[i];
+    const ReachabilityAnswer& other = answers[i];
     if (!other.answered) continue;
     comparison.any_answer = true;
-    const int advantage = Advantage(self, other);
-    if (!other.may_lead || !Surely(advantage, asked) ||
+    const int advantage = ReachabilityAdvantage(self, other);
+    if (!other.may_lead || !IsSignificantAdvantage(advantage, asked) ||
         advantage <= comparison.advantage) {
       continue;
     }
@@ -76,7 +76,8 @@
       next = kSteppingDown;
       break;
   }
-  if (next != state_) CheckedChange(state_, next, kChanges, "leader health");
+  if (next != state_)
+    CheckedTransition(state_, next, kChanges, "leader health");
 }
 
 bool LeaderHealth::ReceivesTooFewHeartbeats() const {
@@ -90,19 +91,19 @@
   // that have arrived meanwhile are read. How long messages have been missing
   // is not known either, so that time starts anew.
   const Time before = last_observed_at_;
-  const bool stalled = now - before > limits_.pause_seconds / 2;
+  const bool stalled = now - before > limits_.survey_pause_seconds / 2;
   last_observed_at_ = now;
   heartbeats_received_ = received;
   if (stalled) {
     too_few_since_.reset();
     next_survey_at_ =
-        std::max(next_survey_at_, now + limits_.pause_seconds / 2);
+        std::max(next_survey_at_, now + limits_.survey_pause_seconds / 2);
   }
   UpdateTooFewSince(now);
   // The survey after which this leader may step down is made as soon as that is
   // allowed, not after a pause.
   if (too_few_since_) {
-    const Time blind_at = *too_few_since_ + limits_.blind_after_seconds;
+    const Time blind_at = *too_few_since_ + limits_.step_down_after_seconds;
     if (before < blind_at && now >= blind_at) {
       next_survey_at_ = std::min(next_survey_at_, now);
     }
@@ -111,7 +112,7 @@
       received.troubled > 0 &&
       received.troubled >= limits_.troubled_share * received.recorded;
   if (state_ == kHealthy && few) {
-    pause_seconds_ = limits_.pause_seconds;
+    pause_seconds_ = limits_.survey_pause_seconds;
     Change(LeaderHealthEvent::kFewHeartbeats);
   } else if (!few) {
     Change(LeaderHealthEvent::kEnoughHeartbeats);
@@ -128,24 +129,26 @@
   // This is worse than what the last surveys were about, so the pauses start
   // anew. Otherwise a leader that had been suspect for a long time because of
   // one dead machine would survey too late.
-  pause_seconds_ = limits_.pause_seconds;
-  next_survey_at_ = std::min(next_survey_at_, now + limits_.pause_seconds / 2);
+  pause_seconds_ = limits_.survey_pause_seconds;
+  next_survey_at_ =
+      std::min(next_survey_at_, now + limits_.survey_pause_seconds / 2);
 }
 
-bool LeaderHealth::WantsRound(Time now) const {
+bool LeaderHealth::IsSurveyDue(Time now) const {
   return state_ == kSuspect && now >= next_survey_at_ &&
-         now - started_ >= limits_.settle_seconds;
+         now - started_ >= limits_.min_leadership_seconds;
 }
 
-void LeaderHealth::RoundAsked(Time now) {
+void LeaderHealth::OnSurveyStarted(Time now) {
   Change(LeaderHealthEvent::kSurveyStarted);
   // The longer no controller is better placed, the rarer the surveys become.
   next_survey_at_ = now + pause_seconds_;
-  pause_seconds_ = std::min(2 * pause_seconds_, limits_.longest_pause_seconds);
+  pause_seconds_ =
+      std::min(2 * pause_seconds_, limits_.max_survey_pause_seconds);
 }
 
-LeaderHealth::Decision LeaderHealth::RoundAnswered(
-    const std::vector<Reach>& answers, Time now) {
+LeaderHealth::Decision LeaderHealth::OnSurveyAnswered(
+    const std::vector<ReachabilityAnswer>& answers, Time now) {
   if (state_ != kSurveying || answers.empty()) return {};
   const Comparison comparison = CompareReachability(answers);
   if (comparison.best != nullptr) {
@@ -162,7 +165,7 @@
   // So the leader steps down, once, after this has lasted for some time.
   const bool cannot_compare =
       !comparison.any_answer && answers.size() > 1 && too_few_since_ &&
-      now - *too_few_since_ >= limits_.blind_after_seconds;
+      now - *too_few_since_ >= limits_.step_down_after_seconds;
   if (!cannot_compare) {
     Change(LeaderHealthEvent::kNoBetterPeer);
     return {};
--- a/core/leader_health/leader_health.h
+++ b/core/leader_health/leader_health.h
@@ -64,15 +64,15 @@
     // A controller that receives messages from a smaller share of the machines
     // can't lead, whether another controller can or not.
     double minimum_received_share = 0;
-    double pause_seconds = 0;  // between two surveys, at first
-    double longest_pause_seconds =
+    double survey_pause_seconds = 0;  // between two surveys, at first
+    double max_survey_pause_seconds =
         0;  // between two surveys; it doubles up to it
     // How long too few machines must have sent messages, while no controller
     // answers, before the leader steps down.
-    double blind_after_seconds = 0;
+    double step_down_after_seconds = 0;
     // No survey, and so no leadership transfer, earlier than this after the
     // beginning of the leadership.
-    double settle_seconds = 0;
+    double min_leadership_seconds = 0;
   };
   struct Decision {
     enum class Kind : uint8_t { kStay, kOfferLeadershipTransfer, kStepDown };
@@ -93,11 +93,12 @@
   // time without messages.
   void Observe(const HeartbeatsReceived& received, Time now);
   // Whether a survey is due; the caller carries it out.
-  bool WantsRound(Time now) const;
+  bool IsSurveyDue(Time now) const;
   // A survey has been started.
-  void RoundAsked(Time now);
+  void OnSurveyStarted(Time now);
   // A survey has ended. `answers`: this controller's own first.
-  Decision RoundAnswered(const std::vector<Reach>& answers, Time now);
+  Decision OnSurveyAnswered(const std::vector<ReachabilityAnswer>& answers,
+                            Time now);
   // The controller to which leadership was offered has refused it.
   void OfferRefused(Time now);
   // It has accepted.
--- a/core/leader_health/reachability_survey.h
+++ b/core/leader_health/reachability_survey.h
@@ -10,7 +10,7 @@
 namespace oxbow {
 
 // One controller's answer to a survey.
-struct Reach {
+struct ReachabilityAnswer {
   static constexpr char kReached = '1';
   static constexpr char kNotReached = '0';
   // The controller does not know the machine and did not ask it.
@@ -26,19 +26,20 @@
   bool Reaches(size_t i) const {
     return i < machines.size() && machines[i] == kReached;
   }
-  bool Denies(size_t i) const {
+  bool FailsToReach(size_t i) const {
     return i < machines.size() && machines[i] == kNotReached;
   }
 };
 
 // Whether `text` is a valid value of Reach::machines for a survey of `count`
 // machines.
-bool IsReachText(const std::string& text, size_t count);
+bool IsReachabilityText(const std::string& text, size_t count);
 
 // How many machines more `other` reaches than `self`: the number that only
 // `other` reaches less the number that only `self` reaches. Machines that
 // `other` did not ask are left out.
-int Advantage(const Reach& self, const Reach& other);
+int ReachabilityAdvantage(const ReachabilityAnswer& self,
+                          const ReachabilityAnswer& other);
 
 // Whether reaching `more` machines more, out of `asked`, is statistically
 // significant. A probe of a reachable machine fails now and then (a lost
@@ -48,10 +49,10 @@
 // binomial test is used because no fixed threshold fits both three machines and
 // a sample of a thousand. It requires 2 of 2, 3 of 3, 4 of 8 and 7 of 24
 // machines.
-bool Surely(int more, int asked);
+bool IsSignificantAdvantage(int more, int asked);
 
 // The number of machines in a survey: enough to distinguish one tenth of the
 // machines being unreachable from one third, whatever the size of the fleet.
-inline constexpr int kReachSample = 24;
+inline constexpr int kSurveySampleSize = 24;
 
 }  // namespace oxbow
--- a/core/lease/delegated_lease.h
+++ b/core/lease/delegated_lease.h
@@ -42,13 +42,13 @@
 
   // The leader has granted the lease in answer to a request sent at `sent`, or
   // this controller was the leader itself at that time.
-  void Granted(Time sent);
+  void OnGranted(Time sent);
   // The lease of the record was renewed by a request sent at `sent`.
-  void Recorded(Time sent);
+  void OnRecordRenewed(Time sent);
   // The record was written again at `now`, under a lease requested at `sent`.
   // Between the end of the old record and this write a new leader may have
   // found no record, so every earlier grant is void.
-  void RecordedAnew(Time sent, Time now);
+  void OnRecordRewritten(Time sent, Time now);
   // Whether a worker's heartbeat may be answered now, which renews the worker's
   // lease. If so, it is counted as answered.
   bool Renew(Time now);
@@ -100,14 +100,15 @@
   // `recorded`: the controllers that have a record, as read by a request sent
   // at `sent`. A controller without a record has no delegated lease, unless it
   // was granted one after `sent`.
-  void RecordsRead(const std::set<std::string>& recorded, Time sent, Time now);
+  void OnRecordsRead(const std::set<std::string>& recorded, Time sent,
+                     Time now);
   // Whether a delegate may have renewed the lease of a worker in the zone so
   // recently that the worker's tasks may still run.
   bool MayBeRenewed(const std::string& zone, Time now) const;
   // The controllers in the zone to ask to yield now; each is returned again
   // only after a part of the time for which a delegate yields. Counts them as
   // asked.
-  std::vector<std::string> PeersToAsk(const std::string& zone, Time now);
+  std::vector<std::string> PeersToAskToYield(const std::string& zone, Time now);
 
  private:
   struct Peer {
--- a/core/lease/delegated_lease_record.h
+++ b/core/lease/delegated_lease_record.h
@@ -40,18 +40,18 @@
   uint64_t lease_id() const { return lease_id_; }
 
   // The key was read.
-  void WasRead(uint64_t mod_revision);
+  void OnKeyRead(uint64_t mod_revision);
   // As above. `key_lease`: the lease that the key is attached to; 0 for none.
-  void WasReadWithLease(uint64_t mod_revision, uint64_t key_lease, Time now);
+  void OnKeyReadWithLease(uint64_t mod_revision, uint64_t key_lease, Time now);
   // A lease for the key was created by a request sent at `sent`; it counts from
   // then.
   void LeaseGranted(uint64_t lease_id, Time sent);
   // The key was written.
-  void Written(Time now);
+  void OnRecordWritten(Time now);
   // The write of the key was rejected, or its outcome is unknown.
-  void NotWritten();
+  void OnRecordNotWritten();
   // The lease of the key was renewed by a request sent at `sent`.
-  void Renewed(Time sent);
+  void OnKeyLeaseRenewed(Time sent);
   // The lease has ended, and with it the key.
   void LeaseEnded();
 
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -34,7 +34,7 @@
       delegation_seconds_(delegation_seconds) {}
 
 void Leadership::Change(LeaderState next) {
-  CheckedChange(state_, next, kChanges, "leadership");
+  CheckedTransition(state_, next, kChanges, "leadership");
 }
 
 Time Leadership::PeerPromisesUntil() const {
@@ -48,7 +48,7 @@
   return until;
 }
 
-bool Leadership::Valid(Time now) {
+bool Leadership::MayActAsLeader(Time now) {
   if (state_ == kRenewing && now >= lease_expires_at_) Change(kExpired);
   if (state_ != kLeading && state_ != kLeadingByPromises) return false;
   if (now < lease_expires_at_) {
@@ -63,11 +63,12 @@
   return false;
 }
 
-bool Leadership::MaySeek(Time now) const {
-  return state_ == kFollower && !IsBoundByPromise(now) && Proven(now);
+bool Leadership::MayCampaign(Time now) const {
+  return state_ == kFollower && !IsBoundByPromise(now) &&
+         ForgottenPromisesExpired(now);
 }
 
-bool Leadership::MayTakeKey(Time now) const {
+bool Leadership::MayTakeFreeKey(Time now) const {
   return delegation_seconds_ > 0 && state_ == kFollower &&
          !IsBoundByPromise(now);
 }
@@ -79,18 +80,19 @@
                      [now](const auto& p) { return now < p.second.until; });
 }
 
-bool Leadership::Proven(Time now) const {
-  if (now >= started_ + promise_seconds_ * (1 + kDrift)) return true;
+bool Leadership::ForgottenPromisesExpired(Time now) const {
+  if (now >= started_ + promise_seconds_ * (1 + kMaxClockDriftRate))
+    return true;
   return NoPeerReliesOnPromises(DelegationsAreOver(now));
 }
 
-bool Leadership::OwnProven(Time now) const {
+bool Leadership::ForgottenDelegationsExpired(Time now) const {
   return leading_peers_.empty() &&
          (DelegationsAreOver(now) || NoPeerReliesOnPromises(false));
 }
 
 bool Leadership::DelegationsAreOver(Time now) const {
-  return now >= started_ + delegation_seconds_ * (1 + kDrift);
+  return now >= started_ + delegation_seconds_ * (1 + kMaxClockDriftRate);
 }
 
 bool Leadership::NoPeerReliesOnPromises(bool delegations_are_over) const {
@@ -100,7 +102,7 @@
   });
 }
 
-void Leadership::SeekStarted(uint64_t seen) {
+void Leadership::OnCampaignStarted(uint64_t seen) {
   Change(kCampaigning);
   seen_ = seen;
   // A controller that learns that this one holds the key stops honouring its
@@ -111,19 +113,20 @@
   peer_delegations_until_.clear();
 }
 
-void Leadership::SeekFailed() { Change(kFollower); }
+void Leadership::OnCampaignFailed() { Change(kFollower); }
 
-void Leadership::Won(uint64_t revision, uint64_t lease_id, Time sent,
-                     bool leads) {
+void Leadership::OnElected(uint64_t revision, uint64_t lease_id, Time sent,
+                           bool leads) {
   Change(leads ? kLeading : kRenewing);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_expires_at_ = sent + lease_seconds_ * (1 - kDrift);
+  lease_expires_at_ = sent + lease_seconds_ * (1 - kMaxClockDriftRate);
   peer_promises_until_.clear();
 }
 
-bool Leadership::Promote(Time now) {
-  if (state_ != kRenewing || now >= lease_expires_at_ || !Proven(now))
+bool Leadership::PromoteToLeader(Time now) {
+  if (state_ != kRenewing || now >= lease_expires_at_ ||
+      !ForgottenPromisesExpired(now))
     return false;
   Change(kLeading);
   return true;
@@ -134,11 +137,11 @@
   if (state_ == kLeadingByPromises) Change(kLeading);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_expires_at_ = sent + lease_seconds_ * (1 - kDrift);
+  lease_expires_at_ = sent + lease_seconds_ * (1 - kMaxClockDriftRate);
   peer_promises_until_.clear();
 }
 
-void Leadership::Forget(Time now) {
+void Leadership::ResetAfterDataLoss(Time now) {
   started_ = now;
   idle_peers_.clear();
   delegate_peers_.clear();
@@ -148,18 +151,18 @@
 void Leadership::RenewGranted(Time sent) {
   if (state_ != kLeading && state_ != kLeadingByPromises && state_ != kRenewing)
     return;
-  lease_expires_at_ =
-      std::max(lease_expires_at_, sent + lease_seconds_ * (1 - kDrift));
+  lease_expires_at_ = std::max(
+      lease_expires_at_, sent + lease_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-void Leadership::Lost() {
+void Leadership::OnKeyLost() {
   if (state_ == kLeading || state_ == kLeadingByPromises ||
       state_ == kRenewing) {
     Change(kExpired);
   }
 }
 
-void Leadership::Retire() {
+void Leadership::BecomeFollower() {
   if (state_ == kExpired) Change(kFollower);
 }
 
@@ -174,20 +177,20 @@
 
 void Leadership::PromiseGranted(const std::string& peer, Time sent) {
   Time& until = peer_promises_until_[peer];
-  until = std::max(until, sent + promise_seconds_ * (1 - kDrift));
+  until = std::max(until, sent + promise_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-bool Leadership::AskedToPromise(bool store_fails, Time now) {
+bool Leadership::OnPromiseRequested(bool store_fails, Time now) {
   // The outcome of a campaign in progress is unknown, so nothing can be
   // promised.
   if (!store_fails || state_ != kFollower) return false;
-  promised_until_ = now + promise_seconds_ * (1 + kDrift);
+  promised_until_ = now + promise_seconds_ * (1 + kMaxClockDriftRate);
   return true;
 }
 
 // A peer that once relied on no promise stays in idle_peers_: whatever it
 // relies on later, this process has promised and remembers.
-void Leadership::PeerIs(const std::string& peer, LeaderRole role) {
+void Leadership::SetPeerRole(const std::string& peer, LeaderRole role) {
   if (std::find(peers_.begin(), peers_.end(), peer) == peers_.end()) return;
   if (role == LeaderRole::kLeads) {
     leading_peers_.insert(peer);
@@ -214,7 +217,7 @@
              : LeaderRole::kNone;
 }
 
-bool Leadership::MayRenew(Time now) {
+bool Leadership::MayRenewWorkerLeases(Time now) {
   if (state_ == kRenewing) {
     if (now < lease_expires_at_) return true;
     Change(kExpired);
@@ -228,7 +231,7 @@
   });
 }
 
-uint64_t Leadership::DelegationAsked(Time sent) {
+uint64_t Leadership::StartDelegationRequest(Time sent) {
   delegation_requested_at_ = sent;
   return ++delegation_number_;
 }
@@ -236,26 +239,27 @@
 void Leadership::DelegationGranted(const std::string& peer, Time sent) {
   if (sent <= delegation_ended_at_) return;
   Time& until = peer_delegations_until_[peer];
-  until = std::max(until, sent + delegation_seconds_ * (1 - kDrift));
+  until =
+      std::max(until, sent + delegation_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-uint64_t Leadership::DelegationOver(Time now) {
+uint64_t Leadership::EndDelegation(Time now) {
   if (delegation_ended_at_ >= delegation_requested_at_) return 0;
   delegation_ended_at_ = now;
   peer_delegations_until_.clear();
   return delegation_number_;
 }
 
-bool Leadership::AskedToDelegate(const std::string& peer,
-                                 const std::string& process_incarnation,
-                                 uint64_t number, bool store_fails, Time now) {
+bool Leadership::OnDelegationPromiseRequested(
+    const std::string& peer, const std::string& process_incarnation,
+    uint64_t number, bool store_fails, Time now) {
   if (delegation_seconds_ <= 0 || !store_fails || state_ != kFollower)
     return false;
   DelegationPromise& promise = given_delegation_promises_[peer];
   promise.process_incarnation = process_incarnation;
   promise.number = number;
-  promise.until =
-      std::max(promise.until, now + delegation_seconds_ * (1 + kDrift));
+  promise.until = std::max(
+      promise.until, now + delegation_seconds_ * (1 + kMaxClockDriftRate));
   return true;
 }
 
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -62,40 +62,41 @@
   // Whether this controller may act as the leader at this moment. Changes the
   // state when the right to lead has expired, so once the answer is false it
   // stays false until the key has been won again.
-  bool Valid(Time now);
+  bool MayActAsLeader(Time now);
 
   // --- Winning and renewing the leader key.
   // Whether this controller may campaign for leadership. A process that has
   // just started does not know which promises an earlier process of this
   // controller gave: it waits until the longest promise must have expired,
   // unless every other controller answers that it does not lead.
-  bool MaySeek(Time now) const;
+  bool MayCampaign(Time now) const;
   // Whether this controller may take a free leader key, if only to renew
   // workers' leases.
-  bool MayTakeKey(Time now) const;
+  bool MayTakeFreeKey(Time now) const;
   // Whether no other controller can still rely on a promise that an earlier
   // process of this controller gave.
-  bool Proven(Time now) const;
+  bool ForgottenPromisesExpired(Time now) const;
   // The same where the leader key is this controller's own, written by an
   // earlier process: no other controller has won the key since, so only
   // promises to delegates count. A controller that still leads by a key that
   // the key-value store has lost is known from its own answer
   // (LeaderRole::kLeads).
-  bool OwnProven(Time now) const;
+  bool ForgottenDelegationsExpired(Time now) const;
   // `seen`: the revision of the leader key on which the decision to campaign
   // was based. The write of the key has this revision as its precondition, and
   // not a later one that the watch delivers meanwhile: that may be the revision
   // of a controller that has just won.
-  void SeekStarted(uint64_t seen);
+  void OnCampaignStarted(uint64_t seen);
   uint64_t seen() const { return seen_; }
-  void SeekFailed();
+  void OnCampaignFailed();
   // `sent`: when the request was sent from which the lease counts. `leads`:
-  // Proven or OwnProven was true by then; if false, this controller holds the
-  // key and only renews workers' leases.
-  void Won(uint64_t revision, uint64_t lease_id, Time sent, bool leads = true);
+  // Proven or ForgottenDelegationsExpired was true by then; if false, this
+  // controller holds the key and only renews workers' leases.
+  void OnElected(uint64_t revision, uint64_t lease_id, Time sent,
+                 bool leads = true);
   // Makes a controller in kRenewing the leader once Proven is true. Returns
   // whether it became the leader.
-  bool Promote(Time now);
+  bool PromoteToLeader(Time now);
   // The lease of the leader key was renewed by a request sent at `sent`.
   void RenewGranted(Time sent);
   // The leader key was written again, while the right to lead was still valid,
@@ -104,11 +105,11 @@
   // The key-value store has lost data, possibly including the key of a leader.
   // As after a start, every controller has to be asked for its role, or the
   // longest promise has to expire.
-  void Forget(Time now);
+  void ResetAfterDataLoss(Time now);
   // The leader key belongs to another controller, or does not exist any more.
-  void Lost();
+  void OnKeyLost();
   // Becomes a follower once the leader's state has been torn down.
-  void Retire();
+  void BecomeFollower();
 
   // --- Promises, on the side of the leader that needs them.
   // Whether to ask the other controllers for promises now.
@@ -121,11 +122,11 @@
   // if the promise is refused. `store_fails`: this controller cannot reach the
   // key-value store. A controller that can reach it must refuse, or a leader
   // that is the only one cut off from the store would lead for ever.
-  bool AskedToPromise(bool store_fails, Time now);
+  bool OnPromiseRequested(bool store_fails, Time now);
   // A peer has answered that it has this role.
-  void PeerIs(const std::string& peer, LeaderRole role);
+  void SetPeerRole(const std::string& peer, LeaderRole role);
   void PeerDoesNotLead(const std::string& peer) {
-    PeerIs(peer, LeaderRole::kNone);
+    SetPeerRole(peer, LeaderRole::kNone);
   }
   // Until when this controller has promised a leader not to campaign.
   Time promised_until() const { return promised_until_; }
@@ -141,23 +142,24 @@
   // campaign. A leader that leads by promises may exist unknown to a delegate,
   // and therefore treats no incarnation as expired (Leader::Tick). Whether this
   // controller may renew workers' leases now.
-  bool MayRenew(Time now);
+  bool MayRenewWorkerLeases(Time now);
   double delegation_seconds() const { return delegation_seconds_; }
   // This controller asks all others for promises to a delegate. Returns the
   // number of the request, which is sent along with it.
-  uint64_t DelegationAsked(Time sent);
+  uint64_t StartDelegationRequest(Time sent);
   // `peer` has promised, in answer to a request sent at `sent`.
   void DelegationGranted(const std::string& peer, Time sent);
   // This controller stops relying on promises to a delegate. Returns the number
   // of its last request, to be sent to the others so that they release their
   // promises up to that request; 0 if it relied on none.
-  uint64_t DelegationOver(Time now);
+  uint64_t EndDelegation(Time now);
   // A delegate asks this controller to promise not to campaign. Returns false
   // if the promise is refused. `process_incarnation`: of the asking process.
-  // `number`: of its request. `store_fails`: as for AskedToPromise.
-  bool AskedToDelegate(const std::string& peer,
-                       const std::string& process_incarnation, uint64_t number,
-                       bool store_fails, Time now);
+  // `number`: of its request. `store_fails`: as for OnPromiseRequested.
+  bool OnDelegationPromiseRequested(const std::string& peer,
+                                    const std::string& process_incarnation,
+                                    uint64_t number, bool store_fails,
+                                    Time now);
   // The delegate releases the promises up to request `number`. Has no effect on
   // a promise to a later request or to another process: the release may have
   // been delayed.
--- a/core/lease/partition_detector.h
+++ b/core/lease/partition_detector.h
@@ -38,7 +38,7 @@
 
   // Whether the worker is to be redirected to another controller rather than
   // answered here. If so, it is noted as redirected.
-  bool Redirected(const Heartbeat& heartbeat, Time now);
+  bool ShouldRedirect(const Heartbeat& heartbeat, Time now);
   // This controller has answered the heartbeat.
   void OnAnswered(const Heartbeat& heartbeat, Time now);
   // Discards all evidence: the leader or the key-value store is reached again.
--- a/core/read_consistency/read_consistency_gate.h
+++ b/core/read_consistency/read_consistency_gate.h
@@ -31,9 +31,9 @@
 
 // The result of a read of the job's records that began after the user's query.
 enum class RecordRead : uint8_t {
-  kNone,     // not read yet
-  kUnclear,  // the read failed, or its result is not reliable
-  kLive,     // the job has a live record
+  kNone,          // not read yet
+  kInconclusive,  // the read failed, or its result is not reliable
+  kLive,          // the job has a live record
   kMissing,  // a live record was not found, nor after that a terminal state
 };
 
@@ -47,15 +47,15 @@
 
 // How to answer a user.
 enum class StatusDecision : uint8_t {
-  kEnd,        // answer with the terminal state
-  kLive,       // answer with the live state
-  kDenial,     // answer that there is no such job
-  kReadFirst,  // read the job's records, then decide again
-  kNothing,    // answer "unavailable": the user has to ask again
+  kTerminalState,  // answer with the terminal state
+  kLive,           // answer with the live state
+  kNoSuchJob,      // answer that there is no such job
+  kReadFirst,      // read the job's records, then decide again
+  kTryAgain,       // answer "unavailable": the user has to ask again
 };
 
 // The rule for every answer to a user about a job.
-StatusDecision Decide(const StatusEvidence& evidence);
+StatusDecision DecideStatus(const StatusEvidence& evidence);
 
 // A write of a job's terminal state. Its precondition is the mod revision of
 // the job's live record.
--- a/core/rebalancing/rebalancer.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -81,7 +81,7 @@
 
 void Rebalancer::Change(Move& move, ReplicaMoveState next, Time now,
                         GiveUpReason reason) {
-  CheckedChange(move.state, next, kChanges, "replica move");
+  CheckedTransition(move.state, next, kChanges, "replica move");
   move.state_since = now;
   if (next == kStopping) move.stop_sent_at = now;
   move.reason = reason;
@@ -108,8 +108,8 @@
                          Time now) {
   Move move;
   move.claim = claim;
-  move.ends_at = claim.until_wall - wall_minus_steady;
-  move.cooled_off_at = claim.cool_wall - wall_minus_steady;
+  move.ends_at = claim.expires_wall - wall_minus_steady;
+  move.cooled_off_at = claim.cooldown_until_wall - wall_minus_steady;
   // Bounded, in case the record is wrong or was written by a clock that is off.
   const double longest = limits_.cool_leases * limits_.lease_seconds;
   move.ends_at = std::min(move.ends_at, now + longest);
@@ -170,8 +170,8 @@
     move.ends_at = now + longest;
     move.cooled_off_at = now + std::max(longest, limits_.cool_leases * lease);
     claim.id = id;
-    claim.until_wall = move.ends_at + wall_minus_steady;
-    claim.cool_wall = move.cooled_off_at + wall_minus_steady;
+    claim.expires_wall = move.ends_at + wall_minus_steady;
+    claim.cooldown_until_wall = move.cooled_off_at + wall_minus_steady;
     move.claim = claim;
     move.zone = request.zone;
     move.team = request.team;
--- a/core/rebalancing/rebalancer.h
+++ b/core/rebalancing/rebalancer.h
@@ -55,9 +55,9 @@
   uint64_t attempt = 0;  // of the replica that is to be stopped
   std::string from;      // hosts
   std::string to;
-  std::string for_job;    // the job that waits for the capacity
-  double until_wall = 0;  // the claim ends, whatever became of the move
-  double cool_wall = 0;   // no move of the service begins before
+  std::string for_job;      // the job that waits for the capacity
+  double expires_wall = 0;  // the claim ends, whatever became of the move
+  double cooldown_until_wall = 0;  // no move of the service begins before
 };
 
 // What the leader observes of a move.
--- a/core/rebalancing/rebalancing_manager.h
+++ b/core/rebalancing/rebalancing_manager.h
@@ -19,7 +19,7 @@
 class CommandDispatcher;
 class RolloutManager;
 
-// One per leadership. Does nothing until UseMoves enables it.
+// One per leadership. Does nothing until EnableReplicaMoves enables it.
 class RebalancingManager {
  public:
   // The modules that it calls.
@@ -34,8 +34,9 @@
   // refused. Records of other kinds are ignored.
   void OnMoveRecord(const std::string& name, Time now);
   // Advances the moves, and plans new ones for the jobs that need whole
-  // machines. `large_waiting`: Scheduler::large_waiting.
-  void TickMoves(const std::vector<std::string>& large_waiting, Time now);
+  // machines. `waiting_accelerator_jobs`: Scheduler::waiting_accelerator_jobs.
+  void TickMoves(const std::vector<std::string>& waiting_accelerator_jobs,
+                 Time now);
   bool enabled() const { return rebalancer_.has_value(); }
   // Null where the operators have not enabled moves.
   const Rebalancer* rebalancer() const {
@@ -52,7 +53,7 @@
   }
   // Enables moves, as far as the operators' settings do, and takes up the
   // claims that an earlier leader has recorded; before the first tick.
-  void UseMoves(const MoveCodec& codec, Time now);
+  void EnableReplicaMoves(const MoveCodec& codec, Time now);
 
  private:
   // Replicas that run, on machines that send heartbeats and obey this leader
--- a/core/recovery/peer_choice.cc
+++ b/core/recovery/peer_selector.cc
@@ -1,4 +1,4 @@
-#include "core/recovery/peer_choice.h"
+#include "core/recovery/peer_selector.h"
 
 #include <algorithm>
 #include <array>
@@ -17,26 +17,27 @@
 
 }  // namespace
 
-PeerChoice::PeerChoice(size_t peers, double initial_backoff_seconds,
-                       double max_backoff_seconds, double unresolved_per_second)
+PeerSelector::PeerSelector(size_t peers, double initial_backoff_seconds,
+                           double max_backoff_seconds,
+                           double unresolved_per_second)
     : peers_(peers, {kResponsive, 0, initial_backoff_seconds}),
       initial_backoff_seconds_(initial_backoff_seconds),
       max_backoff_seconds_(max_backoff_seconds),
       unresolved_per_second_(unresolved_per_second),
       unresolved_allowance_(std::max(1.0, unresolved_per_second)) {}
 
-void PeerChoice::Change(Peer& peer, PeerEvent event) {
+void PeerSelector::Change(Peer& peer, PeerEvent event) {
   switch (event) {
     case PeerEvent::kPeerAnswered:
-      return CheckedChange(peer.state, kResponsive, kChanges, "peer");
+      return CheckedTransition(peer.state, kResponsive, kChanges, "peer");
     case PeerEvent::kPeerSilent:
-      return CheckedChange(peer.state, kBackingOff, kChanges, "peer");
+      return CheckedTransition(peer.state, kBackingOff, kChanges, "peer");
     case PeerEvent::kProbeStarted:
-      return CheckedChange(peer.state, kProbing, kChanges, "peer");
+      return CheckedTransition(peer.state, kProbing, kChanges, "peer");
   }
 }
 
-bool PeerChoice::MayAskAround(Time now) {
+bool PeerSelector::MayForwardRequest(Time now) {
   const double max_allowance = std::max(1.0, unresolved_per_second_);
   unresolved_allowance_ = std::min(
       max_allowance, unresolved_allowance_ + (now - allowance_updated_at_) *
@@ -47,7 +48,7 @@
   return true;
 }
 
-std::vector<size_t> PeerChoice::PreferenceOrder() const {
+std::vector<size_t> PeerSelector::PreferenceOrder() const {
   std::vector<size_t> preference;
   for (size_t i = 0; i < peers_.size(); ++i) {
     preference.push_back((preferred_ + i) % peers_.size());
@@ -55,20 +56,20 @@
   return preference;
 }
 
-bool PeerChoice::MayTry(size_t peer, Time now) {
+bool PeerSelector::MayProbe(size_t peer, Time now) {
   Peer& entry = peers_[peer];
   if (entry.state != kBackingOff || now < entry.backoff_ends_at) return false;
   Change(entry, PeerEvent::kProbeStarted);
   return true;
 }
 
-void PeerChoice::Answered(size_t peer) {
+void PeerSelector::OnPeerAnswered(size_t peer) {
   Peer& entry = peers_[peer];
   entry.next_backoff_seconds = initial_backoff_seconds_;
   if (entry.state != kResponsive) Change(entry, PeerEvent::kPeerAnswered);
 }
 
-void PeerChoice::Silent(size_t peer, Time now) {
+void PeerSelector::OnPeerSilent(size_t peer, Time now) {
   Peer& entry = peers_[peer];
   // If several requests waited for the peer at the same time, only the first
   // one that gets no answer starts a back-off.
@@ -79,7 +80,7 @@
       std::min(2 * entry.next_backoff_seconds, max_backoff_seconds_);
 }
 
-void PeerChoice::Helped(size_t peer) {
+void PeerSelector::OnRequestResolved(size_t peer) {
   preferred_ = peer;
   unresolved_allowance_ = std::min(std::max(1.0, unresolved_per_second_),
                                    unresolved_allowance_ + 1);
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_selector.h
@@ -25,21 +25,21 @@
 
 // The state machines of all peers, a circuit breaker for each. Peers are
 // numbered from 0, in the order of the caller.
-class PeerChoice {
+class PeerSelector {
  public:
   // `initial_backoff_seconds`: the back-off after the first missing answer; it
   // doubles with each further one up to `max_backoff_seconds`.
   // `unresolved_per_second`: how many requests per second may be forwarded if
   // no peer can resolve any of them.
-  PeerChoice(size_t peers, double initial_backoff_seconds,
-             double max_backoff_seconds, double unresolved_per_second);
+  PeerSelector(size_t peers, double initial_backoff_seconds,
+               double max_backoff_seconds, double unresolved_per_second);
 
   // Whether a request may be forwarded; if so, it is counted. In an outage that
   // affects all controllers, forwarding every request would only add to the
   // load. The rate is limited rather than a pause made after each failure: a
   // pause that every unresolved request renews could keep out for ever a
   // request that another controller could resolve.
-  bool MayAskAround(Time now);
+  bool MayForwardRequest(Time now);
   // All peers, starting with the peer that resolved a request last. A request
   // asks all of them in turn, so its result does not depend on the order.
   std::vector<size_t> PreferenceOrder() const;
@@ -51,13 +51,13 @@
   // begun, and the caller has to report Answered or Silent. No user's request
   // waits for a probe: otherwise every request of one user could happen to be a
   // probe.
-  bool MayTry(size_t peer, Time now);
+  bool MayProbe(size_t peer, Time now);
   // The peer has answered a request or probe.
-  void Answered(size_t peer);
+  void OnPeerAnswered(size_t peer);
   // The peer has not answered a request or probe.
-  void Silent(size_t peer, Time now);
+  void OnPeerSilent(size_t peer, Time now);
   // The peer could resolve the request that was forwarded to it.
-  void Helped(size_t peer);
+  void OnRequestResolved(size_t peer);
 
   PeerState state(size_t peer) const { return peers_[peer].state; }
 
--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -14,17 +14,17 @@
 
 // How far the contents of the store may be relied on.
 enum class StoreVerificationState : uint8_t {
-  kVerified,    // a record that the store does not hold does not exist
-  kSuspected,   // an indication of data loss is being examined
-  kLost,        // the store has lost data; a new epoch has to be opened
-  kRebuilding,  // a new epoch is open; retained records are being written back
+  kVerified,     // a record that the store does not hold does not exist
+  kSuspected,    // an indication of data loss is being examined
+  kLost,         // the store has lost data; a new epoch has to be opened
+  kReconciling,  // a new epoch is open; retained records are being written back
 };
 
 // The indications of data loss. They are sent between controllers by number, so
 // new ones are added at the end.
 enum class DataLossIndication : uint8_t {
   kNone,
-  kStepBack,       // an answer had a lower revision than an earlier answer
+  kRevisionDecreased,  // an answer had a lower revision than an earlier answer
   kEpochMissing,   // the epoch's records are missing, or are of another epoch
   kRecordMissing,  // a record is missing that no controller deleted
   kUnknownTerm,  // a worker shows a fencing token whose term is higher than any
@@ -83,12 +83,12 @@
   // written back only the leader may, since it has all of them.
   bool MayAccept(bool is_leading) const {
     return state_ == StoreVerificationState::kVerified ||
-           (state_ == StoreVerificationState::kRebuilding && is_leading);
+           (state_ == StoreVerificationState::kReconciling && is_leading);
   }
   // Whether a missing leader key proves that no controller leads by the key.
-  bool MaySeek() const {
+  bool MayCampaign() const {
     return state_ == StoreVerificationState::kVerified ||
-           state_ == StoreVerificationState::kRebuilding;
+           state_ == StoreVerificationState::kReconciling;
   }
 
  private:
--- a/core/rollout/rollout.cc
+++ b/core/rollout/rollout.cc
@@ -77,7 +77,7 @@
   if (record.mod_revision <= record_.mod_revision) return;
   RolloutStep step = record_.step;
   if (record.step != step) {
-    CheckedChange(step, record.step, kChanges, "rollout");
+    CheckedTransition(step, record.step, kChanges, "rollout");
     step_since_ = now;
   }
   record_ = record;
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -110,7 +110,7 @@
 // A controller that has just accepted a job notifies the leader ahead of the
 // watch. The rollout that was declared before the job arrives by the watch
 // only: until the watch has caught up, the job could start unrestricted.
-bool RolloutManager::MayBeRestricted(const Job& job) const {
+bool RolloutManager::MayHaveUnseenRollout(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
   }
@@ -150,9 +150,10 @@
                                     {"step", NameOf(record.step)}});
 }
 
-void RolloutManager::OnHealth(const std::string& rollout,
-                              const TaskAttemptKey& key,
-                              const CheckOutcome& outcome, Time now) {
+void RolloutManager::OnHealthCheckResult(const std::string& rollout,
+                                         const TaskAttemptKey& key,
+                                         const CheckOutcome& outcome,
+                                         Time now) {
   --checks_in_flight_;
   const auto it = rollouts_.find(rollout);
   if (it != rollouts_.end()) it->second.OnCheck(key, outcome, now);
@@ -307,8 +308,8 @@
   }
   ++checks_in_flight_;
   check_budget_ -= 1;
-  actions_.push_back(CheckInstance{rollout.spec().id, key, machine->endpoint,
-                                   rollout.record().spec});
+  actions_.push_back(RunHealthCheck{rollout.spec().id, key, machine->endpoint,
+                                    rollout.record().spec});
 }
 
 void RolloutManager::QueueStep(RolloutStepWrite step) {
@@ -353,7 +354,7 @@
     txn->mutations.push_back({key, next});
     return true;
   }
-  txn->mutations.push_back({keys::Of(keys::kRolloutEnd, op.name), next});
+  txn->mutations.push_back({keys::Of(keys::kEndedRollout, op.name), next});
   txn->mutations.push_back({key, {}});
   const std::string* ended_job = JobEndedBy(op.step, *next.spec);
   const JobRecord* job = ended_job ? catalog_.FindJob(*ended_job) : nullptr;
--- a/core/rollout/rollout_manager.h
+++ b/core/rollout/rollout_manager.h
@@ -50,7 +50,7 @@
                          Time now) const;
   // Whether a rollout that restricts the job may have been recorded before it
   // and not have reached this leader yet.
-  bool MayBeRestricted(const Job& job) const;
+  bool MayHaveUnseenRollout(const Job& job) const;
   // The rollout's record in the catalog is new or has changed.
   void OnRolloutRecord(const std::string& id, Time now);
   // Reviews all rollouts and begins checks, a few times in each heartbeat
@@ -61,8 +61,9 @@
   // Null: no such rollout, or it has ended.
   const Rollout* FindRollout(const std::string& id) const;
   // A check that this module began has ended.
-  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                const CheckOutcome& outcome, Time now);
+  void OnHealthCheckResult(const std::string& rollout,
+                           const TaskAttemptKey& key,
+                           const CheckOutcome& outcome, Time now);
   // Adds the preconditions and mutations that record the op's step. False: it
   // is recorded already, or its rollout is gone.
   bool BuildRolloutOp(const RolloutStepWrite& op, CompareAndSwap* txn) const;
--- a/core/upgrade/version_gate.cc
+++ b/core/upgrade/version_gate.cc
@@ -40,7 +40,7 @@
 }
 
 void VersionGate::Change(GateState next) {
-  if (next != state_) CheckedChange(state_, next, kChanges, "version gate");
+  if (next != state_) CheckedTransition(state_, next, kChanges, "version gate");
 }
 
 bool VersionGate::AllHaveRecorded(const Versions& versions) const {
--- a/tests/delegated_lease_test.cc
+++ b/tests/delegated_lease_test.cc
@@ -22,8 +22,8 @@
 
 DelegatedLease GrantedLease(Time now) {
   DelegatedLease lease(TwoPeerSettings().workers);
-  lease.RecordedAnew(now, now);
-  lease.Granted(now);
+  lease.OnRecordRewritten(now, now);
+  lease.OnGranted(now);
   return lease;
 }
 
@@ -46,11 +46,11 @@
   // The record expired, a new leader found none, and the record is written
   // again: the old leader's grant is void.
   DelegatedLease lease = GrantedLease(0);
-  lease.RecordedAnew(5, 5.1);
+  lease.OnRecordRewritten(5, 5.1);
   EXPECT_FALSE(lease.Renew(6));
-  lease.Granted(5);  // requested before the record was written
+  lease.OnGranted(5);  // requested before the record was written
   EXPECT_FALSE(lease.Renew(6));
-  lease.Granted(5.2);
+  lease.OnGranted(5.2);
   EXPECT_TRUE(lease.Renew(6));
 }
 
@@ -109,9 +109,9 @@
 TEST(DelegatedZoneLease, RecordReadBeforeAGrantEndsIt) {
   DelegatedLeases leases(TwoPeerSettings(), 100, std::set<std::string>{"b"});
   leases.Grant("b", "process", 50, 150);
-  leases.RecordsRead({}, 149.9, 150.1);
+  leases.OnRecordsRead({}, 149.9, 150.1);
   EXPECT_TRUE(leases.MayBeRenewed("z", 165));
-  leases.RecordsRead({}, 151, 151.1);
+  leases.OnRecordsRead({}, 151, 151.1);
   EXPECT_TRUE(leases.MayBeRenewed("z", 161));
   EXPECT_FALSE(leases.MayBeRenewed("z", 161.3));
 }
@@ -124,17 +124,17 @@
   // two can succeed.
   DelegatedLease lease(TwoPeerSettings().workers);
   DelegatedLeaseRecord record(lease);
-  record.WasRead(0);
+  record.OnKeyRead(0);
   record.LeaseGranted(7, 1);
-  record.NotWritten();
+  record.OnRecordNotWritten();
   EXPECT_EQ(record.step(), RecordStep::kRead);
-  record.WasRead(40);  // the first write was applied
+  record.OnKeyRead(40);  // the first write was applied
   record.LeaseGranted(8, 2);
   EXPECT_EQ(record.mod_revision(), 40U);
   EXPECT_EQ(record.lease_id(), 8U);
-  record.Written(2.1);
+  record.OnRecordWritten(2.1);
   EXPECT_EQ(record.step(), RecordStep::kRenew);
-  EXPECT_THROW(record.WasRead(41), IllegalTransition);
+  EXPECT_THROW(record.OnKeyRead(41), IllegalTransition);
 }
 
 // Guards against writing the record again for ever if no write is answered: the
@@ -142,39 +142,39 @@
 TEST(DelegatedLeaseRecord, AnUnansweredWriteIsFoundByItsLease) {
   DelegatedLease lease(TwoPeerSettings().workers);
   DelegatedLeaseRecord record(lease);
-  record.WasReadWithLease(0, 0, 0);
+  record.OnKeyReadWithLease(0, 0, 0);
   record.LeaseGranted(7, 0);
-  record.NotWritten();
-  record.WasReadWithLease(40, 6, 0.4);  // of an earlier process or attempt
+  record.OnRecordNotWritten();
+  record.OnKeyReadWithLease(40, 6, 0.4);  // of an earlier process or attempt
   EXPECT_EQ(record.step(), RecordStep::kLease);
   record.LeaseGranted(8, 0.5);
-  record.NotWritten();
-  lease.Granted(0.6);  // not known to be recorded
-  record.WasReadWithLease(41, 8, 0.7);
+  record.OnRecordNotWritten();
+  lease.OnGranted(0.6);  // not known to be recorded
+  record.OnKeyReadWithLease(41, 8, 0.7);
   EXPECT_EQ(record.step(), RecordStep::kRenew);
   EXPECT_FALSE(lease.Renew(0.8));
-  lease.Granted(0.9);
+  lease.OnGranted(0.9);
   EXPECT_TRUE(lease.Renew(1));
   // A lease that has ended does not show that the write succeeded.
   record.LeaseEnded();
-  record.WasReadWithLease(42, 8, 1.1);
+  record.OnKeyReadWithLease(42, 8, 1.1);
   EXPECT_EQ(record.step(), RecordStep::kLease);
 }
 
 TEST(DelegatedLeaseRecord, RenewsWorkersAfterItsRecordHasEnded) {
   DelegatedLease lease(TwoPeerSettings().workers);
   DelegatedLeaseRecord record(lease);
-  lease.Granted(0);  // before there is a record
-  record.WasRead(0);
+  lease.OnGranted(0);  // before there is a record
+  record.OnKeyRead(0);
   record.LeaseGranted(7, 0);
-  record.Written(0.5);
+  record.OnRecordWritten(0.5);
   EXPECT_FALSE(lease.Renew(1));
-  lease.Granted(1);
+  lease.OnGranted(1);
   EXPECT_TRUE(lease.Renew(1.5));
   record.LeaseEnded();
-  record.WasRead(0);
+  record.OnKeyRead(0);
   record.LeaseGranted(9, 2);
-  record.Written(2.5);
+  record.OnRecordWritten(2.5);
   EXPECT_FALSE(lease.Renew(3));  // granted before the new record
 }
 
@@ -191,20 +191,20 @@
 
 TEST(PartitionDetector, WorkersAreKeptFromALeaderThatProbesThem) {
   PartitionDetector detector(TwoPeerSettings().workers);
-  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 5, 9), 0));
+  EXPECT_FALSE(detector.ShouldRedirect(HeartbeatOf("n", 5, 9), 0));
   detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
-  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 6, 9), 1));
+  EXPECT_FALSE(detector.ShouldRedirect(HeartbeatOf("n", 6, 9), 1));
   detector.OnAnswered(HeartbeatOf("n", 6, 9), 1);
   // Between the two heartbeats the worker has answered another controller.
-  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 8, 9), 2));
+  EXPECT_TRUE(detector.ShouldRedirect(HeartbeatOf("n", 8, 9), 2));
   // So the other workers of the zone are not partitioned off either.
-  EXPECT_TRUE(detector.Redirected(HeartbeatOf("m", 50, 9), 3));
+  EXPECT_TRUE(detector.ShouldRedirect(HeartbeatOf("m", 50, 9), 3));
 }
 
 TEST(PartitionDetector, WorkersAreKeptFromANewLeader) {
   PartitionDetector detector(TwoPeerSettings().workers);
   detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
-  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 6, 10), 1));
+  EXPECT_TRUE(detector.ShouldRedirect(HeartbeatOf("n", 6, 10), 1));
 }
 
 TEST(PartitionDetector, FalseEvidenceCostsAPartitionedWorkerItsLease) {
@@ -212,31 +212,31 @@
   detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
   // The worker has tried the other controllers in vain: each heartbeat to them
   // has used a sequence number.
-  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 9, 9), 6));
+  EXPECT_FALSE(detector.ShouldRedirect(HeartbeatOf("n", 9, 9), 6));
   detector.OnAnswered(HeartbeatOf("n", 9, 9), 6);
   // A new incarnation counts from one again.
   Heartbeat next = HeartbeatOf("n", 3, 9);
   next.incarnation = 2;
-  EXPECT_FALSE(detector.Redirected(next, 7));
+  EXPECT_FALSE(detector.ShouldRedirect(next, 7));
   detector.OnAnswered(next, 7);
   // A duplicate of an older heartbeat.
-  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 5, 9), 7.5));
+  EXPECT_FALSE(detector.ShouldRedirect(HeartbeatOf("n", 5, 9), 7.5));
   detector.OnAnswered(HeartbeatOf("n", 5, 9), 7.5);
   next.seq = 4;
-  EXPECT_FALSE(detector.Redirected(next, 8));
+  EXPECT_FALSE(detector.ShouldRedirect(next, 8));
 }
 
 TEST(PartitionDetector, WorkerThatNoOtherControllerAnswersIsRedirectedAgain) {
   PartitionDetector detector(TwoPeerSettings().workers);
   detector.OnAnswered(HeartbeatOf("n", 5, 9), 0);
-  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 7, 9), 1));
+  EXPECT_TRUE(detector.ShouldRedirect(HeartbeatOf("n", 7, 9), 1));
   EXPECT_FALSE(
-      detector.Redirected(HeartbeatOf("n", 12, 9), 5));  // it has come back
+      detector.ShouldRedirect(HeartbeatOf("n", 12, 9), 5));  // it has come back
   detector.OnAnswered(HeartbeatOf("n", 12, 9), 5);
-  EXPECT_FALSE(detector.Redirected(HeartbeatOf("n", 14, 9), 6));
+  EXPECT_FALSE(detector.ShouldRedirect(HeartbeatOf("n", 14, 9), 6));
   // Only for the length of a lease: by then there may be a leader.
   detector.OnAnswered(HeartbeatOf("n", 24, 9), 11);
-  EXPECT_TRUE(detector.Redirected(HeartbeatOf("n", 26, 9), 12));
+  EXPECT_TRUE(detector.ShouldRedirect(HeartbeatOf("n", 26, 9), 12));
 }
 
 }  // namespace
--- a/tests/read_consistency_gate_test.cc
+++ b/tests/read_consistency_gate_test.cc
@@ -343,9 +343,9 @@
       StatusEvidence evidence{
           n.knows_end ? TerminalState::kDone : TerminalState::kNone,
           ObservationOf(n), RecordRead::kNone};
-      StatusDecision decision = Decide(evidence);
+      StatusDecision decision = DecideStatus(evidence);
       if (decision == StatusDecision::kReadFirst) {
-        evidence.read = RecordRead::kUnclear;
+        evidence.read = RecordRead::kInconclusive;
         // Without a fresh read, the controller answers from what it knows.
         if (without_ == Without::kRead) {
           evidence.read =
@@ -357,18 +357,18 @@
         evidence.end =
             n.knows_end ? TerminalState::kDone : TerminalState::kNone;
         evidence.observation = ObservationOf(n);
-        decision = Decide(evidence);
+        decision = DecideStatus(evidence);
       }
       if (m.told_end && (decision == StatusDecision::kLive ||
-                         decision == StatusDecision::kDenial)) {
+                         decision == StatusDecision::kNoSuchJob)) {
         violation_ = "a terminal state was reported, then an older state";
       }
-      if (m.told_accepted && decision == StatusDecision::kDenial) {
+      if (m.told_accepted && decision == StatusDecision::kNoSuchJob) {
         violation_ = "the job was accepted, then denied";
       }
-      m.told_end = m.told_end || decision == StatusDecision::kEnd;
+      m.told_end = m.told_end || decision == StatusDecision::kTerminalState;
       m.told_accepted = m.told_accepted || decision == StatusDecision::kLive;
-      if (decision == StatusDecision::kEnd && !m.ended)
+      if (decision == StatusDecision::kTerminalState && !m.ended)
         violation_ = "a terminal state was reported that was never recorded";
       Add(m);
     }
