--- a/core/leader_health/reachability_survey.h
+++ b/core/leader_health/reachability_survey.h
@@ -31,8 +31,8 @@
   }
 };
 
-// Whether `text` is a valid value of Reach::machines for a survey of `count`
-// machines.
+// Whether `text` is a valid value of ReachabilityAnswer::machines for a survey
+// of `count` machines.
 bool IsReachabilityText(const std::string& text, size_t count);
 
 // How many machines more `other` reaches than `self`: the number that only
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -90,12 +90,12 @@
   uint64_t seen() const { return seen_; }
   void OnCampaignFailed();
   // `sent`: when the request was sent from which the lease counts. `leads`:
-  // Proven or ForgottenDelegationsExpired was true by then; if false, this
-  // controller holds the key and only renews workers' leases.
+  // ForgottenPromisesExpired or ForgottenDelegationsExpired was true by then;
+  // if false, this controller holds the key and only renews workers' leases.
   void OnElected(uint64_t revision, uint64_t lease_id, Time sent,
                  bool leads = true);
-  // Makes a controller in kRenewing the leader once Proven is true. Returns
-  // whether it became the leader.
+  // Makes a controller in kRenewing the leader once ForgottenPromisesExpired is
+  // true. Returns whether it became the leader.
   bool PromoteToLeader(Time now);
   // The lease of the leader key was renewed by a request sent at `sent`.
   void RenewGranted(Time sent);
--- a/core/recovery/peer_selector.h
+++ b/core/recovery/peer_selector.h
@@ -48,9 +48,9 @@
     return peers_[peer].state == PeerState::kResponsive;
   }
   // Whether to probe a peer whose back-off has ended. If true, the probe has
-  // begun, and the caller has to report Answered or Silent. No user's request
-  // waits for a probe: otherwise every request of one user could happen to be a
-  // probe.
+  // begun, and the caller has to call OnPeerAnswered or OnPeerSilent. No user's
+  // request waits for a probe: otherwise every request of one user could happen
+  // to be a probe.
   bool MayProbe(size_t peer, Time now);
   // The peer has answered a request or probe.
   void OnPeerAnswered(size_t peer);
--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -85,7 +85,8 @@
     return state_ == StoreVerificationState::kVerified ||
            (state_ == StoreVerificationState::kReconciling && is_leading);
   }
-  // Whether a missing leader key proves that no controller leads by the key.
+  // Whether a controller may campaign for the leader key: only if the store is
+  // relied on does a missing key prove that no controller leads by it.
   bool MayCampaign() const {
     return state_ == StoreVerificationState::kVerified ||
            state_ == StoreVerificationState::kReconciling;
