--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -249,8 +249,8 @@
     ++expired_leases_;
     machine.reachability.OnIncarnationEnded(settings_.workers, now);
   }
-  machine_lifecycle_.LoseTasks(machine,
-                               "lease expired, new worker incarnation");
+  machine_lifecycle_.MarkTasksLost(machine,
+                                   "lease expired, new worker incarnation");
 }
 
 void WorkerSessions::UpdateReachability(Machine& machine,
@@ -358,7 +358,8 @@
 
 void WorkerSessions::Expire(Machine& machine, Time now) {
   machine.incarnation.Change(IncarnationEvent::kExpire, 0, now);
-  machine_lifecycle_.LoseTasks(machine, "lease expired, no heartbeat answered");
+  machine_lifecycle_.MarkTasksLost(machine,
+                                   "lease expired, no heartbeat answered");
   machine.reported = true;  // The machine's tasks are known now: none is left.
   machine.idle_since = now;
   cluster_.MarkChanged();
@@ -382,8 +383,8 @@
   } else if (LeaseExpired(machine, now)) {
     context_.Log("lease expired on a machine that receives no responses",
                  {{"host", machine.host()}});
-    machine_lifecycle_.LoseTasks(machine,
-                                 "lease expired, no response received");
+    machine_lifecycle_.MarkTasksLost(machine,
+                                     "lease expired, no response received");
     machine.reported = true;
   }
 }
