--- a/core/dependencies/dependency_coordinator.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -10,18 +10,19 @@
 namespace oxbow {
 namespace {
 
-// Jobs that others depend on, looked at in each round of polling.
+// Number of dependencies that one call of PollDependencies looks at.
 constexpr size_t kDependenciesPerPoll = 256;
-// Reads of terminal states in flight at once.
+// Maximum number of terminal-state reads in flight.
 constexpr int kMaxTerminalStateReads = 4;
-// Users' estimates of run times are often wrong by half.
+// Factor on the estimated run time: users' estimates are often wrong by half.
 constexpr double kCriticalPathMargin = 1.5;
-// From the end of a job to the start of the next one, in heartbeat intervals:
-// its last heartbeat, the record, the release, the command.
-constexpr double kStepHeartbeats = 2;
-// Longest pause between two reads of one terminal state, in worker leases.
-constexpr double kMaxReadPauseLeases = 3;
-// Of what is shown to operators.
+// Time from the end of a job to the start of a dependent one, in heartbeat
+// intervals. It covers the heartbeat that reports the end, the write of the
+// terminal state, the release and the start command.
+constexpr double kReleaseDelayHeartbeats = 2;
+// Longest backoff between two reads of one terminal state, in worker leases.
+constexpr double kMaxReadBackoffLeases = 3;
+// Limits on the text for operators, so that it stays readable.
 constexpr size_t kMaxWaitingLines = 20;
 constexpr size_t kMaxDependenciesPerLine = 5;
 
@@ -63,14 +64,15 @@
     const std::string& id) const {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (end != TerminalState::kNone) return end;
-  // A recorded cancellation decides, long before its user gets an answer.
+  // A job record can hold a terminal state before the terminal record exists. A
+  // recorded cancellation is final, although its user is answered much later.
   const JobRecord* job = catalog_.FindJob(id);
   return job == nullptr ? TerminalState::kNone : job->terminal_state;
 }
 
 double DependencyCoordinator::CriticalPathSeconds(const JobSpec& spec) const {
   return kCriticalPathMargin * run_times_.RunSeconds(spec) +
-         kStepHeartbeats * settings_.workers.heartbeat_interval_seconds;
+         kReleaseDelayHeartbeats * settings_.workers.heartbeat_interval_seconds;
 }
 
 DueTimes DependencyCoordinator::DueTimesOf(const JobSpec& spec,
@@ -81,7 +83,8 @@
 void DependencyCoordinator::OnWaitingRecord(const std::string& id, Time now) {
   const auto it = catalog_.waiting().find(id);
   if (it == catalog_.waiting().end()) return;
-  // It was released or has ended: an older copy has come back.
+  // The job has already been released or has ended: this is an obsolete copy of
+  // its waiting record that has reappeared.
   if (catalog_.FindWaiting(id) == nullptr) {
     DeleteObsoleteWaitingRecord(id);
     return;
@@ -94,17 +97,18 @@
                           return TerminalStateOf(dependency);
                         });
   for (const std::string& dependency : record.spec->dependencies)
-    RequestTerminalState(dependency, now);
+    RequestTerminalStateRead(dependency, now);
   cluster_.NoteDemand(now);
   UpdateInherited();
-  QueueDependencySteps(now);
+  EnqueueDueOperations(now);
   writes_.Flush(now);
 }
 
-// A job that is neither live here, nor waiting, nor recorded as ended. That
-// it is missing proves nothing: only a record found counts.
-void DependencyCoordinator::RequestTerminalState(const std::string& dependency,
-                                                 Time now) {
+// A dependency without any record in the catalog must be looked up in the
+// store. Its absence from the catalog proves nothing about its state: only a
+// record that is found counts.
+void DependencyCoordinator::RequestTerminalStateRead(
+    const std::string& dependency, Time now) {
   if (TerminalStateOf(dependency) != TerminalState::kNone ||
       catalog_.FindJob(dependency) != nullptr ||
       catalog_.FindWaiting(dependency) != nullptr) {
@@ -114,10 +118,10 @@
   if (terminal_state_reads_in_flight_ >= kMaxTerminalStateReads) return;
   TerminalStateRead& read = terminal_state_reads_[dependency];
   if (read.not_before && now < *read.not_before) return;
-  read.pause_seconds = std::clamp(
-      2 * read.pause_seconds, settings_.workers.heartbeat_interval_seconds,
-      kMaxReadPauseLeases * settings_.workers.lease_seconds);
-  read.not_before = now + read.pause_seconds;
+  read.backoff_seconds = std::clamp(
+      2 * read.backoff_seconds, settings_.workers.heartbeat_interval_seconds,
+      kMaxReadBackoffLeases * settings_.workers.lease_seconds);
+  read.not_before = now + read.backoff_seconds;
   ++terminal_state_reads_in_flight_;
   actions_.push_back(ReadTerminalState{dependency});
 }
@@ -136,7 +140,7 @@
   if (dependency_graph_.empty()) return;
   dependency_graph_.OnTerminalState(id, end);
   UpdateInherited();
-  QueueDependencySteps(now);
+  EnqueueDueOperations(now);
 }
 
 void DependencyCoordinator::PollDependencies(Time now) {
@@ -146,26 +150,27 @@
     if (end != TerminalState::kNone) {
       OnTerminalStateKnown(dependency, end, now);
     } else {
-      RequestTerminalState(dependency, now);
+      RequestTerminalStateRead(dependency, now);
     }
   }
-  QueueDependencySteps(now);
+  EnqueueDueOperations(now);
 }
 
-// At most half of a transaction at a time, so that the cancellation of many
-// dependent jobs does not delay the terminal states of others.
-void DependencyCoordinator::QueueDependencySteps(Time now) {
-  const size_t most =
+// Keeps at most half as many operations in flight as one transaction holds, so
+// that the cancellation of many dependent jobs does not delay the recording of
+// other jobs' terminal states.
+void DependencyCoordinator::EnqueueDueOperations(Time now) {
+  const size_t max_in_flight =
       std::max<size_t>(1, static_cast<size_t>(settings_.store.txn_ops) / 2);
-  while (steps_in_flight_.size() < most) {
-    const std::optional<std::string> due = dependency_graph_.TakeDue();
+  while (operations_in_flight_.size() < max_in_flight) {
+    const std::optional<std::string> due = dependency_graph_.PopDue();
     if (!due) return;
     const std::string& id = *due;
     const bool releases =
         dependency_graph_.Find(id)->state == DependencyState::kReleasing;
-    // A cancellation that was asked for while the release was in flight waits
-    // for its outcome.
-    if (!steps_in_flight_.insert(id).second) continue;
+    // A cancellation that was requested while the job's release is in flight
+    // waits for the outcome of the release.
+    if (!operations_in_flight_.insert(id).second) continue;
     if (releases) {
       writes_.Enqueue(std::make_unique<ReleaseDependentOperation>(
           context_, *this, id, now + context_.wall_minus_steady));
@@ -178,9 +183,9 @@
 
 void DependencyCoordinator::OnWaitingRecordWritten(const std::string& id,
                                                    Time now) {
-  steps_in_flight_.erase(id);
-  SettleDependentJob(id, now);
-  QueueDependencySteps(now);
+  operations_in_flight_.erase(id);
+  ReconcileDependentJob(id, now);
+  EnqueueDueOperations(now);
 }
 
 void DependencyCoordinator::DeleteObsoleteWaitingRecord(const std::string& id) {
@@ -189,9 +194,10 @@
       WritePriority::kBackground);
 }
 
-// By the records as they are now, whoever wrote them.
-void DependencyCoordinator::SettleDependentJob(const std::string& id,
-                                               Time now) {
+// Decides by the current records only, since an earlier leader or a late write
+// may have written them.
+void DependencyCoordinator::ReconcileDependentJob(const std::string& id,
+                                                  Time now) {
   const TerminalState end = catalog_.FindTerminalState(id);
   if (catalog_.FindJob(id) != nullptr) {
     job_lifecycle_.OnJobRecord(id, now);
@@ -206,15 +212,15 @@
     }
     OnTerminalStateKnown(id, end, now);
   } else if (!catalog_.waiting().contains(id)) {
-    // Neither of the two that it could have become was found; it is asked about
-    // as long as others depend on it.
+    // The waiting record is gone, but neither a live nor a terminal record was
+    // found. The terminal state is read as long as other jobs depend on it.
     dependency_graph_.Remove(id);
     if (dependency_graph_.DependentsOf(id) != nullptr)
-      RequestTerminalState(id, now);
+      RequestTerminalStateRead(id, now);
   } else if (const DependentJob* dependent = dependency_graph_.Find(id);
              dependent != nullptr &&
              dependent->state != DependencyState::kWaiting) {
-    dependency_graph_.PutBackDue(id);
+    dependency_graph_.RequeueDue(id);
   }
   if (catalog_.waiting().contains(id) && catalog_.FindWaiting(id) == nullptr) {
     DeleteObsoleteWaitingRecord(id);
@@ -235,12 +241,13 @@
   if (!dependency_graph_.Cancel(id)) return false;
   context_.Log("cancellation of waiting job requested", {{"job", id}});
   UpdateInherited();
-  QueueDependencySteps(now);
+  EnqueueDueOperations(now);
   writes_.Flush(now);
   return true;
 }
 
-// Costs no more than the jobs whose inheritance has changed.
+// The cost is proportional to the number of jobs whose inherited values may
+// have changed.
 void DependencyCoordinator::UpdateInherited() {
   for (const std::string& id : dependency_graph_.TakeChangedInheritance()) {
     const auto it = cluster_.jobs().find(id);
@@ -298,7 +305,7 @@
   if (dependency_graph_.empty()) return lines;
   lines.push_back(std::to_string(dependency_graph_.size()) +
                   " jobs wait for others");
-  for (const std::string& id : dependency_graph_.SampleOf(kMaxWaitingLines)) {
+  for (const std::string& id : dependency_graph_.SampleIds(kMaxWaitingLines)) {
     lines.push_back(WaitingLine(id, *dependency_graph_.Find(id)));
   }
   return lines;
--- a/core/dependencies/dependency_graph.cc
+++ b/core/dependencies/dependency_graph.cc
@@ -13,12 +13,13 @@
 constexpr std::array kTransitions = {
     std::pair{kWaiting, kReleasing},
     std::pair{kWaiting, kCancelling},
-    // Only by its user: done dependencies stay done.
+    // Only a cancellation by the user: a dependency that is done stays done.
     std::pair{kReleasing, kCancelling},
-    // The write of an earlier leader, or a late one, may have moved the record.
-    std::pair{kWaiting, kGone},
-    std::pair{kReleasing, kGone},
-    std::pair{kCancelling, kGone},
+    // A write of an earlier leader, or one that was applied late, may have
+    // replaced the waiting record in any state.
+    std::pair{kWaiting, kRemoved},
+    std::pair{kReleasing, kRemoved},
+    std::pair{kCancelling, kRemoved},
 };
 
 }  // namespace
@@ -38,14 +39,15 @@
       CheckedChange(job.state, kCancelling, kTransitions, "dependent job");
       return true;
     case DependencyEvent::kRecordMoved:
-      CheckedChange(job.state, kGone, kTransitions, "dependent job");
+      CheckedChange(job.state, kRemoved, kTransitions, "dependent job");
       return true;
   }
   return false;
 }
 
 void DependencyGraph::Add(const std::shared_ptr<const JobSpec>& spec,
-                          Time submitted, const TerminalStateOf& end_of) {
+                          Time submitted,
+                          const TerminalStateOf& terminal_state_of) {
   const auto [it, added] = jobs_.try_emplace(spec->id);
   if (!added) return;
   DependentJob& job = it->second;
@@ -53,12 +55,12 @@
   job.submitted = submitted;
   bool cancelled = false;
   for (const std::string& dependency : spec->dependencies) {
-    const TerminalState end = end_of(dependency);
+    const TerminalState end = terminal_state_of(dependency);
     if (end == TerminalState::kDone) continue;
     cancelled = cancelled || end == TerminalState::kAborted;
     job.unfinished_dependencies.insert(dependency);
     dependents_[dependency].insert(spec->id);
-    Invalidate(dependency);
+    InvalidateInherited(dependency);
   }
   const bool due = cancelled
                        ? Change(job, DependencyEvent::kDependencyCancelled)
@@ -72,7 +74,8 @@
                                       TerminalState end) {
   const auto it = dependents_.find(id);
   if (it == dependents_.end() || end == TerminalState::kNone) return;
-  // A cancelled one stays named: its dependents leave one by one.
+  // The entry of a cancelled dependency stays until Remove has been called for
+  // each of its dependents.
   const std::vector<std::string> dependents(it->second.begin(),
                                             it->second.end());
   if (end == TerminalState::kDone) dependents_.erase(it);
@@ -88,7 +91,7 @@
       due_.push_back(dependent);
     }
   }
-  Invalidate(id);
+  InvalidateInherited(id);
 }
 
 bool DependencyGraph::Cancel(const std::string& id) {
@@ -110,7 +113,7 @@
     if (named == dependents_.end()) continue;
     named->second.erase(id);
     if (named->second.empty()) dependents_.erase(named);
-    Invalidate(dependency);
+    InvalidateInherited(dependency);
   }
 }
 
@@ -119,16 +122,16 @@
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> DependencyGraph::SampleOf(size_t most) const {
+std::vector<std::string> DependencyGraph::SampleIds(size_t max_count) const {
   std::vector<std::string> some;
   for (const auto& [id, job] : jobs_) {
-    if (some.size() >= most) break;
+    if (some.size() >= max_count) break;
     some.push_back(id);
   }
   return some;
 }
 
-std::optional<std::string> DependencyGraph::TakeDue() {
+std::optional<std::string> DependencyGraph::PopDue() {
   while (!due_.empty()) {
     std::string id = std::move(due_.front());
     due_.pop_front();
@@ -138,7 +141,7 @@
   return std::nullopt;
 }
 
-void DependencyGraph::PutBackDue(const std::string& id) { due_.push_back(id); }
+void DependencyGraph::RequeueDue(const std::string& id) { due_.push_back(id); }
 
 const std::set<std::string>* DependencyGraph::DependentsOf(
     const std::string& id) const {
@@ -146,23 +149,24 @@
   return it == dependents_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> DependencyGraph::NextDependencies(size_t most) {
+std::vector<std::string> DependencyGraph::NextDependencies(size_t max_count) {
   std::vector<std::string> next;
-  auto it = dependents_.upper_bound(last_dependency_);
-  for (; it != dependents_.end() && next.size() < most; ++it) {
+  auto it = dependents_.upper_bound(last_polled_dependency_);
+  for (; it != dependents_.end() && next.size() < max_count; ++it) {
     next.push_back(it->first);
   }
-  last_dependency_ = it == dependents_.end() ? std::string() : next.back();
+  last_polled_dependency_ =
+      it == dependents_.end() ? std::string() : next.back();
   return next;
 }
 
-void DependencyGraph::Invalidate(const std::string& id) {
+void DependencyGraph::InvalidateInherited(const std::string& id) {
   changed_.insert(id);
   std::vector<std::string> changed = {id};
   while (!changed.empty()) {
     const std::string job = std::move(changed.back());
     changed.pop_back();
-    // Where a job has no entry, its dependencies have none either.
+    // A job without a cache entry has no dependencies with cache entries.
     if (inherited_.erase(job) == 0) continue;
     changed_.insert(job);
     const auto it = jobs_.find(job);
@@ -178,7 +182,7 @@
   return taken;
 }
 
-Inherited DependencyGraph::Combine(const std::string& id) const {
+Inherited DependencyGraph::ComputeInherited(const std::string& id) const {
   Inherited all;
   const std::set<std::string>* dependents = DependentsOf(id);
   if (dependents == nullptr) return all;
@@ -199,29 +203,33 @@
   return all;
 }
 
-// Dependents first, without recursion: a chain of jobs may be long.
+// A depth-first traversal that computes the dependents of a job before the job
+// itself. It is iterative because a dependency chain can be long enough to
+// overflow the call stack.
 Inherited DependencyGraph::InheritedBy(const std::string& id) {
   if (DependentsOf(id) == nullptr) return {};
   std::vector<std::string> stack = {id};
-  std::unordered_set<std::string> opened;
+  std::unordered_set<std::string> expanded;
   while (!stack.empty()) {
     const std::string job = stack.back();
     if (inherited_.contains(job)) {
       stack.pop_back();
       continue;
     }
-    if (opened.insert(job).second) {
+    if (expanded.insert(job).second) {
       if (const auto* dependents = DependentsOf(job)) {
         for (const std::string& dependent : *dependents) {
-          // One that is opened already would depend on itself.
-          if (!inherited_.contains(dependent) && !opened.contains(dependent)) {
+          // A dependent that is expanded but has no result yet would be part of
+          // a cycle; it is skipped.
+          if (!inherited_.contains(dependent) &&
+              !expanded.contains(dependent)) {
             stack.push_back(dependent);
           }
         }
       }
       continue;
     }
-    inherited_[job] = Combine(job);
+    inherited_[job] = ComputeInherited(job);
     stack.pop_back();
   }
   return inherited_.at(id);
--- a/core/dependencies/dependency_operations.cc
+++ b/core/dependencies/dependency_operations.cc
@@ -21,7 +21,7 @@
       catalog_(context.catalog),
       coordinator_(coordinator) {}
 
-bool WaitingRecordOperation::IsInForce() const {
+bool WaitingRecordOperation::IsWaitingRecordCurrent() const {
   return catalog_.FindWaiting(name()) != nullptr;
 }
 
@@ -29,7 +29,7 @@
   const auto it = catalog_.waiting().find(name());
   if (it == catalog_.waiting().end()) return BuildResult::kNothingToDo;
   const WaitingRecord& waiting = it->second;
-  if (BuildStep(waiting, txn) == BuildResult::kNothingToDo) {
+  if (BuildOutcome(waiting, txn) == BuildResult::kNothingToDo) {
     return BuildResult::kNothingToDo;
   }
   txn->mutations.push_back({WaitingKey(), {}});
@@ -52,12 +52,13 @@
     : WaitingRecordOperation(context, coordinator, std::move(job_id)),
       released_wall_(released_wall) {}
 
-JobRecord ReleaseDependentOperation::Released(
+JobRecord ReleaseDependentOperation::ReleasedRecord(
     const WaitingRecord& waiting) const {
   JobRecord job{waiting.spec, waiting.submitted_wall, TerminalState::kNone, 0,
                 released_wall_};
   if (compact()) {
-    // Too large with the names, which it does not need any more.
+    // The store rejected the record as too large. A released job does not need
+    // the ids of its dependencies any more.
     auto spec = std::make_shared<JobSpec>(*waiting.spec);
     spec->dependencies.clear();
     job.spec = std::move(spec);
@@ -65,27 +66,27 @@
   return job;
 }
 
-BuildResult ReleaseDependentOperation::BuildStep(const WaitingRecord& waiting,
-                                                 CompareAndSwap* txn) const {
-  if (!IsInForce() ||
+BuildResult ReleaseDependentOperation::BuildOutcome(
+    const WaitingRecord& waiting, CompareAndSwap* txn) const {
+  if (!IsWaitingRecordCurrent() ||
       !IsInState(coordinator_.Find(name()), DependencyState::kReleasing)) {
     return BuildResult::kNothingToDo;
   }
   txn->preconditions.push_back({WaitingKey(), waiting.mod_revision});
   txn->preconditions.push_back({JobKey(), 0});
   txn->preconditions.push_back({TerminalKey(), 0});
-  txn->mutations.push_back({JobKey(), Released(waiting)});
+  txn->mutations.push_back({JobKey(), ReleasedRecord(waiting)});
   return BuildResult::kAdded;
 }
 
 void ReleaseDependentOperation::ApplyToCatalog(const WaitingRecord& waiting,
                                                uint64_t revision) {
-  catalog_.Put(JobKey(), Released(waiting), revision);
+  catalog_.Put(JobKey(), ReleasedRecord(waiting), revision);
 }
 
-BuildResult CancelDependentOperation::BuildStep(const WaitingRecord& waiting,
-                                                CompareAndSwap* txn) const {
-  if (!IsInForce() ||
+BuildResult CancelDependentOperation::BuildOutcome(const WaitingRecord& waiting,
+                                                   CompareAndSwap* txn) const {
+  if (!IsWaitingRecordCurrent() ||
       !IsInState(coordinator_.Find(name()), DependencyState::kCancelling)) {
     return BuildResult::kNothingToDo;
   }
@@ -103,9 +104,9 @@
       name(), {TerminalState::kAborted, waiting.spec->tasks, 0});
 }
 
-BuildResult DeleteObsoleteWaitingOperation::BuildStep(
+BuildResult DeleteObsoleteWaitingOperation::BuildOutcome(
     const WaitingRecord& waiting, CompareAndSwap* txn) const {
-  if (IsInForce()) return BuildResult::kNothingToDo;
+  if (IsWaitingRecordCurrent()) return BuildResult::kNothingToDo;
   txn->preconditions.push_back({WaitingKey(), waiting.mod_revision});
   const JobRecord* job = catalog_.FindJob(name());
   if (job == nullptr) {
@@ -114,8 +115,8 @@
                                        waiting.spec->tasks, 0}});
     return BuildResult::kAdded;
   }
-  // The job's own record is written back first; ReconcileRecordOperation asks
-  // for this deletion again afterwards.
+  // The live record must be written back first. ReconcileRecordOperation
+  // requests this deletion again when that is done.
   if (catalog_.pending_writes().contains(JobKey())) {
     return BuildResult::kNothingToDo;
   }
--- a/core/dependencies/dependency_operations.h
+++ b/core/dependencies/dependency_operations.h
@@ -1,6 +1,8 @@
-// The writes that end a job's waiting for others. Each deletes the waiting
-// record in the transaction that writes what the job has become, and is
-// conditioned on that record: of two in flight only one is applied.
+// The store operations that end the waiting of a dependent job. Each deletes
+// the waiting record in the same transaction that writes the live record or the
+// terminal record which replaces it. The transaction is conditioned on the
+// revision of the waiting record, so of two operations in flight for one job
+// only one is applied.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +16,7 @@
 
 class DependencyCoordinator;
 
-// What the three operations share: a waiting record that is deleted.
+// Base of the three operations: deletes the job's waiting record.
 class WaitingRecordOperation : public StoreOperation {
  public:
   WaitingRecordOperation(LeaderContext& context,
@@ -24,15 +26,16 @@
   void OnRecorded(uint64_t revision, Time now) final;
 
  protected:
-  // Adds all but the deletion of the waiting record.
-  virtual BuildResult BuildStep(const WaitingRecord& waiting,
-                                CompareAndSwap* txn) const = 0;
-  // Takes into the catalog what was written beside the deletion.
+  // Adds the preconditions and mutations of the subclass. The base class adds
+  // the deletion of the waiting record.
+  virtual BuildResult BuildOutcome(const WaitingRecord& waiting,
+                                   CompareAndSwap* txn) const = 0;
+  // Updates the catalog with the record that was written beside the deletion.
   virtual void ApplyToCatalog(const WaitingRecord& waiting,
                               uint64_t revision) = 0;
-  // Whether the record is in force: no older copy of a job that has been
+  // False if the waiting record is an obsolete copy: its job has already been
   // released or has ended.
-  bool IsInForce() const;
+  bool IsWaitingRecordCurrent() const;
   std::string WaitingKey() const { return keys::Of(keys::kWaiting, name()); }
   std::string JobKey() const { return keys::Of(keys::kJob, name()); }
   std::string TerminalKey() const { return keys::Of(keys::kTerminal, name()); }
@@ -41,39 +44,43 @@
   DependencyCoordinator& coordinator_;
 };
 
-// All that the job depends on is done: it becomes an ordinary live job.
+// Turns a waiting job whose dependencies are all done into an ordinary live
+// job.
 class ReleaseDependentOperation : public WaitingRecordOperation {
  public:
-  // `released_wall`: seconds of the wall clock.
+  // `released_wall`: wall time of the release, in seconds since 1970.
   ReleaseDependentOperation(LeaderContext& context,
                             DependencyCoordinator& coordinator,
                             std::string job_id, double released_wall);
   std::string_view kind() const override { return "release dependent job"; }
 
  protected:
-  BuildResult BuildStep(const WaitingRecord& waiting,
-                        CompareAndSwap* txn) const override;
+  BuildResult BuildOutcome(const WaitingRecord& waiting,
+                           CompareAndSwap* txn) const override;
   void ApplyToCatalog(const WaitingRecord& waiting, uint64_t revision) override;
 
  private:
-  JobRecord Released(const WaitingRecord& waiting) const;
+  // The live record that replaces the waiting record.
+  JobRecord ReleasedRecord(const WaitingRecord& waiting) const;
 
   const double released_wall_;
 };
 
-// A job that it depends on, or the job itself, has been cancelled.
+// Records a waiting job as aborted because its user has cancelled it or one of
+// its dependencies was cancelled.
 class CancelDependentOperation : public WaitingRecordOperation {
  public:
   using WaitingRecordOperation::WaitingRecordOperation;
   std::string_view kind() const override { return "cancel dependent job"; }
 
  protected:
-  BuildResult BuildStep(const WaitingRecord& waiting,
-                        CompareAndSwap* txn) const override;
+  BuildResult BuildOutcome(const WaitingRecord& waiting,
+                           CompareAndSwap* txn) const override;
   void ApplyToCatalog(const WaitingRecord& waiting, uint64_t revision) override;
 };
 
-// Deletes an older copy of a waiting record that is no longer in force.
+// Deletes an obsolete copy of a waiting record whose job has already been
+// released or has ended.
 class DeleteObsoleteWaitingOperation : public WaitingRecordOperation {
  public:
   using WaitingRecordOperation::WaitingRecordOperation;
@@ -82,8 +89,8 @@
   }
 
  protected:
-  BuildResult BuildStep(const WaitingRecord& waiting,
-                        CompareAndSwap* txn) const override;
+  BuildResult BuildOutcome(const WaitingRecord& waiting,
+                           CompareAndSwap* txn) const override;
   void ApplyToCatalog(const WaitingRecord& /*waiting*/,
                       uint64_t /*revision*/) override {}
 };
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -85,7 +85,7 @@
   // Each of the chain goes with the one before it.
   graph.OnTerminalState("job-000000", TerminalState::kAborted);
   int gone = 0;
-  for (auto id = graph.TakeDue(); id; id = graph.TakeDue()) {
+  for (auto id = graph.PopDue(); id; id = graph.PopDue()) {
     graph.Remove(*id);
     graph.OnTerminalState(*id, TerminalState::kAborted);
     ++gone;
@@ -144,7 +144,7 @@
   }
   void Next() {
     if (write) return;
-    const std::optional<std::string> id = graph.TakeDue();
+    const std::optional<std::string> id = graph.PopDue();
     if (!id) return;
     const int job = id->at(0) - '0';
     write = Txn{job,
@@ -173,7 +173,7 @@
   // The leader learns how a record stands: its own write's answer or its read.
   void Settle(int job) {
     if (rec[job] == Rec::kWaiting) {
-      graph.PutBackDue(Id(job));
+      graph.RequeueDue(Id(job));
     } else {
       const DependentJob* dependent = graph.Find(Id(job));
       const bool request = dependent != nullptr &&
