--- a/core/dependencies/dependency_coordinator.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -22,7 +22,7 @@
 constexpr double kReleaseDelayHeartbeats = 2;
 // Longest backoff between two reads of one terminal state, in worker leases.
 constexpr double kMaxReadBackoffLeases = 3;
-// Limits on the text for operators, so that it stays readable.
+// Limits on the lines that are shown to operators.
 constexpr size_t kMaxWaitingLines = 20;
 constexpr size_t kMaxDependenciesPerLine = 5;
 
--- a/core/rollout/build_assessment.cc
+++ b/core/rollout/build_assessment.cc
@@ -6,18 +6,20 @@
 namespace oxbow {
 namespace {
 
-// Latencies are compared once there are so many of each build.
+// Latencies are compared only once each build has this many samples.
 constexpr uint64_t kMinLatencySamples = 100;
 constexpr double kLatencyQuantile = 0.9;
-// A replica with so many relapses is taken as one that never stays healthy.
+// A replica with this many relapses is considered unable to stay healthy.
 constexpr uint32_t kMaxRelapses = 3;
 
 std::string TaskText(const TaskAttemptKey& key) {
   return "task " + std::to_string(key.task) + " of " + key.job_id;
 }
 
-// A replica whose machine is not reachable is no fault of the build.
-bool ShowsBuild(const ReplicaHealth& replica) {
+// Whether the checks of the replica tell anything about the new build. A
+// replica on an unreachable machine does not: its failures may be the
+// network's.
+bool ReflectsNewBuild(const ReplicaHealth& replica) {
   const ReplicaObservation& observed = replica.observed();
   return observed.is_new && !observed.stopping && observed.reachable;
 }
@@ -29,15 +31,17 @@
   });
 }
 
-// An old replica in the zone that fails its checks too; null for none.
+// Returns a running old replica in the zone whose checks fail as well; null if
+// there is none. One failure fewer than for "failing" is enough.
 const TaskAttemptKey* OldReplicaFailingIn(const std::string& zone,
                                           const ReplicaHealthMap& replicas,
                                           const CheckPolicy& policy) {
-  const uint32_t bad_enough = std::max(1U, policy.spec.check.bad_in_row - 1);
+  const uint32_t min_bad_in_row =
+      std::max(1U, policy.spec.check.bad_in_row - 1);
   for (const auto& [key, replica] : replicas) {
     const ReplicaObservation& observed = replica.observed();
     if (!observed.is_new && observed.running && !observed.stopping &&
-        observed.zone == zone && replica.bad_in_row() >= bad_enough) {
+        observed.zone == zone && replica.bad_in_row() >= min_bad_in_row) {
       return &key;
     }
   }
@@ -51,8 +55,8 @@
   std::string reason = TaskText(key);
   reason +=
       failing.answered() ? " fails its check" : " does not answer its check";
-  // An old replica beside it fails the same check: the network, or the check
-  // itself, is at fault.
+  // If an old replica in the same zone fails the same check, the network or the
+  // check itself may be at fault.
   const std::string& zone = failing.observed().zone;
   if (const TaskAttemptKey* old_key =
           OldReplicaFailingIn(zone, replicas, policy)) {
@@ -61,7 +65,7 @@
     return {BuildVerdict::kUnclear, std::move(reason)};
   }
   if (!failing.answered() && !AnyHealthy(replicas, policy, now)) {
-    reason += ", and nothing else passes it either";
+    reason += ", and no other replica passes its check";
     return {BuildVerdict::kUnclear, std::move(reason)};
   }
   return {BuildVerdict::kBad, std::move(reason)};
@@ -80,19 +84,20 @@
                             const CheckLatencies& latencies,
                             const CheckPolicy& policy, Time now) {
   for (const auto& [key, replica] : replicas) {
-    if (ShowsBuild(replica) && replica.failing()) {
+    if (ReflectsNewBuild(replica) && replica.failing()) {
       return AssessFailure(key, replica, replicas, policy, now);
     }
   }
-  // One that passes and fails in turn would delay the rollout for ever.
+  // A replica that alternately passes and fails its checks would delay the
+  // rollout forever.
   for (const auto& [key, replica] : replicas) {
-    if (ShowsBuild(replica) && replica.observed().running &&
+    if (ReflectsNewBuild(replica) && replica.observed().running &&
         replica.relapses() >= kMaxRelapses) {
       return {BuildVerdict::kBad, TaskText(key) + " does not stay healthy"};
     }
   }
   if (NewBuildTooSlow(latencies, policy.spec.check.slow_ratio)) {
-    return {BuildVerdict::kBad, "the new instances answer too slowly"};
+    return {BuildVerdict::kBad, "the new replicas answer too slowly"};
   }
   return {};
 }
--- a/core/rollout/build_assessment.h
+++ b/core/rollout/build_assessment.h
@@ -1,5 +1,6 @@
-// Whether the checks show a fault of the new build, or one that may as well be
-// the network's or the check's own. Pure functions of what was observed.
+// Judges the new build by the health checks: whether failures are caused by the
+// build, or may be caused by the network or by the check itself. Pure functions
+// of the observations.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +11,11 @@
 
 namespace oxbow {
 
-// What follows for the rollout.
+// What the assessment means for the rollout.
 enum class BuildVerdict : uint8_t {
   kAcceptable,
-  kUnclear,  // failures that may not be the new build's: pause
-  kBad,      // roll back
+  kUnclear,  // the new build may not be the cause of failures: pause
+  kBad,      // the new build is faulty or too slow: roll back
 };
 
 // A verdict and its reason.
@@ -23,13 +24,13 @@
   std::string reason;  // for people; empty if acceptable
 };
 
-// Latencies of the good checks of either build.
+// Latencies of the good checks of each build.
 struct CheckLatencies {
   LatencyHistogram old_build;
   LatencyHistogram new_build;
 };
 
-// Assesses the new build by all replicas of both jobs.
+// Assesses the new build by the replicas of both jobs.
 BuildAssessment AssessBuild(const ReplicaHealthMap& replicas,
                             const CheckLatencies& latencies,
                             const CheckPolicy& policy, Time now);
--- a/core/rollout/latency.h
+++ b/core/rollout/latency.h
@@ -1,4 +1,4 @@
-// Latencies of health checks, in logarithmic bins.
+// A histogram of health check latencies with logarithmic bins.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -6,7 +6,8 @@
 
 namespace oxbow {
 
-// From 0.1 ms to 100 s; what is outside counts in the outermost bins.
+// Covers 0.1 ms to 100 s; samples outside are counted in the underflow and
+// overflow bins.
 class LatencyHistogram {
  public:
   void Add(double seconds) {
@@ -14,7 +15,8 @@
     ++count_;
   }
   uint64_t count() const { return count_; }
-  // The upper edge of the bin that holds the quantile, s; 0 without samples.
+  // The upper edge, in seconds, of the bin that contains the quantile `q`
+  // (0 to 1); 0 if there are no samples.
   double Quantile(double q) const {
     const auto wanted = static_cast<double>(count_) * q;
     double sum = 0;
@@ -31,11 +33,12 @@
       boost::histogram::axis::regular<double,
                                       boost::histogram::axis::transform::log>;
   static constexpr int kBins = 60;
-  static constexpr double kLeast = 1e-4;  // s
-  static constexpr double kMost = 1e2;
+  static constexpr double kMinSeconds = 1e-4;
+  static constexpr double kMaxSeconds = 1e2;
 
-  decltype(boost::histogram::make_histogram(Axis(kBins, kLeast, kMost))) bins_ =
-      boost::histogram::make_histogram(Axis(kBins, kLeast, kMost));
+  decltype(boost::histogram::make_histogram(
+      Axis(kBins, kMinSeconds, kMaxSeconds))) bins_ =
+      boost::histogram::make_histogram(Axis(kBins, kMinSeconds, kMaxSeconds));
   uint64_t count_ = 0;
 };
 
--- a/core/rollout/replica_health.cc
+++ b/core/rollout/replica_health.cc
@@ -34,7 +34,8 @@
 }
 
 void ReplicaHealth::OnGoodCheck(const CheckPolicy& policy, Time now) {
-  // Baking is without a gap: a replica that flaps never counts for the floor.
+  // A bad check restarts the bake time, so a flapping replica never counts
+  // toward the floor.
   if (bad_in_row_ > 0) healthy_since_ = now;
   ++good_in_row_;
   bad_in_row_ = 0;
@@ -51,11 +52,13 @@
   if (good_in_row_ > 0 && answered) ++relapses_;
   good_in_row_ = 0;
   if (bad_in_row_++ == 0) first_bad_ = now;
-  // A check without an answer shows nothing about the build unless the machine
-  // has sent a heartbeat within the row: behind a partition nothing answers,
-  // and when it heals, a heartbeat arrives a moment before the next check.
+  // A check without a response is held against the build only if the machine
+  // sent a heartbeat after the first of the consecutive bad checks and before
+  // this check began. Behind a network partition no replica responds, and when
+  // the partition heals, a heartbeat may arrive just before the next check.
   if (answered || heartbeat_at_check_ > first_bad_) failure_confirmed_ = true;
-  // One that has never passed gets the time to start.
+  // A replica that has not been healthy or failing yet is still starting until
+  // its start time has passed.
   const bool starting = health_ == Health::kUnknown &&
                         now - running_since_ < policy.spec.start_seconds;
   if (bad_in_row_ >= policy.spec.check.bad_in_row && failure_confirmed_ &&
--- a/core/rollout/rollout.cc
+++ b/core/rollout/rollout.cc
@@ -11,7 +11,7 @@
 
 using enum RolloutStep;
 
-constexpr std::array kChanges = {
+constexpr std::array kTransitions = {
     std::pair{kDeclared, kAdvancing},  std::pair{kDeclared, kPaused},
     std::pair{kDeclared, kRolledBack}, std::pair{kDeclared, kRollingBack},
     std::pair{kDeclared, kFailed},     std::pair{kAdvancing, kBaking},
@@ -28,42 +28,45 @@
     std::pair{kRollingBack, kPaused},  std::pair{kRollingBack, kFailed},
 };
 
-// The order in which replicas are stopped: first those that serve nobody, then
-// those that have to move anyway.
-enum class StopRank : uint8_t { kUnhealthy, kOnLeavingMachine, kHealthy };
+// The order in which replicas are stopped: first those that do not serve, then
+// those that must leave their machine anyway.
+enum class StopRank : uint8_t { kUnhealthy, kOnDrainingMachine, kHealthy };
 
-uint32_t Difference(uint32_t value, uint32_t less) {
+uint32_t SubtractOrZero(uint32_t value, uint32_t less) {
   return value > less ? value - less : 0;
 }
 
-// How many replicas may exist while new ones replace old ones.
+// The replica limits while new replicas replace old ones.
 RolloutReplicaLimits LimitsWhileAdvancing(const RolloutSpec& spec,
                                           const RolloutObservation& observation,
                                           const RolloutCounts& counts) {
   const uint32_t from_tasks = observation.from_tasks;
   const uint32_t to_tasks = observation.to_tasks;
   const uint32_t total = from_tasks + spec.surge;
-  // Without a surge the first capacity comes from an old replica.
-  const uint32_t ahead = spec.surge == 0 ? 1 : 0;
+  // Without a surge one old replica must stop before the first new replica can
+  // start.
+  const uint32_t freed_first = spec.surge == 0 ? 1 : 0;
   const uint32_t replaced =
       to_tasks == 0 ? 0
                     : static_cast<uint32_t>(static_cast<uint64_t>(from_tasks) *
                                             counts.new_baked / to_tasks);
   const bool all_baked = counts.new_baked >= to_tasks;
   const uint32_t wanted_old =
-      all_baked ? 0 : Difference(from_tasks, replaced + ahead);
-  const uint32_t floor_old = Difference(spec.floor, counts.new_baked);
+      all_baked ? 0 : SubtractOrZero(from_tasks, replaced + freed_first);
+  const uint32_t floor_old = SubtractOrZero(spec.floor, counts.new_baked);
   const uint32_t max_old =
       std::min(std::max(wanted_old, floor_old), from_tasks);
   const uint32_t step_size = std::max(1U, spec.surge);
-  const uint32_t max_new = std::min({to_tasks, counts.new_baked + step_size,
-                                     Difference(total, counts.old_present)});
+  const uint32_t max_new =
+      std::min({to_tasks, counts.new_baked + step_size,
+                SubtractOrZero(total, counts.old_present)});
   RolloutReplicaLimits limits;
-  // An old replica that was lost is started again only where no new one has its
+  // A lost old replica is started again only if no new replica has taken its
   // place.
   limits.max_old = std::min(
-      max_old, std::max(floor_old, Difference(total, counts.new_present)));
-  // What exists already stays; the limit is for what starts.
+      max_old, std::max(floor_old, SubtractOrZero(total, counts.new_present)));
+  // The limit restricts starts only, so it is never below the number of new
+  // replicas that exist already.
   limits.max_new = std::max(max_new, counts.new_present);
   return limits;
 }
@@ -77,14 +80,15 @@
   if (record.mod_revision <= record_.mod_revision) return;
   RolloutStep step = record_.step;
   if (record.step != step) {
-    CheckedChange(step, record.step, kChanges, "rollout");
+    CheckedChange(step, record.step, kTransitions, "rollout");
     step_since_ = now;
   }
   record_ = record;
 }
 
 CheckPolicy Rollout::Policy() const {
-  return {spec(), std::max(spec().check.interval_seconds, pace_seconds_)};
+  return {spec(),
+          std::max(spec().check.interval_seconds, min_check_interval_seconds_)};
 }
 
 void Rollout::OnCheck(const TaskAttemptKey& key, const CheckOutcome& outcome,
@@ -151,15 +155,15 @@
 
 bool Rollout::MayStop(const TaskAttemptKey& key, Time now) const {
   const auto it = replicas_.find(key);
-  if (it == replicas_.end()) return false;  // not reviewed yet
+  if (it == replicas_.end()) return false;  // no review has seen it yet
   const ReplicaHealth& replica = it->second;
   const ReplicaObservation& observed = replica.observed();
   if (replica.failing()) return true;
   if (!observed.running && !observed.stopping && observed.is_new) return true;
   uint32_t count = FloorCount(now);
-  // In a rollback new replicas stand in for no old one: the build may still
-  // pass a check here and there, and fail a moment after old replicas have been
-  // stopped because of it.
+  // During a rollback new replicas do not count when an old replica is to be
+  // stopped. The new build may still pass some checks and then fail right after
+  // old replicas were stopped because of these.
   if (step() == kRollingBack && !observed.is_new) {
     count -= Count(now).new_baked;
   }
@@ -167,9 +171,9 @@
          spec().floor + (replica.CountsForFloor(Policy(), now) ? 1 : 0);
 }
 
-void Rollout::NoteStopping(const TaskAttemptKey& key) {
+void Rollout::MarkStopping(const TaskAttemptKey& key) {
   const auto it = replicas_.find(key);
-  if (it != replicas_.end()) it->second.NoteStopping();
+  if (it != replicas_.end()) it->second.MarkStopping();
 }
 
 bool Rollout::AllChecked() const {
@@ -180,11 +184,11 @@
   });
 }
 
-std::optional<Rollout::StepChange> Rollout::StepOfRollback(
+std::optional<Rollout::StepChange> Rollout::StepWhileRollingBack(
     const RolloutObservation& observation, Time now) const {
   const RolloutCounts counts = Count(now);
-  // Where the check itself is at fault, the old replicas may never pass it:
-  // then it is enough that they have run for the time that a start takes.
+  // If the check itself is faulty, the old replicas may never pass it. The
+  // rollback then ends once they all run and the allowed start time has passed.
   const bool restored = counts.old_healthy >= observation.from_tasks ||
                         (counts.old_running >= observation.from_tasks &&
                          now - step_since_ > spec().start_seconds);
@@ -245,8 +249,8 @@
   return std::nullopt;
 }
 
-// What the user has done to the jobs comes first, then the user's request, then
-// what the checks show.
+// In order of precedence: the user has ended or not yet submitted a job, the
+// user's request, the results of the checks.
 std::optional<Rollout::StepChange> Rollout::NextStep(
     const RolloutObservation& observation, Time now) const {
   if (!observation.from_live) {
@@ -256,9 +260,9 @@
   if (step() == kDeclared && !observation.to_known) {
     if (record_.request != RolloutRequest::kAbort) return std::nullopt;
     return StepChange{kRolledBack,
-                      "aborted by its user before the new job came"};
+                      "aborted by its user before the new job was submitted"};
   }
-  if (step() == kRollingBack) return StepOfRollback(observation, now);
+  if (step() == kRollingBack) return StepWhileRollingBack(observation, now);
   if (std::optional<StepChange> change = StepOnRequest(observation)) {
     return change;
   }
@@ -271,12 +275,14 @@
                                         Time now) const {
   const RolloutCounts counts = Count(now);
   const uint32_t from_tasks = observation.from_tasks;
-  const uint32_t old_beside_new = std::min(
-      from_tasks, Difference(from_tasks + spec().surge, counts.new_present));
+  const uint32_t old_beside_new =
+      std::min(from_tasks,
+               SubtractOrZero(from_tasks + spec().surge, counts.new_present));
   if (step() == kDeclared) return {0, from_tasks};
   if (step() == kRollingBack) return {0, old_beside_new};
   if (step() == kPaused || !AllChecked()) {
-    // What is lost meanwhile may start again, nothing beyond it.
+    // Keep the limits: replicas that are lost meanwhile may be replaced, but no
+    // others may start.
     if (limits_) return *limits_;
     return {counts.new_present, std::max(counts.old_present, old_beside_new)};
   }
@@ -296,8 +302,8 @@
     const ReplicaObservation& observed = replica.observed();
     if (observed.is_new != is_new || observed.stopping) continue;
     const StopRank rank = !replica.Healthy(policy, now) ? StopRank::kUnhealthy
-                          : observed.machine_leaves
-                              ? StopRank::kOnLeavingMachine
+                          : observed.machine_draining
+                              ? StopRank::kOnDrainingMachine
                               : StopRank::kHealthy;
     candidates.push_back({rank, key});
   }
@@ -325,8 +331,8 @@
     if (excess == 0) break;
     const ReplicaHealth& replica = replicas_.at(key);
     const uint32_t counted = replica.CountsForFloor(Policy(), now) ? 1 : 0;
-    const bool useless = replica.failing() || !replica.observed().running;
-    if (!useless && floor_count < spec().floor + counted) continue;
+    const bool not_serving = replica.failing() || !replica.observed().running;
+    if (!not_serving && floor_count < spec().floor + counted) continue;
     floor_count -= counted;
     --excess;
     stop.push_back(key);
@@ -342,9 +348,10 @@
     plan.reason = std::move(change->reason);
   }
   limits_ = LimitsNow(observation, now);
-  // A step that is not recorded yet has not begun.
+  // No replica is stopped while a step change is pending: a step takes effect
+  // only after it has been recorded.
   if (!plan.next) plan.stop = ReplicasToStop(now);
-  for (const TaskAttemptKey& key : plan.stop) NoteStopping(key);
+  for (const TaskAttemptKey& key : plan.stop) MarkStopping(key);
   return plan;
 }
 
--- a/core/rollout/rollout.h
+++ b/core/rollout/rollout.h
@@ -1,6 +1,7 @@
-// A rollout: one service replaces another while a floor of healthy replicas is
-// kept. Decides how many replicas of each may exist, which must stop and which
-// step follows; knows nothing of machines, clocks or sockets.
+// The policy of a rollout: one service replaces another while a minimum number
+// of healthy replicas, the floor, is kept. Decides how many replicas of each
+// service may exist, which replicas must stop and which step comes next. It
+// performs no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,78 +17,85 @@
 
 namespace oxbow {
 
-// Both jobs at the moment of a review.
+// The state of both jobs at the time of a review.
 struct RolloutObservation {
   bool from_live = false;
-  bool to_known = false;  // the new job has been submitted, and may have ended
+  bool to_known = false;  // the new job has been submitted; it may have ended
   bool to_live = false;
   uint32_t from_tasks = 0;
   uint32_t to_tasks = 0;
   std::vector<ReplicaObservation> replicas;
 };
 
-// What a review decides.
+// The decisions of a review.
 struct RolloutPlan {
-  std::vector<TaskAttemptKey> stop;
-  // The step to record; nothing changes before it is.
+  std::vector<TaskAttemptKey> stop;  // the replicas to stop now
+  // The next step, if any. It takes effect only after it has been recorded.
   std::optional<RolloutStep> next;
   std::string reason;  // of the next step
 };
 
-// Replicas of both jobs by what the checks have shown.
+// Numbers of replicas of both jobs, by the results of their health checks.
 struct RolloutCounts {
   uint32_t old_present = 0;
   uint32_t new_present = 0;
   uint32_t old_running = 0;
   uint32_t old_healthy = 0;
   uint32_t new_healthy = 0;
-  uint32_t new_baked = 0;  // healthy for long enough to count for the floor
+  uint32_t new_baked = 0;  // healthy for long enough to count toward the floor
 };
 
-// How many replicas of each job may exist, including those that are stopping.
+// Maximum numbers of replicas of each job, including those that are stopping.
 struct RolloutReplicaLimits {
   uint32_t max_new = 0;
   uint32_t max_old = 0;
 };
 
-// One rollout under one leader. Its owner reviews it regularly, makes the
-// checks that are due, and has the steps that it decides recorded.
+// One rollout under one leader. Its owner calls Review regularly, carries out
+// the health checks that are due, and records the steps that Review decides on.
 class Rollout {
  public:
-  // Assumes nothing about health: a new leader stops nothing and advances
-  // nothing before its own checks have passed.
+  // Starts without any health state: a new leader stops no replica and does not
+  // advance the rollout before its own checks have passed.
   Rollout(const RolloutRecord& record, Time now);
 
   const RolloutSpec& spec() const { return *record_.spec; }
   const RolloutRecord& record() const { return record_; }
   RolloutStep step() const { return record_.step; }
 
-  // Applies a record read from the key-value store: a step that has been
-  // recorded, or a request of its user. Older records are ignored.
+  // Applies a newer record of this rollout, with a new step or a new request of
+  // its user. Records that are not newer are ignored.
   void OnRecord(const RolloutRecord& record, Time now);
-  // A check of the replica has ended.
+  // A health check of the replica has ended. Ignored for unknown replicas.
   void OnCheck(const TaskAttemptKey& key, const CheckOutcome& outcome,
                Time now);
-  // Checks of one replica are at least so far apart, s: what the leader's
-  // processor allows when many replicas are to be checked.
-  void SetPace(double pace_seconds) { pace_seconds_ = pace_seconds; }
-  // Replicas that are due for a check, at most `most`. They count as being
-  // checked until OnCheck.
+  // Sets the minimum time between two checks of one replica. The leader's CPU
+  // budget for checks may not allow the declared interval if there are many
+  // replicas.
+  void SetMinCheckInterval(double min_check_interval_seconds) {
+    min_check_interval_seconds_ = min_check_interval_seconds;
+  }
+  // Returns up to `most` replicas that are due for a check. Each counts as
+  // being checked until OnCheck is called for it.
   std::vector<TaskAttemptKey> TakeDueChecks(size_t most, Time now);
-  // Updates the replicas and the limits; decides the next step and what stops.
+  // Updates the replicas and the limits from the observation, and decides on
+  // the next step or on the replicas to stop.
   RolloutPlan Review(const RolloutObservation& observation, Time now);
 
-  // How many replicas may exist, including those that are stopping.
+  // Maximum numbers of replicas, including those that are stopping. Before the
+  // first review no new replica may start, and old ones are not limited.
   uint32_t MaxNewReplicas() const { return limits_ ? limits_->max_new : 0; }
   uint32_t MaxOldReplicas() const {
     return limits_ ? limits_->max_old : UINT32_MAX;
   }
-  // Whether the floor allows the replica to be stopped. Every reason to stop
-  // one, except its user's cancellation, is decided here.
+  // Whether the floor allows the replica to be stopped. Must be asked before
+  // every stop other than a cancellation by the user.
   bool MayStop(const TaskAttemptKey& key, Time now) const;
-  // A stop of the replica has been decided.
-  void NoteStopping(const TaskAttemptKey& key);
+  // Marks a replica that is about to be stopped; it no longer counts toward the
+  // floor.
+  void MarkStopping(const TaskAttemptKey& key);
   RolloutCounts Count(Time now) const;
+  // Number of replicas of both jobs at the last review.
   size_t replicas() const { return replicas_.size(); }
 
  private:
@@ -97,15 +105,16 @@
   };
 
   CheckPolicy Policy() const;
-  // Replicas that count for the floor.
+  // Number of replicas that count toward the floor.
   uint32_t FloorCount(Time now) const;
   void UpdateReplicas(const RolloutObservation& observation, Time now);
-  // Whether this leader has a check result of every running replica.
+  // Whether this leader has a check result of every running replica that is not
+  // stopping.
   bool AllChecked() const;
-  // Nothing: the step stays.
+  // These return the next step; nothing if the current step continues.
   std::optional<StepChange> NextStep(const RolloutObservation& observation,
                                      Time now) const;
-  std::optional<StepChange> StepOfRollback(
+  std::optional<StepChange> StepWhileRollingBack(
       const RolloutObservation& observation, Time now) const;
   std::optional<StepChange> StepOnRequest(
       const RolloutObservation& observation) const;
@@ -115,15 +124,16 @@
   RolloutReplicaLimits LimitsNow(const RolloutObservation& observation,
                                  Time now) const;
   std::vector<TaskAttemptKey> ReplicasToStop(Time now) const;
-  // Of the old or the new ones, in the order in which they are stopped.
+  // The new or the old replicas that are not stopping, in the order in which
+  // they should be stopped.
   std::vector<TaskAttemptKey> StopOrder(bool is_new, Time now) const;
 
   RolloutRecord record_;
   ReplicaHealthMap replicas_;
-  std::optional<RolloutReplicaLimits> limits_;  // since the first review
+  std::optional<RolloutReplicaLimits> limits_;  // set by the first review
   Time step_since_;
-  double pace_seconds_ = 0;
-  CheckLatencies latencies_;
+  double min_check_interval_seconds_ = 0;
+  CheckLatencies latencies_;  // of the checks that passed
 };
 
 }  // namespace oxbow
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -19,21 +19,24 @@
   return kNames[static_cast<size_t>(step)];
 }
 
-// Rollouts are reviewed so often within a heartbeat interval.
+// Number of reviews of each rollout per heartbeat interval.
 constexpr double kReviewsPerHeartbeat = 4;
-// Processor time of one check, s: twice what was measured.
+// CPU time that is budgeted for one check: twice what a check takes, as a
+// margin.
 constexpr double kCheckCostSeconds = 1e-4;
-// Bytes of the reason that a compact record keeps.
+// A compact record keeps this many bytes of the reason.
 constexpr size_t kMaxCompactReason = 64;
 
-// The job whose end the end of a rollout brings with it; null: neither's.
+// Returns the id of the job that ends together with the rollout: the old job of
+// a rollout that is done, the new job of one that was rolled back. Null if no
+// job ends with this step.
 const std::string* JobEndedBy(RolloutStep step, const RolloutSpec& spec) {
   if (step == RolloutStep::kDone) return &spec.from;
   if (step == RolloutStep::kRolledBack) return &spec.to;
   return nullptr;
 }
 
-// Records a step of a rollout, and what it does to the jobs.
+// Records a step of a rollout and, if a job ends with it, the end of that job.
 class RolloutStepOperation : public StoreOperation {
  public:
   RolloutStepOperation(RolloutManager& rollout_manager, RolloutStepWrite step)
@@ -42,17 +45,17 @@
         step_(std::move(step)) {}
 
   std::string_view kind() const override { return "record rollout step"; }
-  // The next step may change while the store does not answer.
+  // While the store does not answer, a later step may replace a queued one.
   bool ReplacesQueued() const override { return true; }
 
   BuildResult Build(CompareAndSwap* txn) const override {
-    return rollout_manager_.BuildRolloutOp(Step(), txn)
+    return rollout_manager_.BuildRolloutStep(Step(), txn)
                ? BuildResult::kAdded
                : BuildResult::kNothingToDo;
   }
 
   void OnRecorded(uint64_t revision, Time now) override {
-    rollout_manager_.RolloutOpDone(Step(), revision, now);
+    rollout_manager_.OnRolloutStepRecorded(Step(), revision, now);
   }
 
  private:
@@ -86,9 +89,9 @@
 }
 
 const Rollout* RolloutManager::RolloutOf(const Job& job) const {
-  if (in_rollout_.empty()) return nullptr;
-  const auto it = in_rollout_.find(job.id());
-  return it == in_rollout_.end() ? nullptr : FindRollout(it->second);
+  if (rollout_of_job_.empty()) return nullptr;
+  const auto it = rollout_of_job_.find(job.id());
+  return it == rollout_of_job_.end() ? nullptr : FindRollout(it->second);
 }
 
 uint32_t RolloutManager::StartableTasks(const Job& job) const {
@@ -107,9 +110,10 @@
   return rollout == nullptr || !job.live() || rollout->MayStop(key, now);
 }
 
-// A controller that has just accepted a job notifies the leader ahead of the
-// watch. The rollout that was declared before the job arrives by the watch
-// only: until the watch has caught up, the job could start unrestricted.
+// A controller that accepts a job notifies the leader directly, ahead of the
+// watch. A rollout that was declared before the job reaches the leader only
+// through the watch, so until the watch has caught up with the job's record,
+// the job could start without the rollout's restrictions.
 bool RolloutManager::MayBeRestricted(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
@@ -127,10 +131,12 @@
   const auto it = rollouts_.find(id);
   if (it != rollouts_.end()) {
     it->second.OnRecord(record, now);
-  } else if (in_rollout_.contains(spec.from) || in_rollout_.contains(spec.to)) {
-    // Two were declared for one job on two controllers at the same time.
+  } else if (rollout_of_job_.contains(spec.from) ||
+             rollout_of_job_.contains(spec.to)) {
+    // Two rollouts of one job were declared through two controllers at the same
+    // time.
     QueueStep({id, RolloutStep::kFailed,
-               "one of its jobs is part of another roll-out",
+               "one of its jobs is part of another rollout",
                RolloutRequest::kNone});
   } else if (!Ended(record.step)) {
     AddRollout(id, record, now);
@@ -142,8 +148,8 @@
                                 const RolloutRecord& record, Time now) {
   const RolloutSpec& spec = *record.spec;
   rollouts_.emplace(id, Rollout(record, now));
-  in_rollout_[spec.from] = id;
-  in_rollout_[spec.to] = id;
+  rollout_of_job_[spec.from] = id;
+  rollout_of_job_[spec.to] = id;
   context_.Log("tracking rollout", {{"rollout", id},
                                     {"from", spec.from},
                                     {"to", spec.to},
@@ -195,7 +201,7 @@
     observed.stopping = attempt.stopping;
     observed.reachable = !machine_health_.Suspect(*machine, now);
     observed.last_heartbeat = machine->last_heard;
-    observed.machine_leaves = machine->state() != MachineState::kUp;
+    observed.machine_draining = machine->state() != MachineState::kUp;
     observed.zone = machine->zone;
     replicas.push_back(std::move(observed));
   }
@@ -205,8 +211,8 @@
   if (rollouts_.empty() || now < next_review_) return;
   next_review_ =
       now + settings_.workers.heartbeat_interval_seconds / kReviewsPerHeartbeat;
-  // Before that, replicas on machines without a heartbeat would count as
-  // missing.
+  // Until each machine has sent a heartbeat or is known to be lost, replicas on
+  // the others would count as missing.
   if (!cluster_.AllMachinesAccountedFor()) return;
   for (auto& [id, rollout] : rollouts_) ReviewRollout(id, rollout, now);
   BeginChecks(now);
@@ -251,10 +257,11 @@
   return index < 0 ? nullptr : &cluster_.machine(index);
 }
 
-// A check costs the leader a connection and some processor time. Without a
-// bound, thousands of replicas would take the time that the leader's lease and
-// the workers' heartbeats need. The bound is spread evenly: each replica is
-// checked more seldom, and the result of a check counts for longer.
+// A check costs the leader a connection and some CPU time. Without a limit, the
+// checks of thousands of replicas would take the CPU time that renewing the
+// leader's lease and answering workers' heartbeats need. The limit affects all
+// replicas equally: each is checked less often, and a check result stays valid
+// for longer.
 int RolloutManager::ChecksAllowed(Time now) {
   const double share = settings_.limits.cpu_share * tuning_.rollout_cpu_share;
   const int most =
@@ -265,9 +272,11 @@
   size_t replicas = 0;
   for (const auto& [id, rollout] : rollouts_) replicas += rollout.replicas();
   for (auto& [id, rollout] : rollouts_) {
-    rollout.SetPace(static_cast<double>(replicas) / checks_per_second);
+    rollout.SetMinCheckInterval(static_cast<double>(replicas) /
+                                checks_per_second);
   }
-  // At most what half a heartbeat interval brings, and at least one.
+  // The budget accumulates for at most half a heartbeat interval, but always
+  // allows one check.
   const double burst =
       std::max(1.0, checks_per_second *
                         settings_.workers.heartbeat_interval_seconds / 2);
@@ -283,10 +292,10 @@
   std::vector<Rollout*> rollouts;
   for (auto& [id, rollout] : rollouts_) rollouts.push_back(&rollout);
   if (rollouts.empty()) return;
-  // Each rollout in turn comes first, so that none starves.
+  // The rollouts take turns in going first, so that none starves.
   std::rotate(
       rollouts.begin(),
-      rollouts.begin() + static_cast<long>(first_checked_++ % rollouts.size()),
+      rollouts.begin() + static_cast<long>(check_rotation_++ % rollouts.size()),
       rollouts.end());
   for (Rollout* rollout : rollouts) {
     if (allowed <= 0) return;
@@ -316,108 +325,111 @@
       std::make_unique<RolloutStepOperation>(*this, std::move(step)));
 }
 
-RolloutRecord RolloutManager::AfterOp(const RolloutRecord& record,
-                                      const RolloutStepWrite& op) {
+RolloutRecord RolloutManager::RecordAfter(const RolloutRecord& record,
+                                          const RolloutStepWrite& write) {
   RolloutRecord next = record;
-  if (op.step == RolloutStep::kPaused) next.paused_in = next.step;
-  next.step = op.step;
-  next.reason = op.reason;
-  if (op.compact) {
+  if (write.step == RolloutStep::kPaused) next.paused_in = next.step;
+  next.step = write.step;
+  next.reason = write.reason;
+  if (write.compact) {
     next.reason.resize(std::min(next.reason.size(), kMaxCompactReason));
   }
-  // One that has ended makes no checks any more.
-  if (op.compact && Ended(op.step)) {
+  // A rollout that has ended does not need its check parameters any more.
+  if (write.compact && Ended(write.step)) {
     auto spec = std::make_shared<RolloutSpec>(*record.spec);
     spec->check.path = HealthCheck().path;
     spec->check.expression = HealthCheck().expression;
     next.spec = std::move(spec);
   }
-  // A request that arrived while the step was being written is kept.
-  if (next.request == op.request) next.request = RolloutRequest::kNone;
+  // A different request that arrived while the step was being written is kept.
+  if (next.request == write.request) next.request = RolloutRequest::kNone;
   return next;
 }
 
-// The end of a rollout and of the job that it replaces, or takes back, are
-// written in one transaction: the user declared both together, and no status
-// shows one without the other.
-bool RolloutManager::BuildRolloutOp(const RolloutStepWrite& op,
-                                    CompareAndSwap* txn) const {
-  const auto entry = catalog_.rollouts().find(op.name);
-  if (entry == catalog_.rollouts().end() || entry->second.step == op.step) {
+// The end of a rollout and the end of the job that it replaces or rolls back
+// are written in one transaction, so that no status shows one without the
+// other.
+bool RolloutManager::BuildRolloutStep(const RolloutStepWrite& write,
+                                      CompareAndSwap* txn) const {
+  const auto entry = catalog_.rollouts().find(write.name);
+  if (entry == catalog_.rollouts().end() || entry->second.step == write.step) {
     return false;
   }
-  const RolloutRecord next = AfterOp(entry->second, op);
-  const std::string key = keys::Of(keys::kRollout, op.name);
+  const RolloutRecord next = RecordAfter(entry->second, write);
+  const std::string key = keys::Of(keys::kRollout, write.name);
   txn->preconditions.push_back({key, entry->second.mod_revision});
-  if (!Ended(op.step)) {
+  if (!Ended(write.step)) {
     txn->mutations.push_back({key, next});
     return true;
   }
-  txn->mutations.push_back({keys::Of(keys::kRolloutEnd, op.name), next});
+  txn->mutations.push_back({keys::Of(keys::kRolloutEnd, write.name), next});
   txn->mutations.push_back({key, {}});
-  const std::string* ended_job = JobEndedBy(op.step, *next.spec);
+  const std::string* ended_job = JobEndedBy(write.step, *next.spec);
   const JobRecord* job = ended_job ? catalog_.FindJob(*ended_job) : nullptr;
   if (job != nullptr && job->terminal_state == TerminalState::kNone) {
     const std::string job_key = keys::Of(keys::kJob, *ended_job);
     txn->preconditions.push_back({job_key, job->mod_revision});
     txn->mutations.push_back(
-        {job_key, TerminatedRecord(*job, TerminalState::kAborted, op.compact)});
+        {job_key,
+         TerminatedRecord(*job, TerminalState::kAborted, write.compact)});
   }
   return true;
 }
 
-void RolloutManager::RolloutOpDone(const RolloutStepWrite& op,
-                                   uint64_t revision, Time now) {
-  const auto it = rollouts_.find(op.name);
-  if (revision > 0) UpdateCatalog(op, revision, now);
-  LogFields fields = {{"rollout", op.name}, {"step", NameOf(op.step)}};
-  if (!op.reason.empty()) fields.emplace_back("reason", op.reason);
+void RolloutManager::OnRolloutStepRecorded(const RolloutStepWrite& write,
+                                           uint64_t revision, Time now) {
+  const auto it = rollouts_.find(write.name);
+  if (revision > 0) UpdateCatalog(write, revision, now);
+  LogFields fields = {{"rollout", write.name}, {"step", NameOf(write.step)}};
+  if (!write.reason.empty()) fields.emplace_back("reason", write.reason);
   context_.Log("rollout step recorded", std::move(fields));
-  if (!Ended(op.step) || it == rollouts_.end()) return;
+  if (!Ended(write.step) || it == rollouts_.end()) return;
   const RolloutSpec spec = it->second.spec();
   rollouts_.erase(it);
-  in_rollout_.erase(spec.from);
-  in_rollout_.erase(spec.to);
-  if (const std::string* ended_job = JobEndedBy(op.step, spec)) {
-    EndJob(*ended_job, op, revision, now);
+  rollout_of_job_.erase(spec.from);
+  rollout_of_job_.erase(spec.to);
+  if (const std::string* ended_job = JobEndedBy(write.step, spec)) {
+    EndJob(*ended_job, write, revision, now);
   }
   cluster_.MarkChanged();
   cluster_.MarkUrgentChange();
 }
 
-void RolloutManager::UpdateCatalog(const RolloutStepWrite& op,
+void RolloutManager::UpdateCatalog(const RolloutStepWrite& write,
                                    uint64_t revision, Time now) {
-  const auto entry = catalog_.rollouts().find(op.name);
+  const auto entry = catalog_.rollouts().find(write.name);
   if (entry == catalog_.rollouts().end()) return;
-  const RolloutRecord next = AfterOp(entry->second, op);
-  const std::string key = keys::Of(keys::kRollout, op.name);
-  if (Ended(op.step)) {
+  const RolloutRecord next = RecordAfter(entry->second, write);
+  const std::string key = keys::Of(keys::kRollout, write.name);
+  if (Ended(write.step)) {
     catalog_.Erase(key, revision);
   } else {
     catalog_.Put(key, next, revision);
-    OnRolloutRecord(op.name, now);
+    OnRolloutRecord(write.name, now);
   }
 }
 
-void RolloutManager::EndJob(const std::string& id, const RolloutStepWrite& op,
-                            uint64_t revision, Time now) {
+void RolloutManager::EndJob(const std::string& id,
+                            const RolloutStepWrite& write, uint64_t revision,
+                            Time now) {
   Job* job = cluster_.FindJob(id);
   if (job == nullptr || !job->live()) return;
   const JobRecord* record = catalog_.FindJob(id);
   if (revision > 0 && record != nullptr) {
-    catalog_.Put(keys::Of(keys::kJob, id),
-                 TerminatedRecord(*record, TerminalState::kAborted, op.compact),
-                 revision);
+    catalog_.Put(
+        keys::Of(keys::kJob, id),
+        TerminatedRecord(*record, TerminalState::kAborted, write.compact),
+        revision);
   }
   job->Change(JobState::kRecordingAbort);
   job_lifecycle_.OnTerminalStateRecorded(id, TerminalState::kAborted, now);
 }
 
 void RolloutManager::OnAttemptStopping(const TaskAttempt& attempt) {
-  if (attempt.job == nullptr || in_rollout_.empty()) return;
-  const auto it = in_rollout_.find(attempt.job_id);
-  if (it == in_rollout_.end()) return;
-  rollouts_.at(it->second).NoteStopping(KeyOf(attempt));
+  if (attempt.job == nullptr || rollout_of_job_.empty()) return;
+  const auto it = rollout_of_job_.find(attempt.job_id);
+  if (it == rollout_of_job_.end()) return;
+  rollouts_.at(it->second).MarkStopping(KeyOf(attempt));
 }
 
 }  // namespace oxbow
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -275,7 +275,7 @@
   fixture.AllGood(&rollout, 110);
   EXPECT_TRUE(rollout.MayStop(fixture.Old(), 110));
   // Only one of them: what is stopped carries nothing any more.
-  rollout.NoteStopping(fixture.Old());
+  rollout.MarkStopping(fixture.Old());
   EXPECT_FALSE(rollout.MayStop(fixture.view.replicas[1].key, 110));
   // A single bad answer begins the baking anew.
   rollout.OnCheck(fixture.New(), {true, false, 0.01}, 111);
