--- a/core/rebalancing/rebalancer.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -12,24 +12,24 @@
 
 using enum ReplicaMoveState;
 
-constexpr std::array kChanges = {
+constexpr std::array kTransitions = {
     std::pair{kPlanned, kClaimed},  std::pair{kPlanned, kGivenUp},
     std::pair{kClaimed, kStopping}, std::pair{kClaimed, kGivenUp},
     std::pair{kStopping, kStarted}, std::pair{kStopping, kGivenUp},
     std::pair{kStarted, kSettled},  std::pair{kStarted, kGivenUp},
 };
 
-// How long a state may last, in worker leases. Recording takes a round trip; a
-// claim that can't be used soon withholds capacity from others; a replica that
-// was stopped is surely gone after one lease, unless it hangs in a zone that is
-// partitioned.
+// How long a state may last, in worker leases. Recording the claim takes one
+// round trip. A claim that cannot be used soon withholds capacity from other
+// jobs. A stopped replica is known to be gone after one lease, unless it is in
+// a partitioned zone.
 constexpr double kPlannedLeases = 0.5;
 constexpr double kClaimedLeases = 0.5;
 constexpr double kStoppingLeases = 2;
-constexpr double kStartedLeases = 1;  // beside the fetch
+constexpr double kStartedLeases = 1;  // plus the time to fetch the image
 
-// Nothing has been stopped yet, so nothing has to be made good.
-std::optional<GiveUpReason> ReasonBeforeStop(
+// Nothing has been stopped yet, so the move can be given up without a loss.
+std::optional<GiveUpReason> GiveUpReasonBeforeStop(
     const ReplicaMoveObservation& observation) {
   if (!observation.demand_remains) return GiveUpReason::kNoDemand;
   if (!observation.on_source || !observation.running_on_source) {
@@ -39,7 +39,7 @@
   return std::nullopt;
 }
 
-std::optional<GiveUpReason> ReasonWhileStopping(
+std::optional<GiveUpReason> GiveUpReasonWhileStopping(
     const ReplicaMoveObservation& observation) {
   if (observation.on_target) return std::nullopt;
   if (!observation.on_source && !observation.has_unplaced_replica) {
@@ -81,7 +81,7 @@
 
 void Rebalancer::Change(Move& move, ReplicaMoveState next, Time now,
                         GiveUpReason reason) {
-  CheckedChange(move.state, next, kChanges, "replica move");
+  CheckedChange(move.state, next, kTransitions, "replica move");
   move.state_since = now;
   if (next == kStopping) move.stop_sent_at = now;
   move.reason = reason;
@@ -109,12 +109,13 @@
   Move move;
   move.claim = claim;
   move.ends_at = claim.until_wall - wall_minus_steady;
-  move.cooled_off_at = claim.cool_wall - wall_minus_steady;
-  // Bounded, in case the record is wrong or was written by a clock that is off.
-  const double longest = limits_.cool_leases * limits_.lease_seconds;
+  move.cooldown_ends_at = claim.cool_wall - wall_minus_steady;
+  // The times are bounded in case the record is wrong or was written by a
+  // controller with a wrong wall clock.
+  const double longest = limits_.cooldown_leases * limits_.lease_seconds;
   move.ends_at = std::min(move.ends_at, now + longest);
-  move.cooled_off_at = std::min(move.cooled_off_at, now + 2 * longest);
-  if (now >= move.cooled_off_at) return;
+  move.cooldown_ends_at = std::min(move.cooldown_ends_at, now + 2 * longest);
+  if (now >= move.cooldown_ends_at) return;
   move.state = now < move.ends_at ? kStopping : kGivenUp;
   if (move.state == kGivenUp) move.reason = GiveUpReason::kEarlierLeader;
   move.state_since = move.stop_sent_at = now;
@@ -124,29 +125,29 @@
 bool Rebalancer::MayBegin(const MoveRequest& request, Time now) const {
   const int max_stopped =
       MaxStoppedReplicas(request.tasks, limits_.service_share);
-  if (max_stopped == 0 || in_progress() >= limits_.at_once ||
-      static_cast<int>(moves_.size()) >= limits_.budget) {
+  if (max_stopped == 0 || in_progress() >= limits_.max_in_progress ||
+      static_cast<int>(moves_.size()) >= limits_.max_per_cooldown) {
     return false;
   }
   int of_service = 0;
   int of_zone = 0;
   int of_team = 0;
   for (const auto& [id, move] : moves_) {
-    // Hysteresis: replicas of a service do not move to and fro, and a machine
-    // that a move has freed is not the target of the next.
+    // Hysteresis: replicas of a service must not move back and forth, and a
+    // machine that a move has freed must not become the target of another one.
     const bool same_service = move.claim.job == request.job;
-    const bool cooling = now < move.cooled_off_at;
+    const bool cooling = now < move.cooldown_ends_at;
     if (same_service && Ended(move.state) && cooling) return false;
     if (move.claim.from == request.to && cooling) return false;
     if (Ended(move.state)) continue;
-    // One fetch at a time on the link of a target.
+    // A target fetches one image at a time, since its network link is shared.
     if (move.claim.to == request.to && request.fetch_seconds > 0) return false;
     of_service += same_service;
     of_zone += move.zone == request.zone;
     of_team += move.team == request.team;
   }
   const auto share_of_moves = [&](double share) {
-    return std::max(1, static_cast<int>(share * limits_.at_once));
+    return std::max(1, static_cast<int>(share * limits_.max_in_progress));
   };
   return of_service < max_stopped &&
          of_zone < share_of_moves(limits_.zone_share) &&
@@ -156,9 +157,10 @@
 std::optional<MoveClaim> Rebalancer::Begin(MoveClaim claim,
                                            const MoveRequest& request,
                                            double wall_minus_steady, Time now) {
-  // Ids are few and used again, so that the records stay few. The id of a move
-  // whose service has not cooled off is not free: that is the budget.
-  for (int i = 0; i < limits_.budget; ++i) {
+  // There are `max_per_cooldown` ids, which are reused, so that the number of
+  // records stays small. An id is free again only after the cooldown of its
+  // last move, which enforces the limit.
+  for (int i = 0; i < limits_.max_per_cooldown; ++i) {
     const std::string id = std::to_string(i);
     if (moves_.contains(id)) continue;
     Move& move = moves_[id];
@@ -168,10 +170,11 @@
             lease +
         2 * request.fetch_seconds;
     move.ends_at = now + longest;
-    move.cooled_off_at = now + std::max(longest, limits_.cool_leases * lease);
+    move.cooldown_ends_at =
+        now + std::max(longest, limits_.cooldown_leases * lease);
     claim.id = id;
     claim.until_wall = move.ends_at + wall_minus_steady;
-    claim.cool_wall = move.cooled_off_at + wall_minus_steady;
+    claim.cool_wall = move.cooldown_ends_at + wall_minus_steady;
     move.claim = claim;
     move.zone = request.zone;
     move.team = request.team;
@@ -188,7 +191,7 @@
   }
 }
 
-void Rebalancer::OnRefused(const std::string& id, Time now) {
+void Rebalancer::OnNotRecorded(const std::string& id, Time now) {
   const auto it = moves_.find(id);
   if (it != moves_.end() && it->second.state == kPlanned) {
     Change(it->second, kGivenUp, now, GiveUpReason::kNotRecorded);
@@ -207,13 +210,13 @@
   switch (move.state) {
     case kPlanned:
     case kClaimed:
-      reason = ReasonBeforeStop(observation);
+      reason = GiveUpReasonBeforeStop(observation);
       if (!reason && lasts_longer_than(move.state == kPlanned ? kPlannedLeases
                                                               : kClaimedLeases))
         reason = GiveUpReason::kTimeout;
       return reason;
     case kStopping:
-      reason = ReasonWhileStopping(observation);
+      reason = GiveUpReasonWhileStopping(observation);
       if (!reason && !observation.on_target &&
           lasts_longer_than(kStoppingLeases)) {
         reason = GiveUpReason::kStopTimeout;
@@ -243,8 +246,8 @@
   }
   switch (move.state) {
     case kClaimed:
-      // The floor is checked at the last moment: every other replica runs, but
-      // for those that moves have stopped, and these are not too many.
+      // Right before the stop: every other replica must still run, except for
+      // the limited number that moves have stopped.
       if (!observation.others_running || !observation.stop_allowed ||
           !observation.source_usable) {
         break;
@@ -278,9 +281,9 @@
   return nullptr;
 }
 
-void Rebalancer::RemoveCooledOff(Time now) {
+void Rebalancer::RemoveAfterCooldown(Time now) {
   std::erase_if(moves_, [&](const auto& entry) {
-    return Ended(entry.second.state) && now >= entry.second.cooled_off_at;
+    return Ended(entry.second.state) && now >= entry.second.cooldown_ends_at;
   });
 }
 
--- a/core/rebalancing/rebalancer.h
+++ b/core/rebalancing/rebalancer.h
@@ -1,8 +1,9 @@
-// Replica moves: a replica is stopped on one machine, so that its capacity
-// there becomes part of a whole, and started on another that is claimed for it.
-// Records how far each move is and decides what it may do next; stops and
-// starts nothing itself. The start is made as any other, once the old attempt
-// is surely gone, so a move can't lead to a second copy.
+// Replica moves: to leave a whole machine free for a large job, a service's
+// replica is stopped on one machine and started on another one, on which
+// capacity is reserved for it by a recorded claim. Tracks the state of each
+// move and decides on the next action, but stops and starts nothing itself. The
+// scheduler places the replacement like any other task, once the old attempt is
+// known to be gone, so a move cannot lead to two copies of a replica.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +16,17 @@
 
 namespace oxbow {
 
-// How far a move is; see the table of changes in rebalancer.cc.
+// State of a move; see the table of transitions in rebalancer.cc.
 enum class ReplicaMoveState : uint8_t {
   kPlanned,   // the claim is being recorded; nothing has been stopped
-  kClaimed,   // recorded: the capacity on the target is reserved
+  kClaimed,   // the claim is recorded and reserves capacity on the target
   kStopping,  // a stop was sent, perhaps by an earlier leader
   kStarted,   // a replica of the service has been started on the target
-  kSettled,   // and runs there
-  kGivenUp,   // see the reason; what was stopped is placed as any other
+  kSettled,   // completed: the replica runs on the target
+  kGivenUp,   // see GiveUpReason; a stopped replica is placed like any other
 };
 std::string_view NameOf(ReplicaMoveState state);
-// Whether nothing follows the state.
+// Whether the state is final.
 inline bool Ended(ReplicaMoveState state) {
   return state >= ReplicaMoveState::kSettled;
 }
@@ -33,86 +34,95 @@
 // Why a move was given up.
 enum class GiveUpReason : uint8_t {
   kNone,
-  kEarlierLeader,  // its claim had ended when this leader began
-  kNotRecorded,
-  kServiceEnded,
-  kTimeout,
-  kNoDemand,  // no job waits for the capacity any more
-  kReplicaLeft,
-  kTargetUnusable,
-  kPlacedElsewhere,
-  kStopTimeout,
-  kLostOnTarget,
+  kEarlierLeader,    // an earlier leader's claim had expired at takeover
+  kNotRecorded,      // the claim could not be recorded
+  kServiceEnded,     // the service has ended or is being ended
+  kTimeout,          // the move, or one of its states, took too long
+  kNoDemand,         // no job waits for the capacity any more
+  kReplicaLeft,      // the replica stopped running before the move stopped it
+  kTargetUnusable,   // the target can't take the replica any more
+  kPlacedElsewhere,  // the replica was started on another machine
+  kStopTimeout,      // the replica did not stop in time
+  kLostOnTarget,     // the replica was lost after its start on the target
 };
 std::string_view NameOf(GiveUpReason reason);
 
-// What the next leader must know of a move, as the key-value store holds it
-// under `move/ID`. Wall times in s: the steady clocks of leaders differ.
+// The part of a move that the next leader must know, stored in the key-value
+// store under `move/ID`. Its times are wall times in seconds since 1970,
+// because the steady clocks of leaders differ.
 struct MoveClaim {
   std::string id;
-  std::string job;  // a service
+  std::string job;  // the service
   uint32_t task = 0;
   uint64_t attempt = 0;  // of the replica that is to be stopped
-  std::string from;      // hosts
-  std::string to;
-  std::string for_job;    // the job that waits for the capacity
-  double until_wall = 0;  // the claim ends, whatever became of the move
-  double cool_wall = 0;   // no move of the service begins before
+  std::string from;      // host name of the source
+  std::string to;        // host name of the target
+  std::string for_job;   // the job that waits for the capacity on the source
+  // When the claim expires, whatever the state of the move.
+  double until_wall = 0;
+  // End of the cooldown: no new move of the service begins before.
+  double cool_wall = 0;
 };
 
-// What the leader observes of a move.
+// What the leader observes of a move at one moment.
 struct ReplicaMoveObservation {
-  bool service_live = false;       // and nobody has asked for its end
-  bool on_source = false;          // the claimed attempt is, or may be, there
-  bool running_on_source = false;  // and no stop was sent
-  bool on_target = false;          // a replica of the service was started there
-  bool running_on_target = false;
+  bool service_live = false;  // has not ended, and its end is not requested
+  bool on_source = false;     // the claimed attempt is or may be on the source
+  bool running_on_source = false;  // it runs there, and no stop was sent
+  bool on_target = false;  // a replica of the service was started on the target
+  bool running_on_target = false;     // that replica runs
   bool has_unplaced_replica = false;  // of the service
-  // Up, sends heartbeats, takes commands, may run one more, has the capacity.
+  // The target is up, sends heartbeats, accepts commands, may run one more
+  // replica of the service and has the capacity for it.
   bool target_usable = false;
-  // Sends heartbeats, and shows no fencing token but the leader's.
+  // The source sends heartbeats and reports no fencing token other than this
+  // leader's.
   bool source_usable = false;
-  // Every other replica runs on a usable machine: no command of an earlier
-  // leader can stop a second one. Those that moves have stopped are excepted.
+  // Every other replica, except those that moves have stopped, runs on a usable
+  // machine. Commands of an earlier leader therefore cannot stop a second one.
   bool others_running = false;
-  bool stop_allowed = false;    // by rollouts' floors and the loss limiter
-  bool demand_remains = false;  // the large job still waits
+  bool stop_allowed = false;    // by the rollouts' floors and the loss limiter
+  bool demand_remains = false;  // the large job still waits for capacity
 };
 
-// How a claim is serialized: the core does not know the format.
+// Serialization of claims, passed in because the core does not depend on the
+// wire format.
 struct MoveCodec {
   std::string (*write)(const MoveClaim& claim) = nullptr;
   bool (*read)(const std::string& text, MoveClaim* out) = nullptr;
 };
 
-// What the owner of a move has to do.
+// What the owner of a move must do now.
 enum class ReplicaMoveAction : uint8_t { kNone, kStop };
 
 // The operators' limits on moves.
 struct MoveLimits {
-  int at_once = 0;  // moves in progress; 0: none at all
-  int budget = 0;   // moves begun within a cooling-off period
-  // Of a service's replicas, at once; one at least, never the last.
+  int max_in_progress = 0;   // moves in progress; 0 disables moves
+  int max_per_cooldown = 0;  // moves that are in progress or in their cooldown
+  // Share of a service's replicas that moves may have stopped at once; at least
+  // one replica, but never the last one.
   double service_share = 0.125;
-  double zone_share = 0.5;  // of the moves in progress, to the same zone
-  double team_share = 0.5;  // and of the same team
+  // Shares of `max_in_progress` that may have targets in one zone, or move
+  // replicas of one team; at least one move.
+  double zone_share = 0.5;
+  double team_share = 0.5;
   double lease_seconds = 10;
   double heartbeat_interval_seconds = 1;
-  double cool_leases = 6;
+  double cooldown_leases = 6;
 };
 
-// A move that is asked for.
+// The properties of a move that the limits depend on.
 struct MoveRequest {
-  std::string job;     // a service
+  std::string job;     // the service
   uint32_t tasks = 0;  // of the service
   std::string team;
-  std::string to;            // host
+  std::string to;            // host name of the target
   std::string zone;          // of the target
-  double fetch_seconds = 0;  // until the target has the image; 0: it has it
+  double fetch_seconds = 0;  // to fetch the image; 0: the target has it
 };
 
-// All moves of one leadership, within the operators' limits. Copyable: a plan
-// is tried on a copy.
+// All moves of one leadership, kept within the operators' limits. Copyable, so
+// that a plan can be tried on a copy.
 class Rebalancer {
  public:
   struct Move {
@@ -123,53 +133,57 @@
     std::string team;
     Time state_since = 0;
     Time stop_sent_at = 0;
-    Time ends_at = 0;  // at the latest, whatever happens
-    Time cooled_off_at = 0;
+    Time ends_at = 0;  // given up if it is still in progress then
+    Time cooldown_ends_at = 0;
   };
 
   explicit Rebalancer(const MoveLimits& limits) : limits_(limits) {}
 
-  // Takes up a claim that an earlier leader recorded. A stop may have been sent
-  // and may arrive late: this leader commands nothing. It reserves the capacity
-  // for a replica without a place until the claim ends, and moves no replica of
-  // the service until it has cooled off.
+  // Takes over a claim that an earlier leader recorded. That leader may have
+  // sent a stop that arrives late, so this leader sends none. It reserves the
+  // capacity for an unplaced replica of the service until the claim expires,
+  // and begins no move of the service before the cooldown ends.
   void Restore(const MoveClaim& claim, double wall_minus_steady, Time now);
 
-  // Whether such a move may begin within the limits.
+  // Whether the limits allow the move to begin now.
   bool MayBegin(const MoveRequest& request, Time now) const;
-  // Plans the move. Returns `claim` with its id and times set, to be recorded;
-  // nothing if the budget is used up. `claim` names service, task, attempt and
-  // hosts; see MayBegin for the limits.
+  // Adds a move in state kPlanned. `claim` names service, task, attempt and
+  // hosts. Returns it with its id and times set, to be recorded; nothing if
+  // `max_per_cooldown` is reached. The other limits are checked by MayBegin.
   std::optional<MoveClaim> Begin(MoveClaim claim, const MoveRequest& request,
                                  double wall_minus_steady, Time now);
-  // The claim is recorded in the key-value store.
+  // The claim has been recorded in the key-value store.
   void OnRecorded(const std::string& id, Time now);
-  // The claim can't be recorded.
-  void OnRefused(const std::string& id, Time now);
-  // What to do now. kStop: the caller sends the stop at once.
+  // The claim could not be recorded.
+  void OnNotRecorded(const std::string& id, Time now);
+  // Advances the move by what is observed. If kStop is returned, the caller
+  // must send the stop of the replica at once.
   ReplicaMoveAction Step(const std::string& id,
                          const ReplicaMoveObservation& observation, Time now);
-  // Whether a move takes a replica off that machine: nothing is placed there.
+  // Whether the machine is the source of a move in progress; nothing may be
+  // placed on it then.
   bool IsSource(const std::string& host) const;
-  // The host reserved for the service's next replica; null for none.
+  // The host that a move reserves for the service's next replica; null if there
+  // is none.
   const std::string* TargetFor(const std::string& job) const;
-  // Removes ended moves that have cooled off.
-  void RemoveCooledOff(Time now);
+  // Removes ended moves whose cooldown is over.
+  void RemoveAfterCooldown(Time now);
 
   const std::map<std::string, Move>& moves() const { return moves_; }
   int in_progress() const;
-  // Replicas of the service that moves have stopped and that do not run yet.
-  // A move that was given up does not count: its replica is a missing one.
+  // Number of replicas of the service that moves have stopped and that do not
+  // run yet. The replica of a move that was given up does not count: it is
+  // treated as missing.
   int StoppedReplicas(const std::string& job) const;
-  // Since this leader began.
+  // Numbers of moves since this leadership began.
   int settled() const { return settled_; }
   int given_up() const { return given_up_; }
 
  private:
-  // The one function for changes of a move's state.
+  // Changes the state of the move; all state changes go through here.
   void Change(Move& move, ReplicaMoveState next, Time now,
               GiveUpReason reason = GiveUpReason::kNone);
-  // Nothing: the move goes on.
+  // Returns nothing if the move may continue.
   std::optional<GiveUpReason> ReasonToGiveUp(
       const Move& move, const ReplicaMoveObservation& observation,
       Time now) const;
@@ -180,8 +194,8 @@
   int given_up_ = 0;
 };
 
-// The most replicas of a service that moves may have stopped at once: 0 for a
-// service of one, whose only replica would be the last.
+// Maximum number of a service's replicas that moves may have stopped at once. 0
+// for a service with a single replica.
 int MaxStoppedReplicas(uint32_t tasks, double service_share);
 
 }  // namespace oxbow
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -11,27 +11,28 @@
 namespace oxbow {
 namespace {
 
-// Operators' records of this prefix hold the claims.
+// Claims are stored as operators' records whose names have this prefix.
 constexpr std::string_view kRecordPrefix = "move/";
 constexpr const char* kRecordKind = "move";
 
-// In worker leases. A job that has just arrived may find its place without a
-// move; a replica that has just started is not worth another start.
+// In worker leases. A job that has just arrived may be placed without a move,
+// and a replica that has just started should not be restarted so soon.
 constexpr double kMinWaitLeases = 0.5;
-constexpr double kSettledLeases = 1;
-// About how long a fragmented machine takes to empty by itself.
+constexpr double kMinRunLeases = 1;
+// Approximate time for a fragmented machine to become empty by itself, in
+// worker leases.
 constexpr double kHorizonLeases = 3;
-// In heartbeat intervals: how long users lack a replica that moves without a
-// fetch.
+// Downtime of a replica that is moved without an image fetch, in heartbeat
+// intervals.
 constexpr double kDisturbanceHeartbeats = 2;
-// Moves are advanced so often within a heartbeat interval.
-constexpr double kStepsPerHeartbeat = 4;
+// Moves are advanced this many times per heartbeat interval.
+constexpr double kAdvancesPerHeartbeat = 4;
 
 std::string RecordName(const std::string& id) {
   return std::string(kRecordPrefix) + id;
 }
 
-// Records the claim of a move before anything is moved.
+// Records the claim of a move before its replica is stopped.
 class RecordMoveClaimOperation : public StoreOperation {
  public:
   RecordMoveClaimOperation(LeaderContext& context,
@@ -43,7 +44,7 @@
         record_(std::move(record)) {}
 
   std::string_view kind() const override { return "record move"; }
-  // What is wanted may change while the store does not answer.
+  // While the store does not answer, a later claim may replace a queued one.
   bool ReplacesQueued() const override { return true; }
 
   BuildResult Build(CompareAndSwap* txn) const override {
@@ -95,12 +96,12 @@
   if (tuning_.moves_at_once < 1 || tuning_.fragmentation_weight <= 0) return;
   move_codec_ = codec;
   MoveLimits limits;
-  limits.at_once = static_cast<int>(tuning_.moves_at_once);
-  limits.budget = static_cast<int>(tuning_.moves_budget);
+  limits.max_in_progress = static_cast<int>(tuning_.moves_at_once);
+  limits.max_per_cooldown = static_cast<int>(tuning_.moves_budget);
   limits.service_share = tuning_.moves_service_share;
   limits.zone_share = tuning_.moves_zone_share;
   limits.team_share = tuning_.moves_team_share;
-  limits.cool_leases = tuning_.moves_cool_leases;
+  limits.cooldown_leases = tuning_.moves_cool_leases;
   limits.lease_seconds = settings_.workers.lease_seconds;
   limits.heartbeat_interval_seconds =
       settings_.workers.heartbeat_interval_seconds;
@@ -125,8 +126,8 @@
       move->second.state != ReplicaMoveState::kPlanned) {
     return;
   }
-  // The watch may bring an older version meanwhile; the outcome of the write
-  // itself comes last. A record with other contents is not this claim.
+  // The watch may deliver an older version of the record before the write
+  // completes. Only a record with the same contents is this claim.
   const bool recorded =
       record != catalog_.operators().end() && !record->second.withdrawn &&
       record->second.text == move_codec_.write(move->second.claim);
@@ -167,7 +168,7 @@
   ObserveSource(claim, now, observation);
   ObserveTarget(move, *job, now, observation);
   observation.demand_remains = HasUnplacedTasks(claim.for_job);
-  // Only a claimed move stops its replica.
+  // Only a claimed move needs permission to stop its replica.
   if (move.state == ReplicaMoveState::kClaimed) {
     ObservePermission(claim, *job, now, observation);
   }
@@ -199,7 +200,7 @@
        it != target->task_attempts.end() && it->first.job_id == job.id();
        ++it) {
     const TaskAttempt& attempt = it->second;
-    // Another replica may have been there before.
+    // Skip replicas that were on the target before the move.
     if (attempt.phase == TaskPhase::kExited ||
         attempt.started < move.stop_sent_at) {
       continue;
@@ -229,7 +230,7 @@
   observation.others_running =
       cluster_.AllMachinesAccountedFor() &&
       CountConfirmedRunning(job, now) + stopped >= job.size();
-  // The loss limiter counts what it allows, so it is asked last.
+  // The loss limiter counts each loss that it allows, so it must be asked last.
   observation.stop_allowed =
       observation.demand_remains && observation.running_on_source &&
       observation.target_usable && observation.source_usable &&
@@ -241,7 +242,7 @@
                             LossCause::kMoved, now);
 }
 
-void RebalancingManager::StepMoves(Time now) {
+void RebalancingManager::AdvanceMoves(Time now) {
   std::vector<std::string> ids;
   for (const auto& [id, move] : rebalancer_->moves()) {
     if (!Ended(move.state)) ids.push_back(id);
@@ -254,7 +255,7 @@
     if (move.state != before) LogState(move);
     if (action == ReplicaMoveAction::kStop) StopReplica(move.claim, now);
   }
-  rebalancer_->RemoveCooledOff(now);
+  rebalancer_->RemoveAfterCooldown(now);
 }
 
 void RebalancingManager::LogState(const Rebalancer::Move& move) {
@@ -285,10 +286,10 @@
 
 void RebalancingManager::TickMoves(
     const std::vector<std::string>& large_waiting, Time now) {
-  if (!rebalancer_ || now < next_step_) return;
-  next_step_ =
-      now + settings_.workers.heartbeat_interval_seconds / kStepsPerHeartbeat;
-  StepMoves(now);
+  if (!rebalancer_ || now < next_advance_) return;
+  next_advance_ = now + settings_.workers.heartbeat_interval_seconds /
+                            kAdvancesPerHeartbeat;
+  AdvanceMoves(now);
   if (now < next_plan_ || !cluster_.AllMachinesAccountedFor() ||
       rebalancer_->in_progress() >= static_cast<int>(tuning_.moves_at_once) ||
       liveness_.leader_health() != LeaderHealthState::kHealthy) {
@@ -338,7 +339,7 @@
   input.missing = rollout_manager_.StartableTasks(waiting);
   input.max_moves = static_cast<size_t>(std::max(
       0, static_cast<int>(tuning_.moves_at_once) - rebalancer_->in_progress()));
-  input.settled_seconds = kSettledLeases * lease_seconds;
+  input.min_run_seconds = kMinRunLeases * lease_seconds;
   input.disturbance_seconds =
       kDisturbanceHeartbeats * settings_.workers.heartbeat_interval_seconds;
   input.horizon_seconds = kHorizonLeases * lease_seconds;
@@ -352,7 +353,7 @@
   input.may_move_to = [this, now](const TaskAttempt& replica, const Machine& to,
                                   double fetch_seconds) {
     const Job& job = *replica.job;
-    // The loss of the target must not take the service.
+    // The loss of the target machine must not take down the service.
     return ClusterState::CountOn(job, to) <
                ReplicasPerMachineLimit(job.size()) &&
            rebalancer_->MayBegin({replica.job_id, job.size(), job.spec().team,
--- a/core/rebalancing/rebalancing_manager.h
+++ b/core/rebalancing/rebalancing_manager.h
@@ -1,6 +1,7 @@
-// Replica moves under this leader: observes each, plans new ones, and has their
-// claims recorded before anything is stopped. A replica that is stopped here is
-// placed again as any other. Owns the moves in progress.
+// Runs the replica moves of the cluster on the leader: observes each move,
+// plans new ones, and records their claims before any replica is stopped. The
+// scheduler places a stopped replica again like any other task. Owns the moves
+// in progress.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +23,7 @@
 // One per leadership. Does nothing until UseMoves enables it.
 class RebalancingManager {
  public:
-  // The modules that it calls.
+  // The modules that the manager calls.
   struct Modules {
     MachineHealth& machine_health;
     CommandDispatcher& dispatcher;
@@ -30,58 +31,59 @@
   };
   RebalancingManager(LeaderContext& context, const Modules& modules);
 
-  // The operators' record of that name has changed, or a write of it was
-  // refused. Records of other kinds are ignored.
+  // The operators' record of that name has changed, or a write of it has
+  // completed. Records of other kinds are ignored.
   void OnMoveRecord(const std::string& name, Time now);
   // Advances the moves, and plans new ones for the jobs that need whole
   // machines. `large_waiting`: Scheduler::large_waiting.
   void TickMoves(const std::vector<std::string>& large_waiting, Time now);
   bool enabled() const { return rebalancer_.has_value(); }
-  // Null where the operators have not enabled moves.
+  // Null if the operators have not enabled moves.
   const Rebalancer* rebalancer() const {
     return rebalancer_ ? &*rebalancer_ : nullptr;
   }
-  // Reserves the capacity on the targets; in each scheduling pass.
+  // Reserves capacity on the targets of moves. To be called in each scheduling
+  // pass.
   void ReserveMoveTargets(Time now);
-  // The machine that a move reserves for the service's next replica; null:
-  // none.
+  // The machine that a move reserves for the service's next replica; null if
+  // there is none or it can't take the replica.
   Machine* ReservedByMove(const Job& job, const ZoneSpread& zones, Time now);
-  // Whether a move takes a replica off the machine.
+  // Whether the machine is the source of a move in progress.
   bool DrainedByMove(const Machine& machine) const {
     return rebalancer_ && rebalancer_->IsSource(machine.host());
   }
-  // Enables moves, as far as the operators' settings do, and takes up the
-  // claims that an earlier leader has recorded; before the first tick.
+  // Enables moves if the operators' settings allow them, and takes over the
+  // claims that an earlier leader recorded. To be called before the first tick.
   void UseMoves(const MoveCodec& codec, Time now);
 
  private:
-  // Replicas that run, on machines that send heartbeats and obey this leader
-  // alone.
+  // Number of running replicas on machines that send heartbeats and accept
+  // commands of this leader only.
   uint32_t CountConfirmedRunning(const Job& job, Time now) const;
   static bool IsRunning(const Machine& machine, const TaskAttempt& attempt);
   bool HasUnplacedTasks(const std::string& job_id) const;
 
   // --- moves in progress
-  // Not const: permission to stop counts against the loss limit.
+  // Not const because a permission to stop counts against the loss limit. The
+  // parts are observed in the order of the functions below.
   ReplicaMoveObservation Observe(const Rebalancer::Move& move, Time now);
   void ObserveSource(const MoveClaim& claim, Time now,
                      ReplicaMoveObservation& observation) const;
-  // After the source.
   void ObserveTarget(const Rebalancer::Move& move, const Job& job, Time now,
                      ReplicaMoveObservation& observation) const;
-  // After everything else.
   void ObservePermission(const MoveClaim& claim, const Job& job, Time now,
                          ReplicaMoveObservation& observation);
-  void StepMoves(Time now);
+  void AdvanceMoves(Time now);
   void LogState(const Rebalancer::Move& move);
   void StopReplica(const MoveClaim& claim, Time now);
 
   // --- new moves
   void PlanMovesFor(const Job& waiting, Time now);
-  // Without the usable machines.
+  // The caller sets `usable`.
   MovePlanInput PlanInputFor(const Job& waiting, Time now) const;
   bool MayLeave(const TaskAttempt& replica, Time now) const;
-  // `moves`: all off one machine.
+  // Begins all of the moves, or none if the limits do not allow all of them.
+  // `moves` have the same source machine.
   void BeginAllOrNone(std::span<const PlannedMove> moves, const Job& waiting,
                       Time now);
   void RecordClaim(const MoveClaim& claim, Time now);
@@ -99,7 +101,7 @@
   RolloutManager& rollout_manager_;
   std::optional<Rebalancer> rebalancer_;
   MoveCodec move_codec_;
-  Time next_step_ = 0;
+  Time next_advance_ = 0;
   Time next_plan_ = 0;
 };
 
--- a/core/rebalancing/rebalancing_plan.cc
+++ b/core/rebalancing/rebalancing_plan.cc
@@ -9,17 +9,17 @@
 namespace oxbow {
 namespace {
 
-// Differences below are rounding.
+// Smaller differences are rounding errors.
 constexpr double kEpsilon = 1e-6;
 
-// The moves after which one machine is whole.
+// The moves that make room for one task of the waiting job on one machine.
 struct Evacuation {
   Machine* from = nullptr;
   std::vector<PlannedMove> moves;
-  double cost = 0;  // s of accelerators lost to their users
+  double cost = 0;  // accelerator-seconds lost by the moved replicas
 };
 
-// What the moves planned so far use.
+// Resources and machines that the moves planned so far use.
 class PlannedUse {
  public:
   Resources On(const Machine* machine) const {
@@ -47,10 +47,10 @@
   std::set<const Machine*> evacuated_;
 };
 
-// What there is for the waiting job in one zone; in all zones together, if it
-// may be placed across them.
+// The placement options of the waiting job in one zone, or in all zones
+// together if the job may be placed across zones.
 struct ZoneOptions {
-  uint32_t fitting_tasks = 0;  // without any move
+  uint32_t fitting_tasks = 0;  // tasks that fit without any move
   std::vector<Evacuation> evacuations;
 };
 
@@ -67,17 +67,18 @@
  private:
   std::map<std::string, ZoneOptions> OptionsByZone() const;
   ZonePlan PlanZone(ZoneOptions options) const;
-  // Nothing: the machine can't become whole by `max_moves`, or not at a cost
-  // below the gain.
+  // Returns nothing if `max_moves` moves cannot make room on the machine, or
+  // only at a cost that is not below the gain.
   std::optional<Evacuation> Evacuate(Machine& machine, PlannedUse use,
                                      size_t max_moves) const;
   std::vector<const TaskAttempt*> MovableReplicas(const Machine& machine) const;
   bool IsMovable(const TaskAttempt& attempt) const;
-  // The best target beside what is planned already; nothing for none.
+  // The best target given the moves in `use`; nothing if there is none.
   std::optional<PlannedMove> FindTarget(const TaskAttempt& attempt,
                                         Machine& from,
                                         const PlannedUse& use) const;
-  // Whether the target has capacity for the replica and loses nothing by it.
+  // Whether the target has capacity for the replica and is not fragmented
+  // further by it.
   bool FitsOn(const TaskAttempt& attempt, const Machine& target,
               const ZoneSpread& zones, const PlannedUse& use) const;
 
@@ -86,7 +87,7 @@
 };
 
 MovePlanner::MovePlanner(const MovePlanInput& input) : input_(input) {
-  // Most machines are full or whole, and no target.
+  // Only fragmented machines are targets; most machines are full or empty.
   for (Machine* machine : input.usable) {
     if (machine->total().gpus > 0 && LastingRoom(*machine).gpus > kEpsilon &&
         input.fragmentation->Useless(*machine) > kEpsilon) {
@@ -117,7 +118,7 @@
     const double fetch = SecondsToImage(*machine, attempt.job->spec());
     if (fetch > 0 && use.IsFetching(machine)) continue;
     if (!input_.may_move_to(attempt, *machine, fetch)) continue;
-    // The image first, then the fullest machine.
+    // Prefer the shortest image fetch, then the fullest machine.
     if (best == nullptr || fetch < best_fetch - kEpsilon ||
         (fetch < best_fetch + kEpsilon &&
          machine->lasting.gpus > best->lasting.gpus)) {
@@ -137,7 +138,7 @@
   const JobSpec& spec = attempt.job->spec();
   return spec.kind == JobKind::kService &&
          spec.priority != Priority::kProduction && spec.need.gpus > 0 &&
-         input_.now - attempt.running_since >= input_.settled_seconds;
+         input_.now - attempt.running_since >= input_.min_run_seconds;
 }
 
 std::vector<const TaskAttempt*> MovePlanner::MovableReplicas(
@@ -213,7 +214,7 @@
 ZonePlan MovePlanner::PlanZone(ZoneOptions options) const {
   ZonePlan plan;
   uint32_t missing = input_.missing - options.fitting_tasks;
-  // A gang that can't be placed whole would leave the machines empty.
+  // The machines would stay empty if the gang could not be placed as a whole.
   if (input_.waiting->kind == JobKind::kGang &&
       options.evacuations.size() < missing) {
     return plan;
@@ -227,7 +228,7 @@
   for (const Evacuation& option : options.evacuations) {
     if (missing == 0 || plan.moves.size() >= input_.max_moves) break;
     if (use.IsTarget(option.from)) continue;
-    // Planned again, beside what the evacuations before it use.
+    // Plan again, since the evacuations chosen before this one use resources.
     const std::optional<Evacuation> evacuation =
         Evacuate(*option.from, use, input_.max_moves - plan.moves.size());
     if (!evacuation) continue;
--- a/core/rebalancing/rebalancing_plan.h
+++ b/core/rebalancing/rebalancing_plan.h
@@ -1,6 +1,6 @@
-// Which replicas to move so that a job whose tasks need whole machines gets
-// them: what the job gains against what the moves cost. A pure function of its
-// input; stops and starts nothing.
+// Plans which replicas to move so that a job whose tasks need whole machines
+// can be placed, as long as the job's gain exceeds the cost of the moves. A
+// pure function of its input; stops and starts nothing.
 #pragma once
 
 #include <functional>
@@ -15,28 +15,28 @@
 
 namespace oxbow {
 
-// One replica from one machine to another. The machines outlive the plan.
+// A move of one replica. The machines must outlive the plan.
 struct PlannedMove {
   TaskAttemptKey replica;
   Machine* from = nullptr;
   Machine* to = nullptr;
-  double fetch_seconds = 0;  // until the target has the replica's image
+  double fetch_seconds = 0;  // for the target to fetch the replica's image
 };
 
-// What a plan is made of. What is pointed to must outlive the call.
+// The input of a plan. Everything that it points to must outlive the call.
 struct MovePlanInput {
   const FragmentationIndex* fragmentation = nullptr;
-  std::span<Machine* const> usable;
+  std::span<Machine* const> usable;  // machines that tasks may be placed on
   const JobSpec* waiting = nullptr;  // the job that needs whole machines
-  uint32_t missing = 0;              // its tasks that have no place
+  uint32_t missing = 0;              // number of its tasks that are unplaced
   size_t max_moves = 0;
-  double settled_seconds = 0;      // a replica that has run for less stays
-  double disturbance_seconds = 0;  // of a stop and a start without a fetch
-  // What having a machine whole now is worth, in seconds of its accelerators:
-  // about how long it would take to empty by itself.
+  double min_run_seconds = 0;  // replicas that have run for less are not moved
+  double disturbance_seconds = 0;  // downtime of a move without an image fetch
+  // The gain of a machine that is free now, in seconds of use of its
+  // accelerators: about the time that it would take to become free by itself.
   double horizon_seconds = 0;
   Time now = 0;
-  // Whether the replica may be moved at all, and whether to that machine.
+  // Whether the replica may be moved at all, and whether to the machine `to`.
   std::function<bool(const TaskAttempt& replica)> may_leave;
   std::function<bool(const TaskAttempt& replica, const Machine& to,
                      double fetch_seconds)>
@@ -44,11 +44,12 @@
   std::function<ZoneSpread(const Job& job)> zone_spread;
 };
 
-// The moves after which machines can take one more task of the waiting job,
-// the cheapest machine first, each with all the moves that it needs or none of
-// them. Targets are fragmented machines that become no less useful by the move,
-// and never machines that are being emptied. A job that stays in one zone gets
-// machines of one zone only, and a gang none where it can't be placed whole.
+// Returns moves that enable machines to take one task of the waiting job each.
+// The cheapest machine comes first, and each machine gets either all the moves
+// that it needs or none. Targets are fragmented machines that the move does not
+// fragment further, and never machines that are being emptied. For a job that
+// must stay in one zone, all the machines are in one zone; for a gang, the plan
+// is empty unless the whole gang can be placed.
 std::vector<PlannedMove> PlanMoves(const MovePlanInput& input);
 
 }  // namespace oxbow
--- a/tests/replica_move_explorer.h
+++ b/tests/replica_move_explorer.h
@@ -67,12 +67,12 @@
 
   static MoveLimits Limits() {
     MoveLimits limits;
-    limits.at_once = 2;
-    limits.budget = 2;
+    limits.max_in_progress = 2;
+    limits.max_per_cooldown = 2;
     limits.zone_share = limits.team_share = 1;
     limits.lease_seconds = 2;
     limits.heartbeat_interval_seconds = 1;
-    limits.cool_leases = 3;
+    limits.cooldown_leases = 3;
     return limits;
   }
 
@@ -101,7 +101,7 @@
     for (const auto& [id, move] : rebalancer.moves()) {
       key += fmt::format("m{}{}{}{}{:.1f}{:.1f}{:.1f}", id, move.claim.job,
                          move.claim.task, move.claim.to, move.state_since,
-                         move.ends_at, move.cooled_off_at) +
+                         move.ends_at, move.cooldown_ends_at) +
              std::string(NameOf(move.state));
     }
     return key;
@@ -308,7 +308,7 @@
         break;
       }
     }
-    state.rebalancer.RemoveCooledOff(state.now);
+    state.rebalancer.RemoveAfterCooldown(state.now);
     for (const auto& [id, move] : state.rebalancer.moves()) {
       settled_ += move.state == ReplicaMoveState::kSettled &&
                   move.state_since == state.now;
@@ -346,7 +346,7 @@
           state.writes.erase(state.writes.begin());
           break;
         case 1:
-          state.rebalancer.OnRefused(claim.id, state.now);
+          state.rebalancer.OnNotRecorded(claim.id, state.now);
           state.writes.erase(state.writes.begin());
           break;
         case 2:  // it stands, its answer never comes
