--- a/app/action_executor.cc
+++ b/app/action_executor.cc
@@ -72,7 +72,7 @@
   void operator()(JobTerminated& terminated) {
     executor.terminal_state_waiters_.Notify(terminated);
   }
-  void operator()(CheckInstance& check) {
+  void operator()(RunHealthCheck& check) {
     net::Spawn(executor.CheckInstanceHealth(std::move(check), revision));
   }
   void operator()(AskReach& survey) {
@@ -97,7 +97,7 @@
   }
   void operator()(Resign& resign) {
     summary.resign_reason = resign.reason;
-    summary.unfit = resign.unfit;
+    summary.prefer_other_candidates = resign.prefer_other_candidates;
   }
   void operator()(LogEvent& event) { logging::Write(event); }
 };
@@ -150,13 +150,13 @@
   });
 }
 
-net::Task<void> ActionExecutor::CheckInstanceHealth(CheckInstance check,
+net::Task<void> ActionExecutor::CheckInstanceHealth(RunHealthCheck check,
                                                     uint64_t revision) {
   const std::string rollout = check.rollout;
   const TaskAttemptKey key = check.key;
   const CheckOutcome outcome = co_await health_.Check(std::move(check));
   callbacks_.deliver(revision, [&](Leader& leader) {
-    leader.OnHealth(rollout, key, outcome, services_.loop.Now());
+    leader.OnHealthCheckResult(rollout, key, outcome, services_.loop.Now());
   });
 }
 
@@ -211,7 +211,7 @@
   }
   if (result.status != StoreStatus::kNotFound) co_return false;
   const bool deleted = co_await IsSurelyDeleted(key);
-  if (deleted) services_.catalog.Missing(key, result.revision);
+  if (deleted) services_.catalog.MarkMissing(key, result.revision);
   co_return deleted;
 }
 
--- a/app/action_executor.h
+++ b/app/action_executor.h
@@ -47,7 +47,8 @@
 struct ActionSummary {
   std::vector<std::string> hosts_to_delete;
   std::string resign_reason;  // empty: the leader does not resign
-  bool unfit = false;         // resigns because others are fitter to lead
+  bool prefer_other_candidates =
+      false;  // resigns because others are fitter to lead
 };
 
 // Executes the actions of this controller's leaderships.
@@ -81,7 +82,7 @@
   net::Task<void> SendCommandsToWorker(SendCommands commands,
                                        uint64_t revision);
   net::Task<void> ProbeWorker(Probe probe, uint64_t revision);
-  net::Task<void> CheckInstanceHealth(CheckInstance check, uint64_t revision);
+  net::Task<void> CheckInstanceHealth(RunHealthCheck check, uint64_t revision);
   net::Task<void> ExecuteCompareAndSwap(CompareAndSwap transaction,
                                         uint64_t revision);
   net::Task<void> ReadStoreKeys(ReadKeys read, uint64_t revision);
--- a/app/calendar_records.cc
+++ b/app/calendar_records.cc
@@ -33,7 +33,7 @@
     const auto type = watcher.types().find(machine.type);
     if (type != watcher.types().end()) context.fleet += type->second.total;
   }
-  for (const auto& [other, record] : catalog.operators()) {
+  for (const auto& [other, record] : catalog.operator_records()) {
     MaintenanceWindow known;
     if (!IsBooking(other) || record.withdrawn ||
         !wire::ReadMaintenanceWindow(IdOf(other), record.text, true, &known)
@@ -53,9 +53,9 @@
 void PublishMaintenanceWindow(const Catalog& catalog, const std::string& name,
                               Leader& controller, Time now) {
   if (!IsBooking(name)) return;
-  const auto it = catalog.operators().find(name);
+  const auto it = catalog.operator_records().find(name);
   // A record that is missing proves nothing: the last known holds.
-  if (it == catalog.operators().end()) return;
+  if (it == catalog.operator_records().end()) return;
   const OperatorRecord& record = it->second;
   if (record.withdrawn) {
     controller.OnMaintenanceWindowWithdrawn(IdOf(name), record.version, now);
@@ -73,7 +73,7 @@
 
 void PublishMaintenanceWindows(const Catalog& catalog, Leader& controller,
                                Time now) {
-  for (const auto& [name, record] : catalog.operators()) {
+  for (const auto& [name, record] : catalog.operator_records()) {
     PublishMaintenanceWindow(catalog, name, controller, now);
   }
 }
--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -65,7 +65,7 @@
 
 net::HttpServer::Limits ServerLimits(const Settings& settings) {
   net::HttpServer::Limits limits;
-  limits.connections = settings.limits.served_connections();
+  limits.connections = settings.limits.client_connections();
   return limits;
 }
 
@@ -136,7 +136,7 @@
                            {[this] { return watcher_.synced(); },
                             [this] { return recovery_.MayAccept(); },
                             [this](std::vector<Precondition>* preconditions) {
-                              recovery_.AddGuard(preconditions);
+                              recovery_.AddEpochPrecondition(preconditions);
                             },
                             [this](const std::string& key, const Record& record,
                                    uint64_t mod_revision) {
@@ -154,7 +154,7 @@
                             },
                             [this] { return watcher_.ever_synced(); },
                             [this](std::vector<Precondition>* preconditions) {
-                              recovery_.AddGuard(preconditions);
+                              recovery_.AddEpochPrecondition(preconditions);
                             },
                             [this] { return leader_runtime_.ActiveLeader(); },
                             [&loop] { return loop.Now(); }}),
@@ -167,7 +167,7 @@
                            },
                            [this] { return watcher_.ever_synced(); },
                            [this](std::vector<Precondition>* preconditions) {
-                             recovery_.AddGuard(preconditions);
+                             recovery_.AddEpochPrecondition(preconditions);
                            },
                            [this] { return recovery_.MayAccept(); }}),
       record_routes_(record_coordinator_),
--- a/app/delegated_lease_record_writer.cc
+++ b/app/delegated_lease_record_writer.cc
@@ -63,9 +63,10 @@
   const StoreResult read = co_await store_.Get(key_, Urgency::kLease);
   if (read.ok()) {
     const clients::KeyValue& found = read.items[0];
-    record_.WasReadWithLease(found.mod_revision, found.lease, loop_.Refresh());
+    record_.OnKeyReadWithLease(found.mod_revision, found.lease,
+                               loop_.Refresh());
   }
-  if (read.status == StoreStatus::kNotFound) record_.WasRead(0);
+  if (read.status == StoreStatus::kNotFound) record_.OnKeyRead(0);
 }
 
 net::Task<void> DelegatedLeaseRecordWriter::CreateLease() {
@@ -83,9 +84,9 @@
       co_await store_.Write(std::move(preconditions), std::move(mutations),
                             Urgency::kLease, record_.lease_id());
   if (written.ok()) {
-    record_.Written(loop_.Refresh());
+    record_.OnRecordWritten(loop_.Refresh());
   } else {
-    record_.NotWritten();
+    record_.OnRecordNotWritten();
   }
 }
 
@@ -94,7 +95,7 @@
   const StoreResult renewed = co_await store_.Renew(
       record_.lease_id(),
       kRenewalTimeoutRatio * settings_.workers.lease_seconds);
-  if (renewed.ok()) record_.Renewed(sent);
+  if (renewed.ok()) record_.OnKeyLeaseRenewed(sent);
   if (renewed.status == StoreStatus::kNotFound) record_.LeaseEnded();
 }
 
--- a/app/dependency_admission.cc
+++ b/app/dependency_admission.cc
@@ -22,7 +22,7 @@
     co_return DependencyState::kUnknown;
   }
   for (const std::string& id : spec->dependencies) {
-    if (catalog_.Accepted(id)) continue;
+    if (catalog_.WasAccepted(id)) continue;
     const RecordPresence acceptance = co_await callbacks_.read_acceptance(id);
     if (acceptance == RecordPresence::kMissing) {
       co_return DependencyState::kNeverAccepted;
--- a/app/election/delegation_requester.cc
+++ b/app/election/delegation_requester.cc
@@ -29,14 +29,14 @@
   if (!is_wanted || now < next_request_at_) return;
   next_request_at_ =
       now + kRequestAgainRatio * context_.leadership.delegation_seconds();
-  const uint64_t number = context_.leadership.DelegationAsked(now);
+  const uint64_t number = context_.leadership.StartDelegationRequest(now);
   for (const auto& peer : context_.peers) {
     net::Spawn(AskPeer(peer.get(), number, now));
   }
 }
 
 void DelegationRequester::Release(net::Time now) {
-  const uint64_t number = context_.leadership.DelegationOver(now);
+  const uint64_t number = context_.leadership.EndDelegation(now);
   if (number == 0) return;
   for (const auto& peer : context_.peers) {
     PeerMessage release;
--- a/app/election/election_context.h
+++ b/app/election/election_context.h
@@ -33,7 +33,9 @@
   std::function<void()> stop_leading;
 
   // Whether this controller may act as the leader at this moment.
-  bool IsValidLeader() const { return leadership.Valid(loop.Refresh()); }
+  bool IsValidLeader() const {
+    return leadership.MayActAsLeader(loop.Refresh());
+  }
 
   // The leader key of this process. `may_lead`: it may do so now, as far as is
   // known; else it only renews workers' leases until it may.
--- a/app/election/epoch_election.cc
+++ b/app/election/epoch_election.cc
@@ -21,7 +21,7 @@
   // A leader whose right has run out meanwhile is one candidate among all.
   return opened_by == OpenedBy::kLeader
              ? context_.IsValidLeader()
-             : context_.leadership.MaySeek(context_.loop.Refresh());
+             : context_.leadership.MayCampaign(context_.loop.Refresh());
 }
 
 // Under a right that is still valid, or with nobody who could lead. One
@@ -48,12 +48,14 @@
     }
     if (opened_by == OpenedBy::kLeader && !context_.IsValidLeader()) co_return;
   }
-  if (opened_by == OpenedBy::kCandidate) context_.leadership.SeekStarted(0);
+  if (opened_by == OpenedBy::kCandidate)
+    context_.leadership.OnCampaignStarted(0);
   const auto revision =
       co_await key_writer_.Write(opening->preconditions, std::move(mutations),
                                  lease.lease_id, opening->leader_key_revision);
   if (!revision) {
-    if (opened_by == OpenedBy::kCandidate) context_.leadership.SeekFailed();
+    if (opened_by == OpenedBy::kCandidate)
+      context_.leadership.OnCampaignFailed();
     co_await context_.store.EndLease(lease.lease_id);
     co_return;
   }
@@ -87,10 +89,10 @@
     context_.leadership.Rewon(won.revision, won.lease_id, won.sent_at);
   } else {
     if (led) {
-      context_.leadership.Retire();
-      context_.leadership.SeekStarted(0);
+      context_.leadership.BecomeFollower();
+      context_.leadership.OnCampaignStarted(0);
     }
-    context_.leadership.Won(won.revision, won.lease_id, won.sent_at);
+    context_.leadership.OnElected(won.revision, won.lease_id, won.sent_at);
   }
   on_key_written_();
   is_opening_ = true;
--- a/app/election/epoch_election.h
+++ b/app/election/epoch_election.h
@@ -27,7 +27,7 @@
   // could lead.
   net::Task<void> OpenEpoch();
   // Whether an epoch that is observed now is the one this controller opens.
-  bool IsOpening() const { return is_opening_; }
+  bool IsOpeningEpoch() const { return is_opening_; }
 
  private:
   bool MayStillOpen(OpenedBy opened_by) const;
--- a/app/election/lease_renewer.cc
+++ b/app/election/lease_renewer.cc
@@ -75,7 +75,7 @@
   if (!lease.ok()) co_return false;
   std::vector<Precondition> preconditions{
       {key, context_.leadership.revision()}};
-  context_.recovery.AddGuard(&preconditions);
+  context_.recovery.AddEpochPrecondition(&preconditions);
   std::vector<Mutation> mutations{{key, record}};
   const auto revision = co_await key_writer_.Write(
       std::move(preconditions), std::move(mutations), lease.lease_id,
@@ -99,7 +99,7 @@
     reported_lease_ = lease_id;
     context_.recovery.ReportDataLoss(DataLossIndication::kEpochMissing);
   }
-  return !context_.recovery.verification().MaySeek();
+  return !context_.recovery.verification().MayCampaign();
 }
 
 }  // namespace oxbow::app
--- a/app/election/peer_role_survey.cc
+++ b/app/election/peer_role_survey.cc
@@ -31,7 +31,7 @@
       hello.kind = PeerKind::kHello;
       hello.node = settings_.node;
       const auto answer = co_await peer->Ask(hello, pause);
-      if (answer.ok) leadership_.PeerIs(peer->name(), answer.message.role);
+      if (answer.ok) leadership_.SetPeerRole(peer->name(), answer.message.role);
     }
     has_asked_all_ = true;
     co_await loop_.Sleep(pause);
--- a/app/election/promise_exchange.cc
+++ b/app/election/promise_exchange.cc
@@ -41,14 +41,14 @@
 net::Task<bool> PromiseExchange::Promise() {
   co_await ProbeStore();
   const bool store_fails = StoreFails();
-  co_return context_.leadership.AskedToPromise(store_fails,
-                                               context_.loop.Refresh());
+  co_return context_.leadership.OnPromiseRequested(store_fails,
+                                                   context_.loop.Refresh());
 }
 
 net::Task<bool> PromiseExchange::PromiseToDelegate(PeerMessage request) {
   co_await ProbeStore();
   const bool store_fails = StoreFails();
-  co_return context_.leadership.AskedToDelegate(
+  co_return context_.leadership.OnDelegationPromiseRequested(
       request.node, request.text, request.mod_revision, store_fails,
       context_.loop.Refresh());
 }
@@ -56,7 +56,7 @@
 // Data that is lost is as good as no answer: nobody can lead by it.
 bool PromiseExchange::StoreFails() const {
   return context_.store.Failing() ||
-         !context_.recovery.verification().MaySeek();
+         !context_.recovery.verification().MayCampaign();
 }
 
 net::Task<void> PromiseExchange::ProbeStore() {
--- a/app/job_canceller.cc
+++ b/app/job_canceller.cc
@@ -24,7 +24,7 @@
   if (terminated) co_return *terminated;
   api::JobStatus status;
   if (context_.zone_coordinator.IsIsolated()) co_return status;
-  if (!context_.catalog.Accepted(id)) {
+  if (!context_.catalog.WasAccepted(id)) {
     status = co_await status_reader_.ReadFresh(id);
     if (status.presence != Presence::kExists) co_return status;
     const std::optional<api::JobStatus> terminated_since =
@@ -52,7 +52,7 @@
 net::Task<TerminalState> JobCanceller::CancelAsLeader(std::string id) {
   LeaderRuntime& leader_runtime = context_.leader_runtime;
   if (leader_runtime.ActiveLeader() == nullptr) co_return TerminalState::kNone;
-  if (!context_.catalog.Accepted(id)) {
+  if (!context_.catalog.WasAccepted(id)) {
     const api::JobStatus status = co_await status_reader_.ReadFresh(id);
     // The leadership may have ended during the read.
     if (status.presence != Presence::kExists ||
--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -57,13 +57,13 @@
 }
 
 bool JobRequestHandler::IsKnownLocally(const std::string& id) {
-  return context_.catalog.Accepted(id);
+  return context_.catalog.WasAccepted(id);
 }
 
 bool JobRequestHandler::MayStartRequest() const {
   const LimitSettings& limits = context_.settings.limits;
   const auto max_waiting = static_cast<size_t>(
-      kMaxWaitingShare * static_cast<double>(limits.served_connections()));
+      kMaxWaitingShare * static_cast<double>(limits.client_connections()));
   return users_waiting_ < max_waiting &&
          requests_in_progress_ <
              kMaxRequestsPerConnection *
@@ -184,7 +184,7 @@
   view.silent = leader->heartbeats_received().silent;
   view.expired_leases = leader->expired_leases();
   view.alarms = leader->Alarms();
-  view.waiting = leader->WaitingLines();
+  view.waiting = leader->DescribeWaitingJobs();
   return view;
 }
 
--- a/app/job_status_reader.cc
+++ b/app/job_status_reader.cc
@@ -93,7 +93,7 @@
 bool JobStatusReader::IsUnknownToLeaderHere(const std::string& id) {
   JobView view;
   const Leader* leader = context_.leader_runtime.ActiveLeader();
-  return leader != nullptr && leader->AllAccounted() &&
+  return leader != nullptr && leader->AllMachinesAccountedFor() &&
          leader->View(id, &view) == JobObservation::kUnseen;
 }
 
@@ -114,10 +114,10 @@
   const JobObservation observation = ObservationOf(id, &view);
   ResolvedStatus resolved;
   resolved.decision =
-      Decide({context_.catalog.FindTerminalState(id), observation, read});
+      DecideStatus({context_.catalog.FindTerminalState(id), observation, read});
   api::JobStatus& status = resolved.status;
   switch (resolved.decision) {
-    case StatusDecision::kEnd: {
+    case StatusDecision::kTerminalState: {
       std::optional<api::JobStatus> terminal = TerminalStatus(id);
       // How many tasks the job had is read, if it can be.
       if (!terminal && read == RecordRead::kNone) {
@@ -134,11 +134,11 @@
       status.done = view.done;
       status.running = view.running;
       break;
-    case StatusDecision::kDenial:
+    case StatusDecision::kNoSuchJob:
       status.presence = Presence::kNotFound;
       break;
     case StatusDecision::kReadFirst:
-    case StatusDecision::kNothing:
+    case StatusDecision::kTryAgain:
       break;
   }
   return resolved;
@@ -151,7 +151,7 @@
 
 api::JobStatus JobStatusReader::Withhold(const std::string& id,
                                          WithheldReason reason) {
-  api::JobStatus status = StatusAfter(id, RecordRead::kUnclear);
+  api::JobStatus status = StatusAfter(id, RecordRead::kInconclusive);
   if (status.presence == Presence::kUnknown) status.withheld = reason;
   return status;
 }
@@ -245,7 +245,7 @@
     if (recovery.IsEnabled() && context_.catalog.FindJob(id) == nullptr) {
       // The watch has passed this revision and seen the record deleted: the
       // store serves an older copy of its data.
-      recovery.ReportDataLoss(DataLossIndication::kStepBack);
+      recovery.ReportDataLoss(DataLossIndication::kRevisionDecreased);
       return WithheldStatus(WithheldReason::kStoreUnverified);
     }
     if (!recovery.MayReportLive(item.mod_revision)) {
@@ -278,13 +278,14 @@
   using Known = RecoveryCoordinator::Known;
   RecoveryCoordinator& recovery = context_.recovery;
   ResolvedStatus resolved = Resolve(id, RecordRead::kMissing);
-  if (!recovery.IsEnabled() || resolved.decision != StatusDecision::kDenial) {
-    if (resolved.decision == StatusDecision::kNothing) {
+  if (!recovery.IsEnabled() ||
+      resolved.decision != StatusDecision::kNoSuchJob) {
+    if (resolved.decision == StatusDecision::kTryAgain) {
       resolved.status.withheld = WithheldReason::kRecordMissing;
     }
     co_return std::move(resolved.status);
   }
-  if (context_.catalog.Accepted(id) || !recovery.MayDeny()) {
+  if (context_.catalog.WasAccepted(id) || !recovery.MayDeny()) {
     co_return WithheldStatus(WithheldReason::kStoreUnverified);
   }
   const StoreCheck check = co_await recovery.CheckEpoch();
--- a/app/job_status_reader.h
+++ b/app/job_status_reader.h
@@ -1,7 +1,7 @@
 // Answers what the status of a job is, from what this controller knows, from
 // the leader, or by fresh reads of the key-value store. What may be said given
-// the evidence is decided by Decide() (core/read_consistency). Changes no job;
-// what it reads is taken into the catalog.
+// the evidence is decided by DecideStatus() (core/read_consistency). Changes no
+// job; what it reads is taken into the catalog.
 //
 // Coroutines hold `this` and copies of their arguments: the reader must outlive
 // the event loop's run.
@@ -20,9 +20,9 @@
 namespace oxbow::app {
 
 // A status together with the decision that it follows from. The status is
-// kUnknown unless the decision is kEnd, kLive or kDenial.
+// kUnknown unless the decision is kTerminalState, kLive or kNoSuchJob.
 struct ResolvedStatus {
-  StatusDecision decision = StatusDecision::kNothing;
+  StatusDecision decision = StatusDecision::kTryAgain;
   api::JobStatus status;
 };
 
--- a/app/job_submitter.cc
+++ b/app/job_submitter.cc
@@ -105,7 +105,7 @@
 bool JobSubmitter::FitsIntoStoreValue(
     const std::shared_ptr<const JobSpec>& spec) const {
   return wire::EncodeRecord(NewJobRecord(spec)).size() + kRecordGrowthBytes <=
-         context_.settings.store.most_value_bytes();
+         context_.settings.store.max_value_bytes();
 }
 
 net::Task<SubmitResult> JobSubmitter::SubmitLocally(
@@ -133,7 +133,7 @@
   const Acceptance acceptance =
       DependencyAdmission::BuildAcceptance(spec, dependencies, net::WallNow());
   std::vector<Precondition> preconditions = acceptance.preconditions;
-  context_.recovery.AddGuard(&preconditions);
+  context_.recovery.AddEpochPrecondition(&preconditions);
   std::vector<Mutation> mutations{{acceptance.key, acceptance.record}};
   // Of several copies one can be accepted: the others find the job's record.
   const StoreResult result = co_await context_.store.Write(
@@ -144,7 +144,7 @@
       OnAccepted(*spec, acceptance, result.revision);
       co_return SubmitResult::kAccepted;
     case StoreStatus::kConflict:
-      co_return context_.recovery.GuardFailed(result.failed)
+      co_return context_.recovery.IsEpochPreconditionFailure(result.failed)
           ? SubmitResult::kUnavailable
           : SubmitResult::kAlreadyKnown;
     case StoreStatus::kRefused:
--- a/app/leader_election.cc
+++ b/app/leader_election.cc
@@ -87,20 +87,20 @@
 bool LeaderElection::MayLead() {
   return context_.watcher.synced() && !context_.store.Failing() &&
          !context_.watcher.types().empty() &&
-         leadership_.MaySeek(context_.loop.Refresh());
+         leadership_.MayCampaign(context_.loop.Refresh());
 }
 
 // --- renewing workers' leases while nobody leads
 
-bool LeaderElection::MayRenew(uint64_t term) {
+bool LeaderElection::MayRenewWorkerLeases(uint64_t term) {
   const net::Time now = context_.loop.Refresh();
   if (leadership_.state() == LeaderState::kRenewing) {
     // The lease of a worker that knows a later leader is not renewed here.
     return term < TermOf(context_.catalog.epoch(), leadership_.revision()) &&
-           leadership_.MayRenew(now);
+           leadership_.MayRenewWorkerLeases(now);
   }
   delegation_requester_.OnUnansweredWorker(now);
-  return leadership_.MayRenew(now);
+  return leadership_.MayRenewWorkerLeases(now);
 }
 
 // --- the end of a leadership
@@ -109,8 +109,8 @@
   if (leadership_.state() == LeaderState::kFollower) return;
   logging::Info("stepped down",
                 {{"node", context_.settings.node}, {"reason", reason}});
-  leadership_.Lost();
-  leadership_.Retire();
+  leadership_.OnKeyLost();
+  leadership_.BecomeFollower();
   callbacks_.stop_leading();
   net::Spawn(EndLease(leadership_.lease_id()));
 }
@@ -120,17 +120,18 @@
 }
 
 void LeaderElection::OnStoreLoss() {
-  if (Valid()) return;  // nobody else can lead; it opens the epoch itself
+  if (MayActAsLeader())
+    return;  // nobody else can lead; it opens the epoch itself
   if (leadership_.state() == LeaderState::kRenewing) {
     StepDown("the key-value store has lost data");
   }
   const net::Time now = context_.loop.Now();
-  leadership_.Forget(now);
+  leadership_.ResetAfterDataLoss(now);
   peer_role_survey_.Restart(now);
 }
 
 void LeaderElection::OnLaterEpoch() {
-  if (!epoch_election_.IsOpening()) {
+  if (!epoch_election_.IsOpeningEpoch()) {
     StepDown("another controller has opened a new store epoch");
   }
 }
@@ -147,7 +148,7 @@
 net::Task<std::optional<double>> LeaderElection::RunRound() {
   const double pause_seconds = context_.lease_seconds / kRoundsPerLease;
   const net::Time now = context_.loop.Refresh();
-  const bool is_valid = leadership_.Valid(now);
+  const bool is_valid = leadership_.MayActAsLeader(now);
   UpdateKeyFreeSince(now);
   // Whoever asked first, this loop or a request in between, has noticed that
   // the right has run out; the stepping down is done here in either case. A
@@ -157,14 +158,14 @@
   }
   if (context_.recovery.verification().state() ==
           StoreVerificationState::kLost &&
-      (is_valid || leadership_.MaySeek(now))) {
+      (is_valid || leadership_.MayCampaign(now))) {
     co_await epoch_election_.OpenEpoch();
     co_return pause_seconds;
   }
   if (is_valid) {
     co_await Lead(now);
   } else if (leadership_.state() == LeaderState::kRenewing) {
-    if (leadership_.Promote(now)) {
+    if (leadership_.PromoteToLeader(now)) {
       logging::Info("leads by the key that it held to renew workers' leases",
                     {{"node", context_.settings.node}});
       co_return std::nullopt;
@@ -198,7 +199,7 @@
       context_.recovery.HasCollected(leadership_.revision())) {
     const uint64_t revision = leadership_.revision();
     const auto delegates = co_await ReadDelegates();
-    if (Valid() && leadership_.revision() == revision) {
+    if (MayActAsLeader() && leadership_.revision() == revision) {
       callbacks_.start_leading(revision, delegates);
     }
   }
@@ -225,9 +226,9 @@
 // --- seeking the key
 
 LeaderElection::SeekPlan LeaderElection::PlanSeek(net::Time now) const {
-  const bool is_proven = leadership_.MaySeek(now);
-  if (!context_.watcher.synced() || !context_.recovery.MaySeek() ||
-      !(is_proven || leadership_.MayTakeKey(now))) {
+  const bool is_proven = leadership_.MayCampaign(now);
+  if (!context_.watcher.synced() || !context_.recovery.MayCampaign() ||
+      !(is_proven || leadership_.MayTakeFreeKey(now))) {
     return {};
   }
   const LeaderRecord& leader = context_.catalog.leader();
@@ -242,7 +243,7 @@
   const bool has_asked_all = peer_role_survey_.HasAskedAll();
   const bool is_own_proven = is_own && !leader.renews_only && has_asked_all &&
                              leadership_.delegation_seconds() > 0 &&
-                             leadership_.OwnProven(now);
+                             leadership_.ForgottenDelegationsExpired(now);
   const bool was_left_to_leaders =
       key_free_since_ &&
       now - *key_free_since_ >= kLeadersFirstRatio * context_.lease_seconds;
@@ -251,24 +252,25 @@
   const bool seeks =
       (may_try && is_own) || (is_proven && is_orphaned) ||
       (may_try && !is_there && key_free_since_ &&
-       leader_health_coordinator_.MaySeek(now - *key_free_since_));
+       leader_health_coordinator_.MayCampaign(now - *key_free_since_));
   return {seeks, is_proven || is_own_proven};
 }
 
 net::Task<void> LeaderElection::Seek(bool may_lead) {
-  leadership_.SeekStarted(context_.catalog.leader().mod_revision);
+  leadership_.OnCampaignStarted(context_.catalog.leader().mod_revision);
   const net::Time sent_at = context_.loop.Refresh();
   const StoreResult lease =
       co_await context_.store.CreateLease(context_.lease_seconds);
   if (!lease.ok()) {
-    leadership_.SeekFailed();
+    leadership_.OnCampaignFailed();
     co_return;
   }
   const std::string key(keys::kLeader);
   const LeaderRecord record = context_.LeaderRecordFor(may_lead);
   const EpochOpening founding = context_.recovery.InitialEpoch();
   std::vector<Precondition> preconditions = founding.preconditions;
-  if (preconditions.empty()) context_.recovery.AddGuard(&preconditions);
+  if (preconditions.empty())
+    context_.recovery.AddEpochPrecondition(&preconditions);
   preconditions.push_back({key, leadership_.seen()});
   std::vector<Mutation> mutations = founding.mutations;
   mutations.push_back({key, record});
@@ -276,13 +278,13 @@
       co_await key_writer_.Write(std::move(preconditions), std::move(mutations),
                                  lease.lease_id, leadership_.seen());
   if (!revision) {
-    leadership_.SeekFailed();
-    context_.recovery.GuardFailed(revision.error().failed_keys);
+    leadership_.OnCampaignFailed();
+    context_.recovery.IsEpochPreconditionFailure(revision.error().failed_keys);
     // Ended, so that the write, should it still arrive, is refused.
     co_await context_.store.EndLease(lease.lease_id);
     co_return;
   }
-  leadership_.Won(*revision, lease.lease_id, sent_at, may_lead);
+  leadership_.OnElected(*revision, lease.lease_id, sent_at, may_lead);
   OnKeyWon(*revision, record, founding);
 }
 
--- a/app/leader_election.h
+++ b/app/leader_election.h
@@ -1,7 +1,7 @@
 // Who leads: seeks the leader key when it is free, renews its lease, asks for
 // and gives promises in an outage of the store. Owns the right to lead and
-// nothing that is done with it; whoever acts as the leader asks Valid() at that
-// moment.
+// nothing that is done with it; whoever acts as the leader asks
+// MayActAsLeader() at that moment.
 //
 // Coroutines: Start() spawns detached loops that use this object, which
 // therefore lives as long as the event loop. A task that is returned is awaited
@@ -58,10 +58,10 @@
   void Start();
 
   // Whether this controller may act as the leader at this moment.
-  bool Valid() { return context_.IsValidLeader(); }
+  bool MayActAsLeader() { return context_.IsValidLeader(); }
   // Whether the right to lead rests on the lease of the key, not on promises.
   bool ByLease() {
-    return Valid() && leadership_.state() == LeaderState::kLeading;
+    return MayActAsLeader() && leadership_.state() == LeaderState::kLeading;
   }
   // Whether it could lead, were the key free.
   bool MayLead();
@@ -105,7 +105,7 @@
   // Whether a heartbeat of a worker that has seen a token of that term may be
   // answered here, without commands. Being asked is what makes a controller
   // seek the others' promises.
-  bool MayRenew(uint64_t term);
+  bool MayRenewWorkerLeases(uint64_t term);
 
  private:
   // What to do about a leader key that may be taken.
--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -72,8 +72,8 @@
                                                  size_t count) {
   const auto answer = co_await peer->Ask(
       std::move(ask), kSurveyTimeoutRatio * probe_timeout_seconds_);
-  Reach& reach = round->answers[slot];
-  if (answer.ok && IsReachText(answer.message.text, count)) {
+  ReachabilityAnswer& reach = round->answers[slot];
+  if (answer.ok && IsReachabilityText(answer.message.text, count)) {
     reach.answered = true;
     reach.may_lead = answer.message.answer == PeerAnswer::kYes;
     reach.machines = answer.message.text;
@@ -99,9 +99,9 @@
   }
   co_await round->done.Wait(kSurveyTimeoutRatio * probe_timeout_seconds_);
   // Later answers are ignored.
-  std::vector<Reach> answers = round->answers;
+  std::vector<ReachabilityAnswer> answers = round->answers;
   callbacks_.deliver(revision, [&](Leader& leader) {
-    leader.OnReach(ask.round, std::move(answers), loop_.Now());
+    leader.OnReachabilityAnswers(ask.round, std::move(answers), loop_.Now());
   });
 }
 
@@ -190,8 +190,8 @@
   size_t reached = 0;
   size_t asked = 0;
   for (const char result : found.machines) {
-    asked += result != Reach::kNotAsked;
-    reached += result == Reach::kReached;
+    asked += result != ReachabilityAnswer::kNotAsked;
+    reached += result == ReachabilityAnswer::kReached;
   }
   if (message.kind == PeerKind::kReach && asked >= kMinSample) {
     unfit_until_ =
@@ -222,7 +222,7 @@
   defers_until_ = now + leader_lease_seconds_ / 2;
 }
 
-bool LeaderHealthCoordinator::MaySeek(double free_for_seconds) const {
+bool LeaderHealthCoordinator::MayCampaign(double free_for_seconds) const {
   const net::Time now = loop_.Now();
   if (now < defers_until_) return false;
   return now >= unfit_until_ || free_for_seconds >= leader_lease_seconds_ / 2;
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -56,7 +56,7 @@
 
   // Whether this controller may try to take the free leader key now, given for
   // how long nobody has led. Affects speed only: safety rests on the key.
-  bool MaySeek(double free_for_seconds) const;
+  bool MayCampaign(double free_for_seconds) const;
 
  private:
   static constexpr net::Time kNever = -1e9;  // before every time
@@ -65,7 +65,7 @@
   struct Round {
     explicit Round(net::Loop& loop) : done(loop) {}
     net::Event done;
-    std::vector<Reach> answers;  // this controller's first
+    std::vector<ReachabilityAnswer> answers;  // this controller's first
     size_t pending = 0;
   };
   void FinishOne(Round& round) const;
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -38,8 +38,9 @@
 }
 
 Leader* LeaderRuntime::ActiveLeader() {
-  return leader_ != nullptr && services_.election.Valid() ? leader_.get()
-                                                          : nullptr;
+  return leader_ != nullptr && services_.election.MayActAsLeader()
+             ? leader_.get()
+             : nullptr;
 }
 
 void LeaderRuntime::StartLeading(
@@ -50,12 +51,12 @@
       std::make_unique<Leader>(services_.settings, tuning_, catalog, revision,
                                now, net::WallNow() - now, revision, delegates);
   UpdateTiers();
-  leader_->UseTiers(tiers_.set());
+  leader_->SetTiers(tiers_.set());
   if (tuning_.calendar_on > 0) {
     PublishMaintenanceWindows(catalog, *leader_, now);
     UpdateClocks();
   }
-  leader_->UseMoves(wire::kMoveCodec, now);
+  leader_->EnableReplicaMoves(wire::kMoveCodec, now);
   leader_->set_log_detail(logging::DebugEnabled());
   if (!services_.watcher.types().empty()) {
     std::vector<MachineType> types;
@@ -73,7 +74,7 @@
 }
 
 void LeaderRuntime::ReadTierRecord() {
-  const auto& records = services_.catalog.operators();
+  const auto& records = services_.catalog.operator_records();
   const auto it = records.find(std::string(wire::kTiersRecord));
   if (it == records.end()) {
     tiers_.OnNoRecord();
@@ -108,7 +109,7 @@
     UpdateTiers();
     if (leader_) {
       Deliver(leader_->revision(),
-              [this](Leader& leader) { leader.UseTiers(tiers_.set()); });
+              [this](Leader& leader) { leader.SetTiers(tiers_.set()); });
     }
   }
   NotifyLeaderOfRecord(key);
@@ -168,8 +169,8 @@
   const net::Time before = loop.Refresh();
   const double wall_seconds = net::WallNow();
   const net::Time after = loop.Refresh();
-  leader_->OnClocks({wall_seconds, before, after},
-                    services_.watcher.confirmed(), after);
+  leader_->OnClockReading({wall_seconds, before, after},
+                          services_.watcher.confirmed(), after);
 }
 
 net::Task<void> LeaderRuntime::TickLoop() {
@@ -225,7 +226,8 @@
   executing_actions_ = false;
   if (summary.resign_reason.empty()) return;
   services_.election.StepDown(summary.resign_reason);
-  if (summary.unfit) services_.leader_health_coordinator.OnLeadershipYielded();
+  if (summary.prefer_other_candidates)
+    services_.leader_health_coordinator.OnLeadershipYielded();
 }
 
 net::Task<TerminalState> LeaderRuntime::Cancel(std::string id) {
--- a/app/peer_request_handler.cc
+++ b/app/peer_request_handler.cc
@@ -144,7 +144,7 @@
                                                   PeerMessage* reply) {
   const std::optional<JobRecord> job = DecodeJobRecord(message);
   if (!job) co_return;
-  if (context_.catalog.Accepted(message.job_id)) {
+  if (context_.catalog.WasAccepted(message.job_id)) {
     reply->answer = PeerAnswer::kKnownJob;
     co_return;
   }
--- a/app/record_coordinator.cc
+++ b/app/record_coordinator.cc
@@ -84,7 +84,7 @@
     const std::string& prefix) {
   if (!callbacks_.synced()) return std::nullopt;
   std::vector<NamedRecord> records;
-  for (const auto& [name, record] : catalog_.operators()) {
+  for (const auto& [name, record] : catalog_.operator_records()) {
     if (name.starts_with(prefix)) records.push_back({name, record});
   }
   std::sort(records.begin(), records.end(),
@@ -96,7 +96,7 @@
 
 net::Task<std::optional<std::vector<NamedRecord>>>
 RecordCoordinator::ListVersions(std::string name) {
-  const std::string prefix = keys::Of(keys::kOperatorPast, name) + "/";
+  const std::string prefix = keys::Of(keys::kOperatorHistory, name) + "/";
   const StoreResult read = co_await store_.List(prefix, "");
   if (!read.ok()) co_return std::nullopt;
   std::vector<NamedRecord> versions;
@@ -118,10 +118,10 @@
     const std::string wrong = kind->check(name, record.text);
     if (!wrong.empty()) return MakeAnswer(Result::kImpossible, wrong);
   }
-  if (wire::EncodeRecord(record).size() > settings_.store.most_value_bytes()) {
+  if (wire::EncodeRecord(record).size() > settings_.store.max_value_bytes()) {
     return MakeAnswer(Result::kImpossible, "the record is too large");
   }
-  const auto& known = catalog_.operators();
+  const auto& known = catalog_.operator_records();
   if (!known.contains(name) && known.size() >= kMaxRecords) {
     return MakeAnswer(Result::kTooMany, "as many records as are allowed stand");
   }
@@ -133,7 +133,7 @@
   if (!settings_.store.FitsTransaction(transaction->mutations.size() + 1)) {
     return;
   }
-  for (const auto& [name, record] : catalog_.operators()) {
+  for (const auto& [name, record] : catalog_.operator_records()) {
     if (name == changed_name || !record.withdrawn || record.mod_revision == 0 ||
         net::WallNow() - record.changed_wall < kTombstoneSeconds) {
       continue;
@@ -146,8 +146,7 @@
 }
 
 bool RecordCoordinator::Fits(const OperatorRecord& record) const {
-  return wire::EncodeRecord(record).size() <=
-         settings_.store.most_value_bytes();
+  return wire::EncodeRecord(record).size() <= settings_.store.max_value_bytes();
 }
 
 // Written before the change itself, on condition of the version that the change
@@ -155,7 +154,7 @@
 net::Task<bool> RecordCoordinator::WritePieces(std::string name,
                                                OperatorRecord record) {
   const std::vector<HistoryEntry> pieces =
-      PiecesOf(name, record, settings_.store.most_value_bytes());
+      PiecesOf(name, record, settings_.store.max_value_bytes());
   const auto max_operations = static_cast<size_t>(settings_.store.txn_ops);
   for (size_t from = 0; from < pieces.size(); from += max_operations) {
     std::vector<Precondition> preconditions{
--- a/app/record_history.cc
+++ b/app/record_history.cc
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::string PastKey(const std::string& name, uint64_t version) {
-  return keys::Of(keys::kOperatorPast, name) + "/" + std::to_string(version);
+  return keys::Of(keys::kOperatorHistory, name) + "/" + std::to_string(version);
 }
 
 std::string PiecesPrefix(const std::string& name, uint64_t version) {
--- a/app/recovery/bootstrapper.cc
+++ b/app/recovery/bootstrapper.cc
@@ -42,7 +42,8 @@
   // This controller remembers nothing, so it can't recognize an older copy: the
   // others are asked to check that all that changed last is in the store.
   PeerMessage request = detector_.VerificationRequest();
-  request.running = static_cast<uint32_t>(DataLossIndication::kStepBack);
+  request.running =
+      static_cast<uint32_t>(DataLossIndication::kRevisionDecreased);
   const std::vector<PeerMessage> answers =
       co_await broadcast_.Ask(std::move(request));
   co_return Summarize(answers);
@@ -77,7 +78,7 @@
   if (result == StoreCheck::kIntact &&
       highest_peer_term > context_.HighestTerm()) {
     context_.store.Restart(highest_peer_term - epoch.base);
-    detector_.Report(DataLossIndication::kStepBack);
+    detector_.Report(DataLossIndication::kRevisionDecreased);
   }
 }
 
--- a/app/recovery/data_loss_detector.cc
+++ b/app/recovery/data_loss_detector.cc
@@ -15,7 +15,7 @@
 // Whether the indication concerns the store as a whole, so that the other
 // controllers' reads say something about it.
 bool ConcernsWholeStore(DataLossIndication indication) {
-  return indication == DataLossIndication::kStepBack ||
+  return indication == DataLossIndication::kRevisionDecreased ||
          indication == DataLossIndication::kEpochMissing;
 }
 
@@ -57,7 +57,7 @@
   }
 }
 
-bool DataLossDetector::GuardFailed(
+bool DataLossDetector::IsEpochPreconditionFailure(
     const std::vector<std::string>& failed_keys) {
   if (!context_.IsEnabled()) return false;
   const auto [key, mod_revision] = context_.catalog.Guard();
@@ -79,10 +79,10 @@
         ConcernsWholeStore(verification_.indication())) {
       peers = co_await AskPeersFinding();
     }
-    const bool stepped_back =
-        verification_.indication() == DataLossIndication::kStepBack;
+    const bool revision_decreased =
+        verification_.indication() == DataLossIndication::kRevisionDecreased;
     verification_.OnRound(mine, peers);
-    if (stepped_back && verification_.MaySeek()) {
+    if (revision_decreased && verification_.MayCampaign()) {
       context_.catalog.RestartWatch();
       context_.watcher.Reread();
     }
@@ -124,7 +124,7 @@
       co_return co_await inspector_.CheckJob(key);
     case DataLossIndication::kRecordMissing:
       co_return co_await inspector_.CheckRecord(key);
-    case DataLossIndication::kStepBack:
+    case DataLossIndication::kRevisionDecreased:
     case DataLossIndication::kEpochMissing:
       co_return co_await CheckNewestRecords();
     default:
@@ -160,7 +160,7 @@
   message.done = static_cast<uint32_t>(context_.catalog.epoch().number);
   message.text = context_.catalog.epoch().id;
   message.term = foreign_term_;
-  if (verification_.MaySeek()) return message;
+  if (verification_.MayCampaign()) return message;
   message.running = static_cast<uint32_t>(verification_.indication());
   message.job_id = suspected_key_;
   // Only a record that is as new counts as found: a controller that knows an
@@ -184,7 +184,8 @@
   ReportPeersIndication(request);
   OnObservedTerm(request.term);
   const StoreCheck result = co_await VerifyFor(std::move(request));
-  if (result == StoreCheck::kMissing) Report(DataLossIndication::kStepBack);
+  if (result == StoreCheck::kMissing)
+    Report(DataLossIndication::kRevisionDecreased);
   FillReply(result, reply);
 }
 
--- a/app/recovery/data_loss_detector.h
+++ b/app/recovery/data_loss_detector.h
@@ -45,7 +45,7 @@
   }
   // Whether a write failed for not being one of the present epoch, given the
   // keys whose preconditions failed. Reports the indication.
-  bool GuardFailed(const std::vector<std::string>& failed_keys);
+  bool IsEpochPreconditionFailure(const std::vector<std::string>& failed_keys);
 
   // A confirmed loss is looked at again: it may have been this controller's
   // view alone.
--- a/app/recovery/epoch_history.cc
+++ b/app/recovery/epoch_history.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-EpochHistory::Change EpochHistory::OnNumber(const StoreEpoch& epoch, Time now,
-                                            double wall_now) {
+EpochHistory::Change EpochHistory::OnEpochObserved(const StoreEpoch& epoch,
+                                                   Time now, double wall_now) {
   if (epoch.number == last_epoch_) return Change::kNone;
   const bool is_first = last_epoch_ == 0;
   last_epoch_ = epoch.number;
@@ -33,7 +33,7 @@
   return Change::kFirstEpoch;
 }
 
-void EpochHistory::OnFacts(const StoreEpoch& epoch, Time now) {
+void EpochHistory::OnEpochDetails(const StoreEpoch& epoch, Time now) {
   is_complete_now_ = epoch.whole;
   if (epoch.rebuilt && rebuilt_epoch_ != epoch.number) {
     rebuilt_epoch_ = epoch.number;
--- a/app/recovery/epoch_history.h
+++ b/app/recovery/epoch_history.h
@@ -19,9 +19,9 @@
   explicit EpochHistory(double lease_seconds) : lease_seconds_(lease_seconds) {}
 
   // An epoch as recorded now. `wall_now`: seconds since 1970.
-  Change OnNumber(const StoreEpoch& epoch, Time now, double wall_now);
+  Change OnEpochObserved(const StoreEpoch& epoch, Time now, double wall_now);
   // Its other facts, once what follows from a change of the number is done.
-  void OnFacts(const StoreEpoch& epoch, Time now);
+  void OnEpochDetails(const StoreEpoch& epoch, Time now);
 
   // The first epoch that this process has known; 0: none. It is no witness of
   // what was lost before.
--- a/app/recovery/peer_state_collector.cc
+++ b/app/recovery/peer_state_collector.cc
@@ -65,7 +65,7 @@
   logging::Info("collected peer state",
                 {{"jobs", catalog.jobs().size()},
                  {"machines", catalog.machines().size()},
-                 {"terminal_states", catalog.ended().size()},
+                 {"terminal_states", catalog.terminal_states().size()},
                  {"pending_writes", catalog.pending_writes().size()},
                  {"complete", is_complete}});
   net::Spawn(ReportUnrecordedTerminalStates(term, is_complete));
@@ -103,7 +103,7 @@
        {TerminalState::kDone, TerminalState::kAborted}) {
     const std::optional<std::string> bytes =
         co_await ReadTerminalStatesPart(peer, part);
-    if (!bytes || !context_.catalog.ended().Merge(part, *bytes)) {
+    if (!bytes || !context_.catalog.terminal_states().Merge(part, *bytes)) {
       co_return false;
     }
   }
@@ -167,7 +167,7 @@
   }
   // Records of the present epoch are read from the store.
   if (retained.version.epoch < context_.catalog.epoch().number) {
-    context_.catalog.Remember(retained.key, record, retained.version);
+    context_.catalog.MergeRetained(retained.key, record, retained.version);
   }
 }
 
@@ -203,7 +203,7 @@
       co_await ListTerminalStates(term);
   if (!stored) co_return;
   std::vector<UnrecordedTerminalState> unrecorded;
-  context_.catalog.ended().ForEachMissing(
+  context_.catalog.terminal_states().ForEachMissing(
       *stored, [&](const auto& id, auto state) {
         // The terminal state of a job that is live here is recorded with its
         // record's deletion.
--- a/app/recovery/peer_state_provider.cc
+++ b/app/recovery/peer_state_provider.cc
@@ -21,7 +21,7 @@
 
 std::vector<std::string> PeerStateProvider::SortedRecordKeys() const {
   std::vector<std::string> record_keys;
-  context_.catalog.EachKind([&](const auto& map, std::string_view prefix) {
+  context_.catalog.ForEachKind([&](const auto& map, std::string_view prefix) {
     for (const auto& [name, record] : map) {
       record_keys.push_back(keys::Of(prefix, name));
     }
@@ -63,7 +63,7 @@
   if (!broadcast_.IsPeer(request.node)) return;
   std::string& bytes = transfers_[request.node].terminal_states[request.done];
   const uint64_t offset = request.mod_revision;
-  if (offset == 0) bytes = context_.catalog.ended().Encode(part);
+  if (offset == 0) bytes = context_.catalog.terminal_states().Encode(part);
   if (offset > bytes.size()) return;
   reply->answer = PeerAnswer::kYes;
   reply->text = bytes.substr(offset, clients::kRetainedRecordsPageBytes);
--- a/app/recovery/recovery_context.h
+++ b/app/recovery/recovery_context.h
@@ -60,7 +60,7 @@
 
 // The same, where a revision below an earlier one is expected.
 inline bool IsAnsweredOrSteppedBack(const clients::StoreResult& result) {
-  return IsAnswered(result) || result.stepped_back;
+  return IsAnswered(result) || result.revision_decreased;
 }
 
 }  // namespace oxbow::app
--- a/app/recovery/retained_records_writer.cc
+++ b/app/recovery/retained_records_writer.cc
@@ -96,7 +96,7 @@
   if (key.starts_with(keys::kWaiting)) {
     preconditions.push_back({keys::Of(keys::kJob, id), 0});
   }
-  inspector_.AddGuard(&preconditions);
+  inspector_.AddEpochPrecondition(&preconditions);
   return preconditions;
 }
 
@@ -117,7 +117,8 @@
     co_return WriteOutcome::kNotNeeded;
   }
   if (written.status != StoreStatus::kConflict) co_return WriteOutcome::kRetry;
-  if (detector_.GuardFailed(written.failed) || JobIdOfKey(key).empty()) {
+  if (detector_.IsEpochPreconditionFailure(written.failed) ||
+      JobIdOfKey(key).empty()) {
     co_return WriteOutcome::kNotNeeded;
   }
   // The job is in the store, or has ended.
--- a/app/recovery/store_auditor.cc
+++ b/app/recovery/store_auditor.cc
@@ -100,7 +100,7 @@
 net::Task<void> StoreAuditor::AuditTerminalStatesPage() {
   if (terminal_position_.empty()) {
     stored_states_ = {};
-    known_states_ = context_.catalog.ended();
+    known_states_ = context_.catalog.terminal_states();
   }
   const StoreResult page = co_await context_.store.List(
       std::string(keys::kTerminal), terminal_position_);
@@ -126,7 +126,7 @@
     if (terminal == nullptr) continue;
     const std::string id = item.key.substr(keys::kTerminal.size());
     stored_states_.Add(id, terminal->state);
-    context_.catalog.ended().Add(id, terminal->state);
+    context_.catalog.terminal_states().Add(id, terminal->state);
   }
 }
 
--- a/app/recovery/store_inspector.cc
+++ b/app/recovery/store_inspector.cc
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-void StoreInspector::AddGuard(std::vector<Precondition>* preconditions) const {
+void StoreInspector::AddEpochPrecondition(
+    std::vector<Precondition>* preconditions) const {
   if (!context_.IsEnabled()) return;
   auto [key, mod_revision] = context_.catalog.Guard();
   preconditions->push_back({std::move(key), mod_revision});
@@ -21,13 +22,13 @@
 net::Task<StoreCheck> StoreInspector::CheckEpoch() {
   const uint64_t known_number = context_.catalog.epoch().number;
   std::vector<Precondition> preconditions;
-  AddGuard(&preconditions);
+  AddEpochPrecondition(&preconditions);
   const StoreResult guard = co_await context_.store.Write(
       std::move(preconditions), {}, Urgency::kLease);
   if (guard.ok() || known_number == 0) {
     co_return guard.ok() ? StoreCheck::kIntact : StoreCheck::kNoAnswer;
   }
-  if (guard.status != StoreStatus::kConflict && !guard.stepped_back) {
+  if (guard.status != StoreStatus::kConflict && !guard.revision_decreased) {
     co_return StoreCheck::kNoAnswer;
   }
   co_return co_await AdoptLaterEpoch(known_number);
--- a/app/recovery/store_inspector.h
+++ b/app/recovery/store_inspector.h
@@ -28,7 +28,7 @@
   explicit StoreInspector(const RecoveryContext& context) : context_(context) {}
 
   // Makes a write one of the epoch that is known here.
-  void AddGuard(std::vector<Precondition>* preconditions) const;
+  void AddEpochPrecondition(std::vector<Precondition>* preconditions) const;
 
   // Whether the store holds the epoch that is known here, or a later one, which
   // is then taken into the catalog.
--- a/app/recovery_coordinator.cc
+++ b/app/recovery_coordinator.cc
@@ -36,7 +36,7 @@
 void RecoveryCoordinator::Start() {
   if (!IsEnabled()) return;
   context_.store.on_step_back = [this] {
-    ReportDataLoss(DataLossIndication::kStepBack);
+    ReportDataLoss(DataLossIndication::kRevisionDecreased);
   };
   leader_key_monitor_.Start();
   bootstrapper_.Start();
@@ -44,9 +44,9 @@
   if (context_.tuning.recovery_pages > 0) auditor_.Start();
 }
 
-bool RecoveryCoordinator::MaySeek() const {
+bool RecoveryCoordinator::MayCampaign() const {
   return !IsEnabled() ||
-         (bootstrapper_.IsComplete() && verification().MaySeek());
+         (bootstrapper_.IsComplete() && verification().MayCampaign());
 }
 
 bool RecoveryCoordinator::MayDeny() const {
@@ -65,8 +65,8 @@
   if (!bootstrapper_.IsComplete()) return false;
   const StoreVerificationState state = verification().state();
   return state == StoreVerificationState::kVerified ||
-         (state == StoreVerificationState::kRebuilding &&
-          mod_revision > context_.catalog.opened());
+         (state == StoreVerificationState::kReconciling &&
+          mod_revision > context_.catalog.epoch_mark_revision());
 }
 
 bool RecoveryCoordinator::MayAccept() const {
@@ -143,9 +143,9 @@
   if (!IsEnabled() || epoch.number == 0) return;
   const StoreVerificationState state_before = verification().state();
   const auto change =
-      history_.OnNumber(epoch, context_.loop.Now(), net::WallNow());
+      history_.OnEpochObserved(epoch, context_.loop.Now(), net::WallNow());
   if (change == EpochHistory::Change::kLaterEpoch) OnLaterEpoch(epoch);
-  history_.OnFacts(epoch, context_.loop.Now());
+  history_.OnEpochDetails(epoch, context_.loop.Now());
   detector_.OnEpoch(epoch.number, epoch.rebuilt);
   WriteRetainedRecords(epoch, state_before);
 }
@@ -167,7 +167,7 @@
     return;
   }
   // An epoch that has just been observed is being read anew already.
-  if (state_before == StoreVerificationState::kRebuilding) {
+  if (state_before == StoreVerificationState::kReconciling) {
     context_.watcher.Reread();
   }
   retained_records_writer_.Start(epoch.number);
@@ -186,7 +186,7 @@
       co_await detector_.AnswerVerification(std::move(message), reply);
       break;
     case PeerKind::kKnown:
-      if (context_.catalog.Accepted(message.job_id)) {
+      if (context_.catalog.WasAccepted(message.job_id)) {
         reply->answer = PeerAnswer::kYes;
       }
       break;
--- a/app/recovery_coordinator.h
+++ b/app/recovery_coordinator.h
@@ -66,7 +66,7 @@
 
   // --- what a request may rest on
   // Whether a leader key that is free, or missing, means that nobody leads.
-  bool MaySeek() const;
+  bool MayCampaign() const;
   // Whether a job that is neither recorded nor remembered may be denied, if no
   // controller of those that answer knows it.
   bool MayDeny() const;
@@ -85,12 +85,12 @@
   net::Task<Known> AskPeersForJob(std::string id);
 
   // Makes a write one of the epoch that is known here.
-  void AddGuard(std::vector<Precondition>* preconditions) const {
-    inspector_.AddGuard(preconditions);
+  void AddEpochPrecondition(std::vector<Precondition>* preconditions) const {
+    inspector_.AddEpochPrecondition(preconditions);
   }
   // Whether a write failed for not being one of the present epoch.
-  bool GuardFailed(const std::vector<std::string>& failed_keys) {
-    return detector_.GuardFailed(failed_keys);
+  bool IsEpochPreconditionFailure(const std::vector<std::string>& failed_keys) {
+    return detector_.IsEpochPreconditionFailure(failed_keys);
   }
 
   // --- indications of a loss
--- a/app/request_forwarder.cc
+++ b/app/request_forwarder.cc
@@ -40,7 +40,7 @@
 net::Task<PeerMessage> RequestForwarder::AskPeers(PeerMessage message,
                                                   double interval_seconds,
                                                   double timeout_seconds) {
-  if (peers_.empty() || !choice_.MayAskAround(loop_.Now())) {
+  if (peers_.empty() || !choice_.MayForwardRequest(loop_.Now())) {
     co_return PeerMessage{};
   }
   message.node = settings_.node;
@@ -68,7 +68,7 @@
 }
 
 bool RequestForwarder::IsResponsive(size_t peer) {
-  if (choice_.MayTry(peer, loop_.Now())) net::Spawn(ProbePeer(peer));
+  if (choice_.MayProbe(peer, loop_.Now())) net::Spawn(ProbePeer(peer));
   return choice_.IsResponsive(peer);
 }
 
@@ -83,9 +83,9 @@
 
 void RequestForwarder::RecordOutcome(size_t peer, bool answered) {
   if (answered) {
-    choice_.Answered(peer);
+    choice_.OnPeerAnswered(peer);
   } else {
-    choice_.Silent(peer, loop_.Now());
+    choice_.OnPeerSilent(peer, loop_.Now());
   }
 }
 
@@ -97,7 +97,7 @@
   RecordOutcome(peer, answer.ok);
   if (answer.ok && answer.message.answer != PeerAnswer::kNo &&
       !round->answered) {
-    choice_.Helped(peer);
+    choice_.OnRequestResolved(peer);
     round->answered = true;
     round->answer = answer.message;
   }
--- a/app/request_forwarder.h
+++ b/app/request_forwarder.h
@@ -12,7 +12,7 @@
 #include "app/leader_health_coordinator.h"
 #include "clients/peer.h"
 #include "core/model/settings.h"
-#include "core/recovery/peer_choice.h"
+#include "core/recovery/peer_selector.h"
 #include "net/loop.h"
 
 namespace oxbow::app {
@@ -54,7 +54,7 @@
   const Settings& settings_;
   LeaderElection& election_;
   const LeaderHealthCoordinator::Peers& peers_;
-  PeerChoice choice_;  // by index into peers_
+  PeerSelector choice_;  // by index into peers_
 };
 
 }  // namespace oxbow::app
--- a/app/rollout_coordinator.cc
+++ b/app/rollout_coordinator.cc
@@ -68,7 +68,7 @@
 net::Task<RolloutAnswer> RolloutCoordinator::ReadFresh(std::string id) {
   // A rollout changes from the live to the terminal record in one transaction,
   // so in this order none is missed.
-  for (const std::string_view prefix : {keys::kRollout, keys::kRolloutEnd}) {
+  for (const std::string_view prefix : {keys::kRollout, keys::kEndedRollout}) {
     const std::string key = keys::Of(prefix, id);
     const StoreResult read = co_await store_.Get(key, Urgency::kUser);
     if (read.ok()) {
@@ -148,14 +148,14 @@
   record.spec = spec;
   record.declared_wall = net::WallNow();
   if (wire::EncodeRecord(record).size() + kRecordGrowthBytes >
-      settings_.store.most_value_bytes()) {
+      settings_.store.max_value_bytes()) {
     co_return MakeAnswer(Result::kImpossible, "the declaration is too large");
   }
   const std::string key = keys::Of(keys::kRollout, spec->id);
   const JobRecord* from = catalog_.FindJob(spec->from);
   std::vector<Precondition> preconditions{
       {key, 0},
-      {keys::Of(keys::kRolloutEnd, spec->id), 0},
+      {keys::Of(keys::kEndedRollout, spec->id), 0},
       {keys::Of(keys::kJob, spec->to), 0},
       {keys::Of(keys::kTerminal, spec->to), 0},
       {keys::Of(keys::kJob, spec->from), from->mod_revision}};
--- a/app/settings.cc
+++ b/app/settings.cc
@@ -151,7 +151,7 @@
     read.Amount(*limits, "mem_mb", 0, &out->limits.memory_mb);
     read.Amount(*limits, "max_sockets", 32, &out->limits.max_connections);
   }
-  read.Amount(cluster, "clock_error_ms", 0, &out->clock_off_ms);
+  read.Amount(cluster, "clock_error_ms", 0, &out->clock_error_ms);
 }
 
 }  // namespace
--- a/app/worker_heartbeat_handler.cc
+++ b/app/worker_heartbeat_handler.cc
@@ -73,8 +73,8 @@
     const Heartbeat& heartbeat) {
   const uint64_t term = TermOfToken(heartbeat.token);
   Renewal renewal = Renewal::kYes;
-  if (heartbeat.token == 0 || !context_.election.MayRenew(term)) {
-    renewal = context_.zone_coordinator.MayRenew(heartbeat);
+  if (heartbeat.token == 0 || !context_.election.MayRenewWorkerLeases(term)) {
+    renewal = context_.zone_coordinator.MayRenewWorkerLeases(heartbeat);
   }
   api::HeartbeatAnswer answer;
   if (renewal == Renewal::kYes) {
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -84,8 +84,8 @@
       // The next leader starts after the leader lease has expired, and accounts
       // for what this one may do from then, as if it had been granted.
       leader_answered_at_ = now;
-      if (leader->ZoneSettled(settings_.zone, now)) {
-        delegated_lease_.Granted(now);
+      if (leader->ZoneMayBeDelegated(settings_.zone, now)) {
+        delegated_lease_.OnGranted(now);
       }
     } else if (clients::PeerClient* peer = callbacks_.leader_peer()) {
       co_await RequestDelegation(peer, now);
@@ -105,7 +105,8 @@
   }
   if (answer.message.role != LeaderRole::kLeads) co_return;
   leader_answered_at_ = sent;
-  if (answer.message.answer == PeerAnswer::kYes) delegated_lease_.Granted(sent);
+  if (answer.message.answer == PeerAnswer::kYes)
+    delegated_lease_.OnGranted(sent);
 }
 
 net::Task<void> ZoneCoordinator::ProbeNeighboursLoop() {
@@ -289,7 +290,8 @@
   return leader_failed_at_ > leader_answered_at_;
 }
 
-ZoneCoordinator::Renewal ZoneCoordinator::MayRenew(const Heartbeat& heartbeat) {
+ZoneCoordinator::Renewal ZoneCoordinator::MayRenewWorkerLeases(
+    const Heartbeat& heartbeat) {
   if (!IsCutOff()) {
     partition_detector_.Clear();
     return Renewal::kNo;
@@ -298,7 +300,7 @@
     return Renewal::kNo;
   }
   const net::Time now = loop_.Refresh();
-  if (partition_detector_.Redirected(heartbeat, now)) {
+  if (partition_detector_.ShouldRedirect(heartbeat, now)) {
     return Renewal::kRedirected;
   }
   if (!delegated_lease_.Renew(now)) return Renewal::kNo;
@@ -364,8 +366,8 @@
     return;
   }
   peer_asked_at_[message.node] = now;
-  if (leader->OnDelegationAsked(message.node, message.text,
-                                Seconds(message.running), now)) {
+  if (leader->OnDelegationRequested(message.node, message.text,
+                                    Seconds(message.running), now)) {
     reply->answer = PeerAnswer::kYes;
   }
 }
--- a/app/zone_coordinator.h
+++ b/app/zone_coordinator.h
@@ -73,7 +73,7 @@
     kRedirected,  // a leader reaches the worker: it is to turn to that one
   };
   // Whether this controller may renew the worker's lease.
-  Renewal MayRenew(const Heartbeat& heartbeat);
+  Renewal MayRenewWorkerLeases(const Heartbeat& heartbeat);
   // A controller of this zone that may renew leases where this one may not,
   // since it has restarted or was never granted a delegated lease; empty if
   // none is known.
--- a/cli/calendar_command.cc
+++ b/cli/calendar_command.cc
@@ -271,7 +271,7 @@
       calendar.Admit(spec, "", command.run_seconds, 0);
   if (!calendar.AppliesTo(spec, "")) {
     std::printf("no booking names this work\n");
-  } else if (admission.may()) {
+  } else if (admission.may_start()) {
     std::printf("may start now\n");
   } else {
     std::printf(
--- a/cli/tiers_command.cc
+++ b/cli/tiers_command.cc
@@ -64,7 +64,7 @@
                 tier.name.c_str(),
                 place + 1 == set.size() ? "what no other matches"
                                         : MatchText(tier.match).c_str(),
-                tier.kept_share, tier.most_share, tier.floor_seconds);
+                tier.headroom_share, tier.max_share, tier.turn_wait_seconds);
   }
 }
 
--- a/clients/health.cc
+++ b/clients/health.cc
@@ -27,7 +27,7 @@
 }  // namespace
 
 health_expression::HealthExpression& HealthClient::ExpressionFor(
-    const CheckInstance& check) {
+    const RunHealthCheck& check) {
   if (expressions_.size() > kMaxExpressions) expressions_.clear();
   Entry& entry = expressions_[check.rollout];
   const std::string& text = check.spec->check.expression;
@@ -37,7 +37,7 @@
   return *entry.expression;
 }
 
-net::Task<CheckOutcome> HealthClient::Check(CheckInstance check) {
+net::Task<CheckOutcome> HealthClient::Check(RunHealthCheck check) {
   CheckOutcome out;
   net::Address address;
   if (!net::ParseAddress(check.endpoint, &address)) co_return out;
--- a/clients/health.h
+++ b/clients/health.h
@@ -19,12 +19,12 @@
  public:
   explicit HealthClient(net::Loop& loop) : loop_(loop) {}
 
-  net::Task<CheckOutcome> Check(CheckInstance check);
+  net::Task<CheckOutcome> Check(RunHealthCheck check);
   void Clear() { expressions_.clear(); }
 
  private:
   health_expression::HealthExpression& ExpressionFor(
-      const CheckInstance& check);
+      const RunHealthCheck& check);
 
   net::Loop& loop_;
   // By rollout; a new declaration under an old name brings its own text.
--- a/clients/key_value_store.cc
+++ b/clients/key_value_store.cc
@@ -249,7 +249,7 @@
 
 void KeyValueStoreClient::MarkSteppedBack(bool is_applied,
                                           StoreResult* result) {
-  result->stepped_back = true;
+  result->revision_decreased = true;
   result->status =
       is_applied ? StoreStatus::kUnknown : StoreStatus::kNotExecuted;
   if (on_step_back) on_step_back();
@@ -308,7 +308,7 @@
     co_return StoreResult{};
   }
   std::optional<std::string> body = EncodeTransaction(
-      preconditions, mutations, lease_id, limits_.most_value_bytes());
+      preconditions, mutations, lease_id, limits_.max_value_bytes());
   if (!body) co_return refused;
   auto transaction = std::make_shared<Transaction>(loop_);
   transaction->kind = mutations.empty() ? Kind::kRead : Kind::kChange;
--- a/clients/key_value_store.h
+++ b/clients/key_value_store.h
@@ -44,7 +44,7 @@
   // The answer is older than another that had come before this request was
   // sent: from a store that has lost data, or from a stale copy. Its status is
   // then kUnknown or kNotExecuted.
-  bool stepped_back = false;
+  bool revision_decreased = false;
   // Not sent: it is beyond this controller's share of the store's limits.
   bool beyond_share = false;
 
--- a/clients/reach_client.cc
+++ b/clients/reach_client.cc
@@ -19,10 +19,10 @@
         co_await client.Request("GET", "/status", "", timeout_seconds);
     Heartbeat heartbeat;
     if (answer.ok() && wire::ParseReport(answer.body, &heartbeat)) {
-      round->found.machines[i] = Reach::kReached;
+      round->found.machines[i] = ReachabilityAnswer::kReached;
       round->found.reports.push_back(std::move(heartbeat));
     } else {
-      round->found.machines[i] = Reach::kNotReached;
+      round->found.machines[i] = ReachabilityAnswer::kNotReached;
     }
   }
   --open_;
@@ -32,7 +32,7 @@
 net::Task<ReachClient::Result> ReachClient::Ask(
     std::vector<std::string> endpoints, double timeout_seconds) {
   auto round = std::make_shared<Round>(loop_);
-  round->found.machines.assign(endpoints.size(), Reach::kNotAsked);
+  round->found.machines.assign(endpoints.size(), ReachabilityAnswer::kNotAsked);
   std::vector<size_t> asked;
   for (size_t i = 0; i < endpoints.size(); ++i) {
     if (endpoints[i].empty() || open_ + asked.size() >= most_at_once_) continue;
--- a/clients/write_retry.cc
+++ b/clients/write_retry.cc
@@ -45,7 +45,7 @@
       std::pair{Phase::kWaiting, Phase::kSilent},
       std::pair{Phase::kWaiting, Phase::kDecided},
   };
-  CheckedChange(phase_, next, kChanges, "write retry");
+  CheckedTransition(phase_, next, kChanges, "write retry");
 }
 
 void WriteRetry::OnAnswer(StoreStatus status) {
--- a/core/autoscaler/autoscaler.cc
+++ b/core/autoscaler/autoscaler.cc
@@ -72,7 +72,7 @@
 void Autoscaler::RunAutoscaler(Time now) {
   if (cluster_.types().empty()) return;
   const bool accounted = cluster_.AllMachinesAccountedFor();
-  AutoscalerInput input;
+  ScaleOutInput input;
   input.types = &cluster_.types();
   input.max_new_machines = kMaxNewMachines;
   for (const auto& [pool, until] : refused_until_) input.refused.insert(pool);
@@ -90,8 +90,8 @@
   consolidator_.RunIfDue(now);
 }
 
-std::vector<PoolCapacity> Autoscaler::ExistingCapacity(Time now) const {
-  std::vector<PoolCapacity> capacity;
+std::vector<MachineCapacity> Autoscaler::ExistingCapacity(Time now) const {
+  std::vector<MachineCapacity> capacity;
   for (const auto& machine : cluster_.machines()) {
     if (machine->type == nullptr) continue;
     const bool booting =
@@ -103,7 +103,7 @@
     if (!booting && !up) continue;
     // Capacity that is being freed for a job counts as free for it.
     capacity.push_back({{machine->type_name, machine->zone, machine->spot},
-                        machine->free() + machine->leaving});
+                        machine->free() + machine->used_by_stopping});
   }
   AddRequestedCapacity(capacity);
   SortForPacking(capacity);
@@ -111,7 +111,7 @@
 }
 
 void Autoscaler::AddRequestedCapacity(
-    std::vector<PoolCapacity>& capacity) const {
+    std::vector<MachineCapacity>& capacity) const {
   for (const auto& [name, scale_out] : scale_outs_) {
     if (scale_out.state == ScaleOutState::kSettled) continue;
     const ScaleOutRecord& record = scale_out.record;
@@ -123,22 +123,22 @@
   }
 }
 
-void Autoscaler::SortForPacking(std::vector<PoolCapacity>& capacity) const {
-  const auto total_gpus = [this](const PoolCapacity& entry) {
+void Autoscaler::SortForPacking(std::vector<MachineCapacity>& capacity) const {
+  const auto total_gpus = [this](const MachineCapacity& entry) {
     return cluster_.types().at(entry.pool.type).total.gpus;
   };
-  std::stable_sort(capacity.begin(), capacity.end(),
-                   [&](const PoolCapacity& first, const PoolCapacity& second) {
-                     const double first_gpus = total_gpus(first);
-                     const double second_gpus = total_gpus(second);
-                     if (first_gpus != second_gpus)
-                       return first_gpus < second_gpus;
-                     // Fragments first: a small task packed into a whole
-                     // machine would have another one requested for the next
-                     // large task.
-                     return tuning_.fragmentation_weight > 0 &&
-                            first.free.gpus < second.free.gpus;
-                   });
+  std::stable_sort(
+      capacity.begin(), capacity.end(),
+      [&](const MachineCapacity& first, const MachineCapacity& second) {
+        const double first_gpus = total_gpus(first);
+        const double second_gpus = total_gpus(second);
+        if (first_gpus != second_gpus) return first_gpus < second_gpus;
+        // Fragments first: a small task packed into a whole
+        // machine would have another one requested for the next
+        // large task.
+        return tuning_.fragmentation_weight > 0 &&
+               first.free.gpus < second.free.gpus;
+      });
 }
 
 std::vector<const Job*> Autoscaler::JobsWithUnplacedTasks(Time now) const {
@@ -205,7 +205,7 @@
 
 bool Autoscaler::BeginScaleOut(const MachinePool& pool, int count) {
   const std::string name = "r-" + std::to_string(context_.term) + "-" +
-                           std::to_string(context_.NextNumber());
+                           std::to_string(context_.NextToken());
   if (context_.resigned) return false;
   ScaleOutRequest& scale_out = scale_outs_[name];
   scale_out.record = {pool.type, pool.zone, pool.spot,
@@ -224,7 +224,7 @@
   }
   // The next step of a dependency chain starts sooner on a machine that is up
   // than on one that has to boot.
-  Resources expected = dependencies_.ResourcesOfNextSteps(now);
+  Resources expected = dependencies_.UpcomingReleaseDemand(now);
   for (const auto& machine : cluster_.machines()) {
     if (machine->state() != MachineState::kUp ||
         !machine->task_attempts.empty() || machine->batch ||
@@ -235,7 +235,7 @@
       expected -= machine->total();
       continue;
     }
-    if (!machine_lifecycle_.RemoveMachine(*machine, LossCause::kIdle, now)) {
+    if (!machine_lifecycle_.RemoveMachine(*machine, RemovalCause::kIdle, now)) {
       return;
     }
   }
@@ -334,7 +334,7 @@
 }
 
 void Autoscaler::ScaleOutRequest::Change(ScaleOutState next) {
-  CheckedChange(state, next, kScaleOutTransitions, "scale-out");
+  CheckedTransition(state, next, kScaleOutTransitions, "scale-out");
 }
 
 void Autoscaler::Restore(const std::string& name,
@@ -355,7 +355,7 @@
   }
 }
 
-void Autoscaler::ForgetRefusals(Time now) {
+void Autoscaler::ExpireRefusals(Time now) {
   std::erase_if(refused_until_,
                 [now](const auto& entry) { return entry.second <= now; });
 }
--- a/core/autoscaler/autoscaler.h
+++ b/core/autoscaler/autoscaler.h
@@ -41,7 +41,7 @@
   // Repeats requests without a response, and settles those with one.
   void TickRequests(Time now);
   // Lets pools be asked again some time after they have refused.
-  void ForgetRefusals(Time now);
+  void ExpireRefusals(Time now);
   bool IsDue(Time now) const { return now >= next_autoscaler_run_; }
   void SetNextRun(Time at) { next_autoscaler_run_ = at; }
   // One pass: compares capacity and demand, requests machines, returns idle
@@ -82,10 +82,10 @@
   // --- capacity
   // Of machines that are up, booting or requested, in the order in which
   // demand is packed into it.
-  std::vector<PoolCapacity> ExistingCapacity(Time now) const;
-  void AddRequestedCapacity(std::vector<PoolCapacity>& capacity) const;
+  std::vector<MachineCapacity> ExistingCapacity(Time now) const;
+  void AddRequestedCapacity(std::vector<MachineCapacity>& capacity) const;
   // Machines with few accelerators first, as placement does where it can.
-  void SortForPacking(std::vector<PoolCapacity>& capacity) const;
+  void SortForPacking(std::vector<MachineCapacity>& capacity) const;
 
   // --- demand
   // In the order of placement.
--- a/core/autoscaler/capacity_planning.cc
+++ b/core/autoscaler/capacity_planning.cc
@@ -48,7 +48,7 @@
 
 class ScaleOutPlanner {
  public:
-  explicit ScaleOutPlanner(const AutoscalerInput& input)
+  explicit ScaleOutPlanner(const ScaleOutInput& input)
       : input_(input), capacity_(input.capacity) {}
 
   void Add(const PoolDemand& demand);
@@ -56,20 +56,20 @@
 
  private:
   // Packs tasks into the capacity; returns how many.
-  static int Pack(RemainingDemand& demand, PoolCapacity& capacity);
+  static int Pack(RemainingDemand& demand, MachineCapacity& capacity);
   std::optional<PoolOffer> CheapestPool(const RemainingDemand& demand);
   // Nothing: the pool can't take any task of the demand.
   std::optional<PoolOffer> OfferOf(const RemainingDemand& demand,
                                    const MachineType& type, MachinePool pool);
 
-  const AutoscalerInput& input_;
-  std::vector<PoolCapacity> capacity_;
+  const ScaleOutInput& input_;
+  std::vector<MachineCapacity> capacity_;
   std::map<MachinePool, int> plan_;
   std::map<std::string, int> new_machines_in_zone_;
   int new_machines_ = 0;
 };
 
-int ScaleOutPlanner::Pack(RemainingDemand& demand, PoolCapacity& capacity) {
+int ScaleOutPlanner::Pack(RemainingDemand& demand, MachineCapacity& capacity) {
   const JobSpec& spec = demand.spec;
   if (demand.tasks <= 0 || !PoolAllowed(spec, capacity.pool)) return 0;
   const int packed =
@@ -124,7 +124,7 @@
 
 void ScaleOutPlanner::Add(const PoolDemand& demand) {
   RemainingDemand remaining{*demand.spec, demand.zones, demand.tasks};
-  for (PoolCapacity& capacity : capacity_) Pack(remaining, capacity);
+  for (MachineCapacity& capacity : capacity_) Pack(remaining, capacity);
   while (remaining.tasks > 0 && new_machines_ < input_.max_new_machines) {
     const std::optional<PoolOffer> offer = CheapestPool(remaining);
     if (!offer) return;
@@ -138,7 +138,7 @@
 
 }  // namespace
 
-std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input) {
+std::map<MachinePool, int> PlanScaleOut(const ScaleOutInput& input) {
   ScaleOutPlanner planner(input);
   for (const PoolDemand& demand : input.demand) planner.Add(demand);
   return planner.TakePlan();
--- a/core/autoscaler/capacity_planning.h
+++ b/core/autoscaler/capacity_planning.h
@@ -25,7 +25,7 @@
 };
 
 // Free capacity of one machine that is up, booting or requested.
-struct PoolCapacity {
+struct MachineCapacity {
   MachinePool pool;
   Resources free;
 };
@@ -39,17 +39,17 @@
 };
 
 // What a plan is made of. `types` and the specs must outlive the call.
-struct AutoscalerInput {
+struct ScaleOutInput {
   const std::map<std::string, MachineType>* types = nullptr;
-  std::vector<PoolCapacity> capacity;  // filled in this order
-  std::vector<PoolDemand> demand;      // in the order of placement
-  std::set<MachinePool> refused;       // pools without machines at present
-  int max_new_machines = 0;            // of all pools together
+  std::vector<MachineCapacity> capacity;  // filled in this order
+  std::vector<PoolDemand> demand;         // in the order of placement
+  std::set<MachinePool> refused;          // pools without machines at present
+  int max_new_machines = 0;               // of all pools together
 };
 
 // Packs the demand into the capacity that exists; what is left is packed into
 // new machines of the pool that costs least for it. Returns the number of
 // machines to request of each pool; no pool is listed with zero.
-std::map<MachinePool, int> PlanScaleOut(const AutoscalerInput& input);
+std::map<MachinePool, int> PlanScaleOut(const ScaleOutInput& input);
 
 }  // namespace oxbow
--- a/core/autoscaler/consolidation.cc
+++ b/core/autoscaler/consolidation.cc
@@ -23,8 +23,8 @@
   if (first->type->price != second->type->price) {
     return first->type->price > second->type->price;
   }
-  if (first->staying.cpus != second->staying.cpus) {
-    return first->staying.cpus < second->staying.cpus;
+  if (first->used_by_services.cpus != second->used_by_services.cpus) {
+    return first->used_by_services.cpus < second->used_by_services.cpus;
   }
   return first->index() < second->index();
 }
@@ -54,7 +54,7 @@
     if (!machine_health_.Usable(*machine, now)) continue;
     usable.push_back(machine.get());
     largest_staying_cpus =
-        std::max(largest_staying_cpus, machine->staying.cpus);
+        std::max(largest_staying_cpus, machine->used_by_services.cpus);
     replicas += machine->task_attempts.size();
   }
   const double max_moved = kMaxMovedShare * static_cast<double>(replicas);
@@ -63,7 +63,8 @@
     const size_t moved_with_it = moved + machine->task_attempts.size();
     if (moved > 0 && static_cast<double>(moved_with_it) > max_moved) break;
     if (!CanMoveAll(*machine, usable, largest_staying_cpus)) continue;
-    if (!machine_lifecycle_.RemoveMachine(*machine, LossCause::kMoved, now)) {
+    if (!machine_lifecycle_.RemoveMachine(*machine, RemovalCause::kConsolidated,
+                                          now)) {
       break;
     }
     moved = moved_with_it;
@@ -94,7 +95,7 @@
     const std::vector<Machine*>& usable, Time now) const {
   std::vector<Machine*> candidates;
   for (Machine* machine : usable) {
-    if (machine->staying.cpus <= 0 || machine->batch ||
+    if (machine->used_by_services.cpus <= 0 || machine->batch ||
         !machine->queue.empty()) {
       continue;
     }
@@ -114,7 +115,7 @@
   const Machine* target = nullptr;
   for (const Machine* machine : usable) {
     if (machine == &from || !machine->HasImage(spec.image) ||
-        !Allowed(spec, *machine, zones)) {
+        !ConstraintsAllow(spec, *machine, zones)) {
       continue;
     }
     const Resources capacity =
@@ -124,7 +125,7 @@
     // Only from the emptier to the fuller, or two machines would swap their
     // replicas for ever.
     if (machine->type->price == from.type->price &&
-        machine->staying.cpus < from.staying.cpus) {
+        machine->used_by_services.cpus < from.used_by_services.cpus) {
       continue;
     }
     if (target == nullptr || (IsConsolidationTarget(cluster_, *machine) &&
--- a/core/catalog/catalog.cc
+++ b/core/catalog/catalog.cc
@@ -23,7 +23,7 @@
 uint64_t Catalog::ModRevisionOf(const std::string& key) const {
   if (key == keys::kLeader) return leader_.mod_revision;
   uint64_t mod_revision = 0;
-  EachKind([&](const auto& map, std::string_view prefix) {
+  ForEachKind([&](const auto& map, std::string_view prefix) {
     if (!key.starts_with(prefix)) return;
     if (const auto* r = Find(map, key, prefix)) mod_revision = r->mod_revision;
   });
@@ -70,7 +70,7 @@
 
 Record Catalog::RecordOf(const std::string& key) const {
   Record out;
-  EachKind([&](const auto& map, std::string_view prefix) {
+  ForEachKind([&](const auto& map, std::string_view prefix) {
     if (!key.starts_with(prefix)) return;
     if (const auto* r = Find(map, key, prefix)) out = *r;
   });
@@ -117,10 +117,10 @@
   if (known == 0 && mod_revision <= watched_revision_) return false;
   Store(key, record, mod_revision);
   if (job != nullptr && job->terminal_state == TerminalState::kNone &&
-      epoch_.number > 1 && mod_revision <= opened()) {
+      epoch_.number > 1 && mod_revision <= epoch_mark_revision()) {
     // An older copy has come back, and the job has ended since.
     const std::string id = key.substr(keys::kJob.size());
-    const TerminalState end = ended_.Find(id);
+    const TerminalState end = terminal_states_.Find(id);
     if (end != TerminalState::kNone) {
       jobs_.at(id).terminal_state = end;
       pending_writes_[key] = {epoch_.number - 1, mod_revision};
@@ -150,7 +150,7 @@
 bool Catalog::PutOverPending(const std::string& key, const Record& record,
                              uint64_t mod_revision) {
   const Version there{
-      mod_revision > opened() ? epoch_.number : epoch_.number - 1,
+      mod_revision > epoch_mark_revision() ? epoch_.number : epoch_.number - 1,
       mod_revision};
   const auto ended = [](const Record& record) {
     const auto* job = std::get_if<JobRecord>(&record);
@@ -185,25 +185,26 @@
 
 EpochGuard Catalog::Guard() const {
   if (epoch_.number == 0) return {std::string(keys::kEpoch), 0};
-  return {keys::Of(keys::kEpochMark, epoch_.id), opened()};
+  return {keys::Of(keys::kEpochMark, epoch_.id), epoch_mark_revision()};
 }
 
 Version Catalog::VersionOf(const std::string& key) const {
   const auto pending_writes = pending_writes_.find(key);
   if (pending_writes != pending_writes_.end()) return pending_writes->second;
   const uint64_t mod_revision = ModRevisionOf(key);
-  return {mod_revision > opened() || epoch_.number == 0 ? epoch_.number
-                                                        : epoch_.number - 1,
+  return {mod_revision > epoch_mark_revision() || epoch_.number == 0
+              ? epoch_.number
+              : epoch_.number - 1,
           mod_revision};
 }
 
-bool Catalog::Remember(const std::string& key, const Record& record,
-                       Version version) {
+bool Catalog::MergeRetained(const std::string& key, const Record& record,
+                            Version version) {
   const auto* job = std::get_if<JobRecord>(&record);
   const std::string id =
       job != nullptr ? key.substr(keys::kJob.size()) : std::string();
   if (job != nullptr && job->terminal_state == TerminalState::kNone &&
-      ended_.Find(id) != TerminalState::kNone) {
+      terminal_states_.Find(id) != TerminalState::kNone) {
     return false;
   }
   if (std::holds_alternative<WaitingRecord>(record)) {
@@ -241,14 +242,14 @@
 void Catalog::ApplyTerminalStates() {
   for (auto& [id, job] : jobs_) {
     if (job.terminal_state != TerminalState::kNone) continue;
-    job.terminal_state = ended_.Find(id);
+    job.terminal_state = terminal_states_.Find(id);
     if (job.terminal_state == TerminalState::kNone) continue;
     std::string key = keys::Of(keys::kJob, id);
     pending_writes_.try_emplace(key, VersionOf(key));
   }
   std::vector<std::string> ended;
   for (const auto& [id, waiting] : waiting_) {
-    if (ended_.Find(id) != TerminalState::kNone) ended.push_back(id);
+    if (terminal_states_.Find(id) != TerminalState::kNone) ended.push_back(id);
   }
   for (const std::string& id : ended) DropPendingWaitingRecord(id);
 }
@@ -286,7 +287,7 @@
   watched_revision_ = 0;  // what is read again is no older value
 }
 
-void Catalog::Missing(const std::string& key, uint64_t revision) {
+void Catalog::MarkMissing(const std::string& key, uint64_t revision) {
   if (pending_writes_.contains(key)) {
     SetModRevision(key, 0);
   } else {
@@ -296,7 +297,7 @@
 
 bool Catalog::Erase(const std::string& key, uint64_t mod_revision) {
   if (pending_writes_.contains(key)) {
-    if (mod_revision <= opened()) return false;
+    if (mod_revision <= epoch_mark_revision()) return false;
   } else {
     const uint64_t known = ModRevisionOf(key);
     if (known == 0 || known > mod_revision) return false;
@@ -317,7 +318,7 @@
 std::vector<std::string> Catalog::EraseMissing(
     const std::unordered_set<std::string>& listed, uint64_t revision) {
   std::vector<std::string> gone;
-  EachKind([&](const auto& map, std::string_view prefix) {
+  ForEachKind([&](const auto& map, std::string_view prefix) {
     for (const auto& [name, record] : map) {
       std::string key = keys::Of(prefix, name);
       if (record.mod_revision <= revision && !listed.contains(key) &&
@@ -349,7 +350,7 @@
   return &it->second;
 }
 
-bool Catalog::Accepted(const std::string& id) const {
+bool Catalog::WasAccepted(const std::string& id) const {
   return FindJob(id) != nullptr || waiting_.contains(id) ||
          FindTerminalState(id) != TerminalState::kNone;
 }
@@ -361,12 +362,12 @@
 
 TerminalState Catalog::FindTerminalState(const std::string& id) const {
   const TerminalState state = FindTerminalRecord(id).state;
-  return state != TerminalState::kNone ? state : ended_.Find(id);
+  return state != TerminalState::kNone ? state : terminal_states_.Find(id);
 }
 
 void Catalog::RememberTerminalState(const std::string& id,
                                     const TerminalRecord& end) {
-  ended_.Add(id, end.state);
+  terminal_states_.Add(id, end.state);
   DropPendingWaitingRecord(id);
   if (!terminal_records_.try_emplace(id, end).second) return;
   terminal_order_.push_back(id);
--- a/core/catalog/catalog.h
+++ b/core/catalog/catalog.h
@@ -52,12 +52,12 @@
       const std::unordered_set<std::string>& listed, uint64_t revision);
   // A read has not found the key. A pending write is kept: it is not in the
   // store yet.
-  void Missing(const std::string& key, uint64_t revision);
+  void MarkMissing(const std::string& key, uint64_t revision);
 
   // --- epochs: see docs/recovery.md for what beats what
   const StoreEpoch& epoch() const { return epoch_; }
   // The mod revision of the epoch's mark; 0 while it is unknown.
-  uint64_t opened() const {
+  uint64_t epoch_mark_revision() const {
     return mark_id_ == epoch_.id ? mark_mod_revision_ : 0;
   }
   // What every write of this epoch is conditioned on.
@@ -69,9 +69,10 @@
   }
   // Takes in a record that another controller remembers. False if the local
   // copy is as new.
-  bool Remember(const std::string& key, const Record& record, Version version);
-  // After others' terminal states were added to ended(): applies them to live
-  // jobs.
+  bool MergeRetained(const std::string& key, const Record& record,
+                     Version version);
+  // After others' terminal states were added to terminal_states(): applies them
+  // to live jobs.
   void ApplyTerminalStates();
   Version VersionOf(const std::string& key) const;
   // monostate if there is none.
@@ -104,14 +105,15 @@
     return rollouts_;
   }
   // By name; withdrawn ones too.
-  const std::unordered_map<std::string, OperatorRecord>& operators() const {
+  const std::unordered_map<std::string, OperatorRecord>& operator_records()
+      const {
     return operators_;
   }
   // By the controller's name, and the mark of all.
   const VersionGate::Versions& versions() const { return versions_; }
   // Every kind of live record that has a name: visit(map by name, key prefix).
   template <typename Visit>
-  void EachKind(const Visit& visit) const {
+  void ForEachKind(const Visit& visit) const {
     VisitKinds(*this, visit);
   }
   const LeaderRecord& leader() const { return leader_; }
@@ -119,7 +121,7 @@
   // Null too for one that does not wait any more; see waiting().
   const WaitingRecord* FindWaiting(const std::string& id) const;
   // Whether the job was accepted, as far as is known here; it may have ended.
-  bool Accepted(const std::string& id) const;
+  bool WasAccepted(const std::string& id) const;
   // How a job ended, as far as a user may be answered with it; kNone if that is
   // unknown. kDone counts from the live record on. A cancellation counts once
   // the record has moved to the terminal records, which it does when no task of
@@ -130,8 +132,8 @@
   TerminalRecord FindTerminalRecord(const std::string& id) const;
   // The same without the number of tasks; remembered for longer.
   TerminalState FindTerminalState(const std::string& id) const;
-  const TerminalStateIndex& ended() const { return ended_; }
-  TerminalStateIndex& ended() { return ended_; }
+  const TerminalStateIndex& terminal_states() const { return terminal_states_; }
+  TerminalStateIndex& terminal_states() { return terminal_states_; }
   void RememberTerminalState(const std::string& id, const TerminalRecord& end);
 
  private:
@@ -171,7 +173,7 @@
   // Bounded: an older one is read from the store again.
   std::unordered_map<std::string, TerminalRecord> terminal_records_;
   std::deque<std::string> terminal_order_;
-  TerminalStateIndex ended_;
+  TerminalStateIndex terminal_states_;
   StoreEpoch epoch_;
   std::string mark_id_;
   uint64_t mark_mod_revision_ = 0;
--- a/core/catalog/store_keys.h
+++ b/core/catalog/store_keys.h
@@ -29,9 +29,9 @@
 // Written once each and never watched, see WriteFence.
 inline constexpr std::string_view kFence = "ob/fence/";
 inline constexpr std::string_view kTerminal = "ob/final/";
-inline constexpr std::string_view kRolloutEnd = "ob/ended/o/";
+inline constexpr std::string_view kEndedRollout = "ob/ended/o/";
 // Earlier versions of operators' records, NAME/VERSION.
-inline constexpr std::string_view kOperatorPast = "ob/ended/p/";
+inline constexpr std::string_view kOperatorHistory = "ob/ended/p/";
 
 inline std::string Of(std::string_view prefix, std::string_view name) {
   std::string out(prefix);
--- a/core/cluster_state/cluster_state.cc
+++ b/core/cluster_state/cluster_state.cc
@@ -19,9 +19,9 @@
          (quota.gpus_max <= 0 || total.gpus <= quota.gpus_max + kEpsilon);
 }
 
-bool QuotaUsage::EndsBeforeHeldIsUsed(const JobSpec& spec) const {
+bool QuotaUsage::EndsBeforeReservedUse(const JobSpec& spec) const {
   return spec.kind != JobKind::kService && spec.estimate_seconds > 0 &&
-         spec.estimate_seconds <= seconds_until_held_is_used;
+         spec.estimate_seconds <= seconds_until_reserved_use;
 }
 
 ClusterState::ClusterState(const Settings& settings, FencingToken first_token,
@@ -62,7 +62,7 @@
 
 void ClusterState::MarkDeleted(Machine& machine) {
   MarkAllLost(machine);
-  machine.Change(MachineState::kGone);
+  machine.Change(MachineState::kDeleted);
   deleted_hosts_.insert(machine.host());
   machine_index_.erase(machine.host());
 }
@@ -71,7 +71,7 @@
   return std::all_of(machines_.begin(), machines_.end(),
                      [](const auto& machine) {
                        return !machine->recorded_up || machine->reported ||
-                              machine->state() == MachineState::kGone;
+                              machine->state() == MachineState::kDeleted;
                      });
 }
 
@@ -172,7 +172,8 @@
   for (const auto& [key, attempt] : machine.task_attempts) keys.push_back(key);
   for (const TaskAttemptKey& key : keys) RemoveAttempt(machine, key);
   // What remains is rounding errors.
-  machine.used = machine.staying = machine.lasting = machine.leaving = {};
+  machine.used = machine.used_by_services = machine.used_by_long_running =
+      machine.used_by_stopping = {};
   machine.used_by = {};
   MarkChanged();
 }
@@ -180,30 +181,32 @@
 void ClusterState::ChargeCapacity(Machine& machine, TaskAttempt& attempt) {
   const JobSpec& spec = attempt.job->spec();
   attempt.need = spec.need;
-  attempt.holds = true;
+  attempt.charged = true;
   machine.used += attempt.need;
   machine.used_by[static_cast<size_t>(spec.priority)] += attempt.need;
-  if (spec.kind == JobKind::kService) machine.staying += attempt.need;
-  if (spec.kind != JobKind::kArray) machine.lasting += attempt.need;
-  if (attempt.stopping) machine.leaving += attempt.need;
+  if (spec.kind == JobKind::kService) machine.used_by_services += attempt.need;
+  if (spec.kind != JobKind::kArray)
+    machine.used_by_long_running += attempt.need;
+  if (attempt.stopping) machine.used_by_stopping += attempt.need;
   if (attempt.job->team() >= 0) quota(attempt.job->team()).used += attempt.need;
   observer_.OnCapacityCharged(*attempt.job, attempt.need);
   attempt.job->ChangePresence(machine.index(), 1, 0);
 }
 
 void ClusterState::ReleaseCapacity(Machine& machine, TaskAttempt& attempt) {
-  if (!attempt.holds) return;
+  if (!attempt.charged) return;
   const JobSpec& spec = attempt.job->spec();
   machine.used -= attempt.need;
   machine.used_by[static_cast<size_t>(spec.priority)] -= attempt.need;
-  if (spec.kind == JobKind::kService) machine.staying -= attempt.need;
-  if (spec.kind != JobKind::kArray) machine.lasting -= attempt.need;
-  if (attempt.stopping) machine.leaving -= attempt.need;
+  if (spec.kind == JobKind::kService) machine.used_by_services -= attempt.need;
+  if (spec.kind != JobKind::kArray)
+    machine.used_by_long_running -= attempt.need;
+  if (attempt.stopping) machine.used_by_stopping -= attempt.need;
   if (attempt.job->team() >= 0) quota(attempt.job->team()).used -= attempt.need;
   observer_.OnCapacityReleased(*attempt.job, attempt.need);
   attempt.job->ChangePresence(machine.index(), -1, 0);
   attempt.need = {};
-  attempt.holds = false;
+  attempt.charged = false;
   if (spec.priority == Priority::kProduction) MarkUrgentChange();
   if (attempt.phase == TaskPhase::kFetching) {
     // The worker gives up a fetch when no task waits for it any more.
@@ -233,11 +236,11 @@
   if (attempt.stopping == stopping) return;
   attempt.stopping = stopping;
   if (stopping) observer_.OnAttemptStopping(attempt);
-  if (!attempt.holds) return;
+  if (!attempt.charged) return;
   if (stopping) {
-    machine.leaving += attempt.need;
+    machine.used_by_stopping += attempt.need;
   } else {
-    machine.leaving -= attempt.need;
+    machine.used_by_stopping -= attempt.need;
   }
 }
 
@@ -287,7 +290,7 @@
 
 int ClusterState::CountOn(const Job& job, const Machine& machine) {
   const auto it = job.presence().find(machine.index());
-  return it == job.presence().end() ? 0 : it->second.holding;
+  return it == job.presence().end() ? 0 : it->second.charged_attempts;
 }
 
 ZoneSpread ClusterState::ZoneSpreadOf(const Job& job) const {
@@ -297,8 +300,8 @@
     return spread;
   }
   for (const auto& [index, presence] : job.presence()) {
-    if (presence.holding == 0) continue;
-    spread.Add(machine(index).zone, presence.holding);
+    if (presence.charged_attempts == 0) continue;
+    spread.Add(machine(index).zone, presence.charged_attempts);
   }
   return spread;
 }
@@ -315,11 +318,11 @@
   const QuotaUsage& usage = quota(job.team());
   const Resources used_now =
       usage.used + usage.orphaned_tasks + job.spec().need * tasks;
-  const Resources used_then =
-      used_now - usage.released_before_held + usage.held;
+  const Resources used_then = used_now - usage.released_before_reserved_use +
+                              usage.reserved_for_waiting;
   return usage.WithinMaximum(used_now) &&
          (usage.WithinMaximum(used_then) ||
-          usage.EndsBeforeHeldIsUsed(job.spec()));
+          usage.EndsBeforeReservedUse(job.spec()));
 }
 
 Resources ClusterState::OrphanedTasksUpperBound() const {
--- a/core/cluster_state/cluster_state.h
+++ b/core/cluster_state/cluster_state.h
@@ -26,23 +26,25 @@
   TeamQuota quota;
   Resources used;  // by attempts that are, or may be, on a machine
   // Within one scheduling pass:
-  Resources held;  // for jobs that wait for the quota
+  Resources reserved_for_waiting;  // for jobs that wait for the quota
   // Of `used`, what is released before those jobs can start: with this much
   // less in use, what is held must fit.
-  Resources released_before_held;
+  Resources released_before_reserved_use;
   // Jobs that wait for the quota and come before those it is held for. They
   // hold nothing of it: their tasks take turns.
-  std::vector<const Job*> taking_turns;
+  std::vector<const Job*> round_robin_jobs;
   // What is held can't be used any sooner, as far as those turns tell; s.
-  double seconds_until_held_is_used = 0;
+  double seconds_until_reserved_use = 0;
   Resources orphaned_tasks;  // what tasks without a known job may use
 
   bool has_maximum() const { return quota.cpus_max > 0 || quota.gpus_max > 0; }
-  bool holds_for_waiting_jobs() const { return held.cpus > 0 || held.gpus > 0; }
+  bool has_reserved_quota() const {
+    return reserved_for_waiting.cpus > 0 || reserved_for_waiting.gpus > 0;
+  }
   // Whether the team may use so much in all.
   bool WithinMaximum(const Resources& total) const;
   // Whether the job is estimated to end before what is held can be used.
-  bool EndsBeforeHeldIsUsed(const JobSpec& spec) const;
+  bool EndsBeforeReservedUse(const JobSpec& spec) const;
 };
 
 // An attempt and the machine that it is on. `machine` is never null.
@@ -90,8 +92,8 @@
   // Null if there is no such machine, or if it is deleted.
   Machine* FindMachine(const std::string& host) const;
   Machine& AddMachine(const std::string& host, const MachineRecord& record);
-  // The cloud has confirmed the deletion. The object stays, as kGone; its host
-  // is never used again.
+  // The cloud has confirmed the deletion. The object stays, as kDeleted; its
+  // host is never used again.
   void MarkDeleted(Machine& machine);
   bool IsDeleted(const std::string& host) const {
     return deleted_hosts_.contains(host);
--- a/core/command_dispatch/command_dispatcher.cc
+++ b/core/command_dispatch/command_dispatcher.cc
@@ -94,15 +94,15 @@
 }
 
 void CommandDispatcher::RaiseFencingToken(Machine& machine) {
-  const FencingToken next = context_.NextNumber();
+  const FencingToken next = context_.NextToken();
   if (next > machine.token) machine.token = next;
 }
 
 bool CommandDispatcher::MayDispatch(const Machine& machine, Time now) const {
   return !machine.batch && !machine.endpoint.empty() &&
          machine.incarnation.alive() && !context_.resigned &&
-         now >= machine.direct_broken_until &&
-         machine.state() != MachineState::kGone &&
+         now >= machine.direct_commands_disabled_until &&
+         machine.state() != MachineState::kDeleted &&
          machine.state() != MachineState::kBooting;
 }
 
@@ -112,14 +112,14 @@
   const bool wants_empty_batch =
       !machine.confirmed() && !machine.reachability.needs_proof();
   if (machine.queue.empty() && !wants_empty_batch) return false;
-  if (!maintenance_.HasCalendarStart(machine)) return true;
+  if (!maintenance_.HasWindowedStart(machine)) return true;
   // The response to the machine's heartbeat takes everything: what was sent
   // directly now would be in flight, and no start could be in the response.
   if (responding_to_ == &machine) return false;
   const bool all_in_response =
       std::all_of(machine.queue.begin(), machine.queue.end(),
                   [&](const WorkerCommand& command) {
-                    return maintenance_.SentInHeartbeatResponse(command);
+                    return maintenance_.RequiresHeartbeatResponse(command);
                   });
   return !machine.confirmed() || !all_in_response;
 }
@@ -137,13 +137,13 @@
 
 std::vector<WorkerCommand> CommandDispatcher::TakeDirectCommands(
     Machine& machine) {
-  const bool some_in_response = maintenance_.HasCalendarStart(machine);
+  const bool some_in_response = maintenance_.HasWindowedStart(machine);
   std::vector<WorkerCommand> commands;
   std::deque<WorkerCommand> remaining;
   while (!machine.queue.empty() && commands.size() < kMaxCommandsPerBatch) {
     WorkerCommand command = std::move(machine.queue.front());
     machine.queue.pop_front();
-    if (some_in_response && maintenance_.SentInHeartbeatResponse(command)) {
+    if (some_in_response && maintenance_.RequiresHeartbeatResponse(command)) {
       remaining.push_back(std::move(command));
       continue;
     }
@@ -169,15 +169,15 @@
   constexpr uint32_t kMaxDoublings = 4;
   const uint32_t doublings = std::min(machine.direct_failures++, kMaxDoublings);
   const double heartbeats = doublings == 0 ? 1 : 1.5 * (1 << doublings);
-  machine.direct_broken_until =
+  machine.direct_commands_disabled_until =
       now + std::min(heartbeats * settings_.workers.heartbeat_interval_seconds,
                      settings_.workers.lease_seconds);
 }
 
 void CommandDispatcher::FillResponse(Machine& machine,
                                      HeartbeatResponse* response, Time now) {
-  const bool direct_path_works = now >= machine.direct_broken_until;
-  if ((direct_path_works && !maintenance_.HasCalendarStart(machine)) ||
+  const bool direct_path_works = now >= machine.direct_commands_disabled_until;
+  if ((direct_path_works && !maintenance_.HasWindowedStart(machine)) ||
       machine.batch || !machine.confirmed() || machine.queue.empty()) {
     return;
   }
--- a/core/dependencies/dependency_coordinator.cc
+++ b/core/dependencies/dependency_coordinator.cc
@@ -227,7 +227,7 @@
   }
 }
 
-bool DependencyCoordinator::StopWaiting(const std::string& id) {
+bool DependencyCoordinator::OnDependentReleased(const std::string& id) {
   const DependentJob* dependent = dependency_graph_.Find(id);
   if (dependent == nullptr) return false;
   const bool cancelled = dependent->state == DependencyState::kCancelling;
@@ -252,12 +252,12 @@
   for (const std::string& id : dependency_graph_.TakeChangedInheritance()) {
     const auto it = cluster_.jobs().find(id);
     if (it == cluster_.jobs().end()) continue;
-    it->second->inherit(dependency_graph_.InheritedBy(id));
+    it->second->set_inherited(dependency_graph_.InheritedBy(id));
     cluster_.MarkChanged();
   }
 }
 
-Resources DependencyCoordinator::ResourcesOfNextSteps(Time now) const {
+Resources DependencyCoordinator::UpcomingReleaseDemand(Time now) const {
   Resources soon;
   if (dependency_graph_.empty()) return soon;
   const double boot_seconds = LongestBootSeconds();
@@ -300,7 +300,7 @@
          job.queued_since() + run_times_.RunSeconds(job.spec()) < now + seconds;
 }
 
-std::vector<std::string> DependencyCoordinator::WaitingLines() const {
+std::vector<std::string> DependencyCoordinator::DescribeWaitingJobs() const {
   std::vector<std::string> lines;
   if (dependency_graph_.empty()) return lines;
   lines.push_back(std::to_string(dependency_graph_.size()) +
--- a/core/dependencies/dependency_coordinator.h
+++ b/core/dependencies/dependency_coordinator.h
@@ -37,13 +37,13 @@
   void PollDependencies(Time now);
   // Removes a waiting job that has become an ordinary live job from the graph.
   // Returns true if its user cancelled it while the release was in flight.
-  bool StopWaiting(const std::string& id);
+  bool OnDependentReleased(const std::string& id);
   // The user cancels a waiting job. Returns false if the job is not waiting.
   bool CancelWaiting(const std::string& id, Time now);
   // Resources that waiting jobs will need once they are released: of the jobs
   // whose unfinished dependencies are all expected to end within the boot time
   // of the machine type that boots slowest.
-  Resources ResourcesOfNextSteps(Time now) const;
+  Resources UpcomingReleaseDemand(Time now) const;
   // The priority and due times that the job inherits from its dependents.
   Inherited InheritedBy(const std::string& id) {
     return dependency_graph_.InheritedBy(id);
@@ -63,7 +63,7 @@
   void DeleteObsoleteWaitingRecord(const std::string& id);
   // Describes for operators which jobs wait for which others: a line with the
   // number of waiting jobs, then a line for each of a limited number of them.
-  std::vector<std::string> WaitingLines() const;
+  std::vector<std::string> DescribeWaitingJobs() const;
 
  private:
   // Backoff between reads of one job's terminal state.
--- a/core/dependencies/dependency_graph.cc
+++ b/core/dependencies/dependency_graph.cc
@@ -28,18 +28,18 @@
   switch (event) {
     case DependencyEvent::kDependenciesDone:
       if (job.state != kWaiting) return false;
-      CheckedChange(job.state, kReleasing, kTransitions, "dependent job");
+      CheckedTransition(job.state, kReleasing, kTransitions, "dependent job");
       return true;
     case DependencyEvent::kDependencyCancelled:
       if (job.state != kWaiting) return false;
-      CheckedChange(job.state, kCancelling, kTransitions, "dependent job");
+      CheckedTransition(job.state, kCancelling, kTransitions, "dependent job");
       return true;
     case DependencyEvent::kCancelledByUser:
       if (job.state != kWaiting && job.state != kReleasing) return false;
-      CheckedChange(job.state, kCancelling, kTransitions, "dependent job");
+      CheckedTransition(job.state, kCancelling, kTransitions, "dependent job");
       return true;
     case DependencyEvent::kRecordMoved:
-      CheckedChange(job.state, kRemoved, kTransitions, "dependent job");
+      CheckedTransition(job.state, kRemoved, kTransitions, "dependent job");
       return true;
   }
   return false;
--- a/core/fair_queueing/fair_queueing.cc
+++ b/core/fair_queueing/fair_queueing.cc
@@ -28,22 +28,22 @@
          (minimum_share_ > 0 && placed <= 0);
 }
 
-void FairQueueing::Placed(const std::string& job_class, QueueSide side,
-                          double work, Time now) {
+void FairQueueing::RecordPlaced(const std::string& job_class, QueueOrder side,
+                                double work, Time now) {
   Account& account = accounts_[job_class];
   account = Decayed(account, now);
-  (side == QueueSide::kMinimumShare ? account.minimum_share
-                                    : account.quickest) += work;
+  (side == QueueOrder::kMinimumShare ? account.minimum_share
+                                     : account.quickest) += work;
 }
 
-void LargestSizes::Seen(const std::string& job_class, uint32_t tasks) {
+void JobSizeTracker::OnJobAdded(const std::string& job_class, uint32_t tasks) {
   Range& range = by_class_[job_class];
   range.least = std::min(range.least, tasks);
   range.most = std::max(range.most, tasks);
 }
 
-bool LargestSizes::IsLargest(const std::string& job_class,
-                             uint32_t tasks) const {
+bool JobSizeTracker::IsLargest(const std::string& job_class,
+                               uint32_t tasks) const {
   const auto it = by_class_.find(job_class);
   return it != by_class_.end() && it->second.least < it->second.most &&
          tasks > kLargestShare * it->second.most;
--- a/core/fair_queueing/fair_queueing.h
+++ b/core/fair_queueing/fair_queueing.h
@@ -12,9 +12,9 @@
 
 // Which of two orders a job was placed by while there was more work than
 // capacity.
-enum class QueueSide : uint8_t {
-  kQuickest,      // least work first: most jobs are served in time
-  kMinimumShare,  // longest waiting and largest first: none starves
+enum class QueueOrder : uint8_t {
+  kLeastWorkFirst,  // least work first: most jobs are served in time
+  kMinimumShare,    // longest waiting and largest first: none starves
 };
 
 // By least work first the large jobs starve; by age alone most jobs are late
@@ -32,8 +32,8 @@
   // the quickest now.
   bool MinimumShareFirst(const std::string& job_class, Time now) const;
   // Accounts for `work` (core seconds) of the class that is placed now.
-  void Placed(const std::string& job_class, QueueSide side, double work,
-              Time now);
+  void RecordPlaced(const std::string& job_class, QueueOrder side, double work,
+                    Time now);
 
  private:
   // Work placed by each side, core seconds, as of `at`.
@@ -50,10 +50,10 @@
 };
 
 // The range of sizes, in tasks, that the jobs of each class come in.
-class LargestSizes {
+class JobSizeTracker {
  public:
   // A job of the class has `tasks` tasks.
-  void Seen(const std::string& job_class, uint32_t tasks);
+  void OnJobAdded(const std::string& job_class, uint32_t tasks);
   // Whether a job of that size is among the largest of its class: above three
   // quarters of the largest seen. False where all have the same size.
   bool IsLargest(const std::string& job_class, uint32_t tasks) const;
--- a/core/job_lifecycle/job_lifecycle.cc
+++ b/core/job_lifecycle/job_lifecycle.cc
@@ -40,17 +40,17 @@
   }
   // A record that was written back has a new mod revision, but is as old as it
   // was.
-  job->from_before = record.mod_revision <= context_.revision;
+  job->accepted_before_leadership = record.mod_revision <= context_.revision;
   job->tier = tiers_.Classify(job->spec());
-  job->inherit(dependencies_.InheritedBy(job->id()));
+  job->set_inherited(dependencies_.InheritedBy(job->id()));
   Job& added = cluster_.AddJob(std::move(job));
   if (!added.live()) {
     RetireIfClear(added);
     dependencies_.OnTerminalStateKnown(added.id(), record.terminal_state, now);
   }
   cluster_.NoteDemand(now);
-  queue_ranking_.Seen(added.spec());
-  fragmentation_.Note(added.spec(), added.queued_since());
+  queue_ranking_.OnJobAdded(added.spec());
+  fragmentation_.AddJobToMix(added.spec(), added.queued_since());
   cluster_.MarkChanged();
   if (added.spec().priority == Priority::kProduction)
     cluster_.MarkUrgentChange();
@@ -59,7 +59,7 @@
 void JobLifecycle::OnJobRecord(const std::string& id, Time now) {
   const JobRecord* record = catalog_.FindJob(id);
   if (record == nullptr) return;
-  const bool cancelled = dependencies_.StopWaiting(id);
+  const bool cancelled = dependencies_.OnDependentReleased(id);
   const auto it = cluster_.jobs().find(id);
   if (it == cluster_.jobs().end()) {
     AddJob(*record, now);
@@ -112,10 +112,10 @@
   const auto it = cluster_.jobs().find(id);
   if (it == cluster_.jobs().end()) return;
   Job& job = *it->second;
-  if (job.ended_by_record()) return;
+  if (job.terminal_state_recorded()) return;
   job.Change(state == TerminalState::kDone ? JobState::kDone
                                            : JobState::kAborted);
-  job.ended = now;
+  job.ended_at = now;
   context_.Log(
       "job ended",
       {{"job", id},
@@ -134,7 +134,7 @@
 // any machine: until then a new leader needs to know what its tasks occupy. The
 // user of a cancelled job waits for that.
 void JobLifecycle::RetireIfClear(Job& job) {
-  if (!job.ended_by_record() || job.holding() > 0) return;
+  if (!job.terminal_state_recorded() || job.charged_attempts() > 0) return;
   // A machine that has sent no heartbeat yet may run tasks that a former leader
   // has started.
   if (!cluster_.AllMachinesAccountedFor()) return;
--- a/core/job_lifecycle/job_record_operations.cc
+++ b/core/job_lifecycle/job_record_operations.cc
@@ -79,7 +79,7 @@
   if (job == nullptr) return;
   // A start that was unanswered for minutes has turned up since the write was
   // built: the job is removed once that attempt is gone as well.
-  if (job->holding() > 0) return;
+  if (job->charged_attempts() > 0) return;
   context_.cluster.RemoveJob(name());
 }
 
--- a/core/leader/leader.cc
+++ b/core/leader/leader.cc
@@ -127,8 +127,11 @@
   if (modules_.worker_sessions.OnProbeAnswer(heartbeat, now)) Settle(now);
 }
 
-void Leader::OnReach(uint64_t round, std::vector<Reach> answers, Time now) {
-  if (!modules_.liveness.OnReach(round, std::move(answers), now)) {
+void Leader::OnReachabilityAnswers(uint64_t round,
+                                   std::vector<ReachabilityAnswer> answers,
+                                   Time now) {
+  if (!modules_.liveness.OnReachabilityAnswers(round, std::move(answers),
+                                               now)) {
     modules_.context.resigned = true;
   }
 }
@@ -156,7 +159,7 @@
       break;
   }
   if (!modules_.writes.OnAnswer(id, outcome, revision, failed, now)) {
-    modules_.context.GiveUp("the leader key has changed");
+    modules_.context.ResignLeadership("the leader key has changed");
   }
 }
 
@@ -252,7 +255,7 @@
   };
   LogFields fields = {{"accelerators", rounded(count.accelerators)},
                       {"free", rounded(count.free)},
-                      {"useless", rounded(count.useless)},
+                      {"useless", rounded(count.unusable)},
                       {"whole_machines", count.whole},
                       {"fragmented_machines", count.fragmented}};
   if (rebalancer != nullptr) {
@@ -266,24 +269,25 @@
   modules_.liveness.Count(now);
   modules_.worker_sessions.BeginTick();
   for (const auto& machine : modules_.cluster.machines()) {
-    if (machine->state() == MachineState::kGone) continue;
-    if (by_lease) modules_.worker_sessions.ExpireIfOver(*machine, now);
+    if (machine->state() == MachineState::kDeleted) continue;
+    if (by_lease) modules_.worker_sessions.ExpireIfLeaseEnded(*machine, now);
     modules_.machine_lifecycle.TickMachine(*machine, now);
   }
   modules_.worker_sessions.EndTick(now);
   modules_.liveness.StartSurveys(now);
   modules_.autoscaler.TickRequests(now);
   modules_.rollout_manager.TickRollouts(now);
-  modules_.rebalancing.TickMoves(modules_.scheduler.large_waiting(), now);
+  modules_.rebalancing.TickMoves(modules_.scheduler.waiting_accelerator_jobs(),
+                                 now);
   modules_.reconciler.TickReconciliation(now);
-  modules_.autoscaler.ForgetRefusals(now);
+  modules_.autoscaler.ExpireRefusals(now);
   if (modules_.autoscaler.IsDue(now)) TickSlowly(now);
   modules_.scheduler.OnTick(now);
   Settle(now);
 }
 
 void Leader::TickSlowly(Time now) {
-  modules_.tier_manager.SurveyTiers();
+  modules_.tier_manager.UpdateTierUsage();
   modules_.dependencies.PollDependencies(now);
   modules_.autoscaler.RunAutoscaler(now);
   modules_.autoscaler.SetNextRun(
@@ -307,12 +311,12 @@
   modules_.cluster.SetMachineTypes(types);
 }
 
-void Leader::UseTiers(std::shared_ptr<const TierSet> set) {
-  modules_.tier_manager.UseTiers(std::move(set));
+void Leader::SetTiers(std::shared_ptr<const TierSet> set) {
+  modules_.tier_manager.SetTiers(std::move(set));
 }
 
-void Leader::UseMoves(const MoveCodec& codec, Time now) {
-  modules_.rebalancing.UseMoves(codec, now);
+void Leader::EnableReplicaMoves(const MoveCodec& codec, Time now) {
+  modules_.rebalancing.EnableReplicaMoves(codec, now);
 }
 
 void Leader::OnJobRecord(const std::string& id, Time now) {
@@ -354,9 +358,10 @@
   modules_.reconciler.OnUnrecordedTerminalStates(std::move(states), complete);
 }
 
-void Leader::OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                      const CheckOutcome& outcome, Time now) {
-  modules_.rollout_manager.OnHealth(rollout, key, outcome, now);
+void Leader::OnHealthCheckResult(const std::string& rollout,
+                                 const TaskAttemptKey& key,
+                                 const CheckOutcome& outcome, Time now) {
+  modules_.rollout_manager.OnHealthCheckResult(rollout, key, outcome, now);
 }
 
 void Leader::OnScaleOutResponse(const std::string& name,
@@ -380,11 +385,11 @@
   modules_.liveness.OnTransferRejected(why, now);
 }
 
-bool Leader::OnDelegationAsked(const std::string& peer,
-                               const std::string& process_incarnation,
-                               double age, Time now) {
-  return modules_.worker_sessions.OnDelegationAsked(peer, process_incarnation,
-                                                    age, now);
+bool Leader::OnDelegationRequested(const std::string& peer,
+                                   const std::string& process_incarnation,
+                                   double age, Time now) {
+  return modules_.worker_sessions.OnDelegationRequested(
+      peer, process_incarnation, age, now);
 }
 
 void Leader::OnLeaseYielded(const std::string& peer,
@@ -396,23 +401,25 @@
 
 void Leader::OnDelegatesRead(const std::set<std::string>& recorded, Time sent,
                              Time now) {
-  modules_.worker_sessions.delegated_leases().RecordsRead(recorded, sent, now);
+  modules_.worker_sessions.delegated_leases().OnRecordsRead(recorded, sent,
+                                                            now);
 }
 
 bool Leader::Cancel(const std::string& id, Time now) {
   return modules_.job_lifecycle.Cancel(id, now);
 }
 
-void Leader::OnClocks(const WallReading& reading, Time confirmed, Time now) {
-  modules_.maintenance.OnClocks(reading, confirmed, now);
+void Leader::OnClockReading(const WallReading& reading, Time confirmed,
+                            Time now) {
+  modules_.maintenance.OnClockReading(reading, confirmed, now);
 }
 
-bool Leader::AllAccounted() const {
+bool Leader::AllMachinesAccountedFor() const {
   return modules_.cluster.AllMachinesAccountedFor();
 }
 
-bool Leader::ZoneSettled(const std::string& zone, Time now) const {
-  return modules_.worker_sessions.ZoneSettled(zone, now);
+bool Leader::ZoneMayBeDelegated(const std::string& zone, Time now) const {
+  return modules_.worker_sessions.ZoneMayBeDelegated(zone, now);
 }
 
 std::optional<AdmissionDecision> Leader::CalendarAdmission(
@@ -420,8 +427,8 @@
   return modules_.maintenance.CalendarAdmission(id, now);
 }
 
-std::vector<std::string> Leader::WaitingLines() const {
-  return modules_.dependencies.WaitingLines();
+std::vector<std::string> Leader::DescribeWaitingJobs() const {
+  return modules_.dependencies.DescribeWaitingJobs();
 }
 
 const Rollout* Leader::FindRollout(const std::string& id) const {
--- a/core/leader/leader.h
+++ b/core/leader/leader.h
@@ -29,10 +29,10 @@
   void OnTypes(const std::vector<MachineType>& types);
   // The tiers in force, at the beginning and whenever they change. Running
   // tasks change their tier with their job.
-  void UseTiers(std::shared_ptr<const TierSet> set);
+  void SetTiers(std::shared_ptr<const TierSet> set);
   // Lets replicas be moved, as far as the operators' settings allow. Takes up
   // the claims that a former leader has recorded; before the first Tick.
-  void UseMoves(const MoveCodec& codec, Time now);
+  void EnableReplicaMoves(const MoveCodec& codec, Time now);
   void set_log_detail(bool on) { modules_.context.log_detail = on; }
 
   // --- events: records that are new or have changed in the catalog
@@ -64,8 +64,9 @@
                          CommandOutcome outcome, const Heartbeat* heartbeat,
                          Time now);
   void OnProbeAnswer(const Heartbeat& heartbeat, Time now);
-  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                const CheckOutcome& outcome, Time now);
+  void OnHealthCheckResult(const std::string& rollout,
+                           const TaskAttemptKey& key,
+                           const CheckOutcome& outcome, Time now);
   void OnScaleOutResponse(const std::string& name, ScaleOutOutcome outcome,
                           const std::vector<std::string>& hosts, Time now);
   void OnDeleteAnswer(const std::vector<std::string>& hosts, bool succeeded,
@@ -76,16 +77,17 @@
 
   // --- events: other controllers
   // Which machines each controller reaches, this one's answer first.
-  void OnReach(uint64_t round, std::vector<Reach> answers, Time now);
+  void OnReachabilityAnswers(uint64_t round,
+                             std::vector<ReachabilityAnswer> answers, Time now);
   // Another controller has agreed to lead: this leadership ends.
   void OnTransferAccepted();
   // It has not, or there were too many leadership transfers lately.
   void OnTransferRejected(const std::string& why, Time now);
   // A controller asks for a delegated lease for the workers of its zone.
   // `age`: of its process, s. Returns whether it gets one.
-  bool OnDelegationAsked(const std::string& peer,
-                         const std::string& process_incarnation, double age,
-                         Time now);
+  bool OnDelegationRequested(const std::string& peer,
+                             const std::string& process_incarnation, double age,
+                             Time now);
   // A controller that was asked at `sent` yields its delegated lease. Ages as
   // of its answer, s; `renewed_ago` is negative if it has never renewed.
   void OnLeaseYielded(const std::string& peer,
@@ -100,7 +102,7 @@
   bool Cancel(const std::string& id, Time now);
   // The clocks, read before every other event and after the message that it
   // brings, and when all live records had last been read.
-  void OnClocks(const WallReading& reading, Time confirmed, Time now);
+  void OnClockReading(const WallReading& reading, Time confirmed, Time now);
   // `by_lease`: the right to lead rests on the lease of the leader key. While
   // it rests on promises of others instead, somebody who does not know of them
   // may keep workers alive, so no worker incarnation is taken to be over.
@@ -115,10 +117,10 @@
   // Fills in `out` unless the job is unseen.
   JobObservation View(const std::string& id, JobView* out) const;
   // Whether every machine has shown what runs on it.
-  bool AllAccounted() const;
+  bool AllMachinesAccountedFor() const;
   // Whether nothing is in a zone that must be gone before a delegated lease for
   // its workers could expire.
-  bool ZoneSettled(const std::string& zone, Time now) const;
+  bool ZoneMayBeDelegated(const std::string& zone, Time now) const;
   // Whether maintenance windows delay the job, why and until when; empty for an
   // unknown job.
   std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
@@ -126,7 +128,7 @@
   // Conditions that operators should know of; a line each.
   std::vector<std::string> Alarms() const;
   // Which jobs wait for which others; a line each, limited in number.
-  std::vector<std::string> WaitingLines() const;
+  std::vector<std::string> DescribeWaitingJobs() const;
   const Rollout* FindRollout(const std::string& id) const;
   const TierPolicy& tiers() const { return modules_.tiers; }
   const HeartbeatsReceived& heartbeats_received() const;
--- a/core/leader/leader_modules.cc
+++ b/core/leader/leader_modules.cc
@@ -79,11 +79,11 @@
                 seed) {}
 
 void LeaderModules::OnCapacityCharged(const Job& job, const Resources& need) {
-  tiers.Hold(job.tier, need);
+  tiers.AddUsage(job.tier, need);
 }
 
 void LeaderModules::OnCapacityReleased(const Job& job, const Resources& need) {
-  tiers.Release(job.tier, need);
+  tiers.SubtractUsage(job.tier, need);
 }
 
 void LeaderModules::OnAttemptStopping(const TaskAttempt& attempt) {
--- a/core/leader_context/actions.h
+++ b/core/leader_context/actions.h
@@ -93,7 +93,7 @@
 };
 
 // Run the health check of a rollout on one of its replicas.
-struct CheckInstance {
+struct RunHealthCheck {
   std::string rollout;
   TaskAttemptKey key;
   std::string endpoint;  // of its machine's worker; its address is used
@@ -136,12 +136,13 @@
 // Step down as the leader.
 struct Resign {
   std::string reason;
-  bool unfit = false;  // other controllers should be elected first
+  bool prefer_other_candidates =
+      false;  // other controllers should be elected first
 };
 
 using Action =
     std::variant<SendCommands, Probe, CompareAndSwap, ReadKeys, ReadFence,
-                 RequestScaleOut, DeleteMachines, JobTerminated, CheckInstance,
+                 RequestScaleOut, DeleteMachines, JobTerminated, RunHealthCheck,
                  AskReach, OfferLeadershipTransfer, RequestLeaseYield,
                  ReadDelegates, RequestJobRecord, ReadTerminalState, Resign,
                  LogEvent>;
--- a/core/leader_context/leader_context.h
+++ b/core/leader_context/leader_context.h
@@ -54,7 +54,7 @@
   // Runs a scheduling pass at once, if one is due.
   std::function<void(Time now)> schedule_if_needed;
 
-  FencingTokenSource numbers;
+  FencingTokenSource token_source;
   // This leadership is over: nothing may be started or sent any more.
   bool resigned = false;
   // Whether details are logged.
@@ -62,13 +62,13 @@
 
   // The next attempt number or fencing token. 0: the numbers of this term are
   // used up, and the leadership is over.
-  uint64_t NextNumber() {
-    const std::optional<uint64_t> number = numbers.Next();
-    if (!number) GiveUp("numbers of this revision are used up");
+  uint64_t NextToken() {
+    const std::optional<uint64_t> number = token_source.Next();
+    if (!number) ResignLeadership("numbers of this revision are used up");
     return number.value_or(0);
   }
   // Ends this leadership; the first reason counts.
-  void GiveUp(std::string reason) {
+  void ResignLeadership(std::string reason) {
     if (!resigned) actions.push_back(Resign{std::move(reason)});
     resigned = true;
   }
--- a/core/leader_health/leader_health.cc
+++ b/core/leader_health/leader_health.cc
@@ -19,21 +19,22 @@
 
 // What the answers of one round say about who is best placed to lead.
 struct Comparison {
-  const Reach* best = nullptr;  // surely better than this controller; or none
-  int advantage = 0;            // of `best`, in machines
-  bool any_answer = false;      // from another controller
+  const ReachabilityAnswer* best =
+      nullptr;              // surely better than this controller; or none
+  int advantage = 0;        // of `best`, in machines
+  bool any_answer = false;  // from another controller
 };
 
-Comparison CompareAnswers(const std::vector<Reach>& answers) {
+Comparison CompareAnswers(const std::vector<ReachabilityAnswer>& answers) {
   Comparison comparison;
-  const Reach& self = answers.front();
+  const ReachabilityAnswer& self = answers.front();
   const auto asked = static_cast<int>(self.machines.size());
   for (size_t i = 1; i < answers.size(); ++i) {
-    const Reach& other = answers[i];
+    const ReachabilityAnswer& other = answers[i];
     if (!other.answered) continue;
     comparison.any_answer = true;
-    const int advantage = Advantage(self, other);
-    if (!other.may_lead || !Surely(advantage, asked) ||
+    const int advantage = ReachabilityAdvantage(self, other);
+    if (!other.may_lead || !IsSignificantAdvantage(advantage, asked) ||
         advantage <= comparison.advantage) {
       continue;
     }
@@ -70,7 +71,8 @@
       next = kYielding;
       break;
   }
-  if (next != state_) CheckedChange(state_, next, kChanges, "leader health");
+  if (next != state_)
+    CheckedTransition(state_, next, kChanges, "leader health");
 }
 
 bool LeaderHealth::ReceivesTooFew() const {
@@ -84,17 +86,17 @@
   // read; and a lack of messages that was not watched is not known to have
   // lasted.
   const Time before = observed_;
-  const bool stalled = now - before > limits_.pause_seconds / 2;
+  const bool stalled = now - before > limits_.survey_pause_seconds / 2;
   observed_ = now;
   heartbeats_received_ = received;
   if (stalled) {
     too_few_since_.reset();
-    next_round_ = std::max(next_round_, now + limits_.pause_seconds / 2);
+    next_round_ = std::max(next_round_, now + limits_.survey_pause_seconds / 2);
   }
   NoteTooFew(now);
   // The round that may end it comes when it is due, not after a pause.
   if (too_few_since_) {
-    const Time blind_at = *too_few_since_ + limits_.blind_after_seconds;
+    const Time blind_at = *too_few_since_ + limits_.step_down_after_seconds;
     if (before < blind_at && now >= blind_at) {
       next_round_ = std::min(next_round_, now);
     }
@@ -103,7 +105,7 @@
       received.troubled > 0 &&
       received.troubled >= limits_.troubled_share * received.recorded;
   if (state_ == kHealthy && few) {
-    pause_seconds_ = limits_.pause_seconds;
+    pause_seconds_ = limits_.survey_pause_seconds;
     Change(LeaderHealthEvent::kFewReports);
   } else if (!few) {
     Change(LeaderHealthEvent::kEnoughReports);
@@ -119,24 +121,25 @@
   too_few_since_ = now;
   // Worse than what the last rounds were about: the pauses start anew. A leader
   // suspect for long over one dead machine asked too late otherwise.
-  pause_seconds_ = limits_.pause_seconds;
-  next_round_ = std::min(next_round_, now + limits_.pause_seconds / 2);
+  pause_seconds_ = limits_.survey_pause_seconds;
+  next_round_ = std::min(next_round_, now + limits_.survey_pause_seconds / 2);
 }
 
-bool LeaderHealth::WantsRound(Time now) const {
+bool LeaderHealth::IsSurveyDue(Time now) const {
   return state_ == kSuspect && now >= next_round_ &&
-         now - started_ >= limits_.settle_seconds;
+         now - started_ >= limits_.min_leadership_seconds;
 }
 
-void LeaderHealth::RoundAsked(Time now) {
+void LeaderHealth::OnSurveyStarted(Time now) {
   Change(LeaderHealthEvent::kAsked);
   // The longer it lasts without one better placed, the less often it is asked.
   next_round_ = now + pause_seconds_;
-  pause_seconds_ = std::min(2 * pause_seconds_, limits_.longest_pause_seconds);
+  pause_seconds_ =
+      std::min(2 * pause_seconds_, limits_.max_survey_pause_seconds);
 }
 
-LeaderHealth::Decision LeaderHealth::RoundAnswered(
-    const std::vector<Reach>& answers, Time now) {
+LeaderHealth::Decision LeaderHealth::OnSurveyAnswered(
+    const std::vector<ReachabilityAnswer>& answers, Time now) {
   if (state_ != kAsking || answers.empty()) return {};
   const Comparison comparison = CompareAnswers(answers);
   if (comparison.best != nullptr) {
@@ -153,7 +156,7 @@
   // lasted.
   const bool blind = !comparison.any_answer && answers.size() > 1 &&
                      too_few_since_ &&
-                     now - *too_few_since_ >= limits_.blind_after_seconds;
+                     now - *too_few_since_ >= limits_.step_down_after_seconds;
   if (!blind) {
     Change(LeaderHealthEvent::kNoneBetter);
     return {};
--- a/core/leader_health/leader_health.h
+++ b/core/leader_health/leader_health.h
@@ -52,10 +52,11 @@
     double troubled_share = 0;  // troubled machines that make it suspect
     // Receiving from a smaller share, it can't lead whoever else can.
     double minimum_received_share = 0;
-    double pause_seconds = 0;  // between two rounds, at first
-    double longest_pause_seconds = 0;
-    double blind_after_seconds = 0;  // of receiving too few with nobody to ask
-    double settle_seconds =
+    double survey_pause_seconds = 0;  // between two rounds, at first
+    double max_survey_pause_seconds = 0;
+    double step_down_after_seconds =
+        0;  // of receiving too few with nobody to ask
+    double min_leadership_seconds =
         0;  // after taking office, before any leadership transfer
   };
   struct Decision {
@@ -75,10 +76,11 @@
   // which anything could have been received.
   void Observe(const HeartbeatsReceived& received, Time now);
   // Whether a round should be asked now; the caller asks it.
-  bool WantsRound(Time now) const;
-  void RoundAsked(Time now);
+  bool IsSurveyDue(Time now) const;
+  void OnSurveyStarted(Time now);
   // The answers, this controller's first.
-  Decision RoundAnswered(const std::vector<Reach>& answers, Time now);
+  Decision OnSurveyAnswered(const std::vector<ReachabilityAnswer>& answers,
+                            Time now);
   void OfferRefused(Time now);
   void TransferAccepted() { Change(LeaderHealthEvent::kAgreed); }
 
--- a/core/leader_health/reachability_survey.cc
+++ b/core/leader_health/reachability_survey.cc
@@ -5,25 +5,27 @@
 
 namespace oxbow {
 
-bool IsReachText(const std::string& text, size_t count) {
+bool IsReachabilityText(const std::string& text, size_t count) {
   return text.size() == count &&
          std::all_of(text.begin(), text.end(), [](char c) {
-           return c == Reach::kReached || c == Reach::kNotReached ||
-                  c == Reach::kNotAsked;
+           return c == ReachabilityAnswer::kReached ||
+                  c == ReachabilityAnswer::kNotReached ||
+                  c == ReachabilityAnswer::kNotAsked;
          });
 }
 
-int Advantage(const Reach& self, const Reach& other) {
+int ReachabilityAdvantage(const ReachabilityAnswer& self,
+                          const ReachabilityAnswer& other) {
   int more = 0;
   for (size_t i = 0; i < other.machines.size(); ++i) {
-    if (other.machines[i] == Reach::kNotAsked) continue;
+    if (other.machines[i] == ReachabilityAnswer::kNotAsked) continue;
     more +=
         static_cast<int>(other.Reaches(i)) - static_cast<int>(self.Reaches(i));
   }
   return more;
 }
 
-bool Surely(int more, int asked) {
+bool IsSignificantAdvantage(int more, int asked) {
   constexpr double kProbeFails = 0.1;
   constexpr double kChance = 0.0101;  // two of two count
   if (more <= 0 || asked <= 0 || more > asked) return false;
--- a/core/lease/delegated_lease.cc
+++ b/core/lease/delegated_lease.cc
@@ -26,19 +26,20 @@
   return kShareOfLease * workers.lease_seconds;
 }
 
-void DelegatedLease::Granted(Time sent) {
+void DelegatedLease::OnGranted(Time sent) {
   if (sent < recorded_from_) return;
-  expires_at_ = std::max(expires_at_, sent + term_seconds_ * (1 - kDrift));
+  expires_at_ =
+      std::max(expires_at_, sent + term_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-void DelegatedLease::Recorded(Time sent) {
-  recorded_until_ =
-      std::max(recorded_until_, sent + record_seconds_ * (1 - kDrift));
+void DelegatedLease::OnRecordRenewed(Time sent) {
+  recorded_until_ = std::max(recorded_until_,
+                             sent + record_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-void DelegatedLease::RecordedAnew(Time sent, Time now) {
+void DelegatedLease::OnRecordRewritten(Time sent, Time now) {
   recorded_from_ = now;
-  recorded_until_ = sent + record_seconds_ * (1 - kDrift);
+  recorded_until_ = sent + record_seconds_ * (1 - kMaxClockDriftRate);
   expires_at_ = -1e9;
 }
 
@@ -53,7 +54,7 @@
   // continues.
   if (renewed_at_ >= 0 && now - renewed_at_ < yield_seconds_) return false;
   yielded_until_ =
-      std::max(yielded_until_, now + yield_seconds_ * (1 + kDrift));
+      std::max(yielded_until_, now + yield_seconds_ * (1 + kMaxClockDriftRate));
   return true;
 }
 
@@ -70,7 +71,7 @@
     delegate.zone = peer.zone;
     delegate.expires_at = started;
     if (!recorded || recorded->contains(peer.name)) {
-      delegate.expires_at += term_seconds_ * (1 + kDrift);
+      delegate.expires_at += term_seconds_ * (1 + kMaxClockDriftRate);
     }
   }
 }
@@ -85,7 +86,7 @@
   peer.first_contact = now;
   peer.yielded_until = -1e9;
   peer.may_have_renewed_at =
-      std::max(peer.may_have_renewed_at, now - age * (1 - kDrift));
+      std::max(peer.may_have_renewed_at, now - age * (1 - kMaxClockDriftRate));
 }
 
 void DelegatedLeases::Grant(const std::string& peer,
@@ -94,14 +95,14 @@
   const auto it = peers_.find(peer);
   if (it == peers_.end()) return;
   Peer& delegate = it->second;
-  delegate.expires_at =
-      std::max(delegate.expires_at, now + term_seconds_ * (1 + kDrift));
+  delegate.expires_at = std::max(
+      delegate.expires_at, now + term_seconds_ * (1 + kMaxClockDriftRate));
   delegate.granted_at = now;
   NoteProcess(delegate, process_incarnation, age, now);
 }
 
-void DelegatedLeases::RecordsRead(const std::set<std::string>& recorded,
-                                  Time sent, Time now) {
+void DelegatedLeases::OnRecordsRead(const std::set<std::string>& recorded,
+                                    Time sent, Time now) {
   for (auto& [name, peer] : peers_) {
     if (peer.granted_at < sent && !recorded.contains(name)) {
       peer.expires_at = std::min(peer.expires_at, now);
@@ -123,11 +124,12 @@
   }
   NoteProcess(delegate, process_incarnation, age, now);
   if (renewed_ago >= 0) {
-    delegate.may_have_renewed_at = std::max(delegate.may_have_renewed_at,
-                                            now - renewed_ago * (1 - kDrift));
+    delegate.may_have_renewed_at =
+        std::max(delegate.may_have_renewed_at,
+                 now - renewed_ago * (1 - kMaxClockDriftRate));
   }
-  delegate.yielded_until =
-      std::max(delegate.yielded_until, sent + yield_seconds_ * (1 - kDrift));
+  delegate.yielded_until = std::max(
+      delegate.yielded_until, sent + yield_seconds_ * (1 - kMaxClockDriftRate));
 }
 
 bool DelegatedLeases::MayBeRenewed(const std::string& zone, Time now) const {
@@ -143,8 +145,8 @@
   });
 }
 
-std::vector<std::string> DelegatedLeases::PeersToAsk(const std::string& zone,
-                                                     Time now) {
+std::vector<std::string> DelegatedLeases::PeersToAskToYield(
+    const std::string& zone, Time now) {
   constexpr double kRepeatAfter =
       0.3;  // of the time for which a delegate yields
   std::vector<std::string> names;
--- a/core/lease/delegated_lease.h
+++ b/core/lease/delegated_lease.h
@@ -39,13 +39,13 @@
 
   // The leader has granted the lease, which was asked for at `sent`; or this
   // controller led at that moment.
-  void Granted(Time sent);
+  void OnGranted(Time sent);
   // The lease of the record was renewed by a request sent at `sent`.
-  void Recorded(Time sent);
+  void OnRecordRenewed(Time sent);
   // The record was written anew at `now`, with a lease asked for at `sent`.
   // Since the old record ended a new leader may have found none: what was
   // granted before is void.
-  void RecordedAnew(Time sent, Time now);
+  void OnRecordRewritten(Time sent, Time now);
   // Whether a heartbeat may be answered now; if so, it counts as answered.
   bool Renew(Time now);
   // The same, without a change.
@@ -92,13 +92,14 @@
                     double renewed_ago, Time sent, Time now);
   // The records as read by a request sent at `sent`: a controller without one
   // has no lease, unless it was granted one since.
-  void RecordsRead(const std::set<std::string>& recorded, Time sent, Time now);
+  void OnRecordsRead(const std::set<std::string>& recorded, Time sent,
+                     Time now);
   // Whether a delegate may have renewed the lease of a worker in the zone less
   // than a worker lease ago.
   bool MayBeRenewed(const std::string& zone, Time now) const;
   // Controllers in the zone that have to be asked to yield, each once in a
   // while. Counts them as asked.
-  std::vector<std::string> PeersToAsk(const std::string& zone, Time now);
+  std::vector<std::string> PeersToAskToYield(const std::string& zone, Time now);
 
  private:
   struct Peer {
--- a/core/lease/delegated_lease_record.cc
+++ b/core/lease/delegated_lease_record.cc
@@ -19,20 +19,20 @@
 }  // namespace
 
 void DelegatedLeaseRecord::Change(RecordStep next) {
-  CheckedChange(step_, next, kChanges, "delegated lease record");
+  CheckedTransition(step_, next, kChanges, "delegated lease record");
 }
 
-void DelegatedLeaseRecord::WasRead(uint64_t mod_revision) {
+void DelegatedLeaseRecord::OnKeyRead(uint64_t mod_revision) {
   Change(kLease);
   mod_revision_ = mod_revision;
 }
 
-void DelegatedLeaseRecord::WasReadWithLease(uint64_t mod_revision,
-                                            uint64_t key_lease, Time now) {
+void DelegatedLeaseRecord::OnKeyReadWithLease(uint64_t mod_revision,
+                                              uint64_t key_lease, Time now) {
   if (lease_id_ != 0 && key_lease == lease_id_) {
-    Written(now);
+    OnRecordWritten(now);
   } else {
-    WasRead(mod_revision);
+    OnKeyRead(mod_revision);
   }
 }
 
@@ -42,15 +42,15 @@
   lease_sent_ = sent;
 }
 
-void DelegatedLeaseRecord::Written(Time now) {
+void DelegatedLeaseRecord::OnRecordWritten(Time now) {
   Change(kRenew);
-  delegated_lease_.RecordedAnew(lease_sent_, now);
+  delegated_lease_.OnRecordRewritten(lease_sent_, now);
 }
 
-void DelegatedLeaseRecord::NotWritten() { Change(kRead); }
+void DelegatedLeaseRecord::OnRecordNotWritten() { Change(kRead); }
 
-void DelegatedLeaseRecord::Renewed(Time sent) {
-  if (step_ == kRenew) delegated_lease_.Recorded(sent);
+void DelegatedLeaseRecord::OnKeyLeaseRenewed(Time sent) {
+  if (step_ == kRenew) delegated_lease_.OnRecordRenewed(sent);
 }
 
 void DelegatedLeaseRecord::LeaseEnded() {
--- a/core/lease/delegated_lease_record.h
+++ b/core/lease/delegated_lease_record.h
@@ -37,15 +37,15 @@
   // To write the key with, and to renew.
   uint64_t lease_id() const { return lease_id_; }
 
-  void WasRead(uint64_t mod_revision);
+  void OnKeyRead(uint64_t mod_revision);
   // As above. `key_lease`: that the key is attached to; 0 for none.
-  void WasReadWithLease(uint64_t mod_revision, uint64_t key_lease, Time now);
+  void OnKeyReadWithLease(uint64_t mod_revision, uint64_t key_lease, Time now);
   // `sent`: when the lease was asked for; it counts from then.
   void LeaseGranted(uint64_t lease_id, Time sent);
-  void Written(Time now);
+  void OnRecordWritten(Time now);
   // Refused, or of unknown outcome.
-  void NotWritten();
-  void Renewed(Time sent);
+  void OnRecordNotWritten();
+  void OnKeyLeaseRenewed(Time sent);
   // The lease has ended, and the key with it.
   void LeaseEnded();
 
--- a/core/lease/leadership.cc
+++ b/core/lease/leadership.cc
@@ -9,11 +9,11 @@
 using enum LeaderState;
 
 constexpr std::array kChanges = {
-    std::pair{kFollower, kSeeking},  std::pair{kSeeking, kFollower},
-    std::pair{kSeeking, kLeading},   std::pair{kLeading, kProlonged},
-    std::pair{kSeeking, kRenewing},  std::pair{kRenewing, kLeading},
-    std::pair{kRenewing, kExpired},  std::pair{kLeading, kExpired},
-    std::pair{kProlonged, kLeading}, std::pair{kProlonged, kExpired},
+    std::pair{kFollower, kCampaigning}, std::pair{kCampaigning, kFollower},
+    std::pair{kCampaigning, kLeading},  std::pair{kLeading, kProlonged},
+    std::pair{kCampaigning, kRenewing}, std::pair{kRenewing, kLeading},
+    std::pair{kRenewing, kExpired},     std::pair{kLeading, kExpired},
+    std::pair{kProlonged, kLeading},    std::pair{kProlonged, kExpired},
     std::pair{kExpired, kFollower},
 };
 
@@ -29,7 +29,7 @@
       delegation_seconds_(delegation_seconds) {}
 
 void Leadership::Change(LeaderState next) {
-  CheckedChange(state_, next, kChanges, "leadership");
+  CheckedTransition(state_, next, kChanges, "leadership");
 }
 
 Time Leadership::PromisedUntil() const {
@@ -42,7 +42,7 @@
   return until;
 }
 
-bool Leadership::Valid(Time now) {
+bool Leadership::MayActAsLeader(Time now) {
   if (state_ == kRenewing && now >= lease_until_) Change(kExpired);
   if (state_ != kLeading && state_ != kProlonged) return false;
   if (now < lease_until_) {
@@ -57,11 +57,11 @@
   return false;
 }
 
-bool Leadership::MaySeek(Time now) const {
-  return state_ == kFollower && !Bound(now) && Proven(now);
+bool Leadership::MayCampaign(Time now) const {
+  return state_ == kFollower && !Bound(now) && ForgottenPromisesExpired(now);
 }
 
-bool Leadership::MayTakeKey(Time now) const {
+bool Leadership::MayTakeFreeKey(Time now) const {
   return delegation_seconds_ > 0 && state_ == kFollower && !Bound(now);
 }
 
@@ -72,17 +72,18 @@
                      [now](const auto& p) { return now < p.second.until; });
 }
 
-bool Leadership::Proven(Time now) const {
-  if (now >= started_ + promise_seconds_ * (1 + kDrift)) return true;
+bool Leadership::ForgottenPromisesExpired(Time now) const {
+  if (now >= started_ + promise_seconds_ * (1 + kMaxClockDriftRate))
+    return true;
   return AllIdle(DelegationsAreOver(now));
 }
 
-bool Leadership::OwnProven(Time now) const {
+bool Leadership::ForgottenDelegationsExpired(Time now) const {
   return leading_.empty() && (DelegationsAreOver(now) || AllIdle(false));
 }
 
 bool Leadership::DelegationsAreOver(Time now) const {
-  return now >= started_ + delegation_seconds_ * (1 + kDrift);
+  return now >= started_ + delegation_seconds_ * (1 + kMaxClockDriftRate);
 }
 
 bool Leadership::AllIdle(bool delegations_are_over) const {
@@ -92,8 +93,8 @@
   });
 }
 
-void Leadership::SeekStarted(uint64_t seen) {
-  Change(kSeeking);
+void Leadership::OnCampaignStarted(uint64_t seen) {
+  Change(kCampaigning);
   seen_ = seen;
   // A controller that learns that this one renews by the key, or leads, no
   // longer honours its promise to a delegate; so one left over must not count
@@ -102,19 +103,21 @@
   delegation_granted_.clear();
 }
 
-void Leadership::SeekFailed() { Change(kFollower); }
+void Leadership::OnCampaignFailed() { Change(kFollower); }
 
-void Leadership::Won(uint64_t revision, uint64_t lease_id, Time sent,
-                     bool leads) {
+void Leadership::OnElected(uint64_t revision, uint64_t lease_id, Time sent,
+                           bool leads) {
   Change(leads ? kLeading : kRenewing);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
+  lease_until_ = sent + lease_seconds_ * (1 - kMaxClockDriftRate);
   granted_until_.clear();
 }
 
-bool Leadership::Promote(Time now) {
-  if (state_ != kRenewing || now >= lease_until_ || !Proven(now)) return false;
+bool Leadership::PromoteToLeader(Time now) {
+  if (state_ != kRenewing || now >= lease_until_ ||
+      !ForgottenPromisesExpired(now))
+    return false;
   Change(kLeading);
   return true;
 }
@@ -123,11 +126,11 @@
   if (state_ == kProlonged) Change(kLeading);
   revision_ = revision;
   lease_id_ = lease_id;
-  lease_until_ = sent + lease_seconds_ * (1 - kDrift);
+  lease_until_ = sent + lease_seconds_ * (1 - kMaxClockDriftRate);
   granted_until_.clear();
 }
 
-void Leadership::Forget(Time now) {
+void Leadership::ResetAfterDataLoss(Time now) {
   started_ = now;
   known_idle_.clear();
   delegates_.clear();
@@ -136,16 +139,17 @@
 
 void Leadership::RenewGranted(Time sent) {
   if (state_ != kLeading && state_ != kProlonged && state_ != kRenewing) return;
-  lease_until_ = std::max(lease_until_, sent + lease_seconds_ * (1 - kDrift));
+  lease_until_ =
+      std::max(lease_until_, sent + lease_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-void Leadership::Lost() {
+void Leadership::OnKeyLost() {
   if (state_ == kLeading || state_ == kProlonged || state_ == kRenewing) {
     Change(kExpired);
   }
 }
 
-void Leadership::Retire() {
+void Leadership::BecomeFollower() {
   if (state_ == kExpired) Change(kFollower);
 }
 
@@ -160,20 +164,20 @@
 
 void Leadership::PromiseGranted(const std::string& peer, Time sent) {
   Time& until = granted_until_[peer];
-  until = std::max(until, sent + promise_seconds_ * (1 - kDrift));
+  until = std::max(until, sent + promise_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-bool Leadership::AskedToPromise(bool state_fails, Time now) {
+bool Leadership::OnPromiseRequested(bool state_fails, Time now) {
   // An attempt to win the key in progress has an unknown outcome: nothing can
   // be promised.
   if (!state_fails || state_ != kFollower) return false;
-  promised_until_ = now + promise_seconds_ * (1 + kDrift);
+  promised_until_ = now + promise_seconds_ * (1 + kMaxClockDriftRate);
   return true;
 }
 
 // That a peer relies on no promise holds from then on: what it comes to rely on
 // later, this process has promised and remembers.
-void Leadership::PeerIs(const std::string& peer, LeaderRole role) {
+void Leadership::SetPeerRole(const std::string& peer, LeaderRole role) {
   if (std::find(peers_.begin(), peers_.end(), peer) == peers_.end()) return;
   if (role == LeaderRole::kLeads) {
     leading_.insert(peer);
@@ -198,7 +202,7 @@
              : LeaderRole::kNone;
 }
 
-bool Leadership::MayRenew(Time now) {
+bool Leadership::MayRenewWorkerLeases(Time now) {
   if (state_ == kRenewing) {
     if (now < lease_until_) return true;
     Change(kExpired);
@@ -212,7 +216,7 @@
   });
 }
 
-uint64_t Leadership::DelegationAsked(Time sent) {
+uint64_t Leadership::StartDelegationRequest(Time sent) {
   delegation_asked_ = sent;
   return ++delegation_number_;
 }
@@ -220,26 +224,27 @@
 void Leadership::DelegationGranted(const std::string& peer, Time sent) {
   if (sent <= delegation_over_) return;
   Time& until = delegation_granted_[peer];
-  until = std::max(until, sent + delegation_seconds_ * (1 - kDrift));
+  until =
+      std::max(until, sent + delegation_seconds_ * (1 - kMaxClockDriftRate));
 }
 
-uint64_t Leadership::DelegationOver(Time now) {
+uint64_t Leadership::EndDelegation(Time now) {
   if (delegation_over_ >= delegation_asked_) return 0;
   delegation_over_ = now;
   delegation_granted_.clear();
   return delegation_number_;
 }
 
-bool Leadership::AskedToDelegate(const std::string& peer,
-                                 const std::string& process_incarnation,
-                                 uint64_t number, bool state_fails, Time now) {
+bool Leadership::OnDelegationPromiseRequested(
+    const std::string& peer, const std::string& process_incarnation,
+    uint64_t number, bool state_fails, Time now) {
   if (delegation_seconds_ <= 0 || !state_fails || state_ != kFollower)
     return false;
   DelegationPromise& promise = delegation_promised_[peer];
   promise.process_incarnation = process_incarnation;
   promise.number = number;
-  promise.until =
-      std::max(promise.until, now + delegation_seconds_ * (1 + kDrift));
+  promise.until = std::max(
+      promise.until, now + delegation_seconds_ * (1 + kMaxClockDriftRate));
   return true;
 }
 
--- a/core/lease/leadership.h
+++ b/core/lease/leadership.h
@@ -17,8 +17,8 @@
 
 // The controller's own right to lead, from seeking the key to its end.
 enum class LeaderState : uint8_t {
-  kFollower,  // somebody else leads, or nobody
-  kSeeking,   // a lease is asked for, the key is being written
+  kFollower,     // somebody else leads, or nobody
+  kCampaigning,  // a lease is asked for, the key is being written
   kRenewing,  // has the key, but somebody may still lead by a promise that this
               // process has forgotten: renews workers' leases, no commands
   kLeading,   // the lease is known to be granted
@@ -52,34 +52,36 @@
   // Whether this controller may act as the leader at this moment. Changes the
   // state when the right has expired, so the answer never changes back to true
   // without a new revision.
-  bool Valid(Time now);
+  bool MayActAsLeader(Time now);
 
   // --- winning and renewing the key
   // Whether to try to become the leader. A starting controller has forgotten
   // what it promised: it waits out the longest promise, unless every other one
   // answers that it does not lead.
-  bool MaySeek(Time now) const;
+  bool MayCampaign(Time now) const;
   // Whether it may take a free key, at least to renew.
-  bool MayTakeKey(Time now) const;
+  bool MayTakeFreeKey(Time now) const;
   // Whether nobody can rely on a promise that this process has forgotten.
-  bool Proven(Time now) const;
+  bool ForgottenPromisesExpired(Time now) const;
   // The same where the key is this controller's own, from before a restart:
   // nobody has led since, so only delegates by promises have to be waited for.
   // Whoever leads by data that the key-value store has lost would have answered
   // so.
-  bool OwnProven(Time now) const;
+  bool ForgottenDelegationsExpired(Time now) const;
   // `seen` is the leader key's revision that the search was decided on. The
   // write needs it as precondition, not what the watch delivers meanwhile: that
   // may be the key of a controller that has just won.
-  void SeekStarted(uint64_t seen);
+  void OnCampaignStarted(uint64_t seen);
   uint64_t seen() const { return seen_; }
-  void SeekFailed();
+  void OnCampaignFailed();
   // `sent`: when the request was sent that the lease counts from. `leads`: it
-  // was proven by then (Proven, OwnProven); else this controller only renews.
-  void Won(uint64_t revision, uint64_t lease_id, Time sent, bool leads = true);
+  // was proven by then (Proven, ForgottenDelegationsExpired); else this
+  // controller only renews.
+  void OnElected(uint64_t revision, uint64_t lease_id, Time sent,
+                 bool leads = true);
   // A controller that renews by the key leads once that is proven. True if it
   // does from now on.
-  bool Promote(Time now);
+  bool PromoteToLeader(Time now);
   void RenewGranted(Time sent);
   // The key was written anew while the right to lead was still valid: into a
   // store that had lost it.
@@ -87,11 +89,11 @@
   // The key-value store has lost data, and with it perhaps the key of a leader:
   // as after a start, every controller has to be asked, or the longest promise
   // waited out.
-  void Forget(Time now);
+  void ResetAfterDataLoss(Time now);
   // The key is known to be another's, or gone.
-  void Lost();
+  void OnKeyLost();
   // Becomes a follower once the leader's state has been torn down.
-  void Retire();
+  void BecomeFollower();
 
   // --- promises, as the one that needs them
   bool WantsPromises(Time now) const;
@@ -101,10 +103,10 @@
   // `state_fails`: this controller cannot reach the key-value store. One that
   // can must refuse, or a leader that alone is partitioned off would lead for
   // ever. False: refused.
-  bool AskedToPromise(bool state_fails, Time now);
-  void PeerIs(const std::string& peer, LeaderRole role);
+  bool OnPromiseRequested(bool state_fails, Time now);
+  void SetPeerRole(const std::string& peer, LeaderRole role);
   void PeerDoesNotLead(const std::string& peer) {
-    PeerIs(peer, LeaderRole::kNone);
+    SetPeerRole(peer, LeaderRole::kNone);
   }
   Time promised_until() const { return promised_until_; }
   double promise_seconds() const { return promise_seconds_; }
@@ -117,20 +119,21 @@
   // controller's promise not to seek, and a delegate by the key has the key; a
   // leader by promises, which a delegate may not know of, treats no incarnation
   // as expired (Leader::Tick).
-  bool MayRenew(Time now);
+  bool MayRenewWorkerLeases(Time now);
   double delegation_seconds() const { return delegation_seconds_; }
   // The promises of all others are asked for. Returns the number of the
-  // request, to be sent with it and released with DelegationOver.
-  uint64_t DelegationAsked(Time sent);
+  // request, to be sent with it and released with EndDelegation.
+  uint64_t StartDelegationRequest(Time sent);
   void DelegationGranted(const std::string& peer, Time sent);
   // Stops relying on promises. Returns the number of the last request, to
   // release it and all before; 0: did not rely on any.
-  uint64_t DelegationOver(Time now);
+  uint64_t EndDelegation(Time now);
   // As the one that promises. `process_incarnation`: of the asking process.
   // False: refused.
-  bool AskedToDelegate(const std::string& peer,
-                       const std::string& process_incarnation, uint64_t number,
-                       bool state_fails, Time now);
+  bool OnDelegationPromiseRequested(const std::string& peer,
+                                    const std::string& process_incarnation,
+                                    uint64_t number, bool state_fails,
+                                    Time now);
   // The promise is released. A delayed release may be older than the promise.
   void DelegationReleased(const std::string& peer,
                           const std::string& process_incarnation,
--- a/core/lease/partition_detector.cc
+++ b/core/lease/partition_detector.cc
@@ -37,7 +37,7 @@
   return heartbeat.token > before.token || heartbeat.seq > before.seq + 1;
 }
 
-bool PartitionDetector::Redirected(const Heartbeat& heartbeat, Time now) {
+bool PartitionDetector::ShouldRedirect(const Heartbeat& heartbeat, Time now) {
   const auto it = seen_.find(heartbeat.host);
   if (it != seen_.end() && ReachedByOthers(it->second, heartbeat, now)) {
     redirects_until_ = now + evidence_seconds_;
--- a/core/lease/partition_detector.h
+++ b/core/lease/partition_detector.h
@@ -33,7 +33,7 @@
   explicit PartitionDetector(const WorkerSettings& workers);
 
   // Whether the worker is to be redirected rather than answered.
-  bool Redirected(const Heartbeat& heartbeat, Time now);
+  bool ShouldRedirect(const Heartbeat& heartbeat, Time now);
   // The heartbeat has been answered here.
   void OnAnswered(const Heartbeat& heartbeat, Time now);
   // The leader or the key-value store is reached again.
--- a/core/limits/loss_limiter.cc
+++ b/core/limits/removal_limiter.cc
@@ -1,4 +1,4 @@
-#include "core/limits/loss_limiter.h"
+#include "core/limits/removal_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 namespace oxbow {
 namespace {
 
-constexpr std::array<std::string_view, kLossCauses> kNames = {
+constexpr std::array<std::string_view, kRemovalCauses> kNames = {
     "silent", "unlisted", "never up", "idle", "moved", "distrusted"};
 
 // How many a share allows. One always, or a small fleet could never replace a
@@ -17,32 +17,32 @@
 
 }  // namespace
 
-std::string_view NameOf(LossCause cause) {
+std::string_view NameOf(RemovalCause cause) {
   return kNames[static_cast<size_t>(cause)];
 }
 
-std::string_view NameOf(LossDecision decision) {
+std::string_view NameOf(RemovalDecision decision) {
   switch (decision) {
-    case LossDecision::kAllowed:
+    case RemovalDecision::kAllowed:
       return "allowed";
-    case LossDecision::kFleetLimit:
+    case RemovalDecision::kFleetLimit:
       return "the fleet's share";
-    case LossDecision::kZoneLimit:
+    case RemovalDecision::kZoneLimit:
       return "the zone's share";
-    case LossDecision::kServiceLimit:
+    case RemovalDecision::kServiceLimit:
       return "a service's share";
   }
   return "";
 }
 
-void LossLimiter::Forget(Time now) {
+void RemovalLimiter::Forget(Time now) {
   while (!entries_.empty() &&
          entries_.front().at <= now - limits_.window_seconds) {
-    const Loss& loss = entries_.front().loss;
+    const CapacityRemoval& loss = entries_.front().loss;
     --by_cause_[static_cast<size_t>(loss.cause)];
     const auto zone = by_zone_.find({loss.cause, loss.zone});
     if (--zone->second == 0) by_zone_.erase(zone);
-    for (const Loss::Part& part : loss.services) {
+    for (const CapacityRemoval::AffectedService& part : loss.services) {
       const auto service = by_service_.find(part.job);
       service->second -= part.replicas;
       if (service->second <= 0) by_service_.erase(service);
@@ -51,16 +51,17 @@
   }
 }
 
-int LossLimiter::Asked(LossCause cause, Time now) {
+int RemovalLimiter::CountInWindow(RemovalCause cause, Time now) {
   Forget(now);
   return by_cause_[static_cast<size_t>(cause)];
 }
 
-LossDecision LossLimiter::Ask(const Loss& loss, int fleet, int zone, Time now) {
+RemovalDecision RemovalLimiter::RequestRemoval(const CapacityRemoval& loss,
+                                               int fleet, int zone, Time now) {
   Forget(now);
   const auto cause = static_cast<size_t>(loss.cause);
-  const LossDecision decision = Decide(loss, fleet, zone);
-  if (decision != LossDecision::kAllowed) {
+  const RemovalDecision decision = Decide(loss, fleet, zone);
+  if (decision != RemovalDecision::kAllowed) {
     ++refused_[cause];
     return decision;
   }
@@ -69,35 +70,36 @@
   return decision;
 }
 
-LossDecision LossLimiter::Decide(const Loss& loss, int fleet, int zone) const {
+RemovalDecision RemovalLimiter::Decide(const CapacityRemoval& loss, int fleet,
+                                       int zone) const {
   const auto cause = static_cast<size_t>(loss.cause);
   const int asked = by_cause_[cause];
   if (asked + 1 > Allowance(limits_.fleet[cause], fleet + asked)) {
-    return LossDecision::kFleetLimit;
+    return RemovalDecision::kFleetLimit;
   }
   const auto it = by_zone_.find({loss.cause, loss.zone});
   const int asked_in_zone = it == by_zone_.end() ? 0 : it->second;
   const double zone_share = std::max(limits_.zone, limits_.fleet[cause]);
   if (asked_in_zone + 1 > Allowance(zone_share, zone + asked_in_zone)) {
-    return LossDecision::kZoneLimit;
+    return RemovalDecision::kZoneLimit;
   }
-  for (const Loss::Part& part : loss.services) {
+  for (const CapacityRemoval::AffectedService& part : loss.services) {
     const auto taken = by_service_.find(part.job);
     const int before = taken == by_service_.end() ? 0 : taken->second;
     // The first act may take everything: where all replicas are on one machine,
     // that one must still be replaceable.
     if (before > 0 &&
         before + part.replicas > Allowance(limits_.service, part.size)) {
-      return LossDecision::kServiceLimit;
+      return RemovalDecision::kServiceLimit;
     }
   }
-  return LossDecision::kAllowed;
+  return RemovalDecision::kAllowed;
 }
 
-void LossLimiter::Count(const Loss& loss, Time now) {
+void RemovalLimiter::Count(const CapacityRemoval& loss, Time now) {
   ++by_cause_[static_cast<size_t>(loss.cause)];
   ++by_zone_[{loss.cause, loss.zone}];
-  for (const Loss::Part& part : loss.services) {
+  for (const CapacityRemoval::AffectedService& part : loss.services) {
     by_service_[part.job] += part.replicas;
   }
   entries_.push_back({now, loss});
--- a/core/maintenance/maintenance_calendar.cc
+++ b/core/maintenance/maintenance_calendar.cc
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-bool WorkRule::Matches(const JobSpec& spec, const std::string& tier) const {
+bool WorkSelector::Matches(const JobSpec& spec, const std::string& tier) const {
   if (spec.kind == JobKind::kService ||
       spec.priority == Priority::kProduction || !Asks()) {
     return false;
@@ -182,7 +182,7 @@
   // However late the response arrives that carries the start, the worker drops
   // it past this.
   const double carried_out =
-      time.latest + kResponseLifetimeSeconds * (1 + kDrift);
+      time.latest + kResponseLifetimeSeconds * (1 + kMaxClockDriftRate);
   const StartPeriod* period = plan.LatestAt(time.earliest);
   if (period == nullptr || carried_out >= period->to) {
     BlockOutsidePeriods(plan, period, time, decision);
--- a/core/maintenance/maintenance_calendar.h
+++ b/core/maintenance/maintenance_calendar.h
@@ -66,7 +66,7 @@
   std::string window;
   double next_start = 0;  // s since 1970; 0: none is known
   double capacity_share = 1;
-  bool may() const { return blocker == AdmissionBlocker::kNone; }
+  bool may_start() const { return blocker == AdmissionBlocker::kNone; }
 };
 
 // What is to become of work past the end of the period in which it may start.
--- a/core/maintenance/maintenance_manager.cc
+++ b/core/maintenance/maintenance_manager.cc
@@ -68,10 +68,10 @@
       dispatcher_(modules.dispatcher),
       rollout_manager_(modules.rollout_manager),
       calendar_(context.settings.workers.lease_seconds,
-                context.settings.clock_off_ms / 1000) {}
+                context.settings.clock_error_ms / 1000) {}
 
-void MaintenanceManager::OnClocks(const WallReading& reading, Time confirmed,
-                                  Time now) {
+void MaintenanceManager::OnClockReading(const WallReading& reading,
+                                        Time confirmed, Time now) {
   calendar_.OnWallReading(reading);
   calendar_.OnConfirmed(confirmed, now);
 }
@@ -114,13 +114,13 @@
   if (job == nullptr) return std::nullopt;
   if (calendar_.empty() || !job->live()) return AdmissionDecision{};
   AdmissionDecision decision = AdmissionOf(*job, now);
-  if (decision.may() && job->placed() == 0 && !WindowAllows(*job, 1)) {
+  if (decision.may_start() && job->placed() == 0 && !WindowAllows(*job, 1)) {
     decision.blocker = AdmissionBlocker::kWindowFull;
   }
   return decision;
 }
 
-void MaintenanceManager::CountWindows() {
+void MaintenanceManager::CountWindowUse() {
   window_use_.clear();
   fleet_ = {};
   if (calendar_.empty()) return;
@@ -130,10 +130,10 @@
   for (const std::string& id : calendar_.WindowIds()) window_use_[id];
   if (window_use_.empty()) return;
   for (const auto& [id, job] : cluster_.jobs()) {
-    if (job->holding() == 0) continue;
+    if (job->charged_attempts() == 0) continue;
     const JobSpec& spec = job->spec();
     for (const WindowShare& window : calendar_.SharesFor(spec, TierOf(*job))) {
-      window_use_[window.id] += spec.need * job->holding();
+      window_use_[window.id] += spec.need * job->charged_attempts();
     }
   }
 }
@@ -161,27 +161,27 @@
 // A command sent to a worker's address may be carried out minutes later. A
 // response to a heartbeat is dropped by the worker after a few seconds,
 // whatever delayed it.
-bool MaintenanceManager::SentInHeartbeatResponse(
+bool MaintenanceManager::RequiresHeartbeatResponse(
     const WorkerCommand& command) const {
   if (command.kind != CommandKind::kStart || calendar_.empty()) return false;
   const Job* job = cluster_.FindJob(command.job_id);
   return job != nullptr && calendar_.AppliesTo(job->spec(), TierOf(*job));
 }
 
-bool MaintenanceManager::HasCalendarStart(const Machine& machine) const {
+bool MaintenanceManager::HasWindowedStart(const Machine& machine) const {
   return !calendar_.empty() &&
          std::any_of(machine.queue.begin(), machine.queue.end(),
                      [&](const WorkerCommand& command) {
-                       return SentInHeartbeatResponse(command);
+                       return RequiresHeartbeatResponse(command);
                      });
 }
 
-void MaintenanceManager::DropLateStarts(Machine& machine, Time now) {
+void MaintenanceManager::RemoveDisallowedStarts(Machine& machine, Time now) {
   if (calendar_.empty()) return;
   std::vector<TaskAttemptKey> late;
   for (const WorkerCommand& command : machine.queue) {
-    if (!SentInHeartbeatResponse(command)) continue;
-    if (!AdmissionOf(*cluster_.jobs().at(command.job_id), now).may()) {
+    if (!RequiresHeartbeatResponse(command)) continue;
+    if (!AdmissionOf(*cluster_.jobs().at(command.job_id), now).may_start()) {
       late.push_back({command.job_id, command.task, command.attempt});
     }
   }
@@ -248,7 +248,7 @@
   AdmissionBlocker& logged = logged_blockers_[job.id()];
   if (logged == decision.blocker) return;
   logged = decision.blocker;
-  if (decision.may()) return;
+  if (decision.may_start()) return;
   LogFields fields = {{"job", job.id()}, {"reason", NameOf(decision.blocker)}};
   if (!decision.window.empty()) fields.emplace_back("window", decision.window);
   if (decision.next_start > 0) {
@@ -286,7 +286,7 @@
     if (job->unplaced() > 0) {
       LogAdmissionChange(*job, AdmissionOf(*job, now), now);
     }
-    if (job->holding() > 0) ApplyOverrun(*job, now);
+    if (job->charged_attempts() > 0) ApplyOverrun(*job, now);
   }
 }
 
--- a/core/maintenance/maintenance_manager.h
+++ b/core/maintenance/maintenance_manager.h
@@ -32,27 +32,27 @@
   AdmissionDecision AdmissionOf(const Job& job, Time now) const;
   // Whether no window blocks the job at this moment.
   bool MayStartNow(const Job& job, Time now) const {
-    return calendar_.empty() || AdmissionOf(job, now).may();
+    return calendar_.empty() || AdmissionOf(job, now).may_start();
   }
   // A task of the job has been started in this scheduling pass.
   void NoteStart(const Job& job);
   const MaintenanceCalendar& calendar() const { return calendar_; }
   // Counts what the work of each window uses; at the beginning of a pass.
-  void CountWindows();
+  void CountWindowUse();
   // Whether every window that applies to the job has capacity for so many of
   // its tasks.
   bool WindowAllows(const Job& job, double tasks) const;
   // Whether the command is a start that a window applies to. Such starts go in
   // the response to a heartbeat only: these are never carried out late.
-  bool SentInHeartbeatResponse(const WorkerCommand& command) const;
-  bool HasCalendarStart(const Machine& machine) const;
+  bool RequiresHeartbeatResponse(const WorkerCommand& command) const;
+  bool HasWindowedStart(const Machine& machine) const;
   // Removes queued starts that are not allowed any more; they were never sent.
-  void DropLateStarts(Machine& machine, Time now);
+  void RemoveDisallowedStarts(Machine& machine, Time now);
   void TickCalendar(Time now);
   // A reading of the clocks, made before every other event and later than the
   // message that it brings; `confirmed`: when all live records had last been
   // read.
-  void OnClocks(const WallReading& reading, Time confirmed, Time now);
+  void OnClockReading(const WallReading& reading, Time confirmed, Time now);
   // The record of a window; see MaintenanceCalendar for versions.
   void OnMaintenanceWindow(const MaintenanceWindow& window, uint64_t version,
                            Time now);
--- a/core/maintenance/maintenance_window.h
+++ b/core/maintenance/maintenance_window.h
@@ -35,7 +35,7 @@
 // Which work is meant: all that is given must match. An empty list matches
 // everything; of the two amounts one above is enough, and a negative one is not
 // given. Amounts are of all tasks of a job together.
-struct WorkRule {
+struct WorkSelector {
   std::vector<std::string> classes;
   std::vector<std::string> teams;
   std::vector<std::string> tiers;
@@ -59,7 +59,7 @@
 struct MaintenanceWindow {
   std::string id;
   WindowKind kind = WindowKind::kWindow;
-  WorkRule work;
+  WorkSelector work;
   // The share of the fleet's cores and accelerators that the window's work may
   // use at once. 1 for peaks.
   double capacity_share = 1;
--- a/core/maintenance/true_time.h
+++ b/core/maintenance/true_time.h
@@ -24,7 +24,7 @@
   // `bound_seconds`: how far the wall clock may be off at the reading. Since
   // then the steady clock may have drifted.
   TrueTime At(Time now, double bound_seconds) const {
-    const double drift = kDrift * std::max(0.0, now - before);
+    const double drift = kMaxClockDriftRate * std::max(0.0, now - before);
     return {wall + (now - after) - bound_seconds - drift,
             wall + (now - before) + bound_seconds + drift};
   }
--- a/core/maintenance/window_validation.cc
+++ b/core/maintenance/window_validation.cc
@@ -43,7 +43,7 @@
 }
 
 // Whether some work can match both.
-bool MayMeet(const WorkRule& first, const WorkRule& second) {
+bool MayMeet(const WorkSelector& first, const WorkSelector& second) {
   return ListsMeet(first.classes, second.classes) &&
          ListsMeet(first.teams, second.teams) &&
          ListsMeet(first.tiers, second.tiers);
@@ -60,7 +60,7 @@
   return maximum > 0 ? maximum : otherwise;
 }
 
-MaybeError FindUnknownName(const WorkRule& work,
+MaybeError FindUnknownName(const WorkSelector& work,
                            const WindowValidationContext& context) {
   const Settings& settings = *context.settings;
   for (const std::string& name : work.classes) {
@@ -86,7 +86,7 @@
 }
 
 // Work above the largest maximum of the named teams does not exist.
-MaybeError FindSizeError(const WorkRule& work, const Settings& settings) {
+MaybeError FindSizeError(const WorkSelector& work, const Settings& settings) {
   if (work.teams.empty() || !work.AsksForSize()) return std::nullopt;
   double max_cores = 0;
   double max_accelerators = 0;
@@ -108,7 +108,7 @@
                " is not below the teams' limit of ", max_accelerators);
 }
 
-MaybeError FindWorkError(const WorkRule& work,
+MaybeError FindWorkError(const WorkSelector& work,
                          const WindowValidationContext& context) {
   if (!work.Asks()) {
     return Error("work", "names nothing, so it would mean all work");
@@ -261,7 +261,7 @@
 
 double MinimumNoticeSeconds(const Settings& settings) {
   return kNoticeLeases * settings.workers.lease_seconds +
-         2 * settings.clock_off_ms / 1000;
+         2 * settings.clock_error_ms / 1000;
 }
 
 std::optional<WindowError> FindWindowError(
--- a/core/model/heartbeat.h
+++ b/core/model/heartbeat.h
@@ -25,10 +25,10 @@
   kNone,
   kDone,
   kStopped,
-  kPeersGone,
-  kAlone,
+  kGangPeersGone,
+  kGangIncomplete,
   kError,
-  kNoRoom,
+  kNoCapacity,
   kBusy,
   kUnknownTask,
 };
--- a/core/model/job.cc
+++ b/core/model/job.cc
@@ -100,14 +100,14 @@
 }
 
 void Job::Change(JobState next) {
-  CheckedChange(state_, next, kJobChanges, "job");
+  CheckedTransition(state_, next, kJobChanges, "job");
 }
 
 void Job::ChangeTask(uint32_t task, TaskState next) {
   TaskSlot& slot = tasks_[task];
   if (slot.state == next) return;
   const TaskState before = slot.state;
-  CheckedChange(slot.state, next, kTaskChanges, "task");
+  CheckedTransition(slot.state, next, kTaskChanges, "task");
   if (before == kRunning) --running_;
   if (next == kRunning) ++running_;
   if (!OnMachine(before) && OnMachine(next)) ++placed_;
@@ -127,12 +127,12 @@
   tasks_[task].attempt = attempt;
 }
 
-void Job::ChangePresence(int32_t machine, int holding, int listed) {
+void Job::ChangePresence(int32_t machine, int charged_attempts, int listed) {
   Presence& here = presence_[machine];
-  here.holding += holding;
+  here.charged_attempts += charged_attempts;
   here.listed += listed;
-  holding_ += holding;
-  if (here.holding < 0 || here.listed < here.holding) {
+  charged_attempts_ += charged_attempts;
+  if (here.charged_attempts < 0 || here.listed < here.charged_attempts) {
     throw IllegalTransition("presence of " + id() + " below what is there");
   }
   if (here.listed == 0) presence_.erase(machine);
--- a/core/model/job.h
+++ b/core/model/job.h
@@ -152,8 +152,8 @@
 
 // What one machine has of a job.
 struct Presence {
-  int holding = 0;  // attempts that are, or may be, there
-  int listed = 0;   // these, and the exits that the worker still reports
+  int charged_attempts = 0;  // attempts that are, or may be, there
+  int listed = 0;  // these, and the exits that the worker still reports
 };
 
 // When a job should be complete: by the first of its class's service-level
@@ -187,7 +187,7 @@
   }
   // By when it has to end for the sake of those that need it.
   const DueTimes& needed_by() const { return inherited_.due; }
-  void inherit(const Inherited& inherited) { inherited_ = inherited; }
+  void set_inherited(const Inherited& inherited) { inherited_ = inherited; }
   JobState state() const { return state_; }
   const TaskSlot& task(uint32_t i) const { return tasks_[i]; }
   uint32_t size() const { return static_cast<uint32_t>(tasks_.size()); }
@@ -200,7 +200,7 @@
   // A service never ends by itself, so a replica that says done is restarted.
   bool live() const { return state_ == JobState::kAccepted; }
   // Done or cancelled, and recorded as such.
-  bool ended_by_record() const {
+  bool terminal_state_recorded() const {
     return state_ == JobState::kDone || state_ == JobState::kAborted;
   }
 
@@ -213,22 +213,22 @@
   // Where the job's attempts are, by the index of the machine; kept equal
   // to the machines' task attempts, so that nobody has to search them all.
   const std::map<int32_t, Presence>& presence() const { return presence_; }
-  int holding() const { return holding_; }
+  int charged_attempts() const { return charged_attempts_; }
   // The one function for a change of it.
-  void ChangePresence(int32_t machine, int holding, int listed);
+  void ChangePresence(int32_t machine, int charged_attempts, int listed);
 
   // The next task to place, without taking it; -1 when there is none.
   int64_t PeekPending();
   void PopPending();
 
-  Time not_before = 0;  // backs off a job that fails everywhere
-  uint32_t errors = 0;  // in a row, without a task that ran well
+  Time not_before = 0;              // backs off a job that fails everywhere
+  uint32_t consecutive_errors = 0;  // in a row, without a task that ran well
   bool within_guarantee = false;
-  uint8_t tier = 0;   // its index in the set of priority tiers in force
-  Time ended = -1e9;  // since when its end is recorded, if known
+  uint8_t tier = 0;      // its index in the set of priority tiers in force
+  Time ended_at = -1e9;  // since when its end is recorded, if known
   // Accepted before this leader: its tasks may be on machines that have not
   // reported yet.
-  bool from_before = true;
+  bool accepted_before_leadership = true;
 
  private:
   std::shared_ptr<const JobSpec> spec_;
@@ -243,7 +243,7 @@
   uint32_t running_ = 0;
   uint32_t placed_ = 0;
   std::map<int32_t, Presence> presence_;
-  int holding_ = 0;
+  int charged_attempts_ = 0;
 };
 
 }  // namespace oxbow
--- a/core/model/machine.cc
+++ b/core/model/machine.cc
@@ -8,11 +8,11 @@
 using enum MachineState;
 
 constexpr std::array kChanges = {
-    std::pair{kBooting, kUp},    std::pair{kBooting, kDeleting},
-    std::pair{kBooting, kGone},  std::pair{kUp, kDraining},
-    std::pair{kUp, kDeleting},   std::pair{kUp, kGone},
-    std::pair{kDraining, kUp},   std::pair{kDraining, kDeleting},
-    std::pair{kDraining, kGone}, std::pair{kDeleting, kGone},
+    std::pair{kBooting, kUp},       std::pair{kBooting, kDeleting},
+    std::pair{kBooting, kDeleted},  std::pair{kUp, kDraining},
+    std::pair{kUp, kDeleting},      std::pair{kUp, kDeleted},
+    std::pair{kDraining, kUp},      std::pair{kDraining, kDeleting},
+    std::pair{kDraining, kDeleted}, std::pair{kDeleting, kDeleted},
 };
 
 }  // namespace
@@ -29,20 +29,20 @@
       state_(record.endpoint.empty() ? kBooting : kUp) {}
 
 void Machine::Change(MachineState next) {
-  CheckedChange(state_, next, kChanges, "machine");
+  CheckedTransition(state_, next, kChanges, "machine");
 }
 
 Resources Machine::CapacityFor(const Job* job, Priority priority) const {
   Resources capacity = free();
   for (const Reservation& reservation : reservations) {
-    const bool binds = reservation.part ? reservation.priority == priority
-                                        : reservation.priority <= priority;
+    const bool binds = reservation.partial ? reservation.priority == priority
+                                           : reservation.priority <= priority;
     if (reservation.job != job && binds) capacity -= reservation.need;
   }
   return capacity;
 }
 
-double Machine::BytesToFetch(const std::string& image, double gb) const {
+double Machine::GbToFetch(const std::string& image, double gb) const {
   return images_.contains(image) ? 0.0 : gb;
 }
 
@@ -73,7 +73,7 @@
   it->second.used_at = now;
 }
 
-void Machine::ImageCached(const std::string& image, double gb, Time now) {
+void Machine::MarkImageCached(const std::string& image, double gb, Time now) {
   auto [it, added] = images_.try_emplace(image);
   Image& entry = it->second;
   if (!entry.cached) {
--- a/core/model/machine.h
+++ b/core/model/machine.h
@@ -66,7 +66,7 @@
   kUp,
   kDraining,  // gets nothing new: spot notice, fault, or scale-in
   kDeleting,  // the cloud has been asked to delete it
-  kGone,      // the cloud has confirmed
+  kDeleted,   // the cloud has confirmed
 };
 
 // How far the start command of a task attempt has got.
@@ -77,7 +77,7 @@
 };
 
 // A task that is, or may be, on the machine, or whose exit is still reported.
-// `job`, `phase`, `reason`, `need`, `holds` and `stopping` are changed by
+// `job`, `phase`, `reason`, `need`, `charged` and `stopping` are changed by
 // ClusterState, or right before the attempt is added to it.
 struct TaskAttempt {
   Job* job = nullptr;  // null: of a job that is no longer known
@@ -88,13 +88,13 @@
   uint64_t last_seq = 0;  // of the latest message that listed it
   TaskPhase phase = TaskPhase::kFetching;
   ExitReason reason = ExitReason::kNone;
-  Resources need;      // what it occupies of the machine; zero once exited
-  bool holds = false;  // its need is charged to machine, team and job
+  Resources need;        // what it occupies of the machine; zero once exited
+  bool charged = false;  // its need is charged to machine, team and job
   Time started = 0;
   Time running_since = 0;
   // Started although the team's quota was held for another job: it fits beside
   // that job. Known to the leader that started it alone.
-  bool beside_held_quota = false;
+  bool backfilled = false;
   bool stopping = false;
   double stop_grace = 0;
   Time stop_sent = 0;
@@ -130,7 +130,7 @@
   Time until = 0;
   // For a job that can't start yet. Work of lower priority may use the capacity
   // meanwhile, since it is preempted when the time comes.
-  bool part = false;
+  bool partial = false;
 };
 
 // A machine as the leader sees it. Belongs to ClusterState, which alone changes
@@ -156,9 +156,9 @@
   bool confirmed() const { return seen_fencing_token >= token; }
 
   // Images. The queue holds those of starts sent and not yet seen cached.
-  double BytesToFetch(const std::string& image, double gb) const;
+  double GbToFetch(const std::string& image, double gb) const;
   void QueueImage(const std::string& image, double gb, Time now);
-  void ImageCached(const std::string& image, double gb, Time now);
+  void MarkImageCached(const std::string& image, double gb, Time now);
   void DropQueuedImage(const std::string& image);
   bool HasImage(const std::string& image) const;
   double image_gb_cached() const;
@@ -187,17 +187,18 @@
   Time last_answer = -1e9;
   // The other controllers, asked about a silent machine: when last, when one
   // of them last reached it, and when last nobody did.
-  Time asked_about = -1e9;
-  Time reached_by_other = -1e9;
-  Time reached_by_none = -1e9;
+  Time peers_last_asked = -1e9;
+  Time last_reached_by_peer = -1e9;
+  Time last_unreached_by_peers = -1e9;
   bool reported = false;  // under this leader
   // In no record, and it has shown no token of this leader: its message may be
   // a delayed copy of one of a machine that is deleted.
-  bool stranger = false;
+  bool unverified = false;
   std::optional<Batch> batch;
   bool batch_lost = false;  // unanswered: may be executed until token shows
   std::deque<WorkerCommand> queue;
-  Time direct_broken_until = 0;  // commands go in responses meanwhile
+  Time direct_commands_disabled_until =
+      0;                         // commands go in responses meanwhile
   uint32_t direct_failures = 0;  // in a row
   std::optional<Time> notice_until;
 
@@ -208,18 +209,18 @@
   // Tasks of no known job that are there. What they occupy is not known, so
   // nothing is placed on the machine meanwhile.
   int orphaned_tasks = 0;
-  Resources used;     // by attempts that are, or may be, there
-  Resources staying;  // the part of it that services use
-  Resources lasting;  // the part of it that all but job arrays use
-  Resources leaving;  // the part of it that is being stopped
+  Resources used;                  // by attempts that are, or may be, there
+  Resources used_by_services;      // the part of it that services use
+  Resources used_by_long_running;  // the part of it that all but job arrays use
+  Resources used_by_stopping;      // the part of it that is being stopped
   std::array<Resources, kPriorities> used_by;  // by priority
 
   std::vector<Reservation> reservations;
   std::vector<std::string> failed_jobs;  // distinct jobs that failed here
-  Time distrusted_until = 0;             // cordoned until then
+  Time cordoned_until = 0;               // cordoned until then
   Time idle_since = 0;
   Time delete_sent = -1e9;
-  bool given_up = false;  // deletion was asked for its silence
+  bool deleted_for_silence = false;  // deletion was asked for its silence
   Time next_review = 0;
   bool missing_in_list = false;
   double bandwidth = 0;  // measured GB/s; 0 until a fetch was seen
--- a/core/model/reachability.cc
+++ b/core/model/reachability.cc
@@ -45,7 +45,7 @@
   const double longest = kLongestInterval * workers.heartbeat_interval_seconds;
   const int enough = longest < timeout - 2 * kEarlySeconds ? 2 : 3;
   // After a long silence it may be a delayed copy of a message of a machine
-  // that is dead by now; the delivery check settles it (MustBeOld).
+  // that is dead by now; the delivery check settles it (IsStaleHeartbeat).
   const bool long_silence =
       responded_at_ != kNever && seconds_since_last > workers.lease_seconds / 2;
   return long_silence ||
@@ -86,8 +86,9 @@
   }
 }
 
-bool Reachability::MustBeOld(FencingToken token, double lease_seconds,
-                             bool may_be_renewed_by_delegate, Time now) const {
+bool Reachability::IsStaleHeartbeat(FencingToken token, double lease_seconds,
+                                    bool may_be_renewed_by_delegate,
+                                    Time now) const {
   const bool delegate_may_have_renewed =
       may_be_renewed_by_delegate && now - responded_at_ > lease_seconds / 2;
   return unshown_since_ != kNever && token < unshown_token_ &&
--- a/core/model/reachability.h
+++ b/core/model/reachability.h
@@ -106,8 +106,8 @@
   // arrived would have made the worker show a higher token, and without one its
   // incarnation would be over. Not if a delegate may have renewed its lease
   // while this leader was silent.
-  bool MustBeOld(FencingToken token, double lease_seconds,
-                 bool may_be_renewed_by_delegate, Time now) const;
+  bool IsStaleHeartbeat(FencingToken token, double lease_seconds,
+                        bool may_be_renewed_by_delegate, Time now) const;
 
  private:
   static constexpr Time kNever = -1e9;
--- a/core/model/settings.h
+++ b/core/model/settings.h
@@ -55,7 +55,7 @@
   // lower its limits, and what it holds stays readable.
   double stored_value_kb = 8;
 
-  size_t most_value_bytes() const {
+  size_t max_value_bytes() const {
     return static_cast<size_t>(value_kb * 1024);
   }
   // Whether a transaction may hold so many changes.
@@ -78,7 +78,7 @@
 
   // The shares of them; the rest is for the connections to the key-value store,
   // the cloud, the other controllers and instances whose health is checked.
-  size_t served_connections() const { return ShareOfConnections(0.75); }
+  size_t client_connections() const { return ShareOfConnections(0.75); }
   size_t worker_connections() const { return ShareOfConnections(0.15); }
 
  private:
@@ -104,7 +104,7 @@
   StoreSettings store;
   CloudSettings cloud;
   LimitSettings limits;
-  double clock_off_ms = 0;
+  double clock_error_ms = 0;
 };
 
 // The operators' own file: weights and pacing. Every default is a ratio to a
@@ -192,6 +192,6 @@
 };
 
 // Two steady clocks may drift apart by 0.05%; twice that is allowed for.
-inline constexpr double kDrift = 0.001;
+inline constexpr double kMaxClockDriftRate = 0.001;
 
 }  // namespace oxbow
--- a/core/model/state_machine.h
+++ b/core/model/state_machine.h
@@ -18,9 +18,9 @@
 };
 
 template <typename State, size_t N>
-void CheckedChange(State& state, State next,
-                   const std::array<std::pair<State, State>, N>& legal,
-                   const char* machine) {
+void CheckedTransition(State& state, State next,
+                       const std::array<std::pair<State, State>, N>& legal,
+                       const char* machine) {
   for (const auto& [from, to] : legal) {
     if (from == state && to == next) {
       state = next;
--- a/core/model/worker_incarnation.h
+++ b/core/model/worker_incarnation.h
@@ -29,7 +29,7 @@
 // of both sides' timers.
 inline Time TasksMayLiveUntil(Time counted_from, double lease_seconds) {
   constexpr double kTimerMargin = 0.05;  // s
-  return counted_from + lease_seconds * (1 + kDrift) + kTimerMargin;
+  return counted_from + lease_seconds * (1 + kMaxClockDriftRate) + kTimerMargin;
 }
 
 // A worker kills its tasks when a whole lease has passed since it sent the last
@@ -74,7 +74,7 @@
   // Whether commands can reach it: it is known, and not known to be over.
   bool alive() const { return state_ == IncarnationState::kAlive; }
   // Whether a message of this incarnation can be news.
-  bool MayBeNews(uint64_t number) const {
+  bool MayBeCurrent(uint64_t number) const {
     return number > number_ ||
            (number == number_ && state_ != IncarnationState::kExpired);
   }
--- a/core/packing/fragmentation.cc
+++ b/core/packing/fragmentation.cc
@@ -37,7 +37,7 @@
          std::exp(-std::max(0.0, now - entry.at) / memory_seconds_);
 }
 
-void ShapeMix::Note(const JobSpec& spec, Time submitted) {
+void ShapeMix::AddJobToMix(const JobSpec& spec, Time submitted) {
   if (spec.need.gpus <= 0) return;
   has_new_jobs_ = true;
   const double weight = spec.need.gpus * spec.tasks;
@@ -66,7 +66,7 @@
       {{spec.need, spec.types, spec.zone, spec.spot, 0}, weight, submitted});
 }
 
-bool ShapeMix::Settle(Time now) {
+bool ShapeMix::UpdateMix(Time now) {
   // All weights decay alike, so without new jobs the shares stay.
   if (!has_new_jobs_) return false;
   has_new_jobs_ = false;
@@ -88,22 +88,23 @@
                                    machine.type_name) != shape.types->end();
 }
 
-void FragmentationIndex::Settle(Time now) {
+void FragmentationIndex::UpdateMix(Time now) {
   if (now < next_settle_) return;
   next_settle_ = now + settle_seconds_;
-  if (mix_.Settle(now)) ++version_;
+  if (mix_.UpdateMix(now)) ++version_;
 }
 
 double FragmentationIndex::Measure(const Machine& machine,
                                    const Resources& free) const {
   if (free.gpus <= kEpsilon) return 0;
-  double useless = 0;
+  double unusable = 0;
   for (const TaskShape& shape : mix_.shapes()) {
     const uint32_t times =
         MayBeOn(shape, machine) ? shape.need.TimesIn(free, kMaxTasks) : 0;
-    useless += shape.share * std::max(0.0, free.gpus - shape.need.gpus * times);
+    unusable +=
+        shape.share * std::max(0.0, free.gpus - shape.need.gpus * times);
   }
-  return useless;
+  return unusable;
 }
 
 FragmentationIndex::CacheEntry& FragmentationIndex::ValidEntry(
@@ -111,23 +112,23 @@
   const auto index = static_cast<size_t>(machine.index());
   if (index >= cache_.size()) cache_.resize(index + 1);
   CacheEntry& entry = cache_[index];
-  const Resources free = LastingRoom(machine);
+  const Resources free = CapacityBesideLongRunning(machine);
   if (entry.version != version_ || !Equal(entry.free, free)) {
     entry = {version_, free, Measure(machine, free), {}, 0, false};
   }
   return entry;
 }
 
-double FragmentationIndex::Useless(const Machine& machine) const {
-  return ValidEntry(machine).useless;
+double FragmentationIndex::UnusableAccelerators(const Machine& machine) const {
+  return ValidEntry(machine).unusable;
 }
 
-double FragmentationIndex::Added(const Machine& machine,
-                                 const Resources& need) const {
+double FragmentationIndex::AddedFragmentation(const Machine& machine,
+                                              const Resources& need) const {
   if (machine.total().gpus <= 0) return 0;
   CacheEntry& entry = ValidEntry(machine);
   if (!entry.has_added || !Equal(entry.need, need)) {
-    entry.added = Measure(machine, entry.free - need) - entry.useless;
+    entry.added = Measure(machine, entry.free - need) - entry.unusable;
     entry.need = need;
     entry.has_added = true;
   }
@@ -153,11 +154,11 @@
   for (const auto& machine : machines) {
     if (machine->state() != MachineState::kUp || machine->total().gpus <= 0)
       continue;
-    const Resources free = LastingRoom(*machine);
+    const Resources free = CapacityBesideLongRunning(*machine);
     count.accelerators += machine->total().gpus;
     if (free.gpus <= kEpsilon) continue;
     count.free += free.gpus;
-    count.useless += Useless(*machine);
+    count.unusable += UnusableAccelerators(*machine);
     const bool whole = largest != nullptr && MayBeOn(*largest, *machine) &&
                        largest->need.FitsIn(free);
     ++(whole ? count.whole : count.fragmented);
--- a/core/packing/fragmentation.h
+++ b/core/packing/fragmentation.h
@@ -36,10 +36,10 @@
   explicit ShapeMix(double memory_seconds) : memory_seconds_(memory_seconds) {}
 
   // A job was submitted at `submitted`. Jobs without accelerators don't count.
-  void Note(const JobSpec& spec, Time submitted);
+  void AddJobToMix(const JobSpec& spec, Time submitted);
   // Takes the jobs noted since the last call into the shares. Whether the
   // shares have changed.
-  bool Settle(Time now);
+  bool UpdateMix(Time now);
   std::span<const TaskShape> shapes() const { return shapes_; }
 
  private:
@@ -60,7 +60,7 @@
 struct FragmentationCount {
   double accelerators = 0;  // in all
   double free = 0;          // not taken by lasting work
-  double useless = 0;       // of the free ones: useless to the mix
+  double unusable = 0;      // of the free ones: useless to the mix
   int whole = 0;       // machines that could take the largest shape of the mix
   int fragmented = 0;  // machines with free accelerators that could not
 };
@@ -83,15 +83,18 @@
 
   // A job was submitted at `submitted`: accepted by this leader or an earlier
   // one.
-  void Note(const JobSpec& spec, Time submitted) { mix_.Note(spec, submitted); }
+  void AddJobToMix(const JobSpec& spec, Time submitted) {
+    mix_.AddJobToMix(spec, submitted);
+  }
   // Updates the mix if that is due; called before each scheduling pass.
-  void Settle(Time now);
+  void UpdateMix(Time now);
 
   // Useless accelerators of the machine.
-  double Useless(const Machine& machine) const;
+  double UnusableAccelerators(const Machine& machine) const;
   // By how much a task with that need, staying there, changes Useless; negative
   // where it takes what no other work could use.
-  double Added(const Machine& machine, const Resources& need) const;
+  double AddedFragmentation(const Machine& machine,
+                            const Resources& need) const;
   FragmentationCount Count(
       std::span<const std::unique_ptr<Machine>> machines) const;
   std::span<const TaskShape> shapes() const { return mix_.shapes(); }
@@ -104,7 +107,7 @@
   struct CacheEntry {
     uint64_t version = 0;  // 0: never computed
     Resources free;
-    double useless = 0;
+    double unusable = 0;
     Resources need;  // the last that Added was asked about
     double added = 0;
     bool has_added = false;
@@ -122,8 +125,8 @@
 };
 
 // Capacity that is not taken by lasting work.
-inline Resources LastingRoom(const Machine& machine) {
-  return machine.total() - machine.lasting;
+inline Resources CapacityBesideLongRunning(const Machine& machine) {
+  return machine.total() - machine.used_by_long_running;
 }
 
 // Whether tasks of this shape may be on such a machine.
--- a/core/placement/placement.cc
+++ b/core/placement/placement.cc
@@ -28,7 +28,7 @@
 // Whether the image would come too late for the class's objective.
 bool ImageComesLate(const Machine& machine, const JobSpec& spec,
                     std::optional<double> wait_slo_seconds) {
-  return SecondsToImage(machine, spec) >
+  return SecondsUntilImageCached(machine, spec) >
          kFetchShareOfWaitSlo *
              wait_slo_seconds.value_or(kUnlimitedWaitSeconds);
 }
@@ -37,7 +37,7 @@
 double EvictedShareOfCache(const Machine& machine, const JobSpec& spec) {
   const double cache_gb = machine.type->cache_gb;
   const double evicted_gb = machine.image_gb_cached() - cache_gb +
-                            machine.BytesToFetch(spec.image, spec.image_gb);
+                            machine.GbToFetch(spec.image, spec.image_gb);
   if (evicted_gb <= 0 || cache_gb <= 0) return 0;
   return std::min(1.0, evicted_gb / cache_gb);
 }
@@ -71,7 +71,7 @@
                     double mean_bandwidth) {
   const double bandwidth =
       machine.bandwidth > 0 ? machine.bandwidth : mean_bandwidth;
-  return machine.BytesToFetch(spec.image, spec.image_gb) / bandwidth;
+  return machine.GbToFetch(spec.image, spec.image_gb) / bandwidth;
 }
 
 double MeanBandwidth(std::span<Machine* const> machines) {
@@ -109,8 +109,8 @@
   return sum;
 }
 
-bool Allowed(const JobSpec& spec, const Machine& machine,
-             const ZoneSpread& spread) {
+bool ConstraintsAllow(const JobSpec& spec, const Machine& machine,
+                      const ZoneSpread& spread) {
   if (machine.type == nullptr || !spec.AllowsType(machine.type_name) ||
       !spec.AllowsZone(machine.zone) || (machine.spot && !spec.spot)) {
     return false;
@@ -135,11 +135,11 @@
                             const Resources& more) {
   // Until the first such task has come, it may need all there is.
   const Resources& need = shape.gpus > 0 ? shape : machine.total();
-  return !need.FitsIn(machine.total() - machine.staying - more);
+  return !need.FitsIn(machine.total() - machine.used_by_services - more);
 }
 
-double SecondsToImage(const Machine& machine, const JobSpec& spec) {
-  const double own_gb = machine.BytesToFetch(spec.image, spec.image_gb);
+double SecondsUntilImageCached(const Machine& machine, const JobSpec& spec) {
+  const double own_gb = machine.GbToFetch(spec.image, spec.image_gb);
   // A fetch may be slower than the nominal rate by a third. What was measured
   // below that shared the bandwidth with other fetches, and those are counted
   // here by themselves.
@@ -155,11 +155,12 @@
     const JobSpec& spec, const Machine& machine,
     std::optional<double> wait_slo_seconds) const {
   if (!CountsFragmentation(spec, machine)) return false;
-  if (fragmentation_->Added(machine, spec.need) > kNoFragmentation) return true;
+  if (fragmentation_->AddedFragmentation(machine, spec.need) > kNoFragmentation)
+    return true;
   // Where lasting work leaves too little, preemption of short work would not
   // help.
   return spec.need.gpus > 0 &&
-         (!spec.need.FitsIn(LastingRoom(machine)) ||
+         (!spec.need.FitsIn(CapacityBesideLongRunning(machine)) ||
           ImageComesLate(machine, spec, wait_slo_seconds));
 }
 
@@ -167,9 +168,10 @@
                                  const Machine& machine) const {
   const JobSpec& spec = request.job.spec();
   const Resources& total = machine.type->total;
-  double cost = fragmentation_->Added(machine, spec.need) / total.gpus;
+  double cost =
+      fragmentation_->AddedFragmentation(machine, spec.need) / total.gpus;
   if (spec.need.gpus <= 0) return cost;
-  cost -= kFillBonus * machine.lasting.gpus / total.gpus;
+  cost -= kFillBonus * machine.used_by_long_running.gpus / total.gpus;
   if (ImageComesLate(machine, spec, request.wait_slo_seconds))
     cost += kLateImageCost;
   if (spec.kind == JobKind::kService &&
--- a/core/placement/placement.h
+++ b/core/placement/placement.h
@@ -56,8 +56,8 @@
 // Whether the job's constraints allow one more of its tasks on this machine:
 // type, zone, spot instance, `one_zone` and `spread`. Capacity and health are
 // not looked at.
-bool Allowed(const JobSpec& spec, const Machine& machine,
-             const ZoneSpread& spread);
+bool ConstraintsAllow(const JobSpec& spec, const Machine& machine,
+                      const ZoneSpread& spread);
 
 // Whether a replica of this job would leave the accelerators of the machine
 // without the capacity that work of the given shape needs beside them. False if
@@ -72,7 +72,7 @@
 
 // How long until the image would be cached, behind the images that the machine
 // fetches already: they share its bandwidth. `machine.type` is not null.
-double SecondsToImage(const Machine& machine, const JobSpec& spec);
+double SecondsUntilImageCached(const Machine& machine, const JobSpec& spec);
 
 // The most tasks of a service with accelerators that are packed on one machine:
 // the loss of a machine must not take down the service.
--- a/core/priority_tiers/mass_failure_recovery.cc
+++ b/core/priority_tiers/mass_failure_recovery.cc
@@ -35,7 +35,7 @@
 }
 
 void MassFailureRecovery::Change(RecoveryStep next, Time now) {
-  CheckedChange(step_, next, kChanges, "mass failure recovery");
+  CheckedTransition(step_, next, kChanges, "mass failure recovery");
   step_since_ = now;
   if (next == kAssessingLoss) last_released_ = 0;
   if (next == kCooldown) {
--- a/core/priority_tiers/mass_failure_recovery.h
+++ b/core/priority_tiers/mass_failure_recovery.h
@@ -67,22 +67,22 @@
 
   RecoveryStep step() const { return step_; }
   // Whether lower tiers wait.
-  bool holds() const {
+  bool delays_lower_tiers() const {
     return step_ == RecoveryStep::kAssessingLoss ||
            step_ == RecoveryStep::kBestTierFirst ||
            step_ == RecoveryStep::kReleasingTiers;
   }
   // Whether jobs of the tier at that place may start tasks.
   bool MayStart(size_t place) const {
-    return !holds() || place <= last_released_;
+    return !delays_lower_tiers() || place <= last_released_;
   }
   // Whether a start of that tier may begin a fetch.
   bool MayFetch(size_t place) const {
-    return !holds() || place == 0 || fetches_left_ > 0;
+    return !delays_lower_tiers() || place == 0 || fetches_left_ > 0;
   }
   // A start of that tier has begun a fetch.
   void NoteFetch(size_t place) {
-    if (holds() && place > 0 && fetches_left_ > 0) --fetches_left_;
+    if (delays_lower_tiers() && place > 0 && fetches_left_ > 0) --fetches_left_;
   }
 
  private:
