--- a/core/priority_tiers/tier_manager.cc
+++ b/core/priority_tiers/tier_manager.cc
@@ -19,15 +19,15 @@
       tiers_(context.tiers),
       rollout_manager_(modules.rollout_manager) {}
 
-void TierManager::UseTiers(std::shared_ptr<const TierSet> set) {
-  if (!tiers_.Use(std::move(set))) return;
-  tiers_.ForgetHeld();
+void TierManager::SetTiers(std::shared_ptr<const TierSet> set) {
+  if (!tiers_.SetTiers(std::move(set))) return;
+  tiers_.ClearUsage();
   for (const auto& [id, job] : cluster_.jobs()) {
     job->tier = tiers_.Classify(job->spec());
   }
   for (const auto& machine : cluster_.machines()) {
     for (const auto& [key, attempt] : machine->task_attempts) {
-      if (attempt.holds) tiers_.Hold(attempt.job->tier, attempt.need);
+      if (attempt.charged) tiers_.AddUsage(attempt.job->tier, attempt.need);
     }
   }
   context_.Log("priority tiers in force",
@@ -35,9 +35,9 @@
   cluster_.MarkChanged();
 }
 
-void TierManager::BeginTiers(const std::vector<Job*>& order,
-                             const std::vector<Machine*>& usable,
-                             bool accounted, Time now) {
+void TierManager::BeginPass(const std::vector<Job*>& order,
+                            const std::vector<Machine*>& usable, bool accounted,
+                            Time now) {
   if (!tiers_.active()) return;
   TierObservation observation;
   observation.machines = usable.size();
@@ -52,7 +52,7 @@
   // Before every machine is accounted for, nobody knows what is missing.
   if (accounted) ObserveBestTier(now, observation);
   const RecoveryStep before = tiers_.recovery().step();
-  tiers_.Begin(observation, now);
+  tiers_.BeginPass(observation, now);
   LogRecoveryStep(before);
 }
 
@@ -93,10 +93,11 @@
   }
 }
 
-bool TierManager::TierAllows(const Job& job, const Machine& machine) const {
+bool TierManager::TierAllowsPlacement(const Job& job,
+                                      const Machine& machine) const {
   const JobSpec& spec = job.spec();
   if (tiers_.MayUse(job, job.tier, machine.zone, spec.need,
-                    machine.BytesToFetch(spec.image, spec.image_gb) > 0)) {
+                    machine.GbToFetch(spec.image, spec.image_gb) > 0)) {
     return true;
   }
   // Capacity that was freed for the job by preemption is its own: if it were
@@ -108,14 +109,15 @@
                                        const PreemptionPlan& plan) const {
   const JobSpec& spec = job.spec();
   return plan.victims.empty() && spec.need.FitsIn(machine.free()) &&
-         !TierAllows(job, machine);
+         !TierAllowsPlacement(job, machine);
 }
 
-void TierManager::SurveyTiers() {
+void TierManager::UpdateTierUsage() {
   if (!tiers_.active()) return;
   for (size_t place = 0; place < tiers_.set().size(); ++place) {
     const auto tier = static_cast<uint8_t>(place);
-    if (tiers_.ReservesHeadroom(tier)) tiers_.Survey(tier, UseByZone(tier));
+    if (tiers_.ReservesHeadroom(tier))
+      tiers_.UpdateLargestLoss(tier, UseByZone(tier));
   }
 }
 
@@ -124,7 +126,7 @@
   for (const auto& [id, job] : cluster_.jobs()) {
     if (job->tier != tier) continue;
     for (const auto& [index, presence] : job->presence()) {
-      by_machine[index] += job->spec().need * presence.holding;
+      by_machine[index] += job->spec().need * presence.charged_attempts;
     }
   }
   std::map<std::string, TierUse> by_zone;
@@ -136,7 +138,7 @@
   return by_zone;
 }
 
-void TierManager::ReserveTierHeadroom(AutoscalerInput& input) const {
+void TierManager::ReserveTierHeadroom(ScaleOutInput& input) const {
   if (!tiers_.active()) return;
   uint8_t lowest_waiting = 0;
   for (const auto& [id, job] : cluster_.jobs()) {
@@ -144,10 +146,11 @@
     lowest_waiting = std::max(lowest_waiting, job->tier);
   }
   std::map<std::string, Resources> to_reserve;  // by zone
-  for (PoolCapacity& capacity : input.capacity) {
+  for (MachineCapacity& capacity : input.capacity) {
     const auto [it, first] = to_reserve.try_emplace(capacity.pool.zone);
     if (first) {
-      it->second = tiers_.ReservedAgainst(lowest_waiting, capacity.pool.zone);
+      it->second =
+          tiers_.HeadroomOfBetterTiers(lowest_waiting, capacity.pool.zone);
     }
     const Resources reserved =
         Smaller(Larger(it->second, {}), Larger(capacity.free, {}));
--- a/core/priority_tiers/tier_manager.h
+++ b/core/priority_tiers/tier_manager.h
@@ -28,21 +28,20 @@
   // Begins a scheduling pass. `order`: the jobs that wait; `usable`: the
   // machines that take new work; `accounted`: whether every machine is
   // accounted for.
-  void BeginTiers(const std::vector<Job*>& order,
-                  const std::vector<Machine*>& usable, bool accounted,
-                  Time now);
+  void BeginPass(const std::vector<Job*>& order,
+                 const std::vector<Machine*>& usable, bool accounted, Time now);
   // Whether the job may use that capacity of the machine.
-  bool TierAllows(const Job& job, const Machine& machine) const;
+  bool TierAllowsPlacement(const Job& job, const Machine& machine) const;
   // Whether the plan preempts nothing and would only use reserved headroom.
   bool UsesReservedHeadroom(const Job& job, const Machine& machine,
                             const PreemptionPlan& plan) const;
   // Measures what the tiers that reserve headroom use; now and then.
-  void SurveyTiers();
+  void UpdateTierUsage();
   // Subtracts the headroom from the capacity: jobs that wait can't use it.
-  void ReserveTierHeadroom(AutoscalerInput& input) const;
+  void ReserveTierHeadroom(ScaleOutInput& input) const;
   // The tiers in force, at the beginning and whenever they change. Running
   // tasks move to their new tier and are not stopped.
-  void UseTiers(std::shared_ptr<const TierSet> set);
+  void SetTiers(std::shared_ptr<const TierSet> set);
 
  private:
   void ObserveBestTier(Time now, TierObservation& observation) const;
--- a/core/priority_tiers/tier_policy.cc
+++ b/core/priority_tiers/tier_policy.cc
@@ -38,10 +38,10 @@
       on_(on),
       limits_(RecoveryLimits::From(settings.workers)),
       recovery_(limits_) {
-  Use(nullptr);
+  SetTiers(nullptr);
 }
 
-bool TierPolicy::Use(std::shared_ptr<const TierSet> set) {
+bool TierPolicy::SetTiers(std::shared_ptr<const TierSet> set) {
   if (set == nullptr) set = std::make_shared<const TierSet>();
   if (set_ != nullptr && *set == *set_) {
     // The same tiers under another version: the measurements stay valid.
@@ -61,18 +61,18 @@
   return true;
 }
 
-void TierPolicy::Hold(uint8_t place, const Resources& need) {
+void TierPolicy::AddUsage(uint8_t place, const Resources& need) {
   held_[place] += need;
 }
 
-void TierPolicy::Release(uint8_t place, const Resources& need) {
+void TierPolicy::SubtractUsage(uint8_t place, const Resources& need) {
   held_[place] -= need;
 }
 
-void TierPolicy::ForgetHeld() { held_.assign(set_->size(), {}); }
+void TierPolicy::ClearUsage() { held_.assign(set_->size(), {}); }
 
-void TierPolicy::Survey(uint8_t place,
-                        const std::map<std::string, TierUse>& use_by_zone) {
+void TierPolicy::UpdateLargestLoss(
+    uint8_t place, const std::map<std::string, TierUse>& use_by_zone) {
   std::map<std::string, Resources> by_zone;
   std::map<std::string, Resources> by_machine;
   for (const auto& [zone, use] : use_by_zone) {
@@ -82,7 +82,7 @@
   largest_losses_[place] = LargestLoss(by_zone, by_machine);
 }
 
-void TierPolicy::Begin(const TierObservation& observation, Time now) {
+void TierPolicy::BeginPass(const TierObservation& observation, Time now) {
   others_served_ = false;
   if (!active()) return;
   free_ = observation.free;
@@ -108,7 +108,7 @@
 void TierPolicy::ReserveHeadroom(const TierObservation& observation, Time now) {
   for (size_t place = 0; place < set_->size(); ++place) {
     headroom_by_zone_[place].clear();
-    const double share = set_->at(place).kept_share;
+    const double share = set_->at(place).headroom_share;
     if (share <= 0) continue;
     for (const auto& [zone, total] : observation.total) {
       const auto loss = largest_losses_[place].find(zone);
@@ -125,8 +125,9 @@
   for (Turn& turn : turns_) turn.job = nullptr;
   for (const TierObservation::Waiting& waiting : observation.waiting) {
     const uint8_t place = waiting.place;
-    if (place == 0 || waiting.begun || now < turns_[place].not_before) continue;
-    if (waiting.waited_seconds < set_->at(place).floor_seconds) continue;
+    if (place == 0 || waiting.has_begun || now < turns_[place].not_before)
+      continue;
+    if (waiting.waited_seconds < set_->at(place).turn_wait_seconds) continue;
     if (waiting.waited_seconds <= longest[place]) continue;
     longest[place] = waiting.waited_seconds;
     turns_[place].job = waiting.job;
@@ -146,7 +147,7 @@
 bool TierPolicy::WithinShare(const Job& job, uint8_t place,
                              const Resources& need) const {
   if (!active() || others_served_ || HasTurn(job, place)) return true;
-  const double share = set_->at(place).most_share;
+  const double share = set_->at(place).max_share;
   if (share >= 1) return true;
   if (!OtherTiersWait(waiting_, place)) return true;
   const Resources most = total_ * share;
@@ -155,8 +156,8 @@
          (need.gpus <= 0 || want.gpus <= most.gpus + kEpsilon);
 }
 
-Resources TierPolicy::ReservedAgainst(uint8_t place,
-                                      const std::string& zone) const {
+Resources TierPolicy::HeadroomOfBetterTiers(uint8_t place,
+                                            const std::string& zone) const {
   Resources reserved;
   if (!active()) return reserved;
   for (size_t better = 0; better < place; ++better) {
@@ -172,34 +173,36 @@
   if (fetches && !recovery_.MayFetch(place)) return false;
   const auto free = free_.find(zone);
   if (free == free_.end()) return true;
-  return LeavesReserved(free->second, need, ReservedAgainst(place, zone));
+  return LeavesReserved(free->second, need, HeadroomOfBetterTiers(place, zone));
 }
 
-void TierPolicy::Take(const std::string& zone, const Resources& need) {
+void TierPolicy::TakeCapacity(const std::string& zone, const Resources& need) {
   if (active()) free_[zone] -= need;
 }
 
-void TierPolicy::Give(const std::string& zone, const Resources& need) {
+void TierPolicy::ReturnCapacity(const std::string& zone,
+                                const Resources& need) {
   if (active()) free_[zone] += need;
 }
 
-void TierPolicy::Started(const Job& job, uint8_t place, const std::string& zone,
-                         const Resources& need, bool fetches, Time now) {
+void TierPolicy::OnTaskStarted(const Job& job, uint8_t place,
+                               const std::string& zone, const Resources& need,
+                               bool fetches, Time now) {
   if (!active()) return;
   if (ReservesHeadroom(place)) headroom_[place].OnStart(zone, need, now);
   if (fetches) recovery_.NoteFetch(place);
   // The turn of a gang is all of its tasks; of another job, one task.
   if (HasTurn(job, place) && job.spec().kind != JobKind::kGang) {
-    TurnUsed(job, place, now);
+    EndTurn(job, place, now);
   }
 }
 
-void TierPolicy::TurnUsed(const Job& job, uint8_t place, Time now) {
+void TierPolicy::EndTurn(const Job& job, uint8_t place, Time now) {
   if (!HasTurn(job, place)) return;
   turns_[place] = {nullptr, now + lease_seconds_};
 }
 
-void TierPolicy::Forget(const Job& job) {
+void TierPolicy::OnJobRemoved(const Job& job) {
   for (Turn& turn : turns_) {
     if (turn.job == &job) turn.job = nullptr;
   }
--- a/core/priority_tiers/tier_policy.h
+++ b/core/priority_tiers/tier_policy.h
@@ -32,7 +32,7 @@
     const Job* job = nullptr;
     uint8_t place = 0;
     double waited_seconds = 0;
-    bool begun = false;  // some task of it has a place or is done
+    bool has_begun = false;  // some task of it has a place or is done
   };
   std::vector<Waiting> waiting;
   // Replicas of the best tier; see RecoveryObservation.
@@ -50,7 +50,7 @@
 
   // Null or a set of one tier only: nothing is changed. Returns whether jobs
   // have to be classified again.
-  bool Use(std::shared_ptr<const TierSet> set);
+  bool SetTiers(std::shared_ptr<const TierSet> set);
   bool active() const { return on_ && set_->size() > 1; }
   const TierSet& set() const { return *set_; }
   uint8_t Classify(const JobSpec& spec) const {
@@ -58,20 +58,21 @@
   }
 
   // What each tier uses, changed by these alone.
-  void Hold(uint8_t place, const Resources& need);
-  void Release(uint8_t place, const Resources& need);
-  void ForgetHeld();  // before everything is entered again
+  void AddUsage(uint8_t place, const Resources& need);
+  void SubtractUsage(uint8_t place, const Resources& need);
+  void ClearUsage();  // before everything is entered again
   const Resources& held(uint8_t place) const { return held_[place]; }
 
   // What a tier that reserves headroom uses in each zone; to be called now and
   // then.
-  void Survey(uint8_t place, const std::map<std::string, TierUse>& use_by_zone);
+  void UpdateLargestLoss(uint8_t place,
+                         const std::map<std::string, TierUse>& use_by_zone);
   bool ReservesHeadroom(uint8_t place) const {
-    return active() && set_->at(place).kept_share > 0;
+    return active() && set_->at(place).headroom_share > 0;
   }
 
   // Begins a scheduling pass.
-  void Begin(const TierObservation& observation, Time now);
+  void BeginPass(const TierObservation& observation, Time now);
   // The job's place in the queue among jobs that can't stop one another; least
   // first. One that has waited too long comes next after the best tier.
   int RankOf(const Job& job, uint8_t place) const;
@@ -80,26 +81,26 @@
   // Whether one more task keeps the tier within its share while others wait.
   // What is refused may ask again once all others have been served.
   bool WithinShare(const Job& job, uint8_t place, const Resources& need) const;
-  void OthersServed() { others_served_ = true; }
+  void OnOtherTiersServed() { others_served_ = true; }
   // Whether the headroom of better tiers stays free, and a fetch may begin.
   bool MayUse(const Job& job, uint8_t place, const std::string& zone,
               const Resources& need, bool fetches) const;
   // Capacity that is taken within the pass, and given back.
-  void Take(const std::string& zone, const Resources& need);
-  void Give(const std::string& zone, const Resources& need);
+  void TakeCapacity(const std::string& zone, const Resources& need);
+  void ReturnCapacity(const std::string& zone, const Resources& need);
   // A task was started; its capacity has been taken before.
-  void Started(const Job& job, uint8_t place, const std::string& zone,
-               const Resources& need, bool fetches, Time now);
+  void OnTaskStarted(const Job& job, uint8_t place, const std::string& zone,
+                     const Resources& need, bool fetches, Time now);
   // All starts of the job's turn are made.
-  void TurnUsed(const Job& job, uint8_t place, Time now);
+  void EndTurn(const Job& job, uint8_t place, Time now);
   bool HasTurn(const Job& job, uint8_t place) const {
     return active() && turns_[place].job == &job;
   }
   // The job is about to be destroyed.
-  void Forget(const Job& job);
+  void OnJobRemoved(const Job& job);
 
   // The headroom of all tiers better than that one, in the zone.
-  Resources ReservedAgainst(uint8_t place, const std::string& zone) const;
+  Resources HeadroomOfBetterTiers(uint8_t place, const std::string& zone) const;
   const MassFailureRecovery& recovery() const { return recovery_; }
 
  private:
--- a/core/priority_tiers/tier_set.cc
+++ b/core/priority_tiers/tier_set.cc
@@ -50,7 +50,7 @@
 
 std::string NotANameText(const std::string& word, const TierBounds& bounds) {
   std::string problem = "\"";
-  problem += word.substr(0, bounds.most_word);
+  problem += word.substr(0, bounds.max_name_bytes);
   problem += "\" is no name";
   return problem;
 }
@@ -58,13 +58,13 @@
 MaybeError FindListError(std::string field,
                          const std::vector<std::string>& words,
                          const TierBounds& bounds) {
-  if (words.size() > bounds.most_words) {
-    return TierError{std::move(field), std::to_string(words.size()) +
-                                           " names, at most " +
-                                           std::to_string(bounds.most_words)};
+  if (words.size() > bounds.max_names_per_list) {
+    return TierError{std::move(field),
+                     std::to_string(words.size()) + " names, at most " +
+                         std::to_string(bounds.max_names_per_list)};
   }
   for (const std::string& word : words) {
-    if (!PlainWord(word, bounds.most_word)) {
+    if (!PlainWord(word, bounds.max_name_bytes)) {
       return TierError{std::move(field), NotANameText(word, bounds)};
     }
   }
@@ -75,50 +75,50 @@
 struct EarlierTiers {
   std::set<std::string> names;
   std::set<uint32_t> ranks;
-  double kept_share = 0;
+  double headroom_share = 0;
 };
 
 MaybeError FindShareError(const Tier& tier, const std::string& where,
                           EarlierTiers& earlier) {
-  if (!IsShare(tier.kept_share)) {
+  if (!IsShare(tier.headroom_share)) {
     return TierError{where + "kept_share",
-                     Number(tier.kept_share) + " is not between 0 and 1"};
+                     Number(tier.headroom_share) + " is not between 0 and 1"};
   }
-  if (!IsShare(tier.most_share) || tier.most_share <= 0) {
+  if (!IsShare(tier.max_share) || tier.max_share <= 0) {
     return TierError{where + "most_share",
-                     Number(tier.most_share) + " is not above 0 and at most 1"};
+                     Number(tier.max_share) + " is not above 0 and at most 1"};
   }
-  if (tier.kept_share > tier.most_share) {
+  if (tier.headroom_share > tier.max_share) {
     return TierError{where + "kept_share",
-                     Number(tier.kept_share) +
+                     Number(tier.headroom_share) +
                          " is more than the tier may hold, " +
-                         Number(tier.most_share)};
+                         Number(tier.max_share)};
   }
-  earlier.kept_share += tier.kept_share;
-  if (earlier.kept_share > 1 + kShareEpsilon) {
-    return TierError{
-        where + "kept_share",
-        "the shares add up to " + Number(earlier.kept_share) + ", more than 1"};
+  earlier.headroom_share += tier.headroom_share;
+  if (earlier.headroom_share > 1 + kShareEpsilon) {
+    return TierError{where + "kept_share", "the shares add up to " +
+                                               Number(earlier.headroom_share) +
+                                               ", more than 1"};
   }
   return std::nullopt;
 }
 
 MaybeError FindFloorError(const Tier& tier, const std::string& where,
                           const TierBounds& bounds) {
-  if (tier.floor_seconds == 0 ||
-      (tier.floor_seconds >= bounds.least_floor_seconds &&
-       tier.floor_seconds <= bounds.most_floor_seconds)) {
+  if (tier.turn_wait_seconds == 0 ||
+      (tier.turn_wait_seconds >= bounds.min_turn_wait_seconds &&
+       tier.turn_wait_seconds <= bounds.max_turn_wait_seconds)) {
     return std::nullopt;
   }
   return TierError{where + "floor_s",
-                   Number(tier.floor_seconds) + " is not between " +
-                       Number(bounds.least_floor_seconds) + " and " +
-                       Number(bounds.most_floor_seconds)};
+                   Number(tier.turn_wait_seconds) + " is not between " +
+                       Number(bounds.min_turn_wait_seconds) + " and " +
+                       Number(bounds.max_turn_wait_seconds)};
 }
 
 MaybeError FindErrorOf(const Tier& tier, const TierBounds& bounds,
                        EarlierTiers& earlier) {
-  if (!PlainWord(tier.name, bounds.most_word)) {
+  if (!PlainWord(tier.name, bounds.max_name_bytes)) {
     return TierError{"name", NotANameText(tier.name, bounds)};
   }
   const std::string where = "tier " + tier.name + ", ";
@@ -146,18 +146,19 @@
 TierBounds TierBounds::From(const Settings& settings) {
   TierBounds bounds;
   const double lease = settings.workers.lease_seconds;
-  bounds.least_floor_seconds = lease;
-  bounds.most_floor_seconds = 24 * lease;
-  bounds.usual_floor_seconds = 12 * lease;
+  bounds.min_turn_wait_seconds = lease;
+  bounds.max_turn_wait_seconds = 24 * lease;
+  bounds.default_turn_wait_seconds = 12 * lease;
   // The other half is for the author, the note and the version.
-  bounds.most_text = static_cast<size_t>(settings.store.value_kb * 1024 / 2);
+  bounds.max_record_bytes =
+      static_cast<size_t>(settings.store.value_kb * 1024 / 2);
   return bounds;
 }
 
 TierBounds TierBounds::OfStored(const Settings& settings) {
   TierBounds bounds = From(settings);
-  bounds.most_text =
-      std::max(bounds.most_text,
+  bounds.max_record_bytes =
+      std::max(bounds.max_record_bytes,
                static_cast<size_t>(settings.store.stored_value_kb * 1024));
   return bounds;
 }
@@ -178,8 +179,8 @@
   rest.rank = UINT32_MAX;
   by_rank_.push_back(rest);
   for (Tier& tier : by_rank_) {
-    if (tier.floor_seconds <= 0)
-      tier.floor_seconds = bounds.usual_floor_seconds;
+    if (tier.turn_wait_seconds <= 0)
+      tier.turn_wait_seconds = bounds.default_turn_wait_seconds;
   }
   for (const Tier& tier : listed_) {
     const auto it = std::find_if(
@@ -202,8 +203,9 @@
            a.match.classes == b.match.classes &&
            a.match.teams == b.match.teams &&
            a.match.priorities == b.match.priorities &&
-           a.match.kinds == b.match.kinds && a.kept_share == b.kept_share &&
-           a.most_share == b.most_share && a.floor_seconds == b.floor_seconds;
+           a.match.kinds == b.match.kinds &&
+           a.headroom_share == b.headroom_share && a.max_share == b.max_share &&
+           a.turn_wait_seconds == b.turn_wait_seconds;
   };
   return std::equal(listed_.begin(), listed_.end(), other.listed_.begin(),
                     other.listed_.end(), same);
@@ -218,10 +220,10 @@
   if (tiers.empty()) {
     return TierError{"tiers", "none given; withdraw the record instead"};
   }
-  if (tiers.size() > bounds.most_tiers) {
+  if (tiers.size() > bounds.max_tiers) {
     return TierError{"tiers", std::to_string(tiers.size()) +
                                   " given, at most " +
-                                  std::to_string(bounds.most_tiers)};
+                                  std::to_string(bounds.max_tiers)};
   }
   EarlierTiers earlier;
   for (const Tier& tier : tiers) {
@@ -240,7 +242,7 @@
 TiersInForce::TiersInForce() : set_(std::make_shared<const TierSet>()) {}
 
 void TiersInForce::Change(TierSource next) {
-  CheckedChange(source_, next, kChanges, "tiers in force");
+  CheckedTransition(source_, next, kChanges, "tiers in force");
   if (next != kBuiltIn) return;
   version_ = 0;
   set_ = std::make_shared<const TierSet>();
--- a/core/priority_tiers/tier_set.h
+++ b/core/priority_tiers/tier_set.h
@@ -17,13 +17,13 @@
 
 // Limits on a set of tiers.
 struct TierBounds {
-  size_t most_tiers = 16;
-  size_t most_words = 64;    // in one list of a match
-  size_t most_word = 64;     // bytes of a name
-  size_t most_text = 8'192;  // bytes of the record
-  double least_floor_seconds = 10;
-  double most_floor_seconds = 240;
-  double usual_floor_seconds = 120;  // of a tier that names none
+  size_t max_tiers = 16;
+  size_t max_names_per_list = 64;   // in one list of a match
+  size_t max_name_bytes = 64;       // bytes of a name
+  size_t max_record_bytes = 8'192;  // bytes of the record
+  double min_turn_wait_seconds = 10;
+  double max_turn_wait_seconds = 240;
+  double default_turn_wait_seconds = 120;  // of a tier that names none
 
   static TierBounds From(const Settings& settings);
   // For a set that is recorded already, perhaps when larger values were
@@ -51,10 +51,10 @@
   std::string name;
   uint32_t rank = 0;  // the least comes first
   TierMatch match;
-  double kept_share = 0;  // of each zone's capacity: the most to reserve
-  double most_share = 1;  // of all capacity, while others wait; 1: no limit
+  double headroom_share = 0;  // of each zone's capacity: the most to reserve
+  double max_share = 1;       // of all capacity, while others wait; 1: no limit
   // A job that has waited for so long gets a turn; 0: the usual time.
-  double floor_seconds = 0;
+  double turn_wait_seconds = 0;
 };
 
 // Tiers in the order in which they are matched. Jobs that no tier matches
--- a/core/read_consistency/read_consistency_gate.cc
+++ b/core/read_consistency/read_consistency_gate.cc
@@ -23,15 +23,16 @@
 
 }  // namespace
 
-StatusDecision Decide(const StatusEvidence& evidence) {
-  if (evidence.end != TerminalState::kNone) return StatusDecision::kEnd;
+StatusDecision DecideStatus(const StatusEvidence& evidence) {
+  if (evidence.end != TerminalState::kNone)
+    return StatusDecision::kTerminalState;
   switch (evidence.read) {
     case RecordRead::kNone:
       return evidence.observation == JobObservation::kLive
                  ? StatusDecision::kLive
                  : StatusDecision::kReadFirst;
-    case RecordRead::kUnclear:
-      return StatusDecision::kNothing;
+    case RecordRead::kInconclusive:
+      return StatusDecision::kTryAgain;
     case RecordRead::kLive:
       return StatusDecision::kLive;
     case RecordRead::kMissing:
@@ -39,7 +40,7 @@
   }
   switch (evidence.observation) {
     case JobObservation::kUnseen:
-      return StatusDecision::kDenial;
+      return StatusDecision::kNoSuchJob;
     case JobObservation::kUnrecorded:
       return StatusDecision::kLive;
     case JobObservation::kLive:
@@ -47,7 +48,7 @@
     case JobObservation::kEnded:
       break;
   }
-  return StatusDecision::kNothing;  // a record has been lost
+  return StatusDecision::kTryAgain;  // a record has been lost
 }
 
 void ReadConsistencyGate::Change(const std::string& job, Event event) {
@@ -69,7 +70,7 @@
     case Event::kConfirmed:
       break;
   }
-  CheckedChange(write.state, next, kTransitions, "read consistency gate");
+  CheckedTransition(write.state, next, kTransitions, "read consistency gate");
   if (next == State::kClear) pending_.erase(job);
 }
 
--- a/core/read_consistency/read_consistency_gate.h
+++ b/core/read_consistency/read_consistency_gate.h
@@ -30,8 +30,8 @@
 
 // A record as found by a read that began after the user's question.
 enum class RecordRead : uint8_t {
-  kNone,     // not read yet
-  kUnclear,  // the read failed, or its result is not reliable
+  kNone,          // not read yet
+  kInconclusive,  // the read failed, or its result is not reliable
   kLive,
   kMissing,  // neither among the live records nor then among the terminal ones
 };
@@ -47,15 +47,15 @@
 
 // How to answer a user.
 enum class StatusDecision : uint8_t {
-  kEnd,        // answer with the terminal state
-  kLive,       // answer with the live state
-  kDenial,     // there is no such job
-  kReadFirst,  // decide again after a read
-  kNothing,    // unavailable: the user has to ask again
+  kTerminalState,  // answer with the terminal state
+  kLive,           // answer with the live state
+  kNoSuchJob,      // there is no such job
+  kReadFirst,      // decide again after a read
+  kTryAgain,       // unavailable: the user has to ask again
 };
 
 // The one rule for every answer about a job.
-StatusDecision Decide(const StatusEvidence& evidence);
+StatusDecision DecideStatus(const StatusEvidence& evidence);
 
 // A write that ends a job, conditioned on the mod revision of its record.
 struct TerminalStateWrite {
--- a/core/rebalancing/rebalancer.cc
+++ b/core/rebalancing/rebalancer.cc
@@ -81,7 +81,7 @@
 
 void Rebalancer::Change(Move& move, ReplicaMoveState next, Time now,
                         GiveUpReason reason) {
-  CheckedChange(move.state, next, kTransitions, "replica move");
+  CheckedTransition(move.state, next, kTransitions, "replica move");
   move.state_since = now;
   if (next == kStopping) move.stop_sent_at = now;
   move.reason = reason;
@@ -108,8 +108,8 @@
                          Time now) {
   Move move;
   move.claim = claim;
-  move.ends_at = claim.until_wall - wall_minus_steady;
-  move.cooldown_ends_at = claim.cool_wall - wall_minus_steady;
+  move.ends_at = claim.expires_wall - wall_minus_steady;
+  move.cooldown_ends_at = claim.cooldown_until_wall - wall_minus_steady;
   // The times are bounded in case the record is wrong or was written by a
   // controller with a wrong wall clock.
   const double longest = limits_.cooldown_leases * limits_.lease_seconds;
@@ -173,8 +173,8 @@
     move.cooldown_ends_at =
         now + std::max(longest, limits_.cooldown_leases * lease);
     claim.id = id;
-    claim.until_wall = move.ends_at + wall_minus_steady;
-    claim.cool_wall = move.cooldown_ends_at + wall_minus_steady;
+    claim.expires_wall = move.ends_at + wall_minus_steady;
+    claim.cooldown_until_wall = move.cooldown_ends_at + wall_minus_steady;
     move.claim = claim;
     move.zone = request.zone;
     move.team = request.team;
--- a/core/rebalancing/rebalancer.h
+++ b/core/rebalancing/rebalancer.h
@@ -59,9 +59,9 @@
   std::string to;        // host name of the target
   std::string for_job;   // the job that waits for the capacity on the source
   // When the claim expires, whatever the state of the move.
-  double until_wall = 0;
+  double expires_wall = 0;
   // End of the cooldown: no new move of the service begins before.
-  double cool_wall = 0;
+  double cooldown_until_wall = 0;
 };
 
 // What the leader observes of a move at one moment.
--- a/core/rebalancing/rebalancing_manager.cc
+++ b/core/rebalancing/rebalancing_manager.cc
@@ -48,7 +48,7 @@
   bool ReplacesQueued() const override { return true; }
 
   BuildResult Build(CompareAndSwap* txn) const override {
-    const auto& recorded = context_.catalog.operators();
+    const auto& recorded = context_.catalog.operator_records();
     const auto it = recorded.find(name());
     const bool known = it != recorded.end();
     if (known && it->second.version >= record_.version) {
@@ -92,7 +92,7 @@
       dispatcher_(modules.dispatcher),
       rollout_manager_(modules.rollout_manager) {}
 
-void RebalancingManager::UseMoves(const MoveCodec& codec, Time now) {
+void RebalancingManager::EnableReplicaMoves(const MoveCodec& codec, Time now) {
   if (tuning_.moves_at_once < 1 || tuning_.fragmentation_weight <= 0) return;
   move_codec_ = codec;
   MoveLimits limits;
@@ -106,7 +106,7 @@
   limits.heartbeat_interval_seconds =
       settings_.workers.heartbeat_interval_seconds;
   rebalancer_.emplace(limits);
-  for (const auto& [name, record] : catalog_.operators()) {
+  for (const auto& [name, record] : catalog_.operator_records()) {
     MoveClaim claim;
     if (!name.starts_with(kRecordPrefix) || record.withdrawn ||
         !move_codec_.read(record.text, &claim) ||
@@ -121,7 +121,7 @@
   if (!rebalancer_ || !name.starts_with(kRecordPrefix)) return;
   const std::string id = name.substr(kRecordPrefix.size());
   const auto move = rebalancer_->moves().find(id);
-  const auto record = catalog_.operators().find(name);
+  const auto record = catalog_.operator_records().find(name);
   if (move == rebalancer_->moves().end() ||
       move->second.state != ReplicaMoveState::kPlanned) {
     return;
@@ -129,7 +129,8 @@
   // The watch may deliver an older version of the record before the write
   // completes. Only a record with the same contents is this claim.
   const bool recorded =
-      record != catalog_.operators().end() && !record->second.withdrawn &&
+      record != catalog_.operator_records().end() &&
+      !record->second.withdrawn &&
       record->second.text == move_codec_.write(move->second.claim);
   if (recorded) rebalancer_->OnRecorded(id, now);
 }
@@ -218,7 +219,8 @@
     zones.Add(cluster_.FindMachine(move.claim.from)->zone, -1);
   }
   observation.target_usable =
-      machine_health_.Usable(*target, now) && Allowed(spec, *target, zones) &&
+      machine_health_.Usable(*target, now) &&
+      ConstraintsAllow(spec, *target, zones) &&
       spec.need.FitsIn(target->CapacityFor(&job, spec.priority));
 }
 
@@ -238,8 +240,8 @@
       rollout_manager_.RolloutOf(job) == nullptr &&
       rollout_manager_.DisruptionAllowed({claim.job, claim.task, claim.attempt},
                                          job, now) &&
-      liveness_.LossAllowed(*cluster_.FindMachine(claim.from),
-                            LossCause::kMoved, now);
+      liveness_.RemovalAllowed(*cluster_.FindMachine(claim.from),
+                               RemovalCause::kConsolidated, now);
 }
 
 void RebalancingManager::AdvanceMoves(Time now) {
@@ -285,7 +287,7 @@
 }
 
 void RebalancingManager::TickMoves(
-    const std::vector<std::string>& large_waiting, Time now) {
+    const std::vector<std::string>& waiting_accelerator_jobs, Time now) {
   if (!rebalancer_ || now < next_advance_) return;
   next_advance_ = now + settings_.workers.heartbeat_interval_seconds /
                             kAdvancesPerHeartbeat;
@@ -296,7 +298,7 @@
     return;
   }
   next_plan_ = now + settings_.workers.heartbeat_interval_seconds;
-  for (const std::string& id : large_waiting) {
+  for (const std::string& id : waiting_accelerator_jobs) {
     const Job* job = cluster_.FindJob(id);
     if (job == nullptr || !HasUnplacedTasks(id) ||
         now - job->queued_since() <
@@ -312,7 +314,7 @@
 void RebalancingManager::PlanMovesFor(const Job& waiting, Time now) {
   std::vector<Machine*> usable;
   for (const auto& machine : cluster_.machines()) {
-    if (machine->state() != MachineState::kGone &&
+    if (machine->state() != MachineState::kDeleted &&
         machine_health_.Usable(*machine, now) && !DrainedByMove(*machine)) {
       usable.push_back(machine.get());
     }
@@ -398,12 +400,13 @@
 
 void RebalancingManager::RecordClaim(const MoveClaim& claim, Time now) {
   const std::string name = RecordName(claim.id);
-  const auto earlier = catalog_.operators().find(name);
+  const auto earlier = catalog_.operator_records().find(name);
   OperatorRecord record;
   record.kind = kRecordKind;
   record.text = move_codec_.write(claim);
-  record.version =
-      earlier == catalog_.operators().end() ? 1 : earlier->second.version + 1;
+  record.version = earlier == catalog_.operator_records().end()
+                       ? 1
+                       : earlier->second.version + 1;
   record.author = settings_.node;
   record.changed_wall = now + context_.wall_minus_steady;
   writes_.Enqueue(std::make_unique<RecordMoveClaimOperation>(
@@ -437,7 +440,7 @@
   Machine* machine = cluster_.FindMachine(*host);
   const JobSpec& spec = job.spec();
   if (machine == nullptr || !machine_health_.Usable(*machine, now) ||
-      !Allowed(spec, *machine, zones) ||
+      !ConstraintsAllow(spec, *machine, zones) ||
       !spec.need.FitsIn(machine->CapacityFor(&job, spec.priority))) {
     return nullptr;
   }
--- a/core/rebalancing/rebalancing_manager.h
+++ b/core/rebalancing/rebalancing_manager.h
@@ -20,7 +20,7 @@
 class CommandDispatcher;
 class RolloutManager;
 
-// One per leadership. Does nothing until UseMoves enables it.
+// One per leadership. Does nothing until EnableReplicaMoves enables it.
 class RebalancingManager {
  public:
   // The modules that the manager calls.
@@ -35,8 +35,9 @@
   // completed. Records of other kinds are ignored.
   void OnMoveRecord(const std::string& name, Time now);
   // Advances the moves, and plans new ones for the jobs that need whole
-  // machines. `large_waiting`: Scheduler::large_waiting.
-  void TickMoves(const std::vector<std::string>& large_waiting, Time now);
+  // machines. `waiting_accelerator_jobs`: Scheduler::waiting_accelerator_jobs.
+  void TickMoves(const std::vector<std::string>& waiting_accelerator_jobs,
+                 Time now);
   bool enabled() const { return rebalancer_.has_value(); }
   // Null if the operators have not enabled moves.
   const Rebalancer* rebalancer() const {
@@ -54,7 +55,7 @@
   }
   // Enables moves if the operators' settings allow them, and takes over the
   // claims that an earlier leader recorded. To be called before the first tick.
-  void UseMoves(const MoveCodec& codec, Time now);
+  void EnableReplicaMoves(const MoveCodec& codec, Time now);
 
  private:
   // Number of running replicas on machines that send heartbeats and accept
--- a/core/rebalancing/rebalancing_plan.cc
+++ b/core/rebalancing/rebalancing_plan.cc
@@ -89,8 +89,9 @@
 MovePlanner::MovePlanner(const MovePlanInput& input) : input_(input) {
   // Only fragmented machines are targets; most machines are full or empty.
   for (Machine* machine : input.usable) {
-    if (machine->total().gpus > 0 && LastingRoom(*machine).gpus > kEpsilon &&
-        input.fragmentation->Useless(*machine) > kEpsilon) {
+    if (machine->total().gpus > 0 &&
+        CapacityBesideLongRunning(*machine).gpus > kEpsilon &&
+        input.fragmentation->UnusableAccelerators(*machine) > kEpsilon) {
       targets_.push_back(machine);
     }
   }
@@ -100,10 +101,11 @@
                          const ZoneSpread& zones, const PlannedUse& use) const {
   const JobSpec& spec = attempt.job->spec();
   const Resources planned = use.On(&target) + spec.need;
-  return Allowed(spec, target, zones) &&
+  return ConstraintsAllow(spec, target, zones) &&
          planned.FitsIn(target.CapacityFor(attempt.job, spec.priority)) &&
-         planned.FitsIn(LastingRoom(target)) &&
-         input_.fragmentation->Added(target, spec.need) <= kEpsilon;
+         planned.FitsIn(CapacityBesideLongRunning(target)) &&
+         input_.fragmentation->AddedFragmentation(target, spec.need) <=
+             kEpsilon;
 }
 
 std::optional<PlannedMove> MovePlanner::FindTarget(
@@ -115,13 +117,14 @@
   for (Machine* machine : targets_) {
     if (machine == &from || use.IsEvacuated(machine)) continue;
     if (!FitsOn(attempt, *machine, zones, use)) continue;
-    const double fetch = SecondsToImage(*machine, attempt.job->spec());
+    const double fetch = SecondsUntilImageCached(*machine, attempt.job->spec());
     if (fetch > 0 && use.IsFetching(machine)) continue;
     if (!input_.may_move_to(attempt, *machine, fetch)) continue;
     // Prefer the shortest image fetch, then the fullest machine.
     if (best == nullptr || fetch < best_fetch - kEpsilon ||
         (fetch < best_fetch + kEpsilon &&
-         machine->lasting.gpus > best->lasting.gpus)) {
+         machine->used_by_long_running.gpus >
+             best->used_by_long_running.gpus)) {
       best = machine;
       best_fetch = fetch;
     }
@@ -132,7 +135,7 @@
 
 bool MovePlanner::IsMovable(const TaskAttempt& attempt) const {
   if (attempt.phase != TaskPhase::kRunning || attempt.stopping ||
-      attempt.job == nullptr || !attempt.holds) {
+      attempt.job == nullptr || !attempt.charged) {
     return false;
   }
   const JobSpec& spec = attempt.job->spec();
@@ -154,7 +157,7 @@
                                                 PlannedUse use,
                                                 size_t max_moves) const {
   const Resources& need = input_.waiting->need;
-  Resources capacity = LastingRoom(machine);
+  Resources capacity = CapacityBesideLongRunning(machine);
   std::vector<const TaskAttempt*> movable = MovableReplicas(machine);
   Resources capacity_without_all = capacity;
   for (const TaskAttempt* attempt : movable) {
@@ -195,13 +198,13 @@
   const JobSpec& waiting = *input_.waiting;
   std::map<std::string, ZoneOptions> zones;
   for (Machine* machine : input_.usable) {
-    if (!Allowed(waiting, *machine, {}) ||
+    if (!ConstraintsAllow(waiting, *machine, {}) ||
         !waiting.need.FitsIn(machine->total())) {
       continue;
     }
     ZoneOptions& options = zones[waiting.one_zone ? machine->zone : ""];
-    const uint32_t fitting =
-        waiting.need.TimesIn(LastingRoom(*machine), input_.missing);
+    const uint32_t fitting = waiting.need.TimesIn(
+        CapacityBesideLongRunning(*machine), input_.missing);
     options.fitting_tasks += fitting;
     if (fitting > 0) continue;
     std::optional<Evacuation> evacuation =
--- a/core/recovery/peer_choice.cc
+++ b/core/recovery/peer_selector.cc
@@ -1,4 +1,4 @@
-#include "core/recovery/peer_choice.h"
+#include "core/recovery/peer_selector.h"
 
 #include <algorithm>
 #include <array>
@@ -17,26 +17,26 @@
 
 }  // namespace
 
-PeerChoice::PeerChoice(size_t peers, double rest_seconds,
-                       double max_rest_seconds, double fruitless_per_second)
+PeerSelector::PeerSelector(size_t peers, double rest_seconds,
+                           double max_rest_seconds, double fruitless_per_second)
     : peers_(peers, {kAnswers, 0, rest_seconds}),
       rest_seconds_(rest_seconds),
       max_rest_seconds_(max_rest_seconds),
       fruitless_per_second_(fruitless_per_second),
       fruitless_allowance_(std::max(1.0, fruitless_per_second)) {}
 
-void PeerChoice::Change(Peer& peer, PeerEvent event) {
+void PeerSelector::Change(Peer& peer, PeerEvent event) {
   switch (event) {
     case PeerEvent::kAnswer:
-      return CheckedChange(peer.state, kAnswers, kChanges, "peer");
+      return CheckedTransition(peer.state, kAnswers, kChanges, "peer");
     case PeerEvent::kSilence:
-      return CheckedChange(peer.state, kResting, kChanges, "peer");
+      return CheckedTransition(peer.state, kResting, kChanges, "peer");
     case PeerEvent::kTrial:
-      return CheckedChange(peer.state, kOnTrial, kChanges, "peer");
+      return CheckedTransition(peer.state, kOnTrial, kChanges, "peer");
   }
 }
 
-bool PeerChoice::MayAskAround(Time now) {
+bool PeerSelector::MayForwardRequest(Time now) {
   const double max_allowance = std::max(1.0, fruitless_per_second_);
   fruitless_allowance_ = std::min(
       max_allowance, fruitless_allowance_ +
@@ -47,7 +47,7 @@
   return true;
 }
 
-std::vector<size_t> PeerChoice::PreferenceOrder() const {
+std::vector<size_t> PeerSelector::PreferenceOrder() const {
   std::vector<size_t> preference;
   for (size_t i = 0; i < peers_.size(); ++i) {
     preference.push_back((preferred_ + i) % peers_.size());
@@ -55,20 +55,20 @@
   return preference;
 }
 
-bool PeerChoice::MayTry(size_t peer, Time now) {
+bool PeerSelector::MayProbe(size_t peer, Time now) {
   Peer& entry = peers_[peer];
   if (entry.state != kResting || now < entry.until) return false;
   Change(entry, PeerEvent::kTrial);
   return true;
 }
 
-void PeerChoice::Answered(size_t peer) {
+void PeerSelector::OnPeerAnswered(size_t peer) {
   Peer& entry = peers_[peer];
   entry.rest_seconds = rest_seconds_;
   if (entry.state != kAnswers) Change(entry, PeerEvent::kAnswer);
 }
 
-void PeerChoice::Silent(size_t peer, Time now) {
+void PeerSelector::OnPeerSilent(size_t peer, Time now) {
   Peer& entry = peers_[peer];
   // Of several requests that waited for it at once, one counts.
   if (entry.state == kResting) return;
@@ -77,7 +77,7 @@
   entry.rest_seconds = std::min(2 * entry.rest_seconds, max_rest_seconds_);
 }
 
-void PeerChoice::Helped(size_t peer) {
+void PeerSelector::OnRequestResolved(size_t peer) {
   preferred_ = peer;
   fruitless_allowance_ =
       std::min(std::max(1.0, fruitless_per_second_), fruitless_allowance_ + 1);
--- a/core/recovery/peer_choice.h
+++ b/core/recovery/peer_selector.h
@@ -22,19 +22,19 @@
 enum class PeerEvent : uint8_t { kAnswer, kSilence, kTrial };
 
 // Peers are numbered from 0, in the order of the caller.
-class PeerChoice {
+class PeerSelector {
  public:
   // `rest_seconds`: after the first silence; doubled with each further one up
   // to `max_rest_seconds`. `fruitless_per_second`: how many requests a second
   // may be forwarded though none of the earlier ones was answered.
-  PeerChoice(size_t peers, double rest_seconds, double max_rest_seconds,
-             double fruitless_per_second);
+  PeerSelector(size_t peers, double rest_seconds, double max_rest_seconds,
+               double fruitless_per_second);
 
   // Whether a request may be forwarded. In an outage that all controllers
   // share, forwarding each would only add to the load. Limited by their number
   // and not by a pause: a pause that is renewed by every unanswered request can
   // keep out, for ever, the one that another controller could answer.
-  bool MayAskAround(Time now);
+  bool MayForwardRequest(Time now);
   // All peers, the one that helped last first: a request asks one after the
   // other, so that an answer does not depend on whose turn it is.
   std::vector<size_t> PreferenceOrder() const;
@@ -43,14 +43,14 @@
     return peers_[peer].state == PeerState::kAnswers;
   }
   // Whether to find out, on nobody's behalf, if a peer whose rest is over
-  // answers again. True begins the trial: Answered() or Silent() has to follow.
-  // If users waited for trials, each request of an unlucky one could be a
-  // trial.
-  bool MayTry(size_t peer, Time now);
-  void Answered(size_t peer);
-  void Silent(size_t peer, Time now);
+  // answers again. True begins the trial: OnPeerAnswered() or OnPeerSilent()
+  // has to follow. If users waited for trials, each request of an unlucky one
+  // could be a trial.
+  bool MayProbe(size_t peer, Time now);
+  void OnPeerAnswered(size_t peer);
+  void OnPeerSilent(size_t peer, Time now);
   // The peer had what was asked for.
-  void Helped(size_t peer);
+  void OnRequestResolved(size_t peer);
 
   PeerState state(size_t peer) const { return peers_[peer].state; }
 
--- a/core/recovery/store_verification.cc
+++ b/core/recovery/store_verification.cc
@@ -9,11 +9,11 @@
 using enum StoreVerificationState;
 
 constexpr std::array kChanges = {
-    std::pair{kVerified, kSuspected},   std::pair{kSuspected, kVerified},
-    std::pair{kSuspected, kRebuilding}, std::pair{kSuspected, kLost},
-    std::pair{kVerified, kRebuilding},  std::pair{kLost, kRebuilding},
-    std::pair{kLost, kVerified},        std::pair{kRebuilding, kVerified},
-    std::pair{kRebuilding, kSuspected},
+    std::pair{kVerified, kSuspected},    std::pair{kSuspected, kVerified},
+    std::pair{kSuspected, kReconciling}, std::pair{kSuspected, kLost},
+    std::pair{kVerified, kReconciling},  std::pair{kLost, kReconciling},
+    std::pair{kLost, kVerified},         std::pair{kReconciling, kVerified},
+    std::pair{kReconciling, kSuspected},
 };
 
 // Rounds that must agree: one answer from a stale copy is no loss.
@@ -25,7 +25,7 @@
   switch (indication) {
     case DataLossIndication::kNone:
       return "nothing";
-    case DataLossIndication::kStepBack:
+    case DataLossIndication::kRevisionDecreased:
       return "its revision has stepped back";
     case DataLossIndication::kEpochMissing:
       return "its epoch's records are missing";
@@ -42,18 +42,21 @@
 }
 
 void StoreVerification::Change(StoreVerificationEvent event) {
-  const StoreVerificationState settled = rebuilt_ ? kVerified : kRebuilding;
+  const StoreVerificationState settled = rebuilt_ ? kVerified : kReconciling;
   switch (event) {
     case StoreVerificationEvent::kIndication:
-      return CheckedChange(state_, kSuspected, kChanges, "store verification");
+      return CheckedTransition(state_, kSuspected, kChanges,
+                               "store verification");
     case StoreVerificationEvent::kCleared:
-      return CheckedChange(state_, settled, kChanges, "store verification");
+      return CheckedTransition(state_, settled, kChanges, "store verification");
     case StoreVerificationEvent::kConfirmed:
-      return CheckedChange(state_, kLost, kChanges, "store verification");
+      return CheckedTransition(state_, kLost, kChanges, "store verification");
     case StoreVerificationEvent::kEpochOpened:
-      return CheckedChange(state_, kRebuilding, kChanges, "store verification");
+      return CheckedTransition(state_, kReconciling, kChanges,
+                               "store verification");
     case StoreVerificationEvent::kReconciliationComplete:
-      return CheckedChange(state_, kVerified, kChanges, "store verification");
+      return CheckedTransition(state_, kVerified, kChanges,
+                               "store verification");
   }
 }
 
@@ -97,13 +100,13 @@
     if (rebuilt) {
       if (state_ != kVerified)
         Change(StoreVerificationEvent::kReconciliationComplete);
-    } else if (state_ != kRebuilding) {
+    } else if (state_ != kReconciling) {
       Change(StoreVerificationEvent::kEpochOpened);
     }
     return;
   }
   // A suspicion about this epoch is for the checks to settle.
-  if (state_ == kRebuilding && rebuilt) {
+  if (state_ == kReconciling && rebuilt) {
     Change(StoreVerificationEvent::kReconciliationComplete);
   }
   if (state_ == kVerified && !rebuilt)
--- a/core/recovery/store_verification.h
+++ b/core/recovery/store_verification.h
@@ -14,21 +14,21 @@
 
 // What the store may be believed.
 enum class StoreVerificationState : uint8_t {
-  kVerified,    // a record that it does not hold does not exist
-  kSuspected,   // an indication of a loss is being examined
-  kLost,        // it has lost data; a new epoch has to be opened
-  kRebuilding,  // one is open, and retained records are being written back
+  kVerified,     // a record that it does not hold does not exist
+  kSuspected,    // an indication of a loss is being examined
+  kLost,         // it has lost data; a new epoch has to be opened
+  kReconciling,  // one is open, and retained records are being written back
 };
 
 // Sent between controllers by number: new ones go to the end.
 enum class DataLossIndication : uint8_t {
   kNone,
-  kStepBack,       // a lower revision than in an earlier answer
-  kEpochMissing,   // the epoch's records are not there, or are another's
-  kRecordMissing,  // a record that nobody deleted
-  kTermAbove,      // a worker shows a token that no leader here can have given
-  kUnknownTask,    // a task runs whose job has no record
-  kOtherEpoch,     // another controller remembers another epoch
+  kRevisionDecreased,  // a lower revision than in an earlier answer
+  kEpochMissing,       // the epoch's records are not there, or are another's
+  kRecordMissing,      // a record that nobody deleted
+  kTermAbove,    // a worker shows a token that no leader here can have given
+  kUnknownTask,  // a task runs whose job has no record
+  kOtherEpoch,   // another controller remembers another epoch
 };
 // In words, for the log.
 std::string_view NameOf(DataLossIndication indication);
@@ -75,12 +75,12 @@
   // records are being written back, by the leader, which has all of them.
   bool MayAccept(bool is_leading) const {
     return state_ == StoreVerificationState::kVerified ||
-           (state_ == StoreVerificationState::kRebuilding && is_leading);
+           (state_ == StoreVerificationState::kReconciling && is_leading);
   }
   // Whether a free leader key means that nobody leads.
-  bool MaySeek() const {
+  bool MayCampaign() const {
     return state_ == StoreVerificationState::kVerified ||
-           state_ == StoreVerificationState::kRebuilding;
+           state_ == StoreVerificationState::kReconciling;
   }
 
  private:
--- a/core/rollout/rollout.cc
+++ b/core/rollout/rollout.cc
@@ -80,7 +80,7 @@
   if (record.mod_revision <= record_.mod_revision) return;
   RolloutStep step = record_.step;
   if (record.step != step) {
-    CheckedChange(step, record.step, kTransitions, "rollout");
+    CheckedTransition(step, record.step, kTransitions, "rollout");
     step_since_ = now;
   }
   record_ = record;
--- a/core/rollout/rollout_manager.cc
+++ b/core/rollout/rollout_manager.cc
@@ -114,7 +114,7 @@
 // watch. A rollout that was declared before the job reaches the leader only
 // through the watch, so until the watch has caught up with the job's record,
 // the job could start without the rollout's restrictions.
-bool RolloutManager::MayBeRestricted(const Job& job) const {
+bool RolloutManager::MayHaveUnseenRollout(const Job& job) const {
   if (tuning_.rollouts_at_once < 1 || job.spec().kind != JobKind::kService) {
     return false;
   }
@@ -156,9 +156,10 @@
                                     {"step", NameOf(record.step)}});
 }
 
-void RolloutManager::OnHealth(const std::string& rollout,
-                              const TaskAttemptKey& key,
-                              const CheckOutcome& outcome, Time now) {
+void RolloutManager::OnHealthCheckResult(const std::string& rollout,
+                                         const TaskAttemptKey& key,
+                                         const CheckOutcome& outcome,
+                                         Time now) {
   --checks_in_flight_;
   const auto it = rollouts_.find(rollout);
   if (it != rollouts_.end()) it->second.OnCheck(key, outcome, now);
@@ -316,8 +317,8 @@
   }
   ++checks_in_flight_;
   check_budget_ -= 1;
-  actions_.push_back(CheckInstance{rollout.spec().id, key, machine->endpoint,
-                                   rollout.record().spec});
+  actions_.push_back(RunHealthCheck{rollout.spec().id, key, machine->endpoint,
+                                    rollout.record().spec});
 }
 
 void RolloutManager::QueueStep(RolloutStepWrite step) {
@@ -362,7 +363,7 @@
     txn->mutations.push_back({key, next});
     return true;
   }
-  txn->mutations.push_back({keys::Of(keys::kRolloutEnd, write.name), next});
+  txn->mutations.push_back({keys::Of(keys::kEndedRollout, write.name), next});
   txn->mutations.push_back({key, {}});
   const std::string* ended_job = JobEndedBy(write.step, *next.spec);
   const JobRecord* job = ended_job ? catalog_.FindJob(*ended_job) : nullptr;
--- a/core/rollout/rollout_manager.h
+++ b/core/rollout/rollout_manager.h
@@ -50,7 +50,7 @@
                          Time now) const;
   // Whether a rollout that restricts the job may exist that this leader does
   // not know yet: one that was recorded before the job.
-  bool MayBeRestricted(const Job& job) const;
+  bool MayHaveUnseenRollout(const Job& job) const;
   // The rollout's record in the catalog is new or has changed. Ignored if the
   // catalog has no such record.
   void OnRolloutRecord(const std::string& id, Time now);
@@ -62,8 +62,9 @@
   // Returns null if there is no such rollout or it has ended.
   const Rollout* FindRollout(const std::string& id) const;
   // A health check that this manager began has ended.
-  void OnHealth(const std::string& rollout, const TaskAttemptKey& key,
-                const CheckOutcome& outcome, Time now);
+  void OnHealthCheckResult(const std::string& rollout,
+                           const TaskAttemptKey& key,
+                           const CheckOutcome& outcome, Time now);
   // Adds the preconditions and mutations that record the step to `txn`. Returns
   // false if the step is recorded already or the rollout no longer exists.
   bool BuildRolloutStep(const RolloutStepWrite& write,
--- a/core/scheduler/gang_scheduler.cc
+++ b/core/scheduler/gang_scheduler.cc
@@ -84,7 +84,7 @@
   }
   // Tasks of an earlier attempt may still run; two attempts of a gang must
   // never run at once.
-  if (job.holding() > 0) return;
+  if (job.charged_attempts() > 0) return;
   if (!Admitted(job, pass)) return;
   const Assignment assignment = ChooseMachines(job, pass);
   // One that finds no place is counted first, then looks for what to preempt.
@@ -142,13 +142,13 @@
         assignment.fetch_seconds, FetchSeconds(*machine, spec, mean_bandwidth));
     // Charged while the other tasks are chosen, and given back below.
     machine->used += spec.need;
-    tiers_.Take(machine->zone, spec.need);
+    tiers_.TakeCapacity(machine->zone, spec.need);
     spread.Add(machine->zone, 1);
     assignment.machines.push_back(machine);
   }
   for (Machine* machine : assignment.machines) {
     machine->used -= spec.need;
-    tiers_.Give(machine->zone, spec.need);
+    tiers_.ReturnCapacity(machine->zone, spec.need);
   }
   return assignment.machines.size() == tasks ? assignment : Assignment{};
 }
@@ -159,7 +159,7 @@
   const uint32_t tasks = job.unplaced();
   uint32_t capacity = 0;
   for (const Machine* machine : machines) {
-    if (!Allowed(spec, *machine, {})) continue;
+    if (!ConstraintsAllow(spec, *machine, {})) continue;
     capacity +=
         spec.need.TimesIn(machine->CapacityFor(&job, job.priority()), tasks);
   }
@@ -168,13 +168,13 @@
 
 void GangScheduler::StartAll(Job& job, const std::vector<Machine*>& machines,
                              const QueuePosition& position, Time now) {
-  const uint64_t attempt = context_.NextNumber();
+  const uint64_t attempt = context_.NextToken();
   if (attempt == 0) return;
-  queue_ranking_.Placed(job, position, now);
+  queue_ranking_.RecordPlaced(job, position, now);
   for (Machine* machine : machines) {
     task_starter_.StartNextTask(job, *machine, attempt, now);
   }
-  tiers_.TurnUsed(job, job.tier, now);
+  tiers_.EndTurn(job, job.tier, now);
 }
 
 // Capacity for a gang is reserved whole, in one place, and anew in each pass.
@@ -205,11 +205,12 @@
   const JobSpec& spec = job.spec();
   std::map<std::string, ZoneOffer> offers;
   for (Machine* machine : pass.usable_machines) {
-    if (!Allowed(spec, *machine, {}) || !spec.need.FitsIn(machine->total()))
+    if (!ConstraintsAllow(spec, *machine, {}) ||
+        !spec.need.FitsIn(machine->total()))
       continue;
     ZoneOffer& offer = offers[spec.one_zone ? machine->zone : ""];
-    offer.capacity +=
-        spec.need.TimesIn(machine->total() - machine->staying, job.unplaced());
+    offer.capacity += spec.need.TimesIn(
+        machine->total() - machine->used_by_services, job.unplaced());
     AddSlotsOf(job, *machine, pass.now, offer.slots);
   }
   return offers;
@@ -222,7 +223,7 @@
       machine.free() - machine.CapacityFor(&job, job.priority());
   // Short work of equal priority is waited for.
   const Resources free_of_short_work =
-      machine.total() - reserved_for_others - machine.lasting;
+      machine.total() - reserved_for_others - machine.used_by_long_running;
   Resources taken;
   for (uint32_t n = 0; n < job.unplaced(); ++n, taken += need) {
     std::optional<PreemptionPlan> plan =
--- a/core/scheduler/machine_selector.cc
+++ b/core/scheduler/machine_selector.cc
@@ -21,8 +21,8 @@
   std::vector<Machine*> feasible;
   for (Machine* machine : candidates) {
     if (spec.need.FitsIn(machine->CapacityFor(&job, job.priority())) &&
-        Allowed(spec, *machine, spread) &&
-        tier_manager_.TierAllows(job, *machine)) {
+        ConstraintsAllow(spec, *machine, spread) &&
+        tier_manager_.TierAllowsPlacement(job, *machine)) {
       feasible.push_back(machine);
     }
   }
--- a/core/scheduler/preemption_planner.cc
+++ b/core/scheduler/preemption_planner.cc
@@ -94,8 +94,8 @@
                                                       Resources taken,
                                                       Time now) const {
   const Resources& need = job.spec().need;
-  Resources available =
-      machine.CapacityFor(&job, job.priority()) + machine.leaving - taken;
+  Resources available = machine.CapacityFor(&job, job.priority()) +
+                        machine.used_by_stopping - taken;
   // Rules out most machines without a look at each task there.
   if (!need.FitsIn(CapacityUpperBound(job, machine, available)))
     return std::nullopt;
@@ -158,13 +158,14 @@
 void PreemptionPlanner::PreemptWithinQuota(Job& job, uint32_t tasks, Time now) {
   QuotaUsage& team = cluster_.quota(job.team());
   TeamUsage usage = UsageOfTeam(job, now);
-  tasks = TasksWithinMaximum(job, tasks, usage.persistent + team.held);
+  tasks = TasksWithinMaximum(job, tasks,
+                             usage.persistent + team.reserved_for_waiting);
   if (tasks == 0) return;
   std::sort(usage.victims.begin(), usage.victims.end());
   Resources released = usage.released;
   const auto fits = [&] {
-    return team.WithinMaximum(team.used + team.held + job.spec().need * tasks -
-                              released);
+    return team.WithinMaximum(team.used + team.reserved_for_waiting +
+                              job.spec().need * tasks - released);
   };
   std::vector<Victim> chosen;
   for (const Victim& victim : usage.victims) {
@@ -174,21 +175,21 @@
   }
   // All or nothing: a stop that does not let the job start helps nobody.
   const bool enough = fits();
-  if (team.holds_for_waiting_jobs()) {
+  if (team.has_reserved_quota()) {
     // When this one can start is not known.
-    team.seconds_until_held_is_used = 0;
+    team.seconds_until_reserved_use = 0;
   } else {
-    team.released_before_held = usage.released + usage.transient;
-    team.seconds_until_held_is_used =
+    team.released_before_reserved_use = usage.released + usage.transient;
+    team.seconds_until_reserved_use =
         SecondsOfTurnsBefore(team, usage.persistent);
   }
-  team.held += job.spec().need * tasks;
+  team.reserved_for_waiting += job.spec().need * tasks;
   if (enough) StopVictims(chosen, job.spec(), now);
 }
 
 void PreemptionPlanner::RecordTakingTurns(const Job& job) {
   QuotaUsage& team = cluster_.quota(job.team());
-  if (!team.holds_for_waiting_jobs()) team.taking_turns.push_back(&job);
+  if (!team.has_reserved_quota()) team.round_robin_jobs.push_back(&job);
 }
 
 // The tasks that run may end at any moment. Those that wait then need as many
@@ -196,7 +197,7 @@
 double PreemptionPlanner::SecondsOfTurnsBefore(
     const QuotaUsage& team, const Resources& persistent) const {
   double longest_seconds = 0;
-  for (const Job* job : team.taking_turns) {
+  for (const Job* job : team.round_robin_jobs) {
     const uint32_t waiting = job->unplaced();
     const uint32_t at_once = TasksWithinMaximum(*job, waiting, persistent);
     if (at_once == 0) continue;
@@ -221,7 +222,7 @@
         usage.victims.push_back({CostOf(attempt, now), machine.get(), key});
       } else if (attempt.job->spec().kind == JobKind::kService) {
         usage.persistent += attempt.need;
-      } else if (attempt.holds && !attempt.beside_held_quota) {
+      } else if (attempt.charged && !attempt.backfilled) {
         usage.transient += attempt.need;
       }
     }
--- a/core/scheduler/queue_ranking.cc
+++ b/core/scheduler/queue_ranking.cc
@@ -233,12 +233,13 @@
   position.by_minimum_share = true;
 }
 
-void QueueRanking::Placed(const Job& job, const QueuePosition& position,
-                          Time now) {
-  fair_queueing_.Placed(job.spec().job_class,
-                        position.by_minimum_share ? QueueSide::kMinimumShare
-                                                  : QueueSide::kQuickest,
-                        WorkOf(job), now);
+void QueueRanking::RecordPlaced(const Job& job, const QueuePosition& position,
+                                Time now) {
+  fair_queueing_.RecordPlaced(job.spec().job_class,
+                              position.by_minimum_share
+                                  ? QueueOrder::kMinimumShare
+                                  : QueueOrder::kLeastWorkFirst,
+                              WorkOf(job), now);
 }
 
 }  // namespace oxbow
--- a/core/scheduler/queue_ranking.h
+++ b/core/scheduler/queue_ranking.h
@@ -57,12 +57,14 @@
   DueTimes DueTimesOf(const JobSpec& spec, Time submitted) const;
 
   // A job was accepted, or found by a new leader.
-  void Seen(const JobSpec& spec) { sizes_.Seen(spec.job_class, spec.tasks); }
+  void OnJobAdded(const JobSpec& spec) {
+    sizes_.OnJobAdded(spec.job_class, spec.tasks);
+  }
   // `run_seconds`: how long a task of the job takes, as far as known. The tier
   // is left for the caller to set.
   QueuePosition PositionOf(const Job& job, double run_seconds, Time now) const;
   // The gang is about to be started whole, from that position in the queue.
-  void Placed(const Job& job, const QueuePosition& position, Time now);
+  void RecordPlaced(const Job& job, const QueuePosition& position, Time now);
 
   // How many tasks an array may start at once when it comes first by the
   // minimum share.
@@ -96,7 +98,7 @@
 
   const double begin_within_seconds_;      // 0: not limited
   std::map<std::string, ClassSlos> slos_;  // by class
-  LargestSizes sizes_;
+  JobSizeTracker sizes_;
   FairQueueing fair_queueing_;
 };
 
--- a/core/scheduler/reservations.cc
+++ b/core/scheduler/reservations.cc
@@ -53,7 +53,7 @@
   if (reserved < wanted) plans = PlansFor(job, candidates, spread, now);
   while (reserved < wanted && cluster_.QuotaAllows(job, reserved + 1)) {
     std::erase_if(plans, [&](const PreemptionPlan& plan) {
-      return !Allowed(spec, *plan.machine, spread);
+      return !ConstraintsAllow(spec, *plan.machine, spread);
     });
     const auto cheapest = std::min_element(
         plans.begin(), plans.end(),
@@ -92,7 +92,7 @@
     if (reservations.empty()) continue;
     const bool suitable = std::find(candidates.begin(), candidates.end(),
                                     machine.get()) != candidates.end() &&
-                          Allowed(job.spec(), *machine, spread);
+                          ConstraintsAllow(job.spec(), *machine, spread);
     if (!suitable) std::erase_if(reservations, is_of_job);
     reserved += static_cast<uint32_t>(
         std::count_if(reservations.begin(), reservations.end(), is_of_job));
@@ -105,7 +105,7 @@
     const ZoneSpread& spread, Time now) const {
   std::vector<PreemptionPlan> plans;
   for (Machine* machine : candidates) {
-    if (!Allowed(job.spec(), *machine, spread)) continue;
+    if (!ConstraintsAllow(job.spec(), *machine, spread)) continue;
     std::optional<PreemptionPlan> plan = preemption_planner_.Plan(
         job, *machine, ClusterState::ReservedFor(job, *machine), now);
     if (plan && !tier_manager_.UsesReservedHeadroom(job, *machine, *plan))
--- a/core/scheduler/scheduler.cc
+++ b/core/scheduler/scheduler.cc
@@ -85,21 +85,21 @@
   pass.now = now;
   pass.all_machines_accounted_for = cluster_.AllMachinesAccountedFor();
   ComputeGuaranteedJobs();
-  maintenance_.CountWindows();
+  maintenance_.CountWindowUse();
   // What is held for jobs that have had their turn is held for the round.
   if (!round_.unfinished()) ResetQuotas();
   // Jobs may have been removed since the round's last pass.
-  for (QuotaUsage& team : cluster_.quotas()) team.taking_turns.clear();
+  for (QuotaUsage& team : cluster_.quotas()) team.round_robin_jobs.clear();
   pass.partial_gang_reserved = round_.partial_gang_reserved;
-  context_.fragmentation.Settle(now);
+  context_.fragmentation.UpdateMix(now);
   const std::vector<Job*> jobs = SchedulableJobs(pass);
   if (jobs.empty()) return round_.Finish();
 
   reservations_.DropExpired(now);
   pass.usable_machines = UsableMachines(now);
   pass.mean_bandwidth = MeasuredBandwidth();
-  tier_manager_.BeginTiers(jobs, pass.usable_machines,
-                           pass.all_machines_accounted_for, now);
+  tier_manager_.BeginPass(jobs, pass.usable_machines,
+                          pass.all_machines_accounted_for, now);
   const std::vector<QueuedJob> queue = BuildQueue(jobs, now);
   rebalancing_.ReserveMoveTargets(now);
 
@@ -125,7 +125,7 @@
   }
   round_.Finish();
   // What the other tiers have left is not left idle.
-  tiers_.OthersServed();
+  tiers_.OnOtherTiersServed();
   for (const QueuedJob& queued : queue) {
     if (SchedulingRound::PassIsOver(pass.work)) return;
     if (pass.jobs_over_tier_share.contains(queued.job))
@@ -158,9 +158,9 @@
 void Scheduler::ResetQuotas() {
   const Resources orphaned_tasks = cluster_.OrphanedTasksUpperBound();
   for (QuotaUsage& team : cluster_.quotas()) {
-    team.held = {};
-    team.released_before_held = {};
-    team.seconds_until_held_is_used = 0;
+    team.reserved_for_waiting = {};
+    team.released_before_reserved_use = {};
+    team.seconds_until_reserved_use = 0;
     team.orphaned_tasks = orphaned_tasks;
   }
 }
@@ -179,19 +179,19 @@
       pass.now < job.not_before) {
     return false;
   }
-  if (rollout_manager_.MayBeRestricted(job)) return false;
+  if (rollout_manager_.MayHaveUnseenRollout(job)) return false;
   if (!maintenance_.MayStartNow(job, pass.now)) return false;
   if (pass.all_machines_accounted_for) return true;
   // Tasks of a job accepted under this leader are on no machine that has not
   // reported yet. But what is there may use up the maximum of the team's quota.
-  return !job.from_before &&
+  return !job.accepted_before_leadership &&
          (job.team() < 0 || !cluster_.quota(job.team()).has_maximum());
 }
 
 std::vector<Machine*> Scheduler::UsableMachines(Time now) const {
   std::vector<Machine*> usable;
   for (const auto& machine : cluster_.machines()) {
-    if (machine->state() != MachineState::kGone &&
+    if (machine->state() != MachineState::kDeleted &&
         machine_health_.Usable(*machine, now)) {
       usable.push_back(machine.get());
     }
@@ -202,7 +202,7 @@
 double Scheduler::MeasuredBandwidth() const {
   std::vector<Machine*> machines;
   for (const auto& machine : cluster_.machines()) {
-    if (machine->state() != MachineState::kGone)
+    if (machine->state() != MachineState::kDeleted)
       machines.push_back(machine.get());
   }
   return MeanBandwidth(machines);
--- a/core/scheduler/scheduler.h
+++ b/core/scheduler/scheduler.h
@@ -52,7 +52,7 @@
 
   // Ids of jobs with accelerators that the last pass left waiting for capacity,
   // in the order of the queue; a few.
-  const std::vector<std::string>& large_waiting() const {
+  const std::vector<std::string>& waiting_accelerator_jobs() const {
     return large_waiting_;
   }
   const SchedulingCounters& counters() const { return counters_; }
--- a/core/scheduler/task_scheduler.cc
+++ b/core/scheduler/task_scheduler.cc
@@ -163,7 +163,7 @@
                         !tiers_.WithinShare(job, job.tier, spec.need))) {
       break;
     }
-    const uint64_t attempt = context_.NextNumber();
+    const uint64_t attempt = context_.NextToken();
     if (attempt == 0) return std::nullopt;
     task_starter_.StartNextTask(job, machine, attempt, now);
     spread.Add(machine.zone, 1);
@@ -188,8 +188,8 @@
                                const ZoneSpread& spread) const {
   return job.PeekPending() >= 0 && cluster_.QuotaAllows(job, 1) &&
          maintenance_.WindowAllows(job, 1) &&
-         Allowed(job.spec(), machine, spread) &&
-         tier_manager_.TierAllows(job, machine);
+         ConstraintsAllow(job.spec(), machine, spread) &&
+         tier_manager_.TierAllowsPlacement(job, machine);
 }
 
 }  // namespace oxbow
--- a/core/scheduler/task_starter.cc
+++ b/core/scheduler/task_starter.cc
@@ -27,13 +27,13 @@
   task_attempt.attempt = attempt;
   task_attempt.start_progress = StartProgress::kQueued;
   task_attempt.started = now;
-  task_attempt.beside_held_quota =
-      job.team() >= 0 && cluster_.quota(job.team()).holds_for_waiting_jobs();
+  task_attempt.backfilled =
+      job.team() >= 0 && cluster_.quota(job.team()).has_reserved_quota();
 
   machine.idle_since = 0;
-  tiers_.Take(machine.zone, spec.need);
-  tiers_.Started(job, job.tier, machine.zone, spec.need,
-                 machine.BytesToFetch(spec.image, spec.image_gb) > 0, now);
+  tiers_.TakeCapacity(machine.zone, spec.need);
+  tiers_.OnTaskStarted(job, job.tier, machine.zone, spec.need,
+                       machine.GbToFetch(spec.image, spec.image_gb) > 0, now);
   machine.QueueImage(spec.image, spec.image_gb, now);
   machine.queue.push_back({CommandKind::kStart, spec.id, task, attempt, 0});
   cluster_.AddAttempt(machine, std::move(task_attempt), /*present=*/true);
@@ -50,7 +50,7 @@
     const char* image = "queued";
     if (machine.HasImage(spec.image)) {
       image = "cached";
-    } else if (machine.BytesToFetch(spec.image, spec.image_gb) > 0) {
+    } else if (machine.GbToFetch(spec.image, spec.image_gb) > 0) {
       image = "to_fetch";
     }
     return LogEvent{"starting task",
--- a/core/scheduler/task_starter.h
+++ b/core/scheduler/task_starter.h
@@ -16,7 +16,7 @@
   TaskStarter(LeaderContext& context, MaintenanceManager& maintenance);
 
   // Starts the next pending task of the job; there must be one. `attempt`: from
-  // LeaderContext::NextNumber, not 0.
+  // LeaderContext::NextToken, not 0.
   void StartNextTask(Job& job, Machine& machine, uint64_t attempt, Time now);
 
  private:
--- a/core/store_writes/write_queue.cc
+++ b/core/store_writes/write_queue.cc
@@ -111,7 +111,7 @@
       actions_(actions) {}
 
 void WriteQueue::ChangePhase(WritePhase next) {
-  CheckedChange(phase_, next, kTransitions, "write queue");
+  CheckedTransition(phase_, next, kTransitions, "write queue");
 }
 
 void WriteQueue::Enqueue(Operation operation, WritePriority priority) {
--- a/core/upgrade/version_gate.cc
+++ b/core/upgrade/version_gate.cc
@@ -39,7 +39,7 @@
 }
 
 void VersionGate::Change(GateState next) {
-  if (next != state_) CheckedChange(state_, next, kChanges, "version gate");
+  if (next != state_) CheckedTransition(state_, next, kChanges, "version gate");
 }
 
 bool VersionGate::AllSeen(const Versions& versions) const {
--- a/core/worker_sessions/liveness_monitor.cc
+++ b/core/worker_sessions/liveness_monitor.cc
@@ -17,18 +17,19 @@
   LeaderHealth::Limits limits;
   limits.troubled_share = tuning.troubled_share;
   limits.minimum_received_share = tuning.deaf_share;
-  limits.pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
-  limits.longest_pause_seconds = lease / 2;
-  limits.blind_after_seconds = kBlindAfterLeases * lease;
+  limits.survey_pause_seconds = settings.workers.heartbeat_interval_seconds / 2;
+  limits.max_survey_pause_seconds = lease / 2;
+  limits.step_down_after_seconds = kBlindAfterLeases * lease;
   // A new leader's first seconds take all of its processor time: its own probes
   // are late then and prove nothing.
-  limits.settle_seconds =
+  limits.min_leadership_seconds =
       std::max(timeouts.overdue, tuning.leader_lease_ratio * lease);
   return limits;
 }
 
-LossLimiter::Limits LossLimits(const Settings& settings, const Tuning& tuning) {
-  LossLimiter::Limits limits;
+RemovalLimiter::Limits LossLimits(const Settings& settings,
+                                  const Tuning& tuning) {
+  RemovalLimiter::Limits limits;
   limits.window_seconds =
       tuning.limit_window_leases * settings.workers.lease_seconds;
   limits.fleet = {tuning.silent_share,   tuning.unlisted_share,
@@ -56,13 +57,14 @@
 // confirmed the deletion, or each deletion would make the rest look healthier.
 // One deleted for another reason falls silent because of that.
 bool Counts(const Machine& machine) {
-  return machine.recorded_up && machine.state() != MachineState::kGone &&
-         (machine.state() != MachineState::kDeleting || machine.given_up);
+  return machine.recorded_up && machine.state() != MachineState::kDeleted &&
+         (machine.state() != MachineState::kDeleting ||
+          machine.deleted_for_silence);
 }
 
 // What the removal of the machine takes away from services.
-Loss LossOf(const Machine& machine, LossCause cause) {
-  Loss loss;
+CapacityRemoval LossOf(const Machine& machine, RemovalCause cause) {
+  CapacityRemoval loss;
   loss.cause = cause;
   loss.zone = machine.zone;
   for (const auto& [key, attempt] : machine.task_attempts) {
@@ -111,13 +113,13 @@
   return now - from > timeouts_.overdue;
 }
 
-void LivenessMonitor::Count(Time now) {
+void LivenessMonitor::CountSilentMachines(Time now) {
   heartbeats_received_ = CountReceived(now);
   // An alarm ends when nothing has been refused for a window: there may never
   // be another act of its kind to be allowed.
-  for (size_t i = 0; i < kLossCauses; ++i) {
+  for (size_t i = 0; i < kRemovalCauses; ++i) {
     if (now - refused_at_[i] > limiter_.limits().window_seconds) {
-      refusals_[i] = LossDecision::kAllowed;
+      refusals_[i] = RemovalDecision::kAllowed;
     }
   }
   const LeaderHealthState before = leader_health_.state();
@@ -138,7 +140,8 @@
     const bool silent =
         now - QuietSince(*machine, started_) > timeouts_.overdue;
     received.silent += silent;
-    received.troubled += silent || now < machine->direct_broken_until ||
+    received.troubled += silent ||
+                         now < machine->direct_commands_disabled_until ||
                          machine->reachability.receives_no_responses() ||
                          HeartbeatOverdue(*machine, now);
   }
@@ -171,46 +174,46 @@
     // One that receives no responses but may be reached at its address is left
     // until its lease expires.
     return !machine.reachability.receives_no_responses() ||
-           now < machine.direct_broken_until;
+           now < machine.direct_commands_disabled_until;
   }
   const Time quiet_since = QuietSince(machine, started_);
-  if (machine.reached_by_other > quiet_since &&
-      now - machine.reached_by_other < timeouts_.give_up) {
+  if (machine.last_reached_by_peer > quiet_since &&
+      now - machine.last_reached_by_peer < timeouts_.give_up) {
     return false;
   }
   // An answer from before many were silent is no evidence: nobody has been
   // asked since.
-  return machine.reached_by_none >
+  return machine.last_unreached_by_peers >
          std::max(quiet_since, now - timeouts_.give_up);
 }
 
-bool LivenessMonitor::LossAllowed(const Machine& machine, LossCause cause,
-                                  Time now) {
+bool LivenessMonitor::RemovalAllowed(const Machine& machine, RemovalCause cause,
+                                     Time now) {
   // A leader that suspects its own network removes nothing for other reasons
   // either: idle, listed and booted are concluded from what it receives.
-  if (cause != LossCause::kSilent && !leader_health_.healthy()) return false;
+  if (cause != RemovalCause::kSilent && !leader_health_.healthy()) return false;
   int fleet = 0;
   int zone = 0;
   for (const auto& other : machines_) {
-    if (other->state() == MachineState::kGone) continue;
+    if (other->state() == MachineState::kDeleted) continue;
     ++fleet;
     zone += other->zone == machine.zone;
   }
-  const LossDecision decision =
-      limiter_.Ask(LossOf(machine, cause), fleet, zone, now);
+  const RemovalDecision decision =
+      limiter_.RequestRemoval(LossOf(machine, cause), fleet, zone, now);
   const auto index = static_cast<size_t>(cause);
-  if (decision != LossDecision::kAllowed &&
-      refusals_[index] == LossDecision::kAllowed) {
+  if (decision != RemovalDecision::kAllowed &&
+      refusals_[index] == RemovalDecision::kAllowed) {
     Log("alarm: removal of machines is limited",
         {{"cause", NameOf(cause)},
          {"limit", NameOf(decision)},
-         {"removed", limiter_.Asked(cause, now)},
+         {"removed", limiter_.CountInWindow(cause, now)},
          {"window_seconds", limiter_.limits().window_seconds},
          {"machines", fleet}});
   }
   refusals_[index] = decision;
-  if (decision != LossDecision::kAllowed) refused_at_[index] = now;
-  return decision == LossDecision::kAllowed;
+  if (decision != RemovalDecision::kAllowed) refused_at_[index] = now;
+  return decision == RemovalDecision::kAllowed;
 }
 
 std::vector<std::string> LivenessMonitor::Alarms() const {
@@ -222,10 +225,10 @@
         " troubled of " + std::to_string(heartbeats_received_.recorded) +
         " machines");
   }
-  for (size_t i = 0; i < kLossCauses; ++i) {
-    if (refusals_[i] == LossDecision::kAllowed) continue;
+  for (size_t i = 0; i < kRemovalCauses; ++i) {
+    if (refusals_[i] == RemovalDecision::kAllowed) continue;
     alarms.push_back("nothing more taken away as " +
-                     std::string(NameOf(static_cast<LossCause>(i))) + ": " +
+                     std::string(NameOf(static_cast<RemovalCause>(i))) + ": " +
                      std::string(NameOf(refusals_[i])));
   }
   return alarms;
@@ -254,15 +257,15 @@
   if (settings_.peers.empty() || silent_round_ != 0 || !FewSilent()) return;
   std::vector<Machine*> about;
   for (auto& machine : machines_) {
-    if (!machine->recorded_up || machine->state() == MachineState::kGone ||
+    if (!machine->recorded_up || machine->state() == MachineState::kDeleted ||
         machine->state() == MachineState::kDeleting ||
         machine->endpoint.empty() ||
         now - QuietSince(*machine, started_) <= timeouts_.asked ||
-        now - machine->asked_about <
+        now - machine->peers_last_asked <
             settings_.workers.heartbeat_interval_seconds) {
       continue;
     }
-    machine->asked_about = now;
+    machine->peers_last_asked = now;
     about.push_back(machine.get());
     if (about.size() == kMaxSurveyed) break;
   }
@@ -279,22 +282,22 @@
 // A sample of all machines, silent or not: a controller that reached only what
 // this one does not would be no better leader.
 void LivenessMonitor::SurveySample(Time now) {
-  if (settings_.peers.empty() || !leader_health_.WantsRound(now)) return;
+  if (settings_.peers.empty() || !leader_health_.IsSurveyDue(now)) return;
   std::vector<Machine*> all;
   for (const auto& machine : machines_) {
     if (Counts(*machine) && !machine->endpoint.empty())
       all.push_back(machine.get());
   }
   std::vector<Machine*> sample;
-  std::sample(all.begin(), all.end(), std::back_inserter(sample), kReachSample,
-              sampling_);
+  std::sample(all.begin(), all.end(), std::back_inserter(sample),
+              kSurveySampleSize, sampling_);
   if (sample.empty()) return;
-  leader_health_.RoundAsked(now);
+  leader_health_.OnSurveyStarted(now);
   health_round_ = StartSurvey(sample, SurveyKind::kSample, now);
 }
 
-bool LivenessMonitor::OnReach(uint64_t round, std::vector<Reach> answers,
-                              Time now) {
+bool LivenessMonitor::OnReachabilityAnswers(
+    uint64_t round, std::vector<ReachabilityAnswer> answers, Time now) {
   const auto it = surveys_.find(round);
   if (it == surveys_.end() || answers.empty()) return true;
   const Survey survey = std::move(it->second);
@@ -306,7 +309,7 @@
   if (round != health_round_) return true;
   health_round_ = 0;
   const LeaderHealth::Decision decision =
-      leader_health_.RoundAnswered(answers, now);
+      leader_health_.OnSurveyAnswered(answers, now);
   switch (decision.kind) {
     case LeaderHealth::Decision::Kind::kStay:
       break;
@@ -321,24 +324,28 @@
 }
 
 void LivenessMonitor::ApplyAnswers(Machine& machine, size_t index,
-                                   Time asked_at, std::vector<Reach>* answers,
+                                   Time asked_at,
+                                   std::vector<ReachabilityAnswer>* answers,
                                    Time now) const {
-  if (machine.state() == MachineState::kGone) return;
-  Reach& own = answers->front();
-  const bool reached_by_other =
+  if (machine.state() == MachineState::kDeleted) return;
+  ReachabilityAnswer& own = answers->front();
+  const bool last_reached_by_peer =
       std::any_of(answers->begin() + 1, answers->end(),
-                  [index](const Reach& other) { return other.Reaches(index); });
-  if (reached_by_other) {
-    machine.reached_by_other = now;
-  } else if (own.Denies(index)) {
+                  [index](const ReachabilityAnswer& other) {
+                    return other.Reaches(index);
+                  });
+  if (last_reached_by_peer) {
+    machine.last_reached_by_peer = now;
+  } else if (own.FailsToReach(index)) {
     // As of the question: a leader that was stalled reads the answer late, and
     // the machine may have come back since.
-    machine.reached_by_none = std::max(machine.reached_by_none, asked_at);
+    machine.last_unreached_by_peers =
+        std::max(machine.last_unreached_by_peers, asked_at);
   }
   // A machine whose heartbeats don't arrive does not count as reached, whether
   // or not it answers probes: only heartbeats renew its lease.
   if (own.Reaches(index) && HeartbeatOverdue(machine, now)) {
-    own.machines[index] = Reach::kNotReached;
+    own.machines[index] = ReachabilityAnswer::kNotReached;
   }
 }
 
--- a/core/worker_sessions/liveness_monitor.h
+++ b/core/worker_sessions/liveness_monitor.h
@@ -1,7 +1,7 @@
 // Which machines are silent, what the other controllers reach of them, and
 // which may therefore be removed. Reads the machines; changes only the fields
-// about surveys (asked_about, reached_by_other, reached_by_none). Owns
-// LeaderHealth and the LossLimiter.
+// about surveys (peers_last_asked, last_reached_by_peer,
+// last_unreached_by_peers). Owns LeaderHealth and the RemovalLimiter.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 
 #include "core/leader_context/actions.h"
 #include "core/leader_health/leader_health.h"
-#include "core/limits/loss_limiter.h"
+#include "core/limits/removal_limiter.h"
 #include "core/model/machine.h"
 #include "core/model/settings.h"
 #include "core/model/timeouts.h"
@@ -30,13 +30,13 @@
                   Time started, uint64_t seed, std::vector<Action>& actions);
 
   // Once in each tick, before anything is decided on it.
-  void Count(Time now);
+  void CountSilentMachines(Time now);
   // Asks the other controllers about machines whose state is uncertain.
   void StartSurveys(Time now);
   // The answers to a survey, this controller's first. False: this leadership is
   // over.
-  [[nodiscard]] bool OnReach(uint64_t round, std::vector<Reach> answers,
-                             Time now);
+  [[nodiscard]] bool OnReachabilityAnswers(
+      uint64_t round, std::vector<ReachabilityAnswer> answers, Time now);
   void OnTransferAccepted() { leader_health_.TransferAccepted(); }
   void OnTransferRejected(const std::string& why, Time now);
 
@@ -46,7 +46,7 @@
   // Whether such a machine may be given up.
   bool MayGiveUp(const Machine& machine, Time now) const;
   // Whether it may be removed for this cause; counts the removal if so.
-  bool LossAllowed(const Machine& machine, LossCause cause, Time now);
+  bool RemovalAllowed(const Machine& machine, RemovalCause cause, Time now);
 
   LeaderHealthState leader_health() const { return leader_health_.state(); }
   const HeartbeatsReceived& heartbeats_received() const {
@@ -77,7 +77,7 @@
   // Applies what the answers say about the machine, whose index in the survey
   // is given, and corrects this controller's own answer.
   void ApplyAnswers(Machine& machine, size_t index, Time asked_at,
-                    std::vector<Reach>* answers, Time now) const;
+                    std::vector<ReachabilityAnswer>* answers, Time now) const;
   void Log(std::string message, LogFields fields = {});
 
   const Settings& settings_;
@@ -86,15 +86,15 @@
   const Time started_;
   std::vector<Action>& actions_;
   LeaderHealth leader_health_;
-  LossLimiter limiter_;
+  RemovalLimiter limiter_;
   HeartbeatsReceived heartbeats_received_;
   uint64_t next_round_ = 1;
   uint64_t health_round_ = 0;  // in progress; 0: none
   uint64_t silent_round_ = 0;
   std::map<uint64_t, Survey> surveys_;  // in progress, by round
   // The latest decision on each cause, and when one was last refused.
-  std::array<LossDecision, kLossCauses> refusals_{};
-  std::array<Time, kLossCauses> refused_at_{};
+  std::array<RemovalDecision, kRemovalCauses> refusals_{};
+  std::array<Time, kRemovalCauses> refused_at_{};
   std::mt19937_64 sampling_;
 };
 
--- a/core/worker_sessions/machine_health.cc
+++ b/core/worker_sessions/machine_health.cc
@@ -22,9 +22,10 @@
          machine.state() == MachineState::kUp && machine.type != nullptr &&
          machine.recorded_up && machine.reported && machine.confirmed() &&
          !machine.batch_lost && machine.incarnation.alive() &&
-         machine.orphaned_tasks == 0 && now >= machine.distrusted_until &&
+         machine.orphaned_tasks == 0 && now >= machine.cordoned_until &&
          machine.reachability.MayTakeWork() &&
-         now >= machine.direct_broken_until && !Suspect(machine, now);
+         now >= machine.direct_commands_disabled_until &&
+         !Suspect(machine, now);
 }
 
 }  // namespace oxbow
--- a/core/worker_sessions/machine_lifecycle.cc
+++ b/core/worker_sessions/machine_lifecycle.cc
@@ -19,8 +19,8 @@
 // The cloud's name for a machine that has failed.
 constexpr const char* kFailedListState = "failed";
 
-// Indexed by LossCause; for the log.
-constexpr std::array<const char*, kLossCauses> kLossReasons = {
+// Indexed by RemovalCause; for the log.
+constexpr std::array<const char*, kRemovalCauses> kLossReasons = {
     "silent", "neither listed nor sending", "did not boot in time",
     "idle",   "its replicas fit elsewhere", "several jobs failed there"};
 
@@ -106,30 +106,30 @@
   }
 }
 
-bool MachineLifecycle::RemoveMachine(Machine& machine, LossCause cause,
+bool MachineLifecycle::RemoveMachine(Machine& machine, RemovalCause cause,
                                      Time now) {
-  if (!liveness_.LossAllowed(machine, cause, now)) return false;
+  if (!liveness_.RemovalAllowed(machine, cause, now)) return false;
   const char* reason = kLossReasons[static_cast<size_t>(cause)];
-  if (cause == LossCause::kMoved) {
+  if (cause == RemovalCause::kConsolidated) {
     Drain(machine, now, reason);
     return true;
   }
-  if (cause == LossCause::kDistrusted) {
-    machine.distrusted_until =
+  if (cause == RemovalCause::kDistrusted) {
+    machine.cordoned_until =
         now + kDistrustLeases * settings_.workers.lease_seconds;
     context_.Log("cordoning machine",
                  {{"host", machine.host()}, {"reason", reason}});
     return true;
   }
-  machine.given_up =
-      cause == LossCause::kSilent || cause == LossCause::kUnlisted;
+  machine.deleted_for_silence =
+      cause == RemovalCause::kSilent || cause == RemovalCause::kUnlisted;
   RequestDeletion(machine, now, reason);
   return true;
 }
 
 void MachineLifecycle::RequestDeletion(Machine& machine, Time now,
                                        const char* reason) {
-  if (machine.state() == MachineState::kGone) return;
+  if (machine.state() == MachineState::kDeleted) return;
   if (machine.state() != MachineState::kDeleting) {
     context_.Log("deleting machine",
                  {{"host", machine.host()}, {"reason", reason}});
@@ -141,7 +141,7 @@
 
 void MachineLifecycle::TickMachine(Machine& machine, Time now) {
   switch (machine.state()) {
-    case MachineState::kGone:
+    case MachineState::kDeleted:
       return;
     case MachineState::kDeleting:
       if (now - machine.delete_sent > settings_.workers.lease_seconds / 2) {
@@ -169,7 +169,7 @@
   const double boot_seconds =
       machine.type ? machine.type->boot_seconds : unknown_type_boot_seconds;
   if (now - machine.requested_at > tuning_.boot_timeout_ratio * boot_seconds) {
-    RemoveMachine(machine, LossCause::kNeverUp, now);
+    RemoveMachine(machine, RemovalCause::kNeverUp, now);
   }
 }
 
@@ -198,7 +198,7 @@
   return machine.recorded_up && worth_it &&
          liveness_.SilentTooLong(machine, now) &&
          liveness_.MayGiveUp(machine, now) &&
-         RemoveMachine(machine, LossCause::kSilent, now);
+         RemoveMachine(machine, RemovalCause::kSilent, now);
 }
 
 void MachineLifecycle::ReviewAttempts(Machine& machine, Time now) {
@@ -239,7 +239,7 @@
   if (attempt.job == nullptr) {
     return reconciler_.MayStopUnknownTask(attempt, now);
   }
-  return attempt.job->ended_by_record() ||
+  return attempt.job->terminal_state_recorded() ||
          attempt.reason != ExitReason::kDone ||
          !ClusterState::IsCurrent(machine, attempt);
 }
@@ -247,7 +247,7 @@
 bool MachineLifecycle::NeedsStop(const TaskAttempt& attempt, Time now) {
   const bool unwanted = attempt.job == nullptr
                             ? reconciler_.MayStopUnknownTask(attempt, now)
-                            : attempt.job->ended_by_record();
+                            : attempt.job->terminal_state_recorded();
   if (attempt.stopping) {
     const double repeat_after_seconds =
         attempt.stop_grace + 2 * settings_.workers.heartbeat_interval_seconds;
@@ -298,7 +298,7 @@
     OnListedMachine(entry, now);
   }
   for (auto& machine : cluster_.machines()) {
-    if (machine->state() == MachineState::kGone ||
+    if (machine->state() == MachineState::kDeleted ||
         listed.contains(machine->host())) {
       continue;
     }
@@ -336,8 +336,8 @@
                       asked - context_.started > lag;
   if (silent && machine.missing_in_list &&
       machine.state() != MachineState::kDeleting &&
-      now - machine.reached_by_other > lag) {
-    RemoveMachine(machine, LossCause::kUnlisted, now);
+      now - machine.last_reached_by_peer > lag) {
+    RemoveMachine(machine, RemovalCause::kUnlisted, now);
   }
   machine.missing_in_list = true;
 }
--- a/core/worker_sessions/machine_lifecycle.h
+++ b/core/worker_sessions/machine_lifecycle.h
@@ -35,7 +35,7 @@
   void Drain(Machine& machine, Time now, const char* reason);
   // Drains, cordons or deletes the machine, whatever the cause calls for. False
   // if the loss limiter forbids it now.
-  bool RemoveMachine(Machine& machine, LossCause cause, Time now);
+  bool RemoveMachine(Machine& machine, RemovalCause cause, Time now);
   // Asks the cloud to delete the machine. For what is certain or was allowed
   // before: no limit applies.
   void RequestDeletion(Machine& machine, Time now, const char* reason);
--- a/core/worker_sessions/machine_record_operations.cc
+++ b/core/worker_sessions/machine_record_operations.cc
@@ -21,7 +21,7 @@
 
 BuildResult RecordMachineOperation::Build(CompareAndSwap* txn) const {
   const Machine* machine = context_.cluster.FindMachine(name());
-  if (machine == nullptr || machine->state() == MachineState::kGone) {
+  if (machine == nullptr || machine->state() == MachineState::kDeleted) {
     return BuildResult::kNothingToDo;
   }
   const auto it = catalog_.machines().find(name());
--- a/core/worker_sessions/task_attempt_tracker.cc
+++ b/core/worker_sessions/task_attempt_tracker.cc
@@ -38,13 +38,13 @@
       return "done";
     case ExitReason::kStopped:
       return "stopped";
-    case ExitReason::kPeersGone:
+    case ExitReason::kGangPeersGone:
       return "gang_peers_gone";
-    case ExitReason::kAlone:
+    case ExitReason::kGangIncomplete:
       return "gang_incomplete";
     case ExitReason::kError:
       return "error";
-    case ExitReason::kNoRoom:
+    case ExitReason::kNoCapacity:
       return "no_capacity";
     case ExitReason::kBusy:
       return "busy";
@@ -134,7 +134,7 @@
   if (attempt.job != nullptr && attempt.phase == TaskPhase::kFetching &&
       ShowsCachedImage(status)) {
     const JobSpec& spec = attempt.job->spec();
-    machine.ImageCached(spec.image, spec.image_gb, now);
+    machine.MarkImageCached(spec.image, spec.image_gb, now);
   }
   if (status.phase == TaskPhase::kExited) {
     if (attempt.phase != TaskPhase::kExited) {
@@ -178,7 +178,7 @@
     return;
   }
   const bool wanted = ClusterState::IsCurrent(machine, attempt) &&
-                      !attempt.job->ended_by_record();
+                      !attempt.job->terminal_state_recorded();
   if (wanted || attempt.stopping) return;
   dispatcher_.QueueStop(machine, attempt, /*grace_seconds=*/0, now);
 }
@@ -228,7 +228,7 @@
   if (was_running) {
     run_times_.Observe(job.spec().job_class, now - attempt.running_since);
   }
-  job.errors = 0;
+  job.consecutive_errors = 0;
   if (job.task(attempt.task).state != TaskState::kDone) {
     job.ChangeTask(attempt.task, TaskState::kDone);
   }
@@ -253,7 +253,7 @@
     case ExitReason::kError:
       OnTaskError(job, machine, now);
       break;
-    case ExitReason::kNoRoom:
+    case ExitReason::kNoCapacity:
     case ExitReason::kUnknownTask:
     case ExitReason::kBusy:
       job.not_before =
@@ -273,12 +273,12 @@
 }
 
 void TaskAttemptTracker::OnTaskError(Job& job, Machine& machine, Time now) {
-  ++job.errors;
+  ++job.consecutive_errors;
   CordonIfJobsFailThere(machine, job.id(), now);
   constexpr uint32_t kMaxDoublings = 6;
   const double backoff_seconds =
       settings_.workers.heartbeat_interval_seconds *
-      (1 << std::min<uint32_t>(job.errors, kMaxDoublings));
+      (1 << std::min<uint32_t>(job.consecutive_errors, kMaxDoublings));
   const double longest_backoff_seconds =
       2 * kDistrustLeases * settings_.workers.lease_seconds;
   // Many tasks of one array failing at once are one event.
@@ -300,7 +300,7 @@
   }
   if (failed.size() < kFailedJobsToCordon) return;
   failed.clear();
-  machine_lifecycle_.RemoveMachine(machine, LossCause::kDistrusted, now);
+  machine_lifecycle_.RemoveMachine(machine, RemovalCause::kDistrusted, now);
 }
 
 }  // namespace oxbow
--- a/core/worker_sessions/worker_sessions.cc
+++ b/core/worker_sessions/worker_sessions.cc
@@ -41,7 +41,7 @@
   machine.requested_at = now;
   // While records that the key-value store lost are being written back, a
   // living machine may be in none.
-  machine.stranger = catalog_.epoch().rebuilt;
+  machine.unverified = catalog_.epoch().rebuilt;
   return machine;
 }
 
@@ -52,7 +52,7 @@
 // leader.
 void WorkerSessions::RecordMachineUp(Machine& machine, Time now) {
   if (machine.recorded_up || machine.state() != MachineState::kUp ||
-      machine.stranger) {
+      machine.unverified) {
     return;
   }
   writes_.Enqueue(
@@ -76,8 +76,8 @@
   if (machine.endpoint != heartbeat.endpoint) {
     machine.endpoint = heartbeat.endpoint;
   }
-  if (machine.stranger && heartbeat.token >= machine.token) {
-    machine.stranger = false;
+  if (machine.unverified && heartbeat.token >= machine.token) {
+    machine.unverified = false;
   }
   RecordMachineUp(machine, now);
   return machine;
@@ -87,10 +87,10 @@
 // delayed or overtaken on its way, or is of an incarnation that is over.
 bool WorkerSessions::IsNews(const Machine& machine, const Heartbeat& heartbeat,
                             Time now) const {
-  if (!machine.incarnation.MayBeNews(heartbeat.incarnation)) return false;
+  if (!machine.incarnation.MayBeCurrent(heartbeat.incarnation)) return false;
   if (heartbeat.incarnation != machine.incarnation.number()) return true;
   return heartbeat.seq > machine.seq &&
-         !machine.reachability.MustBeOld(
+         !machine.reachability.IsStaleHeartbeat(
              heartbeat.token, settings_.workers.lease_seconds,
              delegated_leases_.MayBeRenewed(machine.zone, now), now);
 }
@@ -107,7 +107,8 @@
   if (IsNews(machine, heartbeat, now)) return true;
   return heartbeat.incarnation == machine.incarnation.number() &&
          machine.incarnation.alive() && heartbeat.seq <= machine.seq &&
-         now - machine.last_heard <= kHeartbeatTimeoutSeconds * (1 + kDrift);
+         now - machine.last_heard <=
+             kHeartbeatTimeoutSeconds * (1 + kMaxClockDriftRate);
 }
 
 bool WorkerSessions::MustRefuse(const Heartbeat& heartbeat, Time now) const {
@@ -145,7 +146,7 @@
   dispatcher_.SetRespondingTo(&machine);
   ApplyHeartbeat(machine, heartbeat, HeartbeatChannel::kHeartbeat, now);
   dispatcher_.SetRespondingTo(nullptr);
-  maintenance_.DropLateStarts(machine, now);
+  maintenance_.RemoveDisallowedStarts(machine, now);
   if (news) {
     machine.last_heartbeat = now;
     machine.forwarded = heartbeat.forwarded;
@@ -179,7 +180,7 @@
     if (response->commands.size() >= kMaxCommandsPerBatch) return;
     if (attempt.job == nullptr || attempt.phase == TaskPhase::kExited ||
         attempt.start_progress == StartProgress::kQueued ||
-        !attempt.job->ended_by_record()) {
+        !attempt.job->terminal_state_recorded()) {
       continue;
     }
     response->commands.push_back(
@@ -201,7 +202,8 @@
   if (!IsNews(machine, heartbeat, now)) return;
   if (heartbeat.token > machine.token &&
       TermOfToken(heartbeat.token) > context_.term) {
-    context_.GiveUp(machine.host() + " has seen a newer leader's token");
+    context_.ResignLeadership(machine.host() +
+                              " has seen a newer leader's token");
     return;
   }
   UpdateReachability(machine, heartbeat, channel, now);
@@ -342,7 +344,7 @@
   const double early = 2 * LeaseYieldSeconds(settings_.workers);
   if (now <= expires_at - early) return false;
   const std::vector<std::string> asked =
-      delegated_leases_.PeersToAsk(machine.zone, now);
+      delegated_leases_.PeersToAskToYield(machine.zone, now);
   if (!asked.empty()) actions_.push_back(RequestLeaseYield{asked});
   return now > expires_at && !delegated_leases_.MayBeRenewed(machine.zone, now);
 }
@@ -357,7 +359,7 @@
 
 void WorkerSessions::BeginTick() { incarnations_unsettled_ = false; }
 
-void WorkerSessions::ExpireIfOver(Machine& machine, Time now) {
+void WorkerSessions::ExpireIfLeaseEnded(Machine& machine, Time now) {
   const bool may_have_tasks = !machine.task_attempts.empty() || machine.batch ||
                               (machine.recorded_up && !machine.reported);
   if (!may_have_tasks ||
@@ -387,22 +389,24 @@
 
 // --- delegated leases
 
-bool WorkerSessions::ZoneSettled(const std::string& zone, Time now) const {
+bool WorkerSessions::ZoneMayBeDelegated(const std::string& zone,
+                                        Time now) const {
   for (const auto& machine : cluster_.machines()) {
     // Which tasks it has is not known yet.
     if (machine->zone == zone && machine->recorded_up && !machine->reported &&
-        machine->state() != MachineState::kGone) {
+        machine->state() != MachineState::kDeleted) {
       return false;
     }
   }
   const double margin = CancellationMargin(settings_.workers) / 2;
   for (const auto& [id, job] : cluster_.jobs()) {
-    if (job->state() != JobState::kAborted || job->holding() == 0 ||
-        now - job->ended < margin) {
+    if (job->state() != JobState::kAborted || job->charged_attempts() == 0 ||
+        now - job->ended_at < margin) {
       continue;
     }
     for (const auto& [index, presence] : job->presence()) {
-      if (presence.holding > 0 && cluster_.machine(index).zone == zone) {
+      if (presence.charged_attempts > 0 &&
+          cluster_.machine(index).zone == zone) {
         return false;
       }
     }
@@ -410,12 +414,12 @@
   return true;
 }
 
-bool WorkerSessions::OnDelegationAsked(const std::string& peer,
-                                       const std::string& process_incarnation,
-                                       double age, Time now) {
+bool WorkerSessions::OnDelegationRequested(
+    const std::string& peer, const std::string& process_incarnation, double age,
+    Time now) {
   for (const PeerSettings& settings : settings_.peers) {
     if (settings.name != peer) continue;
-    if (!ZoneSettled(settings.zone, now)) return false;
+    if (!ZoneMayBeDelegated(settings.zone, now)) return false;
     delegated_leases_.Grant(peer, process_incarnation, age, now);
     return true;
   }
--- a/core/worker_sessions/worker_sessions.h
+++ b/core/worker_sessions/worker_sessions.h
@@ -56,12 +56,12 @@
                       HeartbeatChannel channel, Time now);
 
   // --- lease expiry
-  // BeginTick, ExpireIfOver for each machine and EndTick, in this order, once
-  // in each tick of the leader.
+  // BeginTick, ExpireIfLeaseEnded for each machine and EndTick, in this order,
+  // once in each tick of the leader.
   void BeginTick();
   // Takes what is on the machine for lost once its lease has surely expired.
   // Only while the right to lead rests on the leader key's lease.
-  void ExpireIfOver(Machine& machine, Time now);
+  void ExpireIfLeaseEnded(Machine& machine, Time now);
   void EndTick(Time now);
   // Leases that have expired of workers that then sent a heartbeat again.
   uint64_t expired_leases() const { return expired_leases_; }
@@ -70,12 +70,12 @@
   DelegatedLeases& delegated_leases() { return delegated_leases_; }
   // Whether the zone has no task, known or possible, that must be gone before
   // a delegated lease granted now could end.
-  bool ZoneSettled(const std::string& zone, Time now) const;
+  bool ZoneMayBeDelegated(const std::string& zone, Time now) const;
   // A controller asks for a delegated lease of the workers in its zone. False:
   // refused. `process_incarnation` and `age` (s) are of its process.
-  bool OnDelegationAsked(const std::string& peer,
-                         const std::string& process_incarnation, double age,
-                         Time now);
+  bool OnDelegationRequested(const std::string& peer,
+                             const std::string& process_incarnation, double age,
+                             Time now);
 
  private:
   // --- heartbeats
--- a/tests/behavior_trail.cc
+++ b/tests/behavior_trail.cc
@@ -120,7 +120,7 @@
                fmt::format("{} {}", end.id,
                            wire::NameOf(wire::kTerminalStates, end.state)));
   }
-  void operator()(const CheckInstance& check) const {
+  void operator()(const RunHealthCheck& check) const {
     TrailEvent(now, "check",
                fmt::format("{} {}/{}#{} {} {}", check.rollout, check.key.job_id,
                            check.key.task, check.key.attempt, check.endpoint,
@@ -149,7 +149,7 @@
   }
   void operator()(const Resign& quit) const {
     // The reason is a text for the log.
-    TrailEvent(now, "resign", quit.unfit ? "unfit" : "");
+    TrailEvent(now, "resign", quit.prefer_other_candidates ? "unfit" : "");
   }
   void operator()(const LogEvent& /*note*/) const {}
 };
--- a/tests/cluster_state_test.cc
+++ b/tests/cluster_state_test.cc
@@ -127,13 +127,13 @@
       for (const auto& [key, attempt] : machine->task_attempts) {
         EXPECT_EQ(key, KeyOf(attempt));
         if (attempt.job == nullptr) {
-          EXPECT_FALSE(attempt.holds);
+          EXPECT_FALSE(attempt.charged);
           continue;
         }
         Presence& there = presence[key.job_id][machine->index()];
         ++there.listed;
-        if (!attempt.holds) continue;
-        ++there.holding;
+        if (!attempt.charged) continue;
+        ++there.charged_attempts;
         by_job[key.job_id] += attempt.need;
         team += attempt.need;
       }
@@ -151,26 +151,29 @@
  private:
   void ExpectMachineConsistent(const Machine& machine) const {
     Resources used;
-    Resources staying;
-    Resources lasting;
-    Resources leaving;
+    Resources used_by_services;
+    Resources used_by_long_running;
+    Resources used_by_stopping;
     std::array<Resources, kPriorities> by_priority;
     int orphaned = 0;
     for (const auto& [key, attempt] : machine.task_attempts) {
       orphaned += cluster_.IsOrphaned(attempt);
-      if (!attempt.holds) continue;
+      if (!attempt.charged) continue;
       const JobSpec& spec = attempt.job->spec();
       used += attempt.need;
       by_priority[static_cast<size_t>(spec.priority)] += attempt.need;
-      if (spec.kind == JobKind::kService) staying += attempt.need;
-      if (spec.kind != JobKind::kArray) lasting += attempt.need;
-      if (attempt.stopping) leaving += attempt.need;
+      if (spec.kind == JobKind::kService) used_by_services += attempt.need;
+      if (spec.kind != JobKind::kArray) used_by_long_running += attempt.need;
+      if (attempt.stopping) used_by_stopping += attempt.need;
     }
     EXPECT_EQ(machine.orphaned_tasks, orphaned) << machine.host();
     ExpectEqual(machine.used, used, "used of " + machine.host());
-    ExpectEqual(machine.staying, staying, "staying of " + machine.host());
-    ExpectEqual(machine.lasting, lasting, "lasting of " + machine.host());
-    ExpectEqual(machine.leaving, leaving, "leaving of " + machine.host());
+    ExpectEqual(machine.used_by_services, used_by_services,
+                "staying of " + machine.host());
+    ExpectEqual(machine.used_by_long_running, used_by_long_running,
+                "lasting of " + machine.host());
+    ExpectEqual(machine.used_by_stopping, used_by_stopping,
+                "leaving of " + machine.host());
     for (size_t i = 0; i < kPriorities; ++i) {
       ExpectEqual(machine.used_by[i], by_priority[i],
                   "priority " + std::to_string(i) + " of " + machine.host());
@@ -179,16 +182,17 @@
 
   static void ExpectPresence(const Job& job,
                              const std::map<int32_t, Presence>& expected) {
-    int holding = 0;
+    int charged_attempts = 0;
     ASSERT_EQ(job.presence().size(), expected.size()) << job.id();
     for (const auto& [index, presence] : job.presence()) {
       const auto it = expected.find(index);
       ASSERT_NE(it, expected.end()) << job.id() << " on " << index;
-      EXPECT_EQ(presence.holding, it->second.holding) << job.id();
+      EXPECT_EQ(presence.charged_attempts, it->second.charged_attempts)
+          << job.id();
       EXPECT_EQ(presence.listed, it->second.listed) << job.id();
-      holding += presence.holding;
+      charged_attempts += presence.charged_attempts;
     }
-    EXPECT_EQ(job.holding(), holding) << job.id();
+    EXPECT_EQ(job.charged_attempts(), charged_attempts) << job.id();
   }
 };
 
@@ -202,14 +206,14 @@
   Machine& machine = AddMachine("n-1");
   Job& job = AddJob("job-1", 2, JobKind::kService);
   TaskAttempt& attempt = Place(job, machine, 0, 11);
-  EXPECT_TRUE(attempt.holds);
+  EXPECT_TRUE(attempt.charged);
   EXPECT_TRUE(ClusterState::IsCurrent(machine, attempt));
   EXPECT_EQ(job.task(0).state, TaskState::kStarting);
   EXPECT_EQ(job.placed(), 1U);
   EXPECT_EQ(ClusterState::CountOn(job, machine), 1);
   ExpectEqual(machine.used, kNeed, "used");
-  ExpectEqual(machine.staying, kNeed, "staying");
-  ExpectEqual(machine.lasting, kNeed, "lasting");
+  ExpectEqual(machine.used_by_services, kNeed, "staying");
+  ExpectEqual(machine.used_by_long_running, kNeed, "lasting");
   ExpectEqual(cluster_.quota(0).used, kNeed, "quota");
   ExpectConsistent();
 }
@@ -219,7 +223,7 @@
   Job& job = AddJob("job-1", 1);
   cluster_.AddAttempt(machine, MakeAttempt("job-1", 0, 11, &job),
                       /*present=*/false);
-  EXPECT_EQ(job.holding(), 0);
+  EXPECT_EQ(job.charged_attempts(), 0);
   EXPECT_EQ(job.presence().at(machine.index()).listed, 1);
   ExpectEqual(machine.used, {}, "used");
   ExpectConsistent();
@@ -252,7 +256,7 @@
   cluster_.RemoveAttempt(machine, {"job-1", 0, 12});
   EXPECT_FALSE(cluster_.changed());
   EXPECT_EQ(observer_.removed(), 0);
-  EXPECT_EQ(job.holding(), 1);
+  EXPECT_EQ(job.charged_attempts(), 1);
   ExpectConsistent();
 }
 
@@ -289,7 +293,7 @@
   cluster_.MarkExited(machine, attempt, ExitReason::kError);
   EXPECT_EQ(attempt.phase, TaskPhase::kExited);
   EXPECT_EQ(attempt.reason, ExitReason::kError);
-  EXPECT_EQ(job.holding(), 0);
+  EXPECT_EQ(job.charged_attempts(), 0);
   EXPECT_EQ(job.presence().at(machine.index()).listed, 1);
   ExpectConsistent();
   cluster_.ReleaseCapacity(machine, attempt);
@@ -306,12 +310,13 @@
   cluster_.SetStopping(machine, first, true);
   cluster_.SetStopping(machine, second, true);
   EXPECT_EQ(observer_.stopping(), 2);
-  ExpectEqual(machine.leaving, kNeed * 2, "leaving");
+  ExpectEqual(machine.used_by_stopping, kNeed * 2, "leaving");
   cluster_.SetStopping(machine, first, false);
-  ExpectEqual(machine.leaving, kNeed, "leaving after one stop was dropped");
+  ExpectEqual(machine.used_by_stopping, kNeed,
+              "leaving after one stop was dropped");
   ExpectConsistent();
   cluster_.RemoveAttempt(machine, {"job-1", 1, 12});
-  ExpectEqual(machine.leaving, {}, "leaving after the removal");
+  ExpectEqual(machine.used_by_stopping, {}, "leaving after the removal");
   ExpectConsistent();
 }
 
@@ -382,7 +387,7 @@
   Job& job = AddJob("job-1", 1);
   EXPECT_EQ(attempt.job, &job);
   // Listed and charged, but the task is placed anew.
-  EXPECT_EQ(job.holding(), 1);
+  EXPECT_EQ(job.charged_attempts(), 1);
   EXPECT_EQ(job.task(0).state, TaskState::kPending);
   ExpectConsistent();
 }
@@ -394,7 +399,7 @@
   AddOrphan("job-1", second, 1, 12);
   AddOrphan("job-2", second, 0, 13);
   Job& job = AddJob("job-1", 2);
-  EXPECT_EQ(job.holding(), 2);
+  EXPECT_EQ(job.charged_attempts(), 2);
   EXPECT_EQ(job.placed(), 2U);
   EXPECT_EQ(job.task(0).machine, first.index());
   EXPECT_EQ(job.task(1).machine, second.index());
@@ -410,7 +415,7 @@
   cluster_.MarkExited(machine, attempt, ExitReason::kError);
   Job& job = AddJob("job-1", 1);
   EXPECT_EQ(attempt.job, &job);
-  EXPECT_EQ(job.holding(), 0);
+  EXPECT_EQ(job.charged_attempts(), 0);
   EXPECT_EQ(job.task(0).state, TaskState::kPending);
   ExpectConsistent();
 }
@@ -471,7 +476,7 @@
   cluster_.MarkDeleted(machine);
   EXPECT_EQ(cluster_.FindMachine("n-1"), nullptr);
   EXPECT_TRUE(cluster_.IsDeleted("n-1"));
-  EXPECT_EQ(machine.state(), MachineState::kGone);
+  EXPECT_EQ(machine.state(), MachineState::kDeleted);
   EXPECT_TRUE(cluster_.AllMachinesAccountedFor());
   EXPECT_EQ(job.task(0).state, TaskState::kPending);
   ExpectConsistent();
@@ -502,7 +507,7 @@
       cluster_.MarkAllLost(machine);
     } else if (change == 1 && job == nullptr) {
       AddJob(ids[which], kTasks, kinds[which]);
-    } else if (change == 1 && job->holding() == 0) {
+    } else if (change == 1 && job->charged_attempts() == 0) {
       cluster_.RemoveJob(ids[which]);
     } else if (change <= 5 && job == nullptr) {
       AddOrphan(ids[which], machine, task, next_attempt++);
--- a/tests/delegated_lease_test.cc
+++ b/tests/delegated_lease_test.cc
@@ -20,8 +20,8 @@
 
 DelegatedLease Ready(Time now) {
   DelegatedLease lease(Deployment().workers);
-  lease.RecordedAnew(now, now);
-  lease.Granted(now);
+  lease.OnRecordRewritten(now, now);
+  lease.OnGranted(now);
   return lease;
 }
 
@@ -44,11 +44,11 @@
   // The record ended, a new leader found none, and it is written again: what
   // the old leader granted is void.
   DelegatedLease lease = Ready(0);
-  lease.RecordedAnew(5, 5.1);
+  lease.OnRecordRewritten(5, 5.1);
   EXPECT_FALSE(lease.Renew(6));
-  lease.Granted(5);  // asked before
+  lease.OnGranted(5);  // asked before
   EXPECT_FALSE(lease.Renew(6));
-  lease.Granted(5.2);
+  lease.OnGranted(5.2);
   EXPECT_TRUE(lease.Renew(6));
 }
 
@@ -105,9 +105,9 @@
 TEST(DelegatedZoneLease, RecordReadBeforeAGrantEndsIt) {
   DelegatedLeases rights(Deployment(), 100, std::set<std::string>{"b"});
   rights.Grant("b", "life", 50, 150);
-  rights.RecordsRead({}, 149.9, 150.1);
+  rights.OnRecordsRead({}, 149.9, 150.1);
   EXPECT_TRUE(rights.MayBeRenewed("z", 165));
-  rights.RecordsRead({}, 151, 151.1);
+  rights.OnRecordsRead({}, 151, 151.1);
   EXPECT_TRUE(rights.MayBeRenewed("z", 161));
   EXPECT_FALSE(rights.MayBeRenewed("z", 161.3));
 }
@@ -119,17 +119,17 @@
   // what the key shows then, so only one of the two can succeed.
   DelegatedLease lease(Deployment().workers);
   DelegatedLeaseRecord record(lease);
-  record.WasRead(0);
+  record.OnKeyRead(0);
   record.LeaseGranted(7, 1);
-  record.NotWritten();
+  record.OnRecordNotWritten();
   EXPECT_EQ(record.step(), RecordStep::kRead);
-  record.WasRead(40);  // it did come
+  record.OnKeyRead(40);  // it did come
   record.LeaseGranted(8, 2);
   EXPECT_EQ(record.mod_revision(), 40U);
   EXPECT_EQ(record.lease_id(), 8U);
-  record.Written(2.1);
+  record.OnRecordWritten(2.1);
   EXPECT_EQ(record.step(), RecordStep::kRenew);
-  EXPECT_THROW(record.WasRead(41), IllegalTransition);
+  EXPECT_THROW(record.OnKeyRead(41), IllegalTransition);
 }
 
 // Where no write was ever answered, the record was written anew for ever, and
@@ -137,39 +137,40 @@
 TEST(DelegatedLeaseRecord, AnUnansweredWriteIsFoundByItsLease) {
   DelegatedLease lease(Deployment().workers);
   DelegatedLeaseRecord record(lease);
-  record.WasReadWithLease(0, 0, 0);
+  record.OnKeyReadWithLease(0, 0, 0);
   record.LeaseGranted(7, 0);
-  record.NotWritten();
-  record.WasReadWithLease(40, 6, 0.4);  // a former process's, or an older try's
+  record.OnRecordNotWritten();
+  record.OnKeyReadWithLease(40, 6,
+                            0.4);  // a former process's, or an older try's
   EXPECT_EQ(record.step(), RecordStep::kLease);
   record.LeaseGranted(8, 0.5);
-  record.NotWritten();
-  lease.Granted(0.6);  // not known to be recorded
-  record.WasReadWithLease(41, 8, 0.7);
+  record.OnRecordNotWritten();
+  lease.OnGranted(0.6);  // not known to be recorded
+  record.OnKeyReadWithLease(41, 8, 0.7);
   EXPECT_EQ(record.step(), RecordStep::kRenew);
   EXPECT_FALSE(lease.Renew(0.8));
-  lease.Granted(0.9);
+  lease.OnGranted(0.9);
   EXPECT_TRUE(lease.Renew(1));
   // A lease that has ended proves nothing any more.
   record.LeaseEnded();
-  record.WasReadWithLease(42, 8, 1.1);
+  record.OnKeyReadWithLease(42, 8, 1.1);
   EXPECT_EQ(record.step(), RecordStep::kLease);
 }
 
 TEST(DelegatedLeaseRecord, KeepsBeyondItsRecord) {
   DelegatedLease lease(Deployment().workers);
   DelegatedLeaseRecord record(lease);
-  lease.Granted(0);  // before there is one
-  record.WasRead(0);
+  lease.OnGranted(0);  // before there is one
+  record.OnKeyRead(0);
   record.LeaseGranted(7, 0);
-  record.Written(0.5);
+  record.OnRecordWritten(0.5);
   EXPECT_FALSE(lease.Renew(1));
-  lease.Granted(1);
+  lease.OnGranted(1);
   EXPECT_TRUE(lease.Renew(1.5));
   record.LeaseEnded();
-  record.WasRead(0);
+  record.OnKeyRead(0);
   record.LeaseGranted(9, 2);
-  record.Written(2.5);
+  record.OnRecordWritten(2.5);
   EXPECT_FALSE(lease.Renew(3));  // granted before the new record
 }
 
@@ -186,50 +187,50 @@
 
 TEST(PartitionDetector, WorkersAreKeptFromALeaderThatAsksForThem) {
   PartitionDetector signs(Deployment().workers);
-  EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 0));
+  EXPECT_FALSE(signs.ShouldRedirect(Shows("n", 5, 9), 0));
   signs.OnAnswered(Shows("n", 5, 9), 0);
-  EXPECT_FALSE(signs.Redirected(Shows("n", 6, 9), 1));
+  EXPECT_FALSE(signs.ShouldRedirect(Shows("n", 6, 9), 1));
   signs.OnAnswered(Shows("n", 6, 9), 1);
   // Between the two it has answered somebody.
-  EXPECT_TRUE(signs.Redirected(Shows("n", 8, 9), 2));
+  EXPECT_TRUE(signs.ShouldRedirect(Shows("n", 8, 9), 2));
   // So the others of the zone are not cut off either.
-  EXPECT_TRUE(signs.Redirected(Shows("m", 50, 9), 3));
+  EXPECT_TRUE(signs.ShouldRedirect(Shows("m", 50, 9), 3));
 }
 
 TEST(PartitionDetector, WorkersAreKeptFromANewLeader) {
   PartitionDetector signs(Deployment().workers);
   signs.OnAnswered(Shows("n", 5, 9), 0);
-  EXPECT_TRUE(signs.Redirected(Shows("n", 6, 10), 1));
+  EXPECT_TRUE(signs.ShouldRedirect(Shows("n", 6, 10), 1));
 }
 
 TEST(PartitionDetector, WorkerBehindACutLosesItsLeaseToAFalseSign) {
   PartitionDetector signs(Deployment().workers);
   signs.OnAnswered(Shows("n", 5, 9), 0);
   // It has tried the others, in vain: each heartbeat made for them counts.
-  EXPECT_FALSE(signs.Redirected(Shows("n", 9, 9), 6));
+  EXPECT_FALSE(signs.ShouldRedirect(Shows("n", 9, 9), 6));
   signs.OnAnswered(Shows("n", 9, 9), 6);
   // A new incarnation counts from one again.
   Heartbeat next = Shows("n", 3, 9);
   next.incarnation = 2;
-  EXPECT_FALSE(signs.Redirected(next, 7));
+  EXPECT_FALSE(signs.ShouldRedirect(next, 7));
   signs.OnAnswered(next, 7);
   // A copy of an older report.
-  EXPECT_FALSE(signs.Redirected(Shows("n", 5, 9), 7.5));
+  EXPECT_FALSE(signs.ShouldRedirect(Shows("n", 5, 9), 7.5));
   signs.OnAnswered(Shows("n", 5, 9), 7.5);
   next.seq = 4;
-  EXPECT_FALSE(signs.Redirected(next, 8));
+  EXPECT_FALSE(signs.ShouldRedirect(next, 8));
 }
 
 TEST(PartitionDetector, OneThatNobodyElseAnswersIsSentOnAgainAndAgain) {
   PartitionDetector signs(Deployment().workers);
   signs.OnAnswered(Shows("n", 5, 9), 0);
-  EXPECT_TRUE(signs.Redirected(Shows("n", 7, 9), 1));
-  EXPECT_FALSE(signs.Redirected(Shows("n", 12, 9), 5));  // it is back
+  EXPECT_TRUE(signs.ShouldRedirect(Shows("n", 7, 9), 1));
+  EXPECT_FALSE(signs.ShouldRedirect(Shows("n", 12, 9), 5));  // it is back
   signs.OnAnswered(Shows("n", 12, 9), 5);
-  EXPECT_FALSE(signs.Redirected(Shows("n", 14, 9), 6));
+  EXPECT_FALSE(signs.ShouldRedirect(Shows("n", 14, 9), 6));
   // For a lease, for there may be a leader by now.
   signs.OnAnswered(Shows("n", 24, 9), 11);
-  EXPECT_TRUE(signs.Redirected(Shows("n", 26, 9), 12));
+  EXPECT_TRUE(signs.ShouldRedirect(Shows("n", 26, 9), 12));
 }
 
 }  // namespace
--- a/tests/election_exploration_test.cc
+++ b/tests/election_exploration_test.cc
@@ -77,7 +77,7 @@
   }
   int Leader() {
     for (int i = 0; i < kNodes; ++i) {
-      if (nodes_[i].right && nodes_[i].right->Valid(now_)) return i;
+      if (nodes_[i].right && nodes_[i].right->MayActAsLeader(now_)) return i;
     }
     return -1;
   }
@@ -104,8 +104,8 @@
         End(leader, 10);
         break;
       case Event::kLeadershipTransfer:
-        nodes_[leader].right->Lost();
-        nodes_[leader].right->Retire();
+        nodes_[leader].right->OnKeyLost();
+        nodes_[leader].right->BecomeFollower();
         nodes_[leader].office = 0;
         key_.ends = now_;
         break;
--- a/tests/epoch_history_test.cc
+++ b/tests/epoch_history_test.cc
@@ -21,9 +21,9 @@
 TEST(EpochHistory, AnEpochIsAChangeOnceAndTheFirstIsKept) {
   EpochHistory history(kLeaseSeconds);
   using enum EpochHistory::Change;
-  EXPECT_EQ(history.OnNumber(EpochOf(3, 0), 1, 1000), kFirstEpoch);
-  EXPECT_EQ(history.OnNumber(EpochOf(3, 0), 2, 1001), kNone);
-  EXPECT_EQ(history.OnNumber(EpochOf(4, 0), 3, 1002), kLaterEpoch);
+  EXPECT_EQ(history.OnEpochObserved(EpochOf(3, 0), 1, 1000), kFirstEpoch);
+  EXPECT_EQ(history.OnEpochObserved(EpochOf(3, 0), 2, 1001), kNone);
+  EXPECT_EQ(history.OnEpochObserved(EpochOf(4, 0), 3, 1002), kLaterEpoch);
   EXPECT_EQ(history.first_epoch(), 3U);
 }
 
@@ -31,22 +31,22 @@
   EpochHistory history(kLeaseSeconds);
   StoreEpoch incomplete = EpochOf(1, 0);
   incomplete.whole = false;
-  history.OnNumber(incomplete, 1, 1000);
-  history.OnFacts(incomplete, 1);
+  history.OnEpochObserved(incomplete, 1, 1000);
+  history.OnEpochDetails(incomplete, 1);
   EXPECT_TRUE(history.WasCompleteBefore());
-  history.OnNumber(EpochOf(2, 0), 2, 1001);
+  history.OnEpochObserved(EpochOf(2, 0), 2, 1001);
   EXPECT_FALSE(history.WasCompleteBefore());
 }
 
 TEST(EpochHistory, AYoungFirstEpochWaitsALeaseForTheWorkers) {
   EpochHistory history(kLeaseSeconds);
   const StoreEpoch young = EpochOf(1, 999);
-  history.OnNumber(young, 1, 1000);
-  history.OnFacts(young, 1);
+  history.OnEpochObserved(young, 1, 1000);
+  history.OnEpochDetails(young, 1);
   EXPECT_FALSE(history.AllWorkersHaveReported(young, 1 + kLeaseSeconds));
   EXPECT_TRUE(history.AllWorkersHaveReported(young, 1.1 + kLeaseSeconds));
   EpochHistory restarted(kLeaseSeconds);
-  restarted.OnNumber(young, 1, 999 + kLeaseSeconds);
+  restarted.OnEpochObserved(young, 1, 999 + kLeaseSeconds);
   EXPECT_TRUE(restarted.AllWorkersHaveReported(young, 1));
 }
 
@@ -55,12 +55,12 @@
   StoreEpoch epoch = EpochOf(2, 0);
   epoch.whole = false;
   epoch.rebuilt = false;
-  history.OnNumber(epoch, 10, 1000);
-  history.OnFacts(epoch, 10);
+  history.OnEpochObserved(epoch, 10, 1000);
+  history.OnEpochDetails(epoch, 10);
   EXPECT_FALSE(history.AllWorkersHaveReported(epoch, 1000));
   EXPECT_TRUE(history.MayBeKnownElsewhere(epoch, 1000));
   epoch.rebuilt = true;
-  history.OnFacts(epoch, 20);
+  history.OnEpochDetails(epoch, 20);
   EXPECT_FALSE(history.AllWorkersHaveReported(epoch, 20 + 2 * kLeaseSeconds));
   EXPECT_TRUE(history.AllWorkersHaveReported(epoch, 20.1 + 2 * kLeaseSeconds));
   EXPECT_TRUE(history.MayBeKnownElsewhere(epoch, 20 + 7 * kLeaseSeconds));
@@ -82,11 +82,11 @@
     StoreEpoch epoch = EpochOf(2, 0);
     epoch.whole = false;
     epoch.rebuilt = false;
-    history.OnNumber(epoch, kOpened, 1000);
-    history.OnFacts(epoch, kOpened);
+    history.OnEpochObserved(epoch, kOpened, 1000);
+    history.OnEpochDetails(epoch, kOpened);
     EXPECT_TRUE(history.MayBeKnownElsewhere(epoch, kOpened + 1000));
     epoch.rebuilt = true;
-    history.OnFacts(epoch, rebuilt);
+    history.OnEpochDetails(epoch, rebuilt);
     EXPECT_FALSE(history.AllWorkersHaveReported(epoch, rebuilt + lease));
     EXPECT_TRUE(history.MayBeKnownElsewhere(epoch, rebuilt + lease));
     const double end = kOpened + std::min(kRuleSeconds, kRuleLeases * lease);
--- a/tests/fair_queueing_test.cc
+++ b/tests/fair_queueing_test.cc
@@ -19,9 +19,9 @@
   for (int i = 0; i < 400; ++i) {
     const bool first = queueing.MinimumShareFirst("c", 100);
     const double work = first ? 8 : 1;  // those of the minimum share are larger
-    queueing.Placed("c",
-                    first ? QueueSide::kMinimumShare : QueueSide::kQuickest,
-                    work, 100);
+    queueing.RecordPlaced(
+        "c", first ? QueueOrder::kMinimumShare : QueueOrder::kLeastWorkFirst,
+        work, 100);
     minimum_share += first ? work : 0;
     all += work;
   }
@@ -30,18 +30,18 @@
 
 TEST(FairQueueing, WhatWasLongAgoIsForgotten) {
   FairQueueing queueing(0.5, 10);
-  queueing.Placed("c", QueueSide::kMinimumShare, 1000, 0);
+  queueing.RecordPlaced("c", QueueOrder::kMinimumShare, 1000, 0);
   EXPECT_FALSE(queueing.MinimumShareFirst("c", 1));
-  queueing.Placed("c", QueueSide::kQuickest, 1, 200);
+  queueing.RecordPlaced("c", QueueOrder::kLeastWorkFirst, 1, 200);
   EXPECT_TRUE(queueing.MinimumShareFirst("c", 200));
   EXPECT_TRUE(queueing.MinimumShareFirst("another", 200));
 }
 
-TEST(LargestSizes, NoneIsTheLargestOfOneSize) {
-  LargestSizes sizes;
-  sizes.Seen("c", 8);
+TEST(JobSizeTracker, NoneIsTheLargestOfOneSize) {
+  JobSizeTracker sizes;
+  sizes.OnJobAdded("c", 8);
   EXPECT_FALSE(sizes.IsLargest("c", 8));
-  sizes.Seen("c", 1);
+  sizes.OnJobAdded("c", 1);
   EXPECT_TRUE(sizes.IsLargest("c", 8));
   EXPECT_FALSE(sizes.IsLargest("c", 4));
 }
@@ -76,15 +76,15 @@
   QueueRanking ranking(settings_, tuning_);
   const Job large = Waiting("large", JobKind::kGang, 8, 0);
   const Job small = Waiting("small", JobKind::kGang, 1, 55);
-  ranking.Seen(large.spec());
-  ranking.Seen(small.spec());
+  ranking.OnJobAdded(large.spec());
+  ranking.OnJobAdded(small.spec());
   EXPECT_TRUE(ranking.PositionOf(small, 100, 59)
                   .Before(ranking.PositionOf(large, 100, 59)));
   EXPECT_TRUE(ranking.PositionOf(large, 100, 61)
                   .Before(ranking.PositionOf(small, 100, 61)));
   // The minimum share has had more than its share of the work, so the quickest
   // jobs come first again.
-  ranking.Placed(large, ranking.PositionOf(large, 100, 61), 61);
+  ranking.RecordPlaced(large, ranking.PositionOf(large, 100, 61), 61);
   EXPECT_TRUE(ranking.PositionOf(small, 100, 62)
                   .Before(ranking.PositionOf(large, 100, 62)));
 }
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -102,7 +102,8 @@
   if (!json::Parse(bytes, &doc)) return;
   for (const std::string_view key :
        {keys::kLeader, keys::kJob, keys::kWaiting, keys::kMachine,
-        keys::kScaleOut, keys::kTerminal, keys::kRollout, keys::kRolloutEnd}) {
+        keys::kScaleOut, keys::kTerminal, keys::kRollout,
+        keys::kEndedRollout}) {
     Record record;
     wire::DecodeRecord(keys::Of(key, "x"), doc, &record);
   }
@@ -116,12 +117,12 @@
   const std::string self(line == std::string_view::npos
                              ? std::string_view()
                              : bytes.substr(line + 1));
-  if (!IsReachText(other, other.size())) return;
+  if (!IsReachabilityText(other, other.size())) return;
   const int more =
-      Advantage({"a", true, false, self}, {"b", true, true, other});
+      ReachabilityAdvantage({"a", true, false, self}, {"b", true, true, other});
   const auto asked = static_cast<int>(other.size());
   Must(more <= asked && more >= -asked, "more machines than were asked about");
-  Surely(more, asked);
+  IsSignificantAdvantage(more, asked);
 }
 
 std::string SomeFrames() {
--- a/tests/leader_health_test.cc
+++ b/tests/leader_health_test.cc
@@ -5,31 +5,31 @@
 
 #include <gtest/gtest.h>
 
-#include "core/limits/loss_limiter.h"
+#include "core/limits/removal_limiter.h"
 #include "core/model/timeouts.h"
 
 namespace oxbow {
 namespace {
 
-TEST(Reach, AnAdvantageIsSureForAnyNumberOfMachines) {
-  EXPECT_FALSE(Surely(1, 1));
-  EXPECT_TRUE(Surely(2, 2));
-  EXPECT_FALSE(Surely(2, 8));
-  EXPECT_TRUE(Surely(4, 8));
-  EXPECT_FALSE(Surely(5, 24));
-  EXPECT_TRUE(Surely(8, 24));
-  EXPECT_FALSE(Surely(0, 24));
-  EXPECT_FALSE(Surely(25, 24));
+TEST(ReachabilityAnswer, AnAdvantageIsSureForAnyNumberOfMachines) {
+  EXPECT_FALSE(IsSignificantAdvantage(1, 1));
+  EXPECT_TRUE(IsSignificantAdvantage(2, 2));
+  EXPECT_FALSE(IsSignificantAdvantage(2, 8));
+  EXPECT_TRUE(IsSignificantAdvantage(4, 8));
+  EXPECT_FALSE(IsSignificantAdvantage(5, 24));
+  EXPECT_TRUE(IsSignificantAdvantage(8, 24));
+  EXPECT_FALSE(IsSignificantAdvantage(0, 24));
+  EXPECT_FALSE(IsSignificantAdvantage(25, 24));
 }
 
-TEST(Reach, WhatOneReachesAndTheOtherDoesNotCancelsOut) {
-  const Reach self{"a", true, false, "1100"};
-  EXPECT_EQ(Advantage(self, {"b", true, true, "0011"}), 0);
-  EXPECT_EQ(Advantage(self, {"b", true, true, "1111"}), 2);
-  EXPECT_EQ(Advantage(self, {"b", true, true, "??11"}), 2);
-  EXPECT_TRUE(IsReachText("01?", 3));
-  EXPECT_FALSE(IsReachText("01", 3));
-  EXPECT_FALSE(IsReachText("012", 3));
+TEST(ReachabilityAnswer, WhatOneReachesAndTheOtherDoesNotCancelsOut) {
+  const ReachabilityAnswer self{"a", true, false, "1100"};
+  EXPECT_EQ(ReachabilityAdvantage(self, {"b", true, true, "0011"}), 0);
+  EXPECT_EQ(ReachabilityAdvantage(self, {"b", true, true, "1111"}), 2);
+  EXPECT_EQ(ReachabilityAdvantage(self, {"b", true, true, "??11"}), 2);
+  EXPECT_TRUE(IsReachabilityText("01?", 3));
+  EXPECT_FALSE(IsReachabilityText("01", 3));
+  EXPECT_FALSE(IsReachabilityText("012", 3));
 }
 
 LeaderHealth::Limits SomeLimits() { return {0.125, 0.2, 0.5, 5, 4, 2}; }
@@ -45,17 +45,17 @@
 TEST(LeaderHealth, AsksOnlyAfterItHasSettled) {
   LeaderHealth health = ReceivingNothing(1.0);
   EXPECT_EQ(health.state(), LeaderHealthState::kSuspect);
-  EXPECT_FALSE(health.WantsRound(1.0));
-  EXPECT_TRUE(health.WantsRound(2.0));
+  EXPECT_FALSE(health.IsSurveyDue(1.0));
+  EXPECT_TRUE(health.IsSurveyDue(2.0));
 }
 
 TEST(LeaderHealth, OffersToTheOneThatReachesMostAndMayLead) {
   LeaderHealth health = ReceivingNothing(3);
-  health.RoundAsked(3);
+  health.OnSurveyStarted(3);
   const std::string none(20, '0');
   const std::string all(20, '1');
   const std::string most = all.substr(0, 15) + none.substr(0, 5);
-  const auto verdict = health.RoundAnswered(
+  const auto verdict = health.OnSurveyAnswered(
       {{"a", true, false, none},
        {"b", true, true, most},
        {"c", true, false, all},  // can't: no key-value store
@@ -74,9 +74,9 @@
   int rounds = 0;
   for (Time t = 3; t < 23; t += 0.05) {
     health.Observe({20, 20, 20}, t);
-    if (!health.WantsRound(t)) continue;
-    health.RoundAsked(t);
-    const auto verdict = health.RoundAnswered(
+    if (!health.IsSurveyDue(t)) continue;
+    health.OnSurveyStarted(t);
+    const auto verdict = health.OnSurveyAnswered(
         {{"a", true, false, none}, {"b", true, true, none}}, t);
     EXPECT_EQ(verdict.kind, LeaderHealth::Decision::Kind::kStay);
     ++rounds;
@@ -93,15 +93,15 @@
   Time t = 0;
   for (; t < 30; t += 0.05) {
     health.Observe({20, 3, 3}, t);
-    if (!health.WantsRound(t)) continue;
-    health.RoundAsked(t);
-    health.RoundAnswered({{"a", true, false, none}, {"b", true, true, none}},
-                         t);
+    if (!health.IsSurveyDue(t)) continue;
+    health.OnSurveyStarted(t);
+    health.OnSurveyAnswered({{"a", true, false, none}, {"b", true, true, none}},
+                            t);
   }
-  EXPECT_FALSE(health.WantsRound(t));
+  EXPECT_FALSE(health.IsSurveyDue(t));
   const Time too_few_from = t;
-  for (; !health.WantsRound(t); t += 0.05) health.Observe({20, 20, 20}, t);
-  EXPECT_LT(t - too_few_from, SomeLimits().pause_seconds);
+  for (; !health.IsSurveyDue(t); t += 0.05) health.Observe({20, 20, 20}, t);
+  EXPECT_LT(t - too_few_from, SomeLimits().survey_pause_seconds);
 }
 
 TEST(LeaderHealth, ReceivingTooFewUnwatchedHasNotLasted) {
@@ -109,9 +109,9 @@
   const std::string none(20, '0');
   // The process stood still for ten seconds: no reason to step down blindly.
   health.Observe({20, 20, 20}, 13);
-  health.RoundAsked(13);
+  health.OnSurveyStarted(13);
   EXPECT_EQ(health
-                .RoundAnswered(
+                .OnSurveyAnswered(
                     {{"a", true, false, none}, {"b", false, false, ""}}, 13)
                 .kind,
             LeaderHealth::Decision::Kind::kStay);
@@ -126,8 +126,8 @@
   EXPECT_TRUE(log.Allows(10.5));
 }
 
-LossLimiter::Limits Tenth() {
-  LossLimiter::Limits limits;
+RemovalLimiter::Limits Tenth() {
+  RemovalLimiter::Limits limits;
   limits.window_seconds = 10;
   limits.fleet.fill(0.1);
   limits.zone = 0.2;
@@ -137,47 +137,48 @@
 
 // The brake of 1 December counted machines that were still silent, and what it
 // had deleted no longer was: 459 of a thousand went within 17 s.
-TEST(LossLimiter, CountsWhatWasAskedNotWhatIsLeft) {
-  LossLimiter limiter(Tenth());
+TEST(RemovalLimiter, CountsWhatWasAskedNotWhatIsLeft) {
+  RemovalLimiter limiter(Tenth());
   int fleet = 1000;
   int allowed = 0;
   for (int i = 0; i < 900; ++i) {
-    const Loss loss{LossCause::kSilent, i % 2 ? "a" : "b", {}};
-    if (limiter.Ask(loss, fleet, fleet / 2, 1 + i * 0.01) !=
-        LossDecision::kAllowed) {
+    const CapacityRemoval loss{RemovalCause::kSilent, i % 2 ? "a" : "b", {}};
+    if (limiter.RequestRemoval(loss, fleet, fleet / 2, 1 + i * 0.01) !=
+        RemovalDecision::kAllowed) {
       continue;
     }
     ++allowed;
     --fleet;
   }
   EXPECT_EQ(allowed, 100);
-  EXPECT_EQ(limiter.refused(LossCause::kSilent), 800);
+  EXPECT_EQ(limiter.refused(RemovalCause::kSilent), 800);
 }
 
-TEST(LossLimiter, ForgetsAfterItsWindowAndKeepsCausesApart) {
-  LossLimiter limiter(Tenth());
-  const auto ask = [&](LossCause cause, Time now) {
-    return limiter.Ask({cause, "a", {}}, 10, 10, now);
+TEST(RemovalLimiter, ForgetsAfterItsWindowAndKeepsCausesApart) {
+  RemovalLimiter limiter(Tenth());
+  const auto ask = [&](RemovalCause cause, Time now) {
+    return limiter.RequestRemoval({cause, "a", {}}, 10, 10, now);
   };
-  EXPECT_EQ(ask(LossCause::kSilent, 0), LossDecision::kAllowed);
-  EXPECT_EQ(ask(LossCause::kSilent, 1), LossDecision::kFleetLimit);
-  EXPECT_EQ(ask(LossCause::kIdle, 1), LossDecision::kAllowed);
-  EXPECT_EQ(ask(LossCause::kSilent, 10.5), LossDecision::kAllowed);
+  EXPECT_EQ(ask(RemovalCause::kSilent, 0), RemovalDecision::kAllowed);
+  EXPECT_EQ(ask(RemovalCause::kSilent, 1), RemovalDecision::kFleetLimit);
+  EXPECT_EQ(ask(RemovalCause::kIdle, 1), RemovalDecision::kAllowed);
+  EXPECT_EQ(ask(RemovalCause::kSilent, 10.5), RemovalDecision::kAllowed);
 }
 
-TEST(LossLimiter, HoldsAZoneAndAService) {
-  LossLimiter limiter(Tenth());
-  const auto ask = [&](const std::string& zone, std::vector<Loss::Part> parts) {
-    return limiter.Ask({LossCause::kSilent, zone, std::move(parts)}, 100, 10,
-                       0);
+TEST(RemovalLimiter, HoldsAZoneAndAService) {
+  RemovalLimiter limiter(Tenth());
+  const auto ask = [&](const std::string& zone,
+                       std::vector<CapacityRemoval::AffectedService> parts) {
+    return limiter.RequestRemoval(
+        {RemovalCause::kSilent, zone, std::move(parts)}, 100, 10, 0);
   };
-  EXPECT_EQ(ask("a", {}), LossDecision::kAllowed);
-  EXPECT_EQ(ask("a", {}), LossDecision::kAllowed);
-  EXPECT_EQ(ask("a", {}), LossDecision::kZoneLimit);
+  EXPECT_EQ(ask("a", {}), RemovalDecision::kAllowed);
+  EXPECT_EQ(ask("a", {}), RemovalDecision::kAllowed);
+  EXPECT_EQ(ask("a", {}), RemovalDecision::kZoneLimit);
   // The first may take what it finds; then half of the service at most.
-  EXPECT_EQ(ask("b", {{"s", 2, 6}}), LossDecision::kAllowed);
-  EXPECT_EQ(ask("c", {{"s", 2, 6}}), LossDecision::kServiceLimit);
-  EXPECT_EQ(ask("c", {{"s", 1, 6}}), LossDecision::kAllowed);
+  EXPECT_EQ(ask("b", {{"s", 2, 6}}), RemovalDecision::kAllowed);
+  EXPECT_EQ(ask("c", {{"s", 2, 6}}), RemovalDecision::kServiceLimit);
+  EXPECT_EQ(ask("c", {{"s", 1, 6}}), RemovalDecision::kAllowed);
 }
 
 // The two thresholds that lay the wrong way round at a heartbeat of 0.18 lease.
--- a/tests/leadership_simulation.h
+++ b/tests/leadership_simulation.h
@@ -208,7 +208,8 @@
       for (int i = 0; i < kNodes; ++i) End(i);
     }
     int leaders = 0;
-    for (ControllerNode& n : nodes_) leaders += n.right && n.right->Valid(now_);
+    for (ControllerNode& n : nodes_)
+      leaders += n.right && n.right->MayActAsLeader(now_);
     if (leaders > 1) Wrong("two leaders");
     // Who keeps may be unknown to a leader by promises alone, and that one
     // takes nothing for over.
@@ -216,9 +217,9 @@
     bool keeps = false;
     for (ControllerNode& n : nodes_) {
       if (!n.right) continue;
-      by_lease = by_lease || (n.right->Valid(now_) &&
+      by_lease = by_lease || (n.right->MayActAsLeader(now_) &&
                               n.right->state() == LeaderState::kLeading);
-      keeps = keeps || n.right->MayRenew(now_);
+      keeps = keeps || n.right->MayRenewWorkerLeases(now_);
     }
     if (by_lease && keeps) Wrong("kept while somebody leads by its lease");
     for (int w = 0; w < kWorkers; ++w) Work(w);
@@ -254,13 +255,14 @@
     ControllerNode& n = nodes_[i];
     Leadership& r = *n.right;
     for (int other = 0; other < kNodes; ++other) {
-      if (other == i || now_ < n.next_hello || r.Proven(now_)) {
+      if (other == i || now_ < n.next_hello ||
+          r.ForgottenPromisesExpired(now_)) {
         continue;
       }
       Ask(
           i, other, [this](ControllerNode& to) { return to.right->Role(now_); },
           [other](ControllerNode& me, LeaderRole role) {
-            me.right->PeerIs(Name(other), role);
+            me.right->SetPeerRole(Name(other), role);
           });
     }
     if (now_ >= n.next_hello) n.next_hello = now_ + 0.2;
@@ -271,9 +273,9 @@
         n.free_since = key_.holder < 0 ? std::min(n.free_since, now_) : 1e18;
       }
     }
-    const bool valid = r.Valid(now_);
+    const bool valid = r.MayActAsLeader(now_);
     if (r.state() == LeaderState::kExpired) {
-      r.Retire();
+      r.BecomeFollower();
       n.office = 0;
     }
     if (valid) {
@@ -283,7 +285,7 @@
         AskPromises(i);
       }
     } else if (r.state() == LeaderState::kRenewing) {
-      r.Promote(now_);
+      r.PromoteToLeader(now_);
     } else if (r.state() == LeaderState::kFollower) {
       if (!n.fails) Seek(i);
       if (r.state() == LeaderState::kFollower) AskForDelegation(i);
@@ -296,8 +298,8 @@
           key_.ends = now_ + kLeaderLease;
           r.RenewGranted(now_);
         } else {
-          r.Lost();
-          r.Retire();
+          r.OnKeyLost();
+          r.BecomeFollower();
           n.office = 0;
         }
       }
@@ -311,7 +313,7 @@
       Ask(
           i, other,
           [this](ControllerNode& to) {
-            return to.right->AskedToPromise(!Call(to), now_);
+            return to.right->OnPromiseRequested(!Call(to), now_);
           },
           [other, revision, sent = now_](ControllerNode& me, bool yes) {
             if (yes && me.right->revision() == revision) {
@@ -324,14 +326,15 @@
   void Seek(int i) {
     ControllerNode& n = nodes_[i];
     Leadership& r = *n.right;
-    const bool proven = r.MaySeek(now_);
-    if (!proven && !r.MayTakeKey(now_)) return;
+    const bool proven = r.MayCampaign(now_);
+    if (!proven && !r.MayTakeFreeKey(now_)) return;
     const bool mine = n.seen.holder == i &&
                       n.seen.process_incarnation != n.process_incarnation;
-    const bool own = mine && !n.seen.renews_only && r.OwnProven(now_);
+    const bool own =
+        mine && !n.seen.renews_only && r.ForgottenDelegationsExpired(now_);
     const bool first = proven || now_ >= n.free_since + 0.25 || mine;
     if (!first || (!mine && n.seen.holder >= 0)) return;
-    r.SeekStarted(n.seen.revision);
+    r.OnCampaignStarted(n.seen.revision);
     // Written at once or a little later; the answer is of unknown outcome if
     // the process has ended meanwhile.
     const Time sent = now_;
@@ -340,12 +343,12 @@
                       [this, i, sent, leads] {
                         ControllerNode& me = nodes_[i];
                         if (!Call(me) || key_.revision != me.right->seen()) {
-                          me.right->SeekFailed();
+                          me.right->OnCampaignFailed();
                           return;
                         }
                         key_ = {i,      me.process_incarnation, ++revision_, 0,
                                 !leads, sent + kLeaderLease};
-                        me.right->Won(key_.revision, 1, sent, leads);
+                        me.right->OnElected(key_.revision, 1, sent, leads);
                         me.seen = key_;
                       }});
   }
@@ -354,7 +357,7 @@
     ControllerNode& n = nodes_[i];
     Leadership& r = *n.right;
     if (!n.fails) {
-      const uint64_t number = r.DelegationOver(now_);
+      const uint64_t number = r.EndDelegation(now_);
       if (number == 0) return;
       for (int other = 0; other < kNodes; ++other) {
         if (other == i) continue;
@@ -367,14 +370,14 @@
     }
     if (now_ >= n.wanted_until || now_ < n.next_delegation) return;
     n.next_delegation = now_ + kDelegation / 4;
-    const uint64_t number = r.DelegationAsked(now_);
+    const uint64_t number = r.StartDelegationRequest(now_);
     for (int other = 0; other < kNodes; ++other) {
       if (other == i) continue;
       Ask(
           i, other,
           [this, i, number, process_incarnation = Life(i)](ControllerNode& to) {
-            return to.right->AskedToDelegate(Name(i), process_incarnation,
-                                             number, !Call(to), now_);
+            return to.right->OnDelegationPromiseRequested(
+                Name(i), process_incarnation, number, !Call(to), now_);
           },
           [other, sent = now_](ControllerNode& me, bool yes) {
             if (yes) me.right->DelegationGranted(Name(other), sent);
@@ -394,8 +397,9 @@
     }
     if (r.state() != LeaderState::kLeading) return;  // as Leader::Tick
     for (int w = 0; w < kWorkers; ++w) {
-      if (n.over[w] ||
-          now_ <= n.counted[w] + kWorkerLease * (1 + kDrift) + 0.05) {
+      if (n.over[w] || now_ <= n.counted[w] +
+                                   kWorkerLease * (1 + kMaxClockDriftRate) +
+                                   0.05) {
         continue;
       }
       n.over[w] = true;
@@ -421,14 +425,14 @@
     Send(to, [this, w, to, sent = now_, began = worker.began] {
       ControllerNode& n = nodes_[to];
       bool answered = false;
-      if (n.right->Valid(now_)) {
+      if (n.right->MayActAsLeader(now_)) {
         if (n.office == n.right->revision()) {
           n.counted[w] = now_;
           n.over[w] = false;
           answered = true;
         }
       } else {
-        answered = n.right->MayRenew(now_);
+        answered = n.right->MayRenewWorkerLeases(now_);
         kept_ += answered;
         n.wanted_until = now_ + 1;
       }
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -156,7 +156,7 @@
     constexpr int kChecks = 5000;
     const auto start = std::clock();
     for (int i = 0; i < kChecks; ++i) {
-      CheckInstance check{"ro-1", {"job-000001", 0, 1}, "127.0.0.1:1", spec};
+      RunHealthCheck check{"ro-1", {"job-000001", 0, 1}, "127.0.0.1:1", spec};
       const CheckOutcome outcome = co_await health.Check(check);
       EXPECT_TRUE(outcome.good);
     }
--- a/tests/maintenance_calendar_test.cc
+++ b/tests/maintenance_calendar_test.cc
@@ -269,7 +269,7 @@
  protected:
   BookingChecks() {
     settings_.workers.lease_seconds = 10;
-    settings_.clock_off_ms = 25;
+    settings_.clock_error_ms = 25;
     Objective objective;
     objective.job_class = "rebuild";
     settings_.objectives.push_back(objective);
--- a/tests/maintenance_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -30,7 +30,7 @@
     faults.longest_seconds = Between(2, 30);
     sim_.tuning.calendar_on = 1;
     bound_ = Happens(0.5) ? 0.025 : Between(0.1, 0.7);
-    sim_.settings.clock_off_ms = 1000 * bound_;
+    sim_.settings.clock_error_ms = 1000 * bound_;
     sim_.settings.teams.push_back({"t", 0, 0, 0, 0});
     MachineType type;
     type.name = "small";
--- a/tests/packing_test.cc
+++ b/tests/packing_test.cc
@@ -40,8 +40,8 @@
     return spec;
   }
   void Submit(const JobSpec& spec, Time now = 0) {
-    fragmentation_.Note(spec, now);
-    fragmentation_.Settle(now + 2 * kSettleSeconds * ++submitted_);
+    fragmentation_.AddJobToMix(spec, now);
+    fragmentation_.UpdateMix(now + 2 * kSettleSeconds * ++submitted_);
   }
   Machine* Add(double gpus_used, const std::string& zone = "a") {
     const auto n = static_cast<int32_t>(machines_.size());
@@ -50,7 +50,7 @@
         1));
     Machine* machine = machines_.back().get();
     machine->type = &type_;
-    machine->used = machine->lasting = machine->staying =
+    machine->used = machine->used_by_long_running = machine->used_by_services =
         Resources{gpus_used * 4, gpus_used, gpus_used * 28};
     all_.push_back(machine);
     return machine;
@@ -83,18 +83,20 @@
 
 TEST_F(Packing, UselessIsWhatNoFurtherTaskOfTheMixCouldUse) {
   Machine* machine = Add(2);
-  EXPECT_EQ(fragmentation_.Useless(*machine), 0);  // nothing was asked for
-  Submit(Spec(JobKind::kGang, 8, 3));              // 24 accelerators
-  EXPECT_DOUBLE_EQ(fragmentation_.Useless(*machine), 6);
+  EXPECT_EQ(fragmentation_.UnusableAccelerators(*machine),
+            0);                        // nothing was asked for
+  Submit(Spec(JobKind::kGang, 8, 3));  // 24 accelerators
+  EXPECT_DOUBLE_EQ(fragmentation_.UnusableAccelerators(*machine), 6);
   Submit(Spec(JobKind::kService, 4, 2));  // 8: a quarter; 2 of 6 are left over
-  EXPECT_NEAR(fragmentation_.Useless(*machine), 0.75 * 6 + 0.25 * 2, 0.1);
+  EXPECT_NEAR(fragmentation_.UnusableAccelerators(*machine),
+              0.75 * 6 + 0.25 * 2, 0.1);
   // Cores count beside them: without, not one more of the small ones either.
-  machine->lasting.cpus = machine->used.cpus = 64 - 15;
-  EXPECT_NEAR(fragmentation_.Useless(*machine), 6, 1e-9);
+  machine->used_by_long_running.cpus = machine->used.cpus = 64 - 15;
+  EXPECT_NEAR(fragmentation_.UnusableAccelerators(*machine), 6, 1e-9);
   // Short work does not count: it ends soon.
   Machine* busy = Add(0);
   busy->used = {64, 0, 100};
-  EXPECT_EQ(fragmentation_.Useless(*busy), 0);
+  EXPECT_EQ(fragmentation_.UnusableAccelerators(*busy), 0);
   const FragmentationCount count = fragmentation_.Count(machines_);
   EXPECT_EQ(count.whole, 1);
   EXPECT_EQ(count.fragmented, 1);
@@ -109,12 +111,12 @@
   Machine* elsewhere = Add(0, "a");
   Machine* spot = Add(0, "b");
   spot->spot = true;
-  EXPECT_EQ(fragmentation_.Useless(*here), 0);
-  EXPECT_EQ(fragmentation_.Useless(*elsewhere), 8);
-  EXPECT_EQ(fragmentation_.Useless(*spot), 8);
+  EXPECT_EQ(fragmentation_.UnusableAccelerators(*here), 0);
+  EXPECT_EQ(fragmentation_.UnusableAccelerators(*elsewhere), 8);
+  EXPECT_EQ(fragmentation_.UnusableAccelerators(*spot), 8);
   // So a small task goes where no other work could.
-  EXPECT_LT(fragmentation_.Added(*elsewhere, {8, 2, 56}), 0);
-  EXPECT_GT(fragmentation_.Added(*here, {8, 2, 56}), 0);
+  EXPECT_LT(fragmentation_.AddedFragmentation(*elsewhere, {8, 2, 56}), 0);
+  EXPECT_GT(fragmentation_.AddedFragmentation(*here, {8, 2, 56}), 0);
 }
 
 TEST_F(Packing, TheMixForgets) {
@@ -142,7 +144,7 @@
   EXPECT_FALSE(placer_.FragmentsWholeMachine(small, *little, std::nullopt));
   EXPECT_EQ(Choose(small), much);
   // A cached image is no reason to fragment a whole machine.
-  all_[0]->ImageCached("img", 14, 1);
+  all_[0]->MarkImageCached("img", 14, 1);
   EXPECT_EQ(Choose(small), much);
   // Without the weight, it is one.
   tuning_.fragmentation_weight = 0;
@@ -189,16 +191,18 @@
   for (int step = 0; step < 500; ++step) {
     Machine* machine = all_[random() % all_.size()];
     const double gpus = static_cast<double>(random() % 9);
-    machine->lasting = {gpus * 6, gpus, gpus * 20};
+    machine->used_by_long_running = {gpus * 6, gpus, gpus * 20};
     JobSpec spec = Spec(JobKind::kArray, 1 + static_cast<double>(step % 8), 1);
     if (step % 10 == 0) Submit(spec, step);
     FragmentationIndex fresh = fragmentation_;
     Machine copy = *machine;
-    copy.lasting.cpus -= 1e-3;  // no cached result is valid any more
-    (void)fresh.Added(copy, {1e-3, 0, 0});
-    ASSERT_DOUBLE_EQ(fragmentation_.Added(*machine, spec.need),
-                     fresh.Added(*machine, spec.need));
-    ASSERT_DOUBLE_EQ(fragmentation_.Useless(*machine), fresh.Useless(*machine));
+    copy.used_by_long_running.cpus -=
+        1e-3;  // no cached result is valid any more
+    (void)fresh.AddedFragmentation(copy, {1e-3, 0, 0});
+    ASSERT_DOUBLE_EQ(fragmentation_.AddedFragmentation(*machine, spec.need),
+                     fresh.AddedFragmentation(*machine, spec.need));
+    ASSERT_DOUBLE_EQ(fragmentation_.UnusableAccelerators(*machine),
+                     fresh.UnusableAccelerators(*machine));
   }
 }
 
@@ -226,7 +230,8 @@
              .count_on_machine = [](const Machine&) { return 0; },
              .mean_bandwidth = kMeanBandwidth},
             all_);
-        machine->lasting += small.need;  // the next one finds it changed
+        machine->used_by_long_running +=
+            small.need;  // the next one finds it changed
       }
       const double us = std::chrono::duration<double, std::micro>(
                             std::chrono::steady_clock::now() - begin)
--- a/tests/placement_test.cc
+++ b/tests/placement_test.cc
@@ -23,11 +23,11 @@
 
 TEST(Images, QueuedBytesCountAsNotToFetch) {
   Machine machine("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
-  EXPECT_EQ(machine.BytesToFetch("img", 3), 3);
+  EXPECT_EQ(machine.GbToFetch("img", 3), 3);
   machine.QueueImage("img", 3, 10);
-  EXPECT_EQ(machine.BytesToFetch("img", 3), 0);
+  EXPECT_EQ(machine.GbToFetch("img", 3), 0);
   EXPECT_FALSE(machine.HasImage("img"));
-  machine.ImageCached("img", 3, 16);
+  machine.MarkImageCached("img", 3, 16);
   EXPECT_TRUE(machine.HasImage("img"));
   EXPECT_DOUBLE_EQ(machine.bandwidth, 0.5);  // 3 GB in 6 s
 }
@@ -37,15 +37,15 @@
   type.cache_gb = 5;
   Machine machine("n-1", {"small", "a", false, "x", 0, 0}, 0, 1);
   machine.type = &type;
-  machine.ImageCached("one", 3, 1);
-  machine.ImageCached("two", 2, 2);
-  machine.ImageCached("one", 3, 3);  // used again
-  machine.ImageCached("three", 2, 4);
+  machine.MarkImageCached("one", 3, 1);
+  machine.MarkImageCached("two", 2, 2);
+  machine.MarkImageCached("one", 3, 3);  // used again
+  machine.MarkImageCached("three", 2, 4);
   EXPECT_TRUE(machine.HasImage("one"));
   EXPECT_FALSE(machine.HasImage("two"));
   EXPECT_TRUE(machine.HasImage("three"));
-  machine.ImageCached("huge", 50,
-                      5);  // larger than the cache: it alone is there
+  machine.MarkImageCached("huge", 50,
+                          5);  // larger than the cache: it alone is there
   EXPECT_FALSE(machine.HasImage("one"));
 }
 
@@ -89,7 +89,7 @@
   JobSpec spec;
   spec.tasks = 6;
   spec.need = {1, 0, 1};
-  AutoscalerInput input;
+  ScaleOutInput input;
   input.types = &types;
   input.capacity = {{{"small", "a", false}, {2, 0, 16}}};
   input.demand = {{&spec, 6, {}}};
--- a/tests/priority_tiers_test.cc
+++ b/tests/priority_tiers_test.cc
@@ -57,7 +57,8 @@
   EXPECT_EQ(name(Spec("x", kHigh, kArray)), "rest");
   EXPECT_EQ(set->at(0).name, "ops");
   EXPECT_EQ(set->at(3).name, "rest");
-  EXPECT_EQ(set->at(3).floor_seconds, TierBounds{}.usual_floor_seconds);
+  EXPECT_EQ(set->at(3).turn_wait_seconds,
+            TierBounds{}.default_turn_wait_seconds);
   EXPECT_EQ(*Read(wire::WriteTiers(set->listed())), *set);
 }
 
@@ -259,7 +260,7 @@
 class Policy : public testing::Test {
  protected:
   Policy() : policy_(settings_, true) {
-    policy_.Use(Read(kText));
+    policy_.SetTiers(Read(kText));
     view_.total = {{"a", {100, 0, 400}}, {"b", {100, 0, 400}}};
     view_.free = {{"a", {12, 0, 40}}, {"b", {50, 0, 200}}};
     view_.machines = 20;
@@ -280,10 +281,10 @@
 TEST_F(Policy, OffOrOfOneTierChangesNothing) {
   for (const bool on : {false, true}) {
     TierPolicy policy(settings_, on);
-    if (!on) policy.Use(Read(kText));
+    if (!on) policy.SetTiers(Read(kText));
     EXPECT_FALSE(policy.active());
     EXPECT_EQ(policy.Classify(nightly_.spec()), 0);
-    policy.Begin(view_, 1);
+    policy.BeginPass(view_, 1);
     EXPECT_EQ(policy.RankOf(nightly_, 0), 0);
     EXPECT_TRUE(policy.MayStart(nightly_, 0));
     EXPECT_TRUE(policy.MayUse(nightly_, 0, "a", {90, 0, 1}, true));
@@ -292,63 +293,63 @@
 }
 
 TEST_F(Policy, KeptRoomIsForBetterTiersOnly) {
-  policy_.Survey(1, {{"a", {{20, 0, 20}, {8, 0, 8}}}});
-  policy_.Begin(view_, 1);
+  policy_.UpdateLargestLoss(1, {{"a", {{20, 0, 20}, {8, 0, 8}}}});
+  policy_.BeginPass(view_, 1);
   // 8 of 12 free cores in zone a are kept: one machine's worth.
-  EXPECT_DOUBLE_EQ(policy_.ReservedAgainst(2, "a").cpus, 8);
+  EXPECT_DOUBLE_EQ(policy_.HeadroomOfBetterTiers(2, "a").cpus, 8);
   EXPECT_TRUE(policy_.MayUse(nightly_, 2, "a", {4, 0, 4}, false));
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {5, 0, 4}, false));
   EXPECT_TRUE(policy_.MayUse(finder_, 1, "a", {12, 0, 4}, false));
   EXPECT_TRUE(policy_.MayUse(nightly_, 2, "b", {50, 0, 4}, false));
-  policy_.Take("a", {4, 0, 4});
+  policy_.TakeCapacity("a", {4, 0, 4});
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {1, 0, 1}, false));
-  policy_.Give("a", {4, 0, 4});
+  policy_.ReturnCapacity("a", {4, 0, 4});
   // What was started lately is kept too, up to the share.
   for (int i = 0; i < 40; ++i) {
-    policy_.Started(finder_, 1, "b", {1, 0, 1}, false, 1);
+    policy_.OnTaskStarted(finder_, 1, "b", {1, 0, 1}, false, 1);
   }
-  policy_.Begin(view_, 2);
-  EXPECT_DOUBLE_EQ(policy_.ReservedAgainst(2, "b").cpus, 10);
+  policy_.BeginPass(view_, 2);
+  EXPECT_DOUBLE_EQ(policy_.HeadroomOfBetterTiers(2, "b").cpus, 10);
 }
 
 TEST_F(Policy, ShareHoldsWhileOthersWaitAndNoLonger) {
   Wait(nightly_, 2, 0);
-  policy_.Begin(view_, 1);
-  policy_.Hold(2, {99, 0, 0});
+  policy_.BeginPass(view_, 1);
+  policy_.AddUsage(2, {99, 0, 0});
   EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));  // nobody else
   Wait(rest_, 3, 0);
-  policy_.Begin(view_, 2);
+  policy_.BeginPass(view_, 2);
   EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {1, 0, 1}));
   EXPECT_FALSE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));
-  policy_.OthersServed();  // what they leave is not left idle
+  policy_.OnOtherTiersServed();  // what they leave is not left idle
   EXPECT_TRUE(policy_.WithinShare(nightly_, 2, {2, 0, 1}));
 }
 
 TEST_F(Policy, WhoWaitsTooLongGetsATurnNowAndThen) {
   const Job longer = MakeJob(Spec("batch", Priority::kLow, JobKind::kArray));
   Wait(nightly_, 2, 119);
-  policy_.Survey(1, {{"a", {{20, 0, 20}, {12, 0, 40}}}});
-  policy_.Begin(view_, 1);
+  policy_.UpdateLargestLoss(1, {{"a", {{20, 0, 20}, {12, 0, 40}}}});
+  policy_.BeginPass(view_, 1);
   EXPECT_EQ(policy_.RankOf(nightly_, 2), 4);
   EXPECT_FALSE(policy_.MayUse(nightly_, 2, "a", {4, 0, 4}, false));
   view_.waiting.clear();
   Wait(nightly_, 2, 121);
   Wait(longer, 2, 122);
   view_.best_wanted = 100;  // and in a recovery too
-  policy_.Begin(view_, 3);
-  EXPECT_TRUE(policy_.recovery().holds());
+  policy_.BeginPass(view_, 3);
+  EXPECT_TRUE(policy_.recovery().delays_lower_tiers());
   EXPECT_EQ(policy_.RankOf(longer, 2), 1);  // after the best tier
   EXPECT_EQ(policy_.RankOf(nightly_, 2), 4);
   EXPECT_TRUE(policy_.MayStart(longer, 2));
   EXPECT_FALSE(policy_.MayStart(nightly_, 2));
   EXPECT_TRUE(policy_.MayUse(longer, 2, "a", {4, 0, 4}, true));
-  policy_.Started(longer, 2, "a", {4, 0, 4}, true, 3);
+  policy_.OnTaskStarted(longer, 2, "a", {4, 0, 4}, true, 3);
   // One task was the turn; the tier's next one comes a lease later.
   EXPECT_FALSE(policy_.MayStart(longer, 2));
-  policy_.Begin(view_, 12);
+  policy_.BeginPass(view_, 12);
   EXPECT_FALSE(policy_.MayStart(nightly_, 2));
   EXPECT_FALSE(policy_.MayStart(longer, 2));
-  policy_.Begin(view_, 13.5);
+  policy_.BeginPass(view_, 13.5);
   EXPECT_TRUE(policy_.MayStart(longer, 2));
 }
 
--- a/tests/reachability_test.cc
+++ b/tests/reachability_test.cc
@@ -19,8 +19,9 @@
     reachability_.OnResponse({seq_, answer, token, false},
                              workers_.lease_seconds, now_);
   }
-  bool MustBeOld(FencingToken token) {
-    return reachability_.MustBeOld(token, workers_.lease_seconds, false, now_);
+  bool IsStaleHeartbeat(FencingToken token) {
+    return reachability_.IsStaleHeartbeat(token, workers_.lease_seconds, false,
+                                          now_);
   }
 
   WorkerSettings workers_{1.0, 10.0, 40.0, 4.0, 40.0};
@@ -86,11 +87,11 @@
 TEST_F(ReachabilityTest, AHeartbeatWithoutOurTokenForALeaseIsOld) {
   for (int i = 0; i < 14; ++i) {
     SendHeartbeat(0, kToken);
-    EXPECT_FALSE(MustBeOld(0));
+    EXPECT_FALSE(IsStaleHeartbeat(0));
   }
   now_ += 2;
-  EXPECT_TRUE(MustBeOld(0));
-  EXPECT_FALSE(MustBeOld(kToken));
+  EXPECT_TRUE(IsStaleHeartbeat(0));
+  EXPECT_FALSE(IsStaleHeartbeat(kToken));
 }
 
 TEST_F(ReachabilityTest, LosingContactAgainDelaysTheNextDeliveryCheck) {
--- a/tests/read_consistency_gate_test.cc
+++ b/tests/read_consistency_gate_test.cc
@@ -330,9 +330,9 @@
       StatusEvidence evidence{
           n.knows_end ? TerminalState::kDone : TerminalState::kNone,
           ObservationOf(n), RecordRead::kNone};
-      StatusDecision decision = Decide(evidence);
+      StatusDecision decision = DecideStatus(evidence);
       if (decision == StatusDecision::kReadFirst) {
-        evidence.read = RecordRead::kUnclear;
+        evidence.read = RecordRead::kInconclusive;
         // Not a fresh one: as the node knows it from before.
         if (without_ == Without::kRead) {
           evidence.read =
@@ -344,18 +344,18 @@
         evidence.end =
             n.knows_end ? TerminalState::kDone : TerminalState::kNone;
         evidence.observation = ObservationOf(n);
-        decision = Decide(evidence);
+        decision = DecideStatus(evidence);
       }
       if (m.told_end && (decision == StatusDecision::kLive ||
-                         decision == StatusDecision::kDenial)) {
+                         decision == StatusDecision::kNoSuchJob)) {
         broken_ = "an end was told, then something older";
       }
-      if (m.told_accepted && decision == StatusDecision::kDenial) {
+      if (m.told_accepted && decision == StatusDecision::kNoSuchJob) {
         broken_ = "accepted, then denied";
       }
-      m.told_end = m.told_end || decision == StatusDecision::kEnd;
+      m.told_end = m.told_end || decision == StatusDecision::kTerminalState;
       m.told_accepted = m.told_accepted || decision == StatusDecision::kLive;
-      if (decision == StatusDecision::kEnd && !m.ended)
+      if (decision == StatusDecision::kTerminalState && !m.ended)
         broken_ = "invented end";
       Add(m);
     }
--- a/tests/recovery_test.cc
+++ b/tests/recovery_test.cc
@@ -8,7 +8,7 @@
 #include "core/catalog/catalog.h"
 #include "core/lease/fencing_token_source.h"
 #include "core/lease/leadership.h"
-#include "core/recovery/peer_choice.h"
+#include "core/recovery/peer_selector.h"
 #include "core/recovery/store_epoch.h"
 #include "core/recovery/store_verification.h"
 #include "core/recovery/terminal_state_index.h"
@@ -77,7 +77,8 @@
 };
 
 TEST_F(SuspectedDataLoss, AnIndicationAloneIsNoLoss) {
-  EXPECT_TRUE(verification_.OnIndication(DataLossIndication::kStepBack));
+  EXPECT_TRUE(
+      verification_.OnIndication(DataLossIndication::kRevisionDecreased));
   EXPECT_FALSE(verification_.OnIndication(
       DataLossIndication::kEpochMissing));  // examined already
   EXPECT_FALSE(verification_.MayDeny());
@@ -96,16 +97,16 @@
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kLost);
   EXPECT_FALSE(verification_.MayAccept(true));
-  EXPECT_FALSE(verification_.MaySeek());
+  EXPECT_FALSE(verification_.MayCampaign());
 }
 
 // It reads a stale copy: the others find the store intact.
 TEST_F(SuspectedDataLoss, ARecordThatOnlyThisControllerMissesIsNoLoss) {
-  verification_.OnIndication(DataLossIndication::kStepBack);
+  verification_.OnIndication(DataLossIndication::kRevisionDecreased);
   for (int i = 0; i < 20; ++i)
     verification_.OnRound(StoreCheck::kMissing, PeerFinding::kIntact);
   EXPECT_EQ(verification_.state(), kSuspected);
-  EXPECT_FALSE(verification_.MaySeek());
+  EXPECT_FALSE(verification_.MayCampaign());
   verification_.OnRound(StoreCheck::kIntact, PeerFinding::kIntact);
   EXPECT_EQ(verification_.state(), kVerified);
 }
@@ -115,7 +116,7 @@
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   verification_.OnEpoch(2, false);
-  EXPECT_EQ(verification_.state(), kRebuilding);
+  EXPECT_EQ(verification_.state(), kReconciling);
   EXPECT_TRUE(verification_.MayAccept(true));
   EXPECT_FALSE(verification_.MayAccept(false));
   EXPECT_FALSE(verification_.MayDeny());
@@ -125,19 +126,20 @@
 
 TEST_F(SuspectedDataLoss, ALossDuringReconciliationIsDetected) {
   verification_.OnEpoch(2, false);
-  EXPECT_TRUE(verification_.OnIndication(DataLossIndication::kStepBack));
+  EXPECT_TRUE(
+      verification_.OnIndication(DataLossIndication::kRevisionDecreased));
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   verification_.OnRound(StoreCheck::kMissing, PeerFinding::kNone);
   EXPECT_EQ(verification_.state(), kLost);
   verification_.OnEpoch(3, false);
-  EXPECT_EQ(verification_.state(), kRebuilding);
+  EXPECT_EQ(verification_.state(), kReconciling);
 }
 
 // An epoch's record that is read late says nothing about the present epoch.
 TEST_F(SuspectedDataLoss, AnEarlierEpochIsIgnored) {
   verification_.OnEpoch(2, false);
   verification_.OnEpoch(1, true);
-  EXPECT_EQ(verification_.state(), kRebuilding);
+  EXPECT_EQ(verification_.state(), kReconciling);
 }
 
 // --- retained records
@@ -164,7 +166,7 @@
   ASSERT_NE(catalog_.FindJob("job-000001"), nullptr);
   EXPECT_EQ(catalog_.FindJob("job-000001")->mod_revision, 0U);
   // A read that does not find it either.
-  catalog_.Missing(JobKey("job-000001"), 100);
+  catalog_.MarkMissing(JobKey("job-000001"), 100);
   EXPECT_NE(catalog_.FindJob("job-000001"), nullptr);
 }
 
@@ -192,11 +194,11 @@
 TEST_F(RetainedRecords, ATerminalStateWinsOverALaterLiveRecord) {
   // This controller lags behind: another one has seen the cancellation.
   OpenEpoch(catalog_, 2, 3);
-  EXPECT_TRUE(catalog_.Remember(JobKey("job-000001"),
-                                JobOf("job-000001", TerminalState::kAborted),
-                                {1, 12}));
-  EXPECT_FALSE(
-      catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 19}));
+  EXPECT_TRUE(catalog_.MergeRetained(
+      JobKey("job-000001"), JobOf("job-000001", TerminalState::kAborted),
+      {1, 12}));
+  EXPECT_FALSE(catalog_.MergeRetained(JobKey("job-000001"), JobOf("job-000001"),
+                                      {1, 19}));
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
 }
 
@@ -209,15 +211,15 @@
   catalog_.Put(JobKey("job-000001"), JobOf("job-000001"), 10);
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
   // Nor by another controller that retains it as live.
-  EXPECT_FALSE(
-      catalog_.Remember(JobKey("job-000001"), JobOf("job-000001"), {1, 10}));
+  EXPECT_FALSE(catalog_.MergeRetained(JobKey("job-000001"), JobOf("job-000001"),
+                                      {1, 10}));
 }
 
 // A controller that lags behind sends its records before another sends the
 // terminal state.
 TEST_F(RetainedRecords, ATerminalStateThatOthersKnowIsAppliedToALiveRecord) {
   OpenEpoch(catalog_, 2, 3);
-  catalog_.ended().Add("job-000001", TerminalState::kAborted);
+  catalog_.terminal_states().Add("job-000001", TerminalState::kAborted);
   catalog_.ApplyTerminalStates();
   EXPECT_EQ(TerminalStateOf("job-000001"), TerminalState::kAborted);
   EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000001")));
@@ -242,7 +244,8 @@
                JobOf("job-000002", TerminalState::kAborted), 25);
   EXPECT_EQ(TerminalStateOf("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kNone);
-  EXPECT_EQ(catalog_.ended().Find("job-000002"), TerminalState::kNone);
+  EXPECT_EQ(catalog_.terminal_states().Find("job-000002"),
+            TerminalState::kNone);
   catalog_.Erase(JobKey("job-000002"), 26);
   EXPECT_EQ(catalog_.FindTerminalState("job-000002"), TerminalState::kAborted);
   EXPECT_EQ(catalog_.FindTerminalRecord("job-000002").tasks, 1U);
@@ -253,10 +256,10 @@
 
 TEST_F(RetainedRecords, WithinAnEpochTheHigherRevisionWins) {
   OpenEpoch(catalog_, 2, 3);
-  EXPECT_FALSE(
-      catalog_.Remember(JobKey("job-000002"), JobOf("job-000002"), {1, 19}));
-  EXPECT_TRUE(
-      catalog_.Remember(JobKey("job-000003"), JobOf("job-000003"), {1, 25}));
+  EXPECT_FALSE(catalog_.MergeRetained(JobKey("job-000002"), JobOf("job-000002"),
+                                      {1, 19}));
+  EXPECT_TRUE(catalog_.MergeRetained(JobKey("job-000003"), JobOf("job-000003"),
+                                     {1, 25}));
   EXPECT_TRUE(catalog_.pending_writes().contains(JobKey("job-000003")));
 }
 
@@ -342,55 +345,56 @@
 
 // Three peers that have no answer and one that has: a request reaches it,
 // whatever those before it have reached.
-TEST(PeerChoice, EveryRequestMayReachEveryPeerThatAnswers) {
-  PeerChoice choice(4, 0.1, 0.5, 5);
-  choice.Helped(2);
+TEST(PeerSelector, EveryRequestMayReachEveryPeerThatAnswers) {
+  PeerSelector choice(4, 0.1, 0.5, 5);
+  choice.OnRequestResolved(2);
   EXPECT_EQ(choice.PreferenceOrder(), (std::vector<size_t>{2, 3, 0, 1}));
   for (const size_t peer : choice.PreferenceOrder())
     EXPECT_TRUE(choice.IsResponsive(peer));
 }
 
-TEST(PeerChoice, NoRequestWaitsForASilentPeerUntilATrialSucceeds) {
-  PeerChoice choice(2, 0.1, 0.5, 5);
-  choice.Silent(0, 1);
-  choice.Silent(0, 1.01);  // another request that waited for it
+TEST(PeerSelector, NoRequestWaitsForASilentPeerUntilATrialSucceeds) {
+  PeerSelector choice(2, 0.1, 0.5, 5);
+  choice.OnPeerSilent(0, 1);
+  choice.OnPeerSilent(0, 1.01);  // another request that waited for it
   EXPECT_FALSE(choice.IsResponsive(0));
   EXPECT_TRUE(choice.IsResponsive(1));
-  EXPECT_FALSE(choice.MayTry(0, 1.05));
-  EXPECT_TRUE(choice.MayTry(0, 1.11));
-  EXPECT_FALSE(choice.MayTry(0, 1.12));  // in progress
+  EXPECT_FALSE(choice.MayProbe(0, 1.05));
+  EXPECT_TRUE(choice.MayProbe(0, 1.11));
+  EXPECT_FALSE(choice.MayProbe(0, 1.12));  // in progress
   EXPECT_FALSE(choice.IsResponsive(0));
-  choice.Silent(0, 1.2);
-  EXPECT_FALSE(choice.MayTry(0, 1.35));  // twice as long
-  EXPECT_TRUE(choice.MayTry(0, 1.41));
-  choice.Answered(0);
+  choice.OnPeerSilent(0, 1.2);
+  EXPECT_FALSE(choice.MayProbe(0, 1.35));  // twice as long
+  EXPECT_TRUE(choice.MayProbe(0, 1.41));
+  choice.OnPeerAnswered(0);
   EXPECT_TRUE(choice.IsResponsive(0));
-  EXPECT_FALSE(choice.MayTry(0, 1.42));
+  EXPECT_FALSE(choice.MayProbe(0, 1.42));
 }
 
 // A rest is never longer than the maximum, however long the peer was silent.
-TEST(PeerChoice, ARestIsBounded) {
-  PeerChoice choice(1, 0.1, 0.5, 5);
+TEST(PeerSelector, ARestIsBounded) {
+  PeerSelector choice(1, 0.1, 0.5, 5);
   double now = 0;
   for (int i = 0; i < 50; ++i) {
-    choice.Silent(0, now);
+    choice.OnPeerSilent(0, now);
     now += 0.51;
-    EXPECT_TRUE(choice.MayTry(0, now)) << i;
+    EXPECT_TRUE(choice.MayProbe(0, now)) << i;
   }
 }
 
 // Many requests that nobody can answer don't keep out one that somebody can:
 // those that are answered cost nothing.
-TEST(PeerChoice, OnlyUnansweredRequestsAreLimited) {
-  PeerChoice choice(2, 0.1, 0.5, 5);
+TEST(PeerSelector, OnlyUnansweredRequestsAreLimited) {
+  PeerSelector choice(2, 0.1, 0.5, 5);
   for (int i = 0; i < 100; ++i) {
-    EXPECT_TRUE(choice.MayAskAround(10)) << i;
-    choice.Helped(1);
+    EXPECT_TRUE(choice.MayForwardRequest(10)) << i;
+    choice.OnRequestResolved(1);
   }
   int unanswered = 0;
-  for (int i = 0; i < 100; ++i) unanswered += choice.MayAskAround(10) ? 1 : 0;
+  for (int i = 0; i < 100; ++i)
+    unanswered += choice.MayForwardRequest(10) ? 1 : 0;
   EXPECT_EQ(unanswered, 5);
-  EXPECT_TRUE(choice.MayAskAround(10.21));
+  EXPECT_TRUE(choice.MayForwardRequest(10.21));
 }
 
 // --- the tests' own account of what users are told
@@ -449,26 +453,26 @@
 TEST(LeadershipAfterALoss, AllPeersAreAskedAgain) {
   Leadership leadership({"b", "c"}, 2.5, 6, 0, 0);
   for (const char* peer : {"b", "c"}) leadership.PeerDoesNotLead(peer);
-  EXPECT_TRUE(leadership.MaySeek(1));
-  leadership.Forget(10);
-  EXPECT_FALSE(leadership.MaySeek(12));
+  EXPECT_TRUE(leadership.MayCampaign(1));
+  leadership.ResetAfterDataLoss(10);
+  EXPECT_FALSE(leadership.MayCampaign(12));
   leadership.PeerDoesNotLead("b");
-  EXPECT_FALSE(leadership.MaySeek(12));
+  EXPECT_FALSE(leadership.MayCampaign(12));
   leadership.PeerDoesNotLead("c");
-  EXPECT_TRUE(leadership.MaySeek(12));
-  leadership.Forget(20);
-  EXPECT_TRUE(leadership.MaySeek(20 + 6.1));
+  EXPECT_TRUE(leadership.MayCampaign(12));
+  leadership.ResetAfterDataLoss(20);
+  EXPECT_TRUE(leadership.MayCampaign(20 + 6.1));
 }
 
 TEST(LeadershipAfterALoss, AValidRightContinuesUnderTheNewKey) {
   Leadership leadership({"b"}, 2.5, 6, 0, -100);
-  leadership.SeekStarted(0);
-  leadership.Won(41, 1, 0);
-  ASSERT_TRUE(leadership.Valid(1));
+  leadership.OnCampaignStarted(0);
+  leadership.OnElected(41, 1, 0);
+  ASSERT_TRUE(leadership.MayActAsLeader(1));
   leadership.Rewon(7, 2, 1);
-  EXPECT_TRUE(leadership.Valid(3));
+  EXPECT_TRUE(leadership.MayActAsLeader(3));
   EXPECT_EQ(leadership.revision(), 7U);
-  EXPECT_FALSE(leadership.Valid(4));
+  EXPECT_FALSE(leadership.MayActAsLeader(4));
 }
 
 }  // namespace
--- a/tests/replica_move_explorer.h
+++ b/tests/replica_move_explorer.h
@@ -96,7 +96,7 @@
     for (const MoveClaim& claim : writes) key += "w" + claim.id + claim.job;
     for (const auto& [id, claim] : stored) {
       key += fmt::format("s{}{}{}{:.1f}", id, claim.job, claim.task,
-                         claim.until_wall);
+                         claim.expires_wall);
     }
     for (const auto& [id, move] : rebalancer.moves()) {
       key += fmt::format("m{}{}{}{}{:.1f}{:.1f}{:.1f}", id, move.claim.job,
--- a/tests/scenario/commands.cc
+++ b/tests/scenario/commands.cc
@@ -74,7 +74,7 @@
     } else if (name == "rollouts_at_once") {
       sim_.tuning.rollouts_at_once = std::stod(word);
     } else if (name == "clock_off_ms") {
-      sim_.settings.clock_off_ms = std::stod(word);
+      sim_.settings.clock_error_ms = std::stod(word);
     } else if (name == "gang_peer_s") {
       sim_.settings.workers.gang_peer_seconds = std::stod(word);
     } else if (name == "give_up_ratio") {
--- a/tests/scenario/declarations.cc
+++ b/tests/scenario/declarations.cc
@@ -74,9 +74,9 @@
   };
   list("class", &tier.match.classes);
   list("team", &tier.match.teams);
-  tier.kept_share = Number(o, "kept", 0);
-  tier.most_share = Number(o, "most", 1);
-  tier.floor_seconds = Number(o, "floor", 0);
+  tier.headroom_share = Number(o, "kept", 0);
+  tier.max_share = Number(o, "most", 1);
+  tier.turn_wait_seconds = Number(o, "floor", 0);
   tiers_.push_back(tier);
 }
 
--- a/tests/scenario/expectations.cc
+++ b/tests/scenario/expectations.cc
@@ -47,7 +47,8 @@
   if (what == "others-wait") {  // yes | no: for the best tier
     ASSERT_NE(sim_.leader(), nullptr);
     words >> name;
-    EXPECT_EQ(sim_.leader()->tiers().recovery().holds(), name == "yes");
+    EXPECT_EQ(sim_.leader()->tiers().recovery().delays_lower_tiers(),
+              name == "yes");
     return;
   }
   if (what == "leading") {
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -376,7 +376,7 @@
   void ReadBookings();
   void PublishMaintenanceWindows();
   void PublishClocks();
-  void Check(const CheckInstance& check);
+  void Check(const RunHealthCheck& check);
   // Whether the machine answers a probe of that controller.
   bool Reaches(const SimController& controller, const SimWorker& worker) const;
   void TrackReachability();
--- a/tests/simulation/actions.cc
+++ b/tests/simulation/actions.cc
@@ -61,7 +61,7 @@
                   for (const std::string& key : keys) {
                     const auto it = store_.find(key);
                     if (it == store_.end()) {
-                      catalog_.Missing(key, revision_);
+                      catalog_.MarkMissing(key, revision_);
                     } else {
                       catalog_.Put(key, it->second.first, it->second.second);
                     }
@@ -80,7 +80,7 @@
                 now_);
           });
         });
-      } else if (const auto* check = std::get_if<CheckInstance>(&action)) {
+      } else if (const auto* check = std::get_if<RunHealthCheck>(&action)) {
         Check(*check);
       } else if (const auto* rent = std::get_if<RequestScaleOut>(&action)) {
         ScaleOut(*rent);
@@ -162,10 +162,11 @@
           ExecuteActions();
         });
       } else if (const auto* quit = std::get_if<Resign>(&action)) {
-        After(0, [this, leader, unfit = quit->unfit] {
+        After(0, [this, leader,
+                  prefer_other_candidates = quit->prefer_other_candidates] {
           if (!leader_ || leader_->revision() != leader) return;
           leader_.reset();
-          if (unfit) Succeed("");
+          if (prefer_other_candidates) Succeed("");
         });
       }
     }
--- a/tests/simulation/controllers.cc
+++ b/tests/simulation/controllers.cc
@@ -19,15 +19,15 @@
     if (controller.zone.empty() || controller.gone) continue;
     if (!controller.lease) {
       controller.lease.emplace(settings.workers);
-      controller.lease->RecordedAnew(now_, now_);
+      controller.lease->OnRecordRewritten(now_, now_);
     }
     if (state_down) {
       controller.recorded_until =
           now_ + DelegatedLeaseRecordTerm(settings.workers);
     } else if (!controller.no_state) {
       if (now_ > controller.recorded_until)
-        controller.lease->RecordedAnew(now_, now_);
-      controller.lease->Recorded(now_);
+        controller.lease->OnRecordRewritten(now_, now_);
+      controller.lease->OnRecordRenewed(now_);
       controller.recorded_until =
           now_ + DelegatedLeaseRecordTerm(settings.workers);
     }
@@ -36,8 +36,8 @@
       continue;
     }
     controller.next_ask = now_ + LeaseYieldSeconds(settings.workers);
-    if (leader_->OnDelegationAsked(name, "life", now_, now_)) {
-      controller.lease->Granted(now_);
+    if (leader_->OnDelegationRequested(name, "life", now_, now_)) {
+      controller.lease->OnGranted(now_);
       TrailEvent(now_, "delegated", name);
     }
   }
@@ -98,12 +98,12 @@
                                kEpochOffset, 7, RecordedDelegates());
   if (rebuilds) leader_->OnUnrecordedTerminalStates({}, /*complete=*/true);
   FollowTiers();
-  leader_->UseTiers(tiers_in_force_[leading_].set());
+  leader_->SetTiers(tiers_in_force_[leading_].set());
   published_window_versions_.clear();
   ReadBookings();
   PublishMaintenanceWindows();
   PublishClocks();
-  leader_->UseMoves(wire::kMoveCodec, now_);
+  leader_->EnableReplicaMoves(wire::kMoveCodec, now_);
   std::vector<MachineType> all;
   for (const auto& [name, type] : types) all.push_back(type);
   leader_->OnTypes(all);
@@ -117,8 +117,8 @@
   double off = 0;
   const auto it = controllers_.find(leading_);
   if (it != controllers_.end()) off = it->second.wall_off;
-  leader_->OnClocks({true_wall() + off, now_, now_},
-                    booking_views_[leading_].read, now_);
+  leader_->OnClockReading({true_wall() + off, now_, now_},
+                          booking_views_[leading_].read, now_);
 }
 
 bool Sim::Reaches(const SimController& controller,
@@ -164,10 +164,10 @@
 void Sim::AnswerReach(const AskReach& ask) {
   constexpr double kWait = 0.6;
   const uint64_t revision = leader_->revision();
-  std::vector<Reach> answers(1);
+  std::vector<ReachabilityAnswer> answers(1);
   for (const auto& [name, node] : controllers_) {
     const bool self = name == leading_;
-    Reach reach;
+    ReachabilityAnswer reach;
     reach.node = name;
     reach.answered = self || (!node.gone && !node.refused);
     reach.may_lead = !self && !node.gone && !node.no_state && !state_down;
@@ -175,8 +175,8 @@
       for (const std::string& host : ask.hosts) {
         const auto it = workers_.find(host);
         reach.machines += it != workers_.end() && Reaches(node, it->second)
-                              ? Reach::kReached
-                              : Reach::kNotReached;
+                              ? ReachabilityAnswer::kReached
+                              : ReachabilityAnswer::kNotReached;
       }
     }
     if (self) {
@@ -197,7 +197,7 @@
   }
   After(kWait, [this, revision, round = ask.round, answers] {
     OnLeader(revision, [this, round, answers] {
-      leader_->OnReach(round, answers, now_);
+      leader_->OnReachabilityAnswers(round, answers, now_);
     });
   });
 }
--- a/tests/simulation/indices.cc
+++ b/tests/simulation/indices.cc
@@ -18,7 +18,8 @@
     for (const auto& [key, attempt] : m->task_attempts) {
       const std::string name = AttemptName(key.job_id, key.task, key.attempt);
       // A start in flight may not have reached its worker yet.
-      if (attempt.holds && attempt.start_progress == StartProgress::kSettled &&
+      if (attempt.charged &&
+          attempt.start_progress == StartProgress::kSettled &&
           (it == workers_.end() || !it->second.tasks.contains(name))) {
         wrong.push_back("not there: " + name + " on " + m->host());
       }
@@ -36,27 +37,28 @@
   std::vector<Resources> by_tier(leader_->tiers().set().size());
   for (const auto& m : leader_->machines()) {
     Resources used;
-    Resources staying;
-    Resources lasting;
-    Resources leaving;
+    Resources used_by_services;
+    Resources used_by_long_running;
+    Resources used_by_stopping;
     std::array<Resources, kPriorities> used_by;
     for (const auto& [key, attempt] : m->task_attempts) {
       if (attempt.job == nullptr) continue;
       Presence& here = jobs[attempt.job][m->index()];
       ++here.listed;
       if (attempt.phase == TaskPhase::kExited) continue;
-      ++here.holding;
+      ++here.charged_attempts;
       const Resources& need = attempt.job->spec().need;
       used += need;
       by_tier.at(attempt.job->tier) += need;
       used_by[static_cast<size_t>(attempt.job->spec().priority)] += need;
-      if (attempt.stopping) leaving += need;
+      if (attempt.stopping) used_by_stopping += need;
       const JobKind kind = attempt.job->spec().kind;
-      if (kind == JobKind::kService) staying += need;
-      if (kind != JobKind::kArray) lasting += need;
+      if (kind == JobKind::kService) used_by_services += need;
+      if (kind != JobKind::kArray) used_by_long_running += need;
     }
-    if (!same(used, m->used) || !same(leaving, m->leaving) ||
-        !same(staying, m->staying) || !same(lasting, m->lasting) ||
+    if (!same(used, m->used) || !same(used_by_stopping, m->used_by_stopping) ||
+        !same(used_by_services, m->used_by_services) ||
+        !same(used_by_long_running, m->used_by_long_running) ||
         !std::equal(used_by.begin(), used_by.end(), m->used_by.begin(), same)) {
       RecordViolation("sums of " + m->host());
     }
@@ -68,15 +70,17 @@
     }
   }
   for (const auto& [id, job] : leader_->jobs()) {
-    int holding = 0;
+    int charged_attempts = 0;
     const auto& fresh = jobs[job.get()];
-    for (const auto& [index, here] : fresh) holding += here.holding;
+    for (const auto& [index, here] : fresh)
+      charged_attempts += here.charged_attempts;
     const bool equal =
-        holding == job->holding() &&
+        charged_attempts == job->charged_attempts() &&
         std::equal(fresh.begin(), fresh.end(), job->presence().begin(),
                    job->presence().end(), [](const auto& a, const auto& b) {
                      return a.first == b.first &&
-                            a.second.holding == b.second.holding &&
+                            a.second.charged_attempts ==
+                                b.second.charged_attempts &&
                             a.second.listed == b.second.listed;
                    });
     if (!equal) RecordViolation("presence of " + id);
@@ -111,10 +115,10 @@
     const bool dead = it == workers_.end() ||
                       (it->second.dead && now_ - it->second.died_at > bound &&
                        now_ - m->last_heard > bound);
-    const bool holds =
+    const bool charged =
         std::any_of(m->task_attempts.begin(), m->task_attempts.end(),
-                    [](const auto& e) { return e.second.holds; });
-    if (dead && it != workers_.end() && holds) {
+                    [](const auto& e) { return e.second.charged; });
+    if (dead && it != workers_.end() && charged) {
       held.push_back("still counted on the dead " + m->host());
     }
   }
--- a/tests/simulation/operators.cc
+++ b/tests/simulation/operators.cc
@@ -45,7 +45,7 @@
       wire::TakeTiers(tiers_record_->text, tiers_record_->version,
                       TierBounds::From(settings), &in_force);
     }
-    if (leads && leader_) leader_->UseTiers(in_force.set());
+    if (leads && leader_) leader_->SetTiers(in_force.set());
   }
 }
 
--- a/tests/simulation/rules.cc
+++ b/tests/simulation/rules.cc
@@ -20,7 +20,7 @@
   if (ended(keys::kJob, keys::kTerminal) ||
       ended(keys::kWaiting, keys::kTerminal) ||
       ended(keys::kWaiting, keys::kJob) ||
-      ended(keys::kRollout, keys::kRolloutEnd)) {
+      ended(keys::kRollout, keys::kEndedRollout)) {
     RecordViolation("lives again: " + change.key);
   }
   if (!change.key.starts_with(keys::kTerminal)) return;
--- a/tests/simulation/store.cc
+++ b/tests/simulation/store.cc
@@ -56,7 +56,7 @@
 }
 
 std::optional<RolloutRecord> Sim::RolloutOf(const std::string& id) const {
-  for (const std::string_view prefix : {keys::kRollout, keys::kRolloutEnd}) {
+  for (const std::string_view prefix : {keys::kRollout, keys::kEndedRollout}) {
     const auto it = store_.find(keys::Of(prefix, id));
     if (it != store_.end()) return std::get<RolloutRecord>(it->second.first);
   }
--- a/tests/simulation/workers.cc
+++ b/tests/simulation/workers.cc
@@ -45,11 +45,11 @@
   return n;
 }
 
-void Sim::Check(const CheckInstance& check) {
+void Sim::Check(const RunHealthCheck& check) {
   const uint64_t revision = leader_->revision();
   const auto answer = [this, check, revision](CheckOutcome outcome) {
     OnLeader(revision, [this, check, outcome] {
-      leader_->OnHealth(check.rollout, check.key, outcome, now_);
+      leader_->OnHealthCheckResult(check.rollout, check.key, outcome, now_);
     });
   };
   for (auto& [host, worker] : workers_) {
@@ -171,7 +171,7 @@
     }
     if (now_ - task.running_since < settings.workers.gang_wait_seconds)
       return false;
-    exit(task, ExitReason::kAlone);
+    exit(task, ExitReason::kGangIncomplete);
     return true;
   }
   if (whole) {
@@ -186,7 +186,7 @@
   if (!task.mate_missing_since) task.mate_missing_since = now_;
   if (now_ - *task.mate_missing_since < settings.workers.gang_peer_seconds)
     return false;
-  exit(task, ExitReason::kPeersGone);
+  exit(task, ExitReason::kGangPeersGone);
   return true;
 }
 
@@ -273,7 +273,7 @@
   }
   if (!used.FitsIn(type.total)) {
     task.phase = TaskPhase::kExited;
-    task.reason = ExitReason::kNoRoom;
+    task.reason = ExitReason::kNoCapacity;
     RecordViolation("refused: " + command.job_id + " does not fit on " +
                     worker.host);
   } else {
--- a/tests/worker_incarnation_test.cc
+++ b/tests/worker_incarnation_test.cc
@@ -41,14 +41,14 @@
 
 TEST(WorkerIncarnation, OnceOverOnlyALaterOneIsNews) {
   WorkerIncarnation incarnation;
-  EXPECT_TRUE(incarnation.MayBeNews(1));
+  EXPECT_TRUE(incarnation.MayBeCurrent(1));
   incarnation.Change(IncarnationEvent::kShown, 4, 100);
   EXPECT_TRUE(incarnation.alive());
-  EXPECT_TRUE(incarnation.MayBeNews(4));
-  EXPECT_FALSE(incarnation.MayBeNews(3));
+  EXPECT_TRUE(incarnation.MayBeCurrent(4));
+  EXPECT_FALSE(incarnation.MayBeCurrent(3));
   incarnation.Change(IncarnationEvent::kExpire, 0, 111);
   EXPECT_FALSE(incarnation.alive());
-  EXPECT_FALSE(incarnation.MayBeNews(4));
+  EXPECT_FALSE(incarnation.MayBeCurrent(4));
   EXPECT_TRUE(incarnation.Change(IncarnationEvent::kShown, 5, 112));
   EXPECT_TRUE(incarnation.alive());
 }
--- a/tests/zone_simulation_test.cc
+++ b/tests/zone_simulation_test.cc
@@ -52,7 +52,7 @@
       n.next_renewal = now_ + 0.5;
       if (ReachesState(i) && key_mod_revision_ == n.revision) {
         leases_[key_lease_] = now_ + kLeaderLease;
-        n.lease_until = now_ + kLeaderLease * (1 - kDrift);
+        n.lease_until = now_ + kLeaderLease * (1 - kMaxClockDriftRate);
       }
     }
     if (n.revision != 0 && !n.office) StartLeading(i);
@@ -74,7 +74,7 @@
             leases_[key_lease_] = now_ + kLeaderLease;
             holder_ = i;
             n.revision = key_mod_revision_ = ++revision_;
-            n.lease_until = sent + kLeaderLease * (1 - kDrift);
+            n.lease_until = sent + kLeaderLease * (1 - kMaxClockDriftRate);
             n.leader = i;
           });
   }
@@ -109,7 +109,7 @@
     n.next_ask = now_ + 0.3;
     if (Leads(i)) {
       n.met = now_;
-      if (Settled(i, kZoneOf[i])) n.lease->Granted(now_);
+      if (Settled(i, kZoneOf[i])) n.lease->OnGranted(now_);
       return;
     }
     const int leader = n.leader;
@@ -127,7 +127,7 @@
         },
         [sent](ControllerNode& me, int said) {
           if (said > 0) me.met = std::max(me.met, sent + 0.3);
-          if (said == 2) me.lease->Granted(sent);
+          if (said == 2) me.lease->OnGranted(sent);
         });
   }
   bool CutOff(int i) const {
@@ -146,7 +146,7 @@
         AskState(
             i, [this, i] { return static_cast<int>(records_[i].mod_revision); },
             [](ControllerNode& me, int said) {
-              if (said >= 0) me.record->WasRead(static_cast<uint64_t>(said));
+              if (said >= 0) me.record->OnKeyRead(static_cast<uint64_t>(said));
             });
         break;
       case RecordStep::kLease:
@@ -175,9 +175,9 @@
             },
             [this](ControllerNode& me, int said) {
               if (said > 0) {
-                me.record->Written(now_);
+                me.record->OnRecordWritten(now_);
               } else {
-                me.record->NotWritten();
+                me.record->OnRecordNotWritten();
               }
             });
         break;
@@ -190,7 +190,7 @@
               return 1;
             },
             [sent](ControllerNode& me, int said) {
-              if (said == 1) me.record->Renewed(sent);
+              if (said == 1) me.record->OnKeyLeaseRenewed(sent);
               if (said == 0) me.record->LeaseEnded();
             });
         break;
@@ -198,7 +198,7 @@
   }
 
   // --- the leader
-  // As Leader::ZoneSettled.
+  // As Leader::ZoneMayBeDelegated.
   bool Settled(int i, int zone) const {
     for (int w = 0; w < kWorkers; ++w) {
       const View& v = nodes_[i].office->views[w];
@@ -228,7 +228,8 @@
       if (v.incarnation.state() == IncarnationState::kExpired) continue;
       const double early = 2 * LeaseYieldSeconds(settings_.workers);
       if (now_ <= v.incarnation.MayLiveUntil(lease) - early) continue;
-      for (const std::string& name : office.rights->PeersToAsk(zone, now_)) {
+      for (const std::string& name :
+           office.rights->PeersToAskToYield(zone, now_)) {
         AskToStandBack(i, name[0] - 'a');
       }
       if (now_ <= v.incarnation.MayLiveUntil(lease) ||
@@ -250,7 +251,7 @@
         if (!ReachesState(i) || !Leads(i) || nodes_[i].revision != revision) {
           return;
         }
-        nodes_[i].office->rights->RecordsRead(Recorded(), sent, now_);
+        nodes_[i].office->rights->OnRecordsRead(Recorded(), sent, now_);
       });
     }
   }
@@ -303,7 +304,7 @@
       v.incarnation.Change(IncarnationEvent::kAnswered, 0, now_);
       v.counted = std::max(v.counted, now_);
     }
-    if (!v.incarnation.MayBeNews(heartbeat.incarnation) ||
+    if (!v.incarnation.MayBeCurrent(heartbeat.incarnation) ||
         (heartbeat.incarnation == v.incarnation.number() &&
          heartbeat.seq <= v.seq)) {
       return;
@@ -388,7 +389,7 @@
       if (me.process_incarnation != process_incarnation) return;
       bool keeps = false;
       if (heartbeat.token > 0 && kZoneOf[i] == workers_[w].zone && CutOff(i)) {
-        if (me.signs->Redirected(heartbeat, now_)) {
+        if (me.signs->ShouldRedirect(heartbeat, now_)) {
           ++sent_on_;
         } else if (me.lease->Renew(now_)) {
           me.signs->OnAnswered(heartbeat, now_);
--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -46,7 +46,7 @@
   return good ? std::string() : std::string("field ") + key;
 }
 
-std::string ReadWork(const rapidjson::Value& value, WorkRule* out) {
+std::string ReadWork(const rapidjson::Value& value, WorkSelector* out) {
   const auto* work = json::Find(value, "work");
   if (work == nullptr || !work->IsObject()) return "field work";
   std::string wrong = ReadNames(*work, "classes", kMostNames, &out->classes);
--- a/wire/moves_json.cc
+++ b/wire/moves_json.cc
@@ -20,8 +20,8 @@
   read.String("from", &claim.from);
   read.String("to", &claim.to);
   read.String("for", &claim.for_job);
-  read.Amount("until", 0, &claim.until_wall);
-  read.Amount("cool", 0, &claim.cool_wall);
+  read.Amount("until", 0, &claim.expires_wall);
+  read.Amount("cool", 0, &claim.cooldown_until_wall);
   claim.attempt = json::GetUint(document, "attempt");
   if (!read.error().empty()) return read.error();
   if (!ValidJobId(claim.job)) return "field service";
@@ -46,9 +46,9 @@
   json::Field(writer, "to", claim.to);
   json::Field(writer, "for", claim.for_job);
   writer.Key("until");
-  writer.Double(claim.until_wall);
+  writer.Double(claim.expires_wall);
   writer.Key("cool");
-  writer.Double(claim.cool_wall);
+  writer.Double(claim.cooldown_until_wall);
   writer.EndObject();
   return json::Text(buffer);
 }
--- a/wire/names.h
+++ b/wire/names.h
@@ -54,10 +54,10 @@
 inline constexpr std::array kReasons = {
     Reason{ExitReason::kDone, "done"},
     Reason{ExitReason::kStopped, "halted"},
-    Reason{ExitReason::kPeersGone, "mates_gone"},
-    Reason{ExitReason::kAlone, "alone"},
+    Reason{ExitReason::kGangPeersGone, "mates_gone"},
+    Reason{ExitReason::kGangIncomplete, "alone"},
     Reason{ExitReason::kError, "error"},
-    Reason{ExitReason::kNoRoom, "full"},
+    Reason{ExitReason::kNoCapacity, "full"},
     Reason{ExitReason::kBusy, "in_use"},
     Reason{ExitReason::kUnknownTask, "no_such"}};
 
--- a/wire/records.cc
+++ b/wire/records.cc
@@ -217,10 +217,10 @@
   if (key == keys::kEpoch) return Assign(DecodeEpoch(value), out);
   if (is(keys::kJob)) return Assign(DecodeJob(value), out);
   if (is(keys::kWaiting)) return Assign(DecodeWaiting(value), out);
-  if (is(keys::kRollout) || is(keys::kRolloutEnd)) {
+  if (is(keys::kRollout) || is(keys::kEndedRollout)) {
     return Assign(DecodeRollout(value), out);
   }
-  if (is(keys::kOperator) || is(keys::kOperatorPast)) {
+  if (is(keys::kOperator) || is(keys::kOperatorHistory)) {
     return Assign(DecodeOperator(value), out);
   }
   if (is(keys::kEpochMark)) {
--- a/wire/tiers_json.cc
+++ b/wire/tiers_json.cc
@@ -66,9 +66,9 @@
     *to = v->GetDouble();
     return {};
   };
-  std::string why = share("kept_share", &out->kept_share);
-  if (why.empty()) why = share("most_share", &out->most_share);
-  if (why.empty()) why = share("floor_s", &out->floor_seconds);
+  std::string why = share("kept_share", &out->headroom_share);
+  if (why.empty()) why = share("most_share", &out->max_share);
+  if (why.empty()) why = share("floor_s", &out->turn_wait_seconds);
   if (why.empty()) why = ReadMatch(value, &out->match);
   if (!why.empty()) return "tier " + out->name.substr(0, 64) + ", " + why;
   return {};
@@ -89,9 +89,9 @@
 std::string ReadTiers(std::string_view text, const TierBounds& bounds,
                       std::vector<Tier>* out) {
   out->clear();
-  if (text.size() > bounds.most_text) {
+  if (text.size() > bounds.max_record_bytes) {
     return "the text has " + std::to_string(text.size()) + " bytes, at most " +
-           std::to_string(bounds.most_text);
+           std::to_string(bounds.max_record_bytes);
   }
   rapidjson::Document doc;
   if (!json::Parse(text, &doc)) {
@@ -110,7 +110,7 @@
     }
     read.push_back(std::move(tier));
     // Enough for the check below to refuse it.
-    if (read.size() > bounds.most_tiers) break;
+    if (read.size() > bounds.max_tiers) break;
   }
   if (const std::optional<TierError> error = FindTierError(read, bounds)) {
     return Render(*error);
@@ -141,12 +141,12 @@
               [](JobKind k) { return NameOf(kJobKinds, k); });
     writer.EndObject();
     writer.Key("kept_share");
-    writer.Double(tier.kept_share);
+    writer.Double(tier.headroom_share);
     writer.Key("most_share");
-    writer.Double(tier.most_share);
-    if (tier.floor_seconds > 0) {
+    writer.Double(tier.max_share);
+    if (tier.turn_wait_seconds > 0) {
       writer.Key("floor_s");
-      writer.Double(tier.floor_seconds);
+      writer.Double(tier.turn_wait_seconds);
     }
     writer.EndObject();
   }
