--- a/core/maintenance/maintenance_calendar.cc
+++ b/core/maintenance/maintenance_calendar.cc
@@ -5,21 +5,24 @@
 namespace oxbow {
 namespace {
 
-// Work that fits into no period starts in the first part of one of the longest:
-// held back it would wait for ever.
-constexpr double kFirstPart = 0.25;
+// Work that fits into no period may start in this first part of one of the
+// longest periods, because otherwise it would wait forever.
+constexpr double kFirstPartFraction = 0.25;
+// Limits the memory for versions of withdrawn windows.
 constexpr size_t kMaxWithdrawn = 1024;
-// Each set of windows that apply to some work is one plan: there are few, yet
-// nothing forbids many.
+// Limits the cache of start plans, of which there is one for each set of
+// windows that apply to some work. There are usually few such sets.
 constexpr size_t kMaxPlans = 256;
 
-// An empty list holds everything.
-bool Holds(const std::vector<std::string>& names, const std::string& name) {
+// Whether the list contains the name; an empty list matches every name.
+bool EmptyOrContains(const std::vector<std::string>& names,
+                     const std::string& name) {
   return names.empty() ||
          std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// Nothing may start now. `latest`: the last period that has begun; null: none.
+// Sets the reason why nothing may start now. `latest` is the last period that
+// has begun, or null if none has.
 void BlockOutsidePeriods(const StartPlan& plan, const StartPeriod* latest,
                          const TrueTime& time, AdmissionDecision& decision) {
   const bool none_follows =
@@ -41,8 +44,8 @@
 void AdmitInPeriod(const StartPlan& plan, const StartPeriod& period,
                    double needed_seconds, const TrueTime& time,
                    AdmissionDecision& decision) {
-  const bool in_first_part =
-      time.latest - period.from <= kFirstPart * (period.to - period.from);
+  const bool in_first_part = time.latest - period.from <=
+                             kFirstPartFraction * (period.to - period.from);
   const bool fits_nowhere =
       plan.longest_seconds > 0 && plan.IsLongestFor(needed_seconds, period);
   if (time.latest + needed_seconds > period.to &&
@@ -60,14 +63,14 @@
 
 bool WorkSelector::Matches(const JobSpec& spec, const std::string& tier) const {
   if (spec.kind == JobKind::kService ||
-      spec.priority == Priority::kProduction || !Asks()) {
+      spec.priority == Priority::kProduction || !HasCriteria()) {
     return false;
   }
-  if (!Holds(classes, spec.job_class) || !Holds(teams, spec.team) ||
-      !Holds(tiers, tier)) {
+  if (!EmptyOrContains(classes, spec.job_class) ||
+      !EmptyOrContains(teams, spec.team) || !EmptyOrContains(tiers, tier)) {
     return false;
   }
-  if (!AsksForSize()) return true;
+  if (!HasSizeCriteria()) return true;
   return (cores_above >= 0 && spec.need.cpus * spec.tasks > cores_above) ||
          (accelerators_above >= 0 &&
           spec.need.gpus * spec.tasks > accelerators_above);
@@ -85,7 +88,7 @@
                                                 : FreshnessByAge(now);
 }
 
-void MaintenanceCalendar::Change(CalendarEvent event, Time now) {
+void MaintenanceCalendar::UpdateFreshness(CalendarEvent event, Time now) {
   switch (event) {
     case CalendarEvent::kWindowAdded:
       break;
@@ -102,7 +105,7 @@
 
 void MaintenanceCalendar::OnConfirmed(Time at, Time now) {
   confirmed_at_ = std::max(confirmed_at_, at);
-  Change(CalendarEvent::kConfirmed, now);
+  UpdateFreshness(CalendarEvent::kConfirmed, now);
 }
 
 void MaintenanceCalendar::AddWindow(const MaintenanceWindow& window,
@@ -111,13 +114,15 @@
   if (withdrawn != withdrawn_.end() && withdrawn->second >= version) return;
   if (!windows_.contains(window.id) &&
       windows_.size() >= kMaxMaintenanceWindows) {
-    return;  // refused when it was recorded; WindowSet has no bit for it
+    // WindowSet has no bit for it. Validation rejects such a window when it is
+    // recorded.
+    return;
   }
   RecordedWindow& recorded = windows_[window.id];
   if (recorded.version >= version && recorded.version > 0) return;
   recorded = {window, version};
   plans_.clear();
-  Change(CalendarEvent::kWindowAdded, now);
+  UpdateFreshness(CalendarEvent::kWindowAdded, now);
 }
 
 void MaintenanceCalendar::WithdrawWindow(const std::string& id,
@@ -131,10 +136,10 @@
   if (withdrawn_.size() >= kMaxWithdrawn) withdrawn_.erase(withdrawn_.begin());
   uint64_t& withdrawn_version = withdrawn_[id];
   withdrawn_version = std::max(withdrawn_version, version);
-  if (windows_.empty()) Change(CalendarEvent::kNoWindowLeft, now);
+  if (windows_.empty()) UpdateFreshness(CalendarEvent::kNoWindowLeft, now);
 }
 
-MaintenanceCalendar::WindowSet MaintenanceCalendar::WindowsOf(
+MaintenanceCalendar::WindowSet MaintenanceCalendar::ApplicableWindows(
     const JobSpec& spec, const std::string& tier) const {
   WindowSet windows = 0;
   size_t bit = 0;
@@ -163,7 +168,7 @@
                                              const std::string& tier,
                                              double run_seconds,
                                              Time now) const {
-  const WindowSet windows = WindowsOf(spec, tier);
+  const WindowSet windows = ApplicableWindows(spec, tier);
   if (windows == 0) return {};
   AdmissionDecision decision;
   if (!reading_.known()) {
@@ -173,14 +178,14 @@
   const TrueTime time = TrueTimeAt(now);
   const StartPlan& plan = PlanOf(windows);
   decision.next_start = plan.NextStart(spec, run_seconds, time.earliest);
-  // A leader that is partitioned from the key-value store could otherwise start
-  // work by windows that have long been changed.
+  // Otherwise a leader that is partitioned from the key-value store could start
+  // work according to windows that were changed long ago.
   if (FreshnessAt(now) == CalendarFreshness::kTooOld) {
     decision.blocker = AdmissionBlocker::kCalendarTooOld;
     return decision;
   }
-  // However late the response arrives that carries the start, the worker drops
-  // it past this.
+  // Latest true time at which the worker carries out the start: it drops a
+  // heartbeat response that arrives later.
   const double carried_out =
       time.latest + kResponseLifetimeSeconds * (1 + kMaxClockDriftRate);
   const StartPeriod* period = plan.LatestAt(time.earliest);
@@ -197,15 +202,16 @@
                                                 const std::string& tier,
                                                 double lead_seconds,
                                                 Time now) const {
-  const WindowSet windows = WindowsOf(spec, tier);
+  const WindowSet windows = ApplicableWindows(spec, tier);
   if (windows == 0 || !reading_.known()) return OverrunStep::kNone;
   const TrueTime time = TrueTimeAt(now);
-  // Null: it was started before the first period, by another calendar.
+  // `latest` is null for work that was started before the first period, when
+  // other windows were in force.
   const StartPeriod* latest = PlanOf(windows).LatestAt(time.earliest);
   if (latest == nullptr || latest->closed_by == nullptr) {
     return OverrunStep::kNone;
   }
-  // By the later bound of the time: what has to stop, stops in time.
+  // The later bound of true time is used, so that work stops in time.
   if (time.latest + lead_seconds < latest->to) return OverrunStep::kNone;
   switch (latest->closed_by->overrun) {
     case Overrun::kRunOn:
@@ -218,8 +224,9 @@
   return OverrunStep::kNone;
 }
 
-bool MaintenanceCalendar::Covers(const std::string& window, const JobSpec& spec,
-                                 const std::string& tier) const {
+bool MaintenanceCalendar::WindowAppliesTo(const std::string& window,
+                                          const JobSpec& spec,
+                                          const std::string& tier) const {
   const auto it = windows_.find(window);
   return it != windows_.end() && it->second.window.work.Matches(spec, tier);
 }
--- a/core/maintenance/maintenance_manager.cc
+++ b/core/maintenance/maintenance_manager.cc
@@ -11,8 +11,9 @@
 namespace oxbow {
 namespace {
 
-// Shares of the fleet are compared up to rounding.
+// Tolerance for rounding errors when shares of the fleet are compared.
 constexpr double kEpsilon = 1e-6;
+// Lower bound for the fetch rate, to avoid a division by zero.
 constexpr double kMinFetchGbPerSecond = 1e-3;
 
 std::string_view NameOf(AdmissionBlocker blocker) {
@@ -51,7 +52,7 @@
   return {};
 }
 
-bool Runs(const TaskAttempt& attempt) {
+bool IsRunningOrSaving(const TaskAttempt& attempt) {
   return attempt.phase == TaskPhase::kRunning ||
          attempt.phase == TaskPhase::kSaving;
 }
@@ -97,7 +98,8 @@
 AdmissionDecision MaintenanceManager::AdmissionOf(const Job& job,
                                                   Time now) const {
   const JobSpec& spec = job.spec();
-  // The fetch comes on top of the run.
+  // The image fetch precedes the run. The rate of the first machine type is
+  // used, since the machine is not chosen yet.
   double fetch_seconds = 0;
   if (!cluster_.types().empty()) {
     const MachineType& type = cluster_.types().begin()->second;
@@ -145,8 +147,8 @@
     const auto it = window_use_.find(window.id);
     if (it == window_use_.end()) continue;
     const Resources& used = it->second;
-    // Work that is too large for the share may run alone: refused it would wait
-    // for ever.
+    // Work that exceeds the share may run while no other work of the window
+    // does, because otherwise it would wait forever.
     if (used.cpus <= 0 && used.gpus <= 0) continue;
     const Resources wanted = used + spec.need * tasks;
     const Resources allowed = fleet_ * window.capacity_share;
@@ -158,9 +160,9 @@
   return true;
 }
 
-// A command sent to a worker's address may be carried out minutes later. A
-// response to a heartbeat is dropped by the worker after a few seconds,
-// whatever delayed it.
+// A command sent directly to a worker's address may be carried out minutes
+// later. A heartbeat response that is more than a few seconds late is dropped
+// by the worker, whatever delayed it.
 bool MaintenanceManager::RequiresHeartbeatResponse(
     const WorkerCommand& command) const {
   if (command.kind != CommandKind::kStart || calendar_.empty()) return false;
@@ -208,12 +210,12 @@
   }
 }
 
-// A gang is stopped whole.
+// A gang is stopped as a whole.
 void MaintenanceManager::StopGang(Job& job, const Overruns& overruns,
                                   Time now) {
   bool any_runs = false;
   for (const auto& [machine, key] : cluster_.AttemptsOf(job)) {
-    any_runs |= Runs(machine->task_attempts.at(key));
+    any_runs |= IsRunningOrSaving(machine->task_attempts.at(key));
   }
   if (any_runs && overruns.stop_running) {
     dispatcher_.StopTasks(job, overruns.grace_seconds, now);
@@ -232,7 +234,7 @@
       continue;
     }
     TaskAttempt& attempt = it->second;
-    const bool running = Runs(attempt);
+    const bool running = IsRunningOrSaving(attempt);
     if (running && overruns.stop_running) {
       dispatcher_.QueueStop(*machine, attempt, overruns.grace_seconds, now);
     }
@@ -292,7 +294,8 @@
 
 void MaintenanceManager::NoteStart(const Job& job) {
   for (auto& [id, used] : window_use_) {
-    if (calendar_.Covers(id, job.spec(), TierOf(job))) used += job.spec().need;
+    if (calendar_.WindowAppliesTo(id, job.spec(), TierOf(job)))
+      used += job.spec().need;
   }
 }
 
--- a/core/maintenance/maintenance_manager.h
+++ b/core/maintenance/maintenance_manager.h
@@ -1,6 +1,6 @@
-// Applies the maintenance calendar to the cluster: which jobs may start now,
-// how much of the fleet each window's work uses, and what is withdrawn or
-// stopped when a window closes. Owns the calendar.
+// Applies the maintenance calendar to the cluster: decides which jobs may start
+// now, accounts for the share of the fleet that each window's work uses, and
+// withdraws or stops tasks when a window closes. Owns the calendar.
 #pragma once
 
 #include <cstdint>
@@ -19,61 +19,66 @@
 // One per leadership. The scheduler asks it before it starts a task.
 class MaintenanceManager {
  public:
-  // The modules that it calls.
+  // The modules that the manager calls.
   struct Modules {
     CommandDispatcher& dispatcher;
     RolloutManager& rollout_manager;
   };
   MaintenanceManager(LeaderContext& context, const Modules& modules);
 
-  // The name of the job's tier; empty where no tiers are in force.
+  // The name of the job's tier; empty if no tiers are in force.
   std::string TierOf(const Job& job) const;
-  // By the times of the windows alone; see WindowAllows for their capacity.
+  // Whether the times of the windows allow the job to start; WindowAllows
+  // checks their capacity.
   AdmissionDecision AdmissionOf(const Job& job, Time now) const;
-  // Whether no window blocks the job at this moment.
+  // Whether the times of the windows allow the job to start at `now`.
   bool MayStartNow(const Job& job, Time now) const {
     return calendar_.empty() || AdmissionOf(job, now).may_start();
   }
-  // A task of the job has been started in this scheduling pass.
+  // Counts a task of the job that was started in this scheduling pass.
   void NoteStart(const Job& job);
   const MaintenanceCalendar& calendar() const { return calendar_; }
-  // Counts what the work of each window uses; at the beginning of a pass.
+  // Counts the resources that the work of each window uses. To be called at the
+  // beginning of each scheduling pass.
   void CountWindowUse();
-  // Whether every window that applies to the job has capacity for so many of
-  // its tasks.
+  // Whether every window that applies to the job has capacity for `tasks` more
+  // of its tasks.
   bool WindowAllows(const Job& job, double tasks) const;
-  // Whether the command is a start that a window applies to. Such starts go in
-  // the response to a heartbeat only: these are never carried out late.
+  // Whether the command is a start that a window applies to. Such starts are
+  // sent only in heartbeat responses, because these are never carried out late.
   bool RequiresHeartbeatResponse(const WorkerCommand& command) const;
+  // Whether the machine's command queue holds such a start.
   bool HasWindowedStart(const Machine& machine) const;
-  // Removes queued starts that are not allowed any more; they were never sent.
+  // Removes queued starts that no window allows any more. They have not been
+  // sent yet.
   void RemoveDisallowedStarts(Machine& machine, Time now);
   void TickCalendar(Time now);
-  // A reading of the clocks, made before every other event and later than the
-  // message that it brings; `confirmed`: when all live records had last been
-  // read.
+  // Takes a reading of the clocks. Called before every other event, with a
+  // reading made after the arrival of the message that causes the event.
+  // `confirmed`: when all live records were last read.
   void OnClockReading(const WallReading& reading, Time confirmed, Time now);
-  // The record of a window; see MaintenanceCalendar for versions.
+  // A window has been recorded; see MaintenanceCalendar::AddWindow for
+  // versions.
   void OnMaintenanceWindow(const MaintenanceWindow& window, uint64_t version,
                            Time now);
   void OnMaintenanceWindowWithdrawn(const std::string& id, uint64_t version,
                                     Time now);
-  // Whether the calendar blocks the job, why and until when; nothing if the job
-  // is not known.
+  // Whether the calendar blocks the job, why and until when; nothing if there
+  // is no such job.
   std::optional<AdmissionDecision> CalendarAdmission(const std::string& id,
                                                      Time now) const;
 
  private:
-  // What becomes of a job's tasks when its window closes.
+  // What must be done about a job's tasks when its window closes.
   struct Overruns {
-    bool stop_running = false;       // after saving
-    bool withdraw_starting = false;  // those that do not run yet
-    double grace_seconds = 0;        // to save
+    bool stop_running = false;       // stop running tasks after saving
+    bool withdraw_starting = false;  // withdraw tasks that do not run yet
+    double grace_seconds = 0;        // time for a running task to save
   };
 
-  // A task that does not run yet loses nothing when it is withdrawn. One that
-  // runs is stopped only if its window says so and it can save, as if its
-  // machine were drained.
+  // Withdraws or stops tasks of the job when its window closes. Withdrawing a
+  // task that does not run yet loses no work. A running task is stopped only if
+  // its window says so and it can save, as when its machine is drained.
   void ApplyOverrun(Job& job, Time now);
   void StopGang(Job& job, const Overruns& overruns, Time now);
   void StopTasks(const Job& job, const Overruns& overruns, Time now);
@@ -90,8 +95,10 @@
   RolloutManager& rollout_manager_;
   MaintenanceCalendar calendar_;
   CalendarFreshness logged_freshness_ = CalendarFreshness::kNone;
-  std::map<std::string, Resources> window_use_;  // by window, in this pass
-  Resources fleet_;                              // in this pass
+  // Resources in use by the id of the window, in this scheduling pass.
+  std::map<std::string, Resources> window_use_;
+  // Total resources of all machines that are up, in this scheduling pass.
+  Resources fleet_;
   std::map<std::string, AdmissionBlocker> logged_blockers_;  // by job
 };
 
--- a/core/maintenance/maintenance_window.h
+++ b/core/maintenance/maintenance_window.h
@@ -1,6 +1,7 @@
-// A maintenance window as operators record it: a window in which heavy work may
-// start, or a peak in which it may not. Times are true time in s since 1970,
-// UTC; time zones and recurrence rules were expanded when it was recorded.
+// A maintenance window as operators record it: either a window, the only time
+// in which the work that it applies to may start, or a peak, in which that work
+// may not start. Times are true time in seconds since 1970 (UTC); time zones
+// and recurrence rules were expanded when the window was recorded.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +12,20 @@
 
 namespace oxbow {
 
-// Whether work starts within the times or outside of them.
+// Whether work may start within the times or outside of them.
 enum class WindowKind : uint8_t {
-  kWindow,  // work that it applies to starts within it only
+  kWindow,  // work that it applies to starts only within it
   kPeak,    // work that it applies to does not start within it
 };
 
-// What becomes of work that is expected to run past the end of the period in
-// which it may start, or does so because its estimate was wrong.
+// What happens to work that runs past the end of the period in which it may
+// start, or is expected to.
 enum class Overrun : uint8_t {
-  kRunOn,        // it starts, and runs on
-  kSaveAndStop,  // it starts, and is saved and stopped; what can't save runs on
-  kHoldBack,     // it does not start; what has started runs on
+  kRunOn,  // it starts, and continues after the end
+  // It starts, and is saved and stopped at the end; work that can't save
+  // continues.
+  kSaveAndStop,
+  kHoldBack,  // it does not start; work that has started continues
 };
 
 // A half-open interval of true time.
@@ -32,9 +35,10 @@
   double length() const { return to - from; }
 };
 
-// Which work is meant: all that is given must match. An empty list matches
-// everything; of the two amounts one above is enough, and a negative one is not
-// given. Amounts are of all tasks of a job together.
+// Selects the jobs that a window applies to. All given criteria must match, but
+// of the two size criteria one is enough. An empty list or a negative amount
+// means that the criterion is not given. Amounts are totals of all tasks of a
+// job.
 struct WorkSelector {
   std::vector<std::string> classes;
   std::vector<std::string> teams;
@@ -42,16 +46,17 @@
   double cores_above = -1;
   double accelerators_above = -1;
 
-  bool AsksForSize() const {
+  bool HasSizeCriteria() const {
     return cores_above >= 0 || accelerators_above >= 0;
   }
-  // Whether anything is given; otherwise the rule would mean all work.
-  bool Asks() const {
+  // Whether any criterion is given. A selector without criteria matches
+  // nothing.
+  bool HasCriteria() const {
     return !classes.empty() || !teams.empty() || !tiers.empty() ||
-           AsksForSize();
+           HasSizeCriteria();
   }
-  // `tier`: of the job, by the tiers in force; empty for none. Live services
-  // and production work are never meant.
+  // Whether the job is selected. `tier`: the job's tier by the tiers in force;
+  // empty for none. Services and production work never match.
   bool Matches(const JobSpec& spec, const std::string& tier) const;
 };
 
@@ -65,8 +70,8 @@
   double capacity_share = 1;
   Overrun overrun = Overrun::kHoldBack;
 
-  // As its author wrote it: local time in a named zone. Stored beside the times
-  // so that they can be computed again.
+  // The declaration as its author wrote it, in local time of a named time zone.
+  // Stored beside `times` so that these can be computed again.
   std::string zone;
   std::string starts;               // 2026-03-29T02:30:00
   std::string rule;                 // RRULE of RFC 5545; empty: once
@@ -75,8 +80,8 @@
 
   // Ascending, not overlapping.
   std::vector<UtcInterval> times;
-  // Up to where `times` is complete; 0: for ever. Past it, work that the window
-  // applies to is not surely allowed, and does not start.
+  // `times` is complete up to this time; 0: forever. After it, work that the
+  // window applies to does not start, because it may not be allowed.
   double known_until = 0;
 };
 
--- a/core/maintenance/start_plan.cc
+++ b/core/maintenance/start_plan.cc
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-// Estimates are often wrong by half, sometimes by more.
+// Factor on estimated run times, which are often wrong by half, sometimes by
+// more.
 constexpr double kEstimateSlack = 1.5;
 // A period of at least this share of the longest counts as one of the longest.
 constexpr double kLongShare = 0.9;
-// Work that can save starts when so many of its save intervals are left.
+// Work that can save may start if this many of its save intervals are left.
 constexpr double kMinSaves = 2;
 
-// When the windows are open. Without any window all times are open.
+// When the windows are open. SubtractInterval any window all times are open.
 std::vector<StartPeriod> OpenPeriods(
     const std::vector<const MaintenanceWindow*>& windows) {
   if (windows.empty()) return {{-kForever, kForever, nullptr, nullptr}};
@@ -33,7 +34,8 @@
   return open;
 }
 
-// Periods that touch become one. `periods`: ascending by their beginnings.
+// Merges periods that overlap or touch. `periods` must be ascending by their
+// beginnings.
 std::vector<StartPeriod> Merge(const std::vector<StartPeriod>& periods) {
   std::vector<StartPeriod> merged;
   for (const StartPeriod& period : periods) {
@@ -50,34 +52,35 @@
   return merged;
 }
 
-// What is left of the periods outside of the peak's time.
-std::vector<StartPeriod> Without(const std::vector<StartPeriod>& periods,
-                                 const UtcInterval& shut,
-                                 const MaintenanceWindow* peak) {
+// Removes the time `closed` of the peak from the periods.
+std::vector<StartPeriod> SubtractInterval(
+    const std::vector<StartPeriod>& periods, const UtcInterval& closed,
+    const MaintenanceWindow* peak) {
   std::vector<StartPeriod> rest;
   for (const StartPeriod& period : periods) {
-    if (shut.to <= period.from || shut.from >= period.to) {
+    if (closed.to <= period.from || closed.from >= period.to) {
       rest.push_back(period);
       continue;
     }
-    if (period.from < shut.from) {
-      rest.push_back({period.from, shut.from, period.opened_by, peak});
+    if (period.from < closed.from) {
+      rest.push_back({period.from, closed.from, period.opened_by, peak});
     }
-    if (shut.to < period.to) {
-      rest.push_back({shut.to, period.to, period.opened_by, period.closed_by});
+    if (closed.to < period.to) {
+      rest.push_back(
+          {closed.to, period.to, period.opened_by, period.closed_by});
     }
   }
   return rest;
 }
 
 void SubtractPeak(StartPlan& plan, const MaintenanceWindow* peak) {
-  std::vector<UtcInterval> shut_times = peak->times;
+  std::vector<UtcInterval> closed_times = peak->times;
   if (peak->known_until > 0) {
-    shut_times.push_back({peak->known_until, kForever});
+    closed_times.push_back({peak->known_until, kForever});
     plan.horizon = peak;
   }
-  for (const UtcInterval& shut : shut_times) {
-    plan.periods = Without(plan.periods, shut, peak);
+  for (const UtcInterval& closed : closed_times) {
+    plan.periods = SubtractInterval(plan.periods, closed, peak);
   }
 }
 
@@ -96,7 +99,7 @@
   }
   for (const MaintenanceWindow* peak : peaks) SubtractPeak(plan, peak);
   for (const StartPeriod& period : plan.periods) {
-    // One without a beginning says nothing about those to come.
+    // The period without a beginning does not tell how long later periods are.
     if (period.from == -kForever) continue;
     plan.longest_seconds =
         std::max(plan.longest_seconds, period.to - period.from);
--- a/core/maintenance/start_plan.h
+++ b/core/maintenance/start_plan.h
@@ -1,5 +1,5 @@
-// The periods in which work may start, given the maintenance windows that apply
-// to it. Pure functions; times are true time in s since 1970.
+// Computes the periods in which work may start from the maintenance windows
+// that apply to it. Pure functions; times are true time in seconds since 1970.
 #pragma once
 
 #include <vector>
@@ -12,36 +12,39 @@
 struct StartPeriod {
   double from = 0;
   double to = 0;  // exclusive
-  // The window that opens it and the window or peak that ends it; null: none.
+  // The window that opens the period, and the window or peak that ends it; null
+  // if there is none.
   const MaintenanceWindow* opened_by = nullptr;
   const MaintenanceWindow* closed_by = nullptr;
 };
 
-// All periods of one set of windows. Points into the windows: these must
-// outlive it.
+// All start periods for one set of windows. The windows must outlive the plan,
+// which points to them.
 struct StartPlan {
-  std::vector<StartPeriod> periods;  // ascending, not touching
-  double longest_seconds = 0;        // of the periods that have a beginning
-  // The window whose known times bound the plan; null for none.
+  std::vector<StartPeriod>
+      periods;  // ascending, neither overlapping nor adjacent
+  // Length of the longest period, except one without a beginning.
+  double longest_seconds = 0;
+  // A window whose `known_until` limits the plan; null if there is none.
   const MaintenanceWindow* horizon = nullptr;
 
-  // The last period that begins at the time or before; null for none.
+  // The last period that begins at or before `time`; null if there is none.
   const StartPeriod* LatestAt(double time) const;
-  // Where the first period after the time begins in which the work may start;
-  // 0 for none.
+  // Beginning of the first period after `time` in which the work may start; 0
+  // if there is none.
   double NextStart(const JobSpec& spec, double run_seconds, double time) const;
-  // Whether work that needs so long may start in the period although it does
-  // not fit: it fits into no period, and this is one of the longest.
+  // Whether work that needs `needed_seconds` fits into no period and `period`
+  // is one of the longest. Such work may start in it although it does not fit.
   bool IsLongestFor(double needed_seconds, const StartPeriod& period) const;
 };
 
 StartPlan BuildStartPlan(const std::vector<const MaintenanceWindow*>& windows);
 
-// How much of the period must be left for the work to start in it, s.
+// How many seconds of the period must be left for the work to start in it.
 double SecondsNeeded(const JobSpec& spec, double run_seconds,
                      const StartPeriod& period);
 
-// Whether the work can be saved and stopped.
+// Whether the work writes checkpoints, so that it can be saved and stopped.
 inline bool CanSave(const JobSpec& spec) { return spec.checkpoint_seconds > 0; }
 
 }  // namespace oxbow
--- a/core/maintenance/true_time.h
+++ b/core/maintenance/true_time.h
@@ -1,4 +1,4 @@
-// The time of day as an interval that surely contains it.
+// True time as an interval that is guaranteed to contain it.
 #pragma once
 
 #include <algorithm>
@@ -7,22 +7,22 @@
 
 namespace oxbow {
 
-// True time, s since 1970, is surely within both, ends included.
+// Bounds of true time, in seconds since 1970, both inclusive.
 struct TrueTime {
   double earliest = 0;
   double latest = 0;
 };
 
-// A reading of the wall clock between two of the steady clock: if the process
-// was stalled in between, the interval is as wide as the stall.
+// A reading of the wall clock between two readings of the steady clock. If the
+// process stalled in between, the interval of true time widens by the stall.
 struct WallReading {
   double wall = 0;    // s since 1970
-  Time before = 0;    // steady
-  Time after = -1e9;  // steady; -1e9: never read
+  Time before = 0;    // steady clock
+  Time after = -1e9;  // steady clock; -1e9 if the clocks were never read
 
   bool known() const { return after > -1e8; }
-  // `bound_seconds`: how far the wall clock may be off at the reading. Since
-  // then the steady clock may have drifted.
+  // True time at `now`. `bound_seconds`: maximum error of the wall clock at the
+  // reading. The drift of the steady clock since then is added.
   TrueTime At(Time now, double bound_seconds) const {
     const double drift = kMaxClockDriftRate * std::max(0.0, now - before);
     return {wall + (now - after) - bound_seconds - drift,
--- a/core/maintenance/window_validation.cc
+++ b/core/maintenance/window_validation.cc
@@ -12,9 +12,9 @@
 
 using MaybeError = std::optional<WindowError>;
 
-// Shares of the fleet that add up to 1 are within it, up to rounding.
+// Tolerance for rounding errors when shares of the fleet are added up.
 constexpr double kShareEpsilon = 1e-9;
-// What a team without a maximum may use.
+// Stands for "unlimited" if a team has no maximum.
 constexpr double kNoMaximum = 1e18;
 
 template <typename... Parts>
@@ -34,19 +34,19 @@
 }
 
 // Whether some name is in both lists; an empty list means every name.
-bool ListsMeet(const std::vector<std::string>& first,
-               const std::vector<std::string>& second) {
+bool ListsIntersect(const std::vector<std::string>& first,
+                    const std::vector<std::string>& second) {
   if (first.empty() || second.empty()) return true;
   return std::any_of(first.begin(), first.end(), [&](const std::string& name) {
     return Contains(second, name);
   });
 }
 
-// Whether some work can match both.
-bool MayMeet(const WorkSelector& first, const WorkSelector& second) {
-  return ListsMeet(first.classes, second.classes) &&
-         ListsMeet(first.teams, second.teams) &&
-         ListsMeet(first.tiers, second.tiers);
+// Whether some work may match both selectors. Sizes are not compared.
+bool MayMatchSameWork(const WorkSelector& first, const WorkSelector& second) {
+  return ListsIntersect(first.classes, second.classes) &&
+         ListsIntersect(first.teams, second.teams) &&
+         ListsIntersect(first.tiers, second.tiers);
 }
 
 const TeamQuota* FindTeam(const Settings& settings, const std::string& name) {
@@ -85,9 +85,10 @@
   return std::nullopt;
 }
 
-// Work above the largest maximum of the named teams does not exist.
+// A size criterion at or above the largest maximum of the named teams would
+// never match any work.
 MaybeError FindSizeError(const WorkSelector& work, const Settings& settings) {
-  if (work.teams.empty() || !work.AsksForSize()) return std::nullopt;
+  if (work.teams.empty() || !work.HasSizeCriteria()) return std::nullopt;
   double max_cores = 0;
   double max_accelerators = 0;
   for (const std::string& name : work.teams) {
@@ -110,17 +111,17 @@
 
 MaybeError FindWorkError(const WorkSelector& work,
                          const WindowValidationContext& context) {
-  if (!work.Asks()) {
-    return Error("work", "names nothing, so it would mean all work");
+  if (!work.HasCriteria()) {
+    return Error("work", "names nothing, so it would apply to all work");
   }
   if (MaybeError error = FindUnknownName(work, context)) return error;
   return FindSizeError(work, *context.settings);
 }
 
-// The window's share of the fleet at a moment, with all others that are open.
+// The total share of the fleet of the windows that are open at one moment.
 struct OpenShare {
   double share = 0;
-  std::string last_other;  // id
+  std::string last_other;  // id of one of the other windows; empty for none
 };
 
 OpenShare ShareAt(double moment, const MaintenanceWindow& window,
@@ -137,8 +138,9 @@
   return open;
 }
 
-// Windows that overlap share the fleet: the most at any one moment is reached
-// where one of them begins.
+// Windows that overlap share the fleet. The total of their shares can only
+// reach its maximum where one of them begins, so only these moments are
+// checked.
 MaybeError FindOverlapError(const MaintenanceWindow& window,
                             const std::vector<MaintenanceWindow>& others) {
   for (const UtcInterval& time : window.times) {
@@ -183,7 +185,8 @@
   return FindOverlapError(window, context.others);
 }
 
-// Times that begin sooner than the notice must have been in force already.
+// A time that begins before the end of the minimum notice must be in the
+// version of the window that is already in force.
 MaybeError FindNoticeError(const MaintenanceWindow& window,
                            const WindowValidationContext& context) {
   const double notice = MinimumNoticeSeconds(*context.settings);
@@ -198,7 +201,7 @@
     if (!in_force) {
       return Error("starts", "the time at ", time.from, " begins in ",
                    std::floor(time.from - context.wall),
-                   " s; a booking needs a notice of ", notice, " s");
+                   " s; a window needs a notice of ", notice, " s");
     }
   }
   return std::nullopt;
@@ -227,25 +230,26 @@
   return FindNoticeError(window, context);
 }
 
-// A window inside a peak for the same work would never open.
+// A window that lies inside a peak for the same work would never open.
 MaybeError FindPeakError(const MaintenanceWindow& added,
                          const WindowValidationContext& context) {
   for (const MaintenanceWindow& other : context.others) {
-    if (other.kind == added.kind || !MayMeet(other.work, added.work)) continue;
+    if (other.kind == added.kind || !MayMatchSameWork(other.work, added.work))
+      continue;
     const bool adds_window = added.kind == WindowKind::kWindow;
     const MaintenanceWindow& window = adds_window ? added : other;
     const MaintenanceWindow& peak = adds_window ? other : added;
     for (const UtcInterval& open : window.times) {
-      for (const UtcInterval& shut : peak.times) {
-        if (!Overlap(open, shut) || open.from < shut.from ||
-            open.to > shut.to) {
+      for (const UtcInterval& closed : peak.times) {
+        if (!Overlap(open, closed) || open.from < closed.from ||
+            open.to > closed.to) {
           continue;
         }
         if (adds_window) {
           return Error("times", "the one at ", open.from,
                        " lies inside the peak ", peak.id);
         }
-        return Error("times", "the one at ", shut.from, " covers the window ",
+        return Error("times", "the one at ", closed.from, " covers the window ",
                      window.id);
       }
     }
@@ -267,8 +271,7 @@
 std::optional<WindowError> FindWindowError(
     const MaintenanceWindow& window, const WindowValidationContext& context) {
   if (context.others.size() >= kMaxMaintenanceWindows) {
-    return Error("id", kMaxMaintenanceWindows,
-                 " bookings are in force already");
+    return Error("id", kMaxMaintenanceWindows, " windows are in force already");
   }
   if (MaybeError error = FindWorkError(window.work, context)) return error;
   if (MaybeError error = FindTimesError(window, context)) return error;
--- a/core/maintenance/window_validation.h
+++ b/core/maintenance/window_validation.h
@@ -1,4 +1,4 @@
-// Whether a maintenance window can be recorded.
+// Validates a maintenance window before it is recorded.
 #pragma once
 
 #include <optional>
@@ -10,19 +10,20 @@
 
 namespace oxbow {
 
-// What a window is validated against.
+// The state that a window is validated against.
 struct WindowValidationContext {
   const Settings* settings = nullptr;
-  // Names in force; absent when the tiers are not known: names of tiers are
-  // then not validated.
+  // Names of the tiers in force. Absent if the tiers are not known; names of
+  // tiers are then not validated.
   std::optional<std::vector<std::string>> tiers;
-  Resources fleet;  // of all machines together; zero when it is not known
+  Resources fleet;  // total of all machines; zero if unknown
   double wall = 0;  // s since 1970
   std::vector<MaintenanceWindow> others;      // in force, without this one
   std::optional<MaintenanceWindow> replaces;  // its version in force
 };
 
-// The value for which a window can't be recorded.
+// The reason why a window can't be recorded: a field and what is wrong with its
+// value.
 struct WindowError {
   std::string field;
   std::string problem;
@@ -31,7 +32,7 @@
 // `field: problem`, on one line.
 std::string Render(const WindowError& error);
 
-// A window has no effect sooner than this after it is recorded, s.
+// Minimum time in seconds between recording a window and its first effect.
 double MinimumNoticeSeconds(const Settings& settings);
 
 // The first error; nothing if the window can be recorded.
