--- a/core/maintenance/maintenance_calendar.h
+++ b/core/maintenance/maintenance_calendar.h
@@ -130,7 +130,7 @@
   // Whether the window with the id `window` applies to the work.
   bool WindowAppliesTo(const std::string& window, const JobSpec& spec,
                        const std::string& tier) const;
-  // SubtractInterval the peaks.
+  // Ids of the windows, without the peaks.
   std::vector<std::string> WindowIds() const;
   // The windows, without the peaks, that apply to the work.
   std::vector<WindowShare> SharesFor(const JobSpec& spec,
--- a/core/maintenance/start_plan.cc
+++ b/core/maintenance/start_plan.cc
@@ -17,7 +17,8 @@
 // Work that can save may start if this many of its save intervals are left.
 constexpr double kMinSaves = 2;
 
-// When the windows are open. SubtractInterval any window all times are open.
+// The periods in which the windows are open, ascending by their beginnings. If
+// there are no windows, all time is open.
 std::vector<StartPeriod> OpenPeriods(
     const std::vector<const MaintenanceWindow*>& windows) {
   if (windows.empty()) return {{-kForever, kForever, nullptr, nullptr}};
--- a/core/maintenance/window_validation.cc
+++ b/core/maintenance/window_validation.cc
@@ -12,7 +12,8 @@
 
 using MaybeError = std::optional<WindowError>;
 
-// Tolerance for rounding errors when shares of the fleet are added up.
+// Tolerance for rounding errors when shares of the fleet that add up to 1 are
+// compared with 1.
 constexpr double kShareEpsilon = 1e-9;
 // Stands for "unlimited" if a team has no maximum.
 constexpr double kNoMaximum = 1e18;
