--- a/tests/rebalancer_test.cc
+++ b/tests/rebalancer_test.cc
@@ -1,5 +1,5 @@
-// Replica moves: every order in which events can happen to them in a small
-// cluster, and each guard left out in turn.
+// Model checking of replica moves: explores every order of events in a small
+// cluster, and shows that leaving out a safety check is detected.
 
 #include "core/rebalancing/rebalancer.h"
 
@@ -47,8 +47,8 @@
     int ticks;
     bool mid_move;
   };
-  // A former leader's commands are kept from a second replica by two guards,
-  // one behind the other.
+  // Two checks keep late commands of an earlier leader from stopping a second
+  // replica. Each covers for the other, so both are left out together.
   const std::array cases = {
       Case{"whole", {.whole = true}, 4, false},
       Case{"gone", {.gone = true}, 4, false},
--- a/tests/replica_move_explorer.h
+++ b/tests/replica_move_explorer.h
@@ -1,9 +1,10 @@
-// Explores every order in which events can happen to replica moves in a small
-// cluster: two services of two replicas, three machines, one change of leader,
-// a machine that dies, a demand that vanishes. Commands to workers are
-// delivered at any later moment or lost, writes succeed at any later moment or
-// fail. The leader knows what the protocol lets it know; the moves are the
-// core's own.
+// A model checker for replica moves. It explores every order of events in a
+// small cluster: two services with two replicas each, three machines, one
+// change of leader, one machine that dies, one replica that exits by itself,
+// and a waiting job that may go away. Commands to workers are delivered at any
+// later time or lost; writes succeed at any later time or fail. The model of
+// the leader knows only what the protocol tells it; the state machine of the
+// moves is the production code (class Rebalancer).
 #pragma once
 
 #include <fmt/format.h>
@@ -29,14 +30,14 @@
 inline constexpr int kAllReplicas = kServices * kReplicas;
 inline constexpr double kFetchSeconds = 1;  // of a target without the image
 
-// Guards that are left out, to see that they are missed. Some stand behind one
-// another: those are left out together.
+// Safety checks to leave out, in order to see that the exploration detects
+// their absence. Checks that cover for each other are left out together.
 struct Without {
-  bool whole = false;     // other replicas are not looked at before a stop
-  bool token = false;     // commands of a former leader are not waited out
-  bool cool_off = false;  // a successor does not look at the claims
-  bool gone = false;   // a replica is placed before the old one is surely gone
-  bool limit = false;  // any number of a service at once
+  bool whole = false;     // a move stops a replica without checking the others
+  bool token = false;     // late commands of an earlier leader are ignored
+  bool cool_off = false;  // a new leader does not restore the recorded claims
+  bool gone = false;   // a replica is placed before the old one is known gone
+  bool limit = false;  // not read: no limit on stopped replicas of a service
 };
 
 struct WorkerCommand {
@@ -46,23 +47,29 @@
   int leader = 0;
 };
 
+// One state of the modelled cluster. The arrays by replica are bit masks of
+// machines.
 struct Simulation {
-  int now = 0;
-  int leader = 0;
-  bool wanted = true;
-  int dead = -1;
-  std::array<uint8_t, kAllReplicas> there{};   // masks of machines, in truth
-  std::array<uint8_t, kAllReplicas> belief{};  // may be there
-  std::array<uint8_t, kAllReplicas>
-      stopped{};  // told to stop, as the leader knows
-  std::array<uint8_t, kAllReplicas>
-      seen{};                           // there, by a heartbeat since the start
-  bool exited = false;                  // a replica, once, of its own accord
-  std::array<int, kMachines> token{};   // the leader that the worker has seen
-  std::array<bool, kMachines> heard{};  // by this leader
-  std::vector<WorkerCommand> commands;  // under way
-  std::map<std::string, MoveClaim> stored;
-  std::vector<MoveClaim> writes;  // under way, of this leader
+  int now = 0;         // ticks
+  int leader = 0;      // number of the current leader
+  bool wanted = true;  // the large job still waits for capacity
+  int dead = -1;       // the machine that has died; -1: none
+  // Where the replica really is.
+  std::array<uint8_t, kAllReplicas> there{};
+  // Where the replica may be, as far as the leader knows.
+  std::array<uint8_t, kAllReplicas> belief{};
+  // Where the leader knows that the replica was told to stop.
+  std::array<uint8_t, kAllReplicas> stopped{};
+  // Where a heartbeat has shown the replica since its start.
+  std::array<uint8_t, kAllReplicas> seen{};
+  bool exited = false;  // a replica has exited by itself; happens at most once
+  // The latest leader of which the worker has seen a message.
+  std::array<int, kMachines> token{};
+  // Whether the machine has sent a heartbeat to the current leader.
+  std::array<bool, kMachines> heard{};
+  std::vector<WorkerCommand> commands;      // in flight
+  std::map<std::string, MoveClaim> stored;  // claims in the key-value store
+  std::vector<MoveClaim> writes;            // of this leader, in flight
   Rebalancer rebalancer{Limits()};
 
   static MoveLimits Limits() {
@@ -76,6 +83,7 @@
     return limits;
   }
 
+  // Identifies the state; states with equal keys are explored only once.
   std::string Key() const {
     std::string key =
         fmt::format("{} {} {} {} {}|", now, leader, wanted, dead, exited);
@@ -116,13 +124,16 @@
   return (claim.job[1] - '0') * kReplicas + static_cast<int>(claim.task);
 }
 
-// Every sequence of choices in turn.
+// Enumerates every sequence of choices: a loop runs the same code with one
+// sequence after another, until Next returns false.
 class Choices {
  public:
+  // Returns the next choice of the current sequence, from 0 to `ways` - 1.
   int operator()(int ways) {
     if (at_ == taken_.size()) taken_.push_back({0, ways});
     return taken_[at_++].first;
   }
+  // Goes on to the next sequence. Returns false if there is none.
   bool Next() {
     at_ = 0;
     while (!taken_.empty() && taken_.back().first + 1 == taken_.back().second) {
@@ -138,20 +149,22 @@
   size_t at_ = 0;
 };
 
+// Explores all reachable states breadth-first and checks each of them.
 class Explorer {
  public:
   Explorer(Without without, int ticks) : without_(without), ticks_(ticks) {}
 
-  // The first bad state's description; empty for none.
+  // Returns the first violation that is found; empty if there is none.
+  // `mid_move`: begin with a move whose leader has just been replaced.
   std::string Run(bool mid_move = false) {
     Simulation start;
     start.rebalancer = Rebalancer(Simulation::Limits());
-    // s0: 0 and 1; s1: 1 and 2.
+    // Service s0 is on machines 0 and 1, service s1 on machines 1 and 2.
     start.there = start.belief = start.seen = {1, 2, 2, 4};
     start.heard.fill(true);
     if (mid_move) {
-      // The first leader has recorded a claim, its stop is under way, and it
-      // is gone.
+      // The first leader has recorded a claim and sent a stop that is still in
+      // flight, and has then been replaced.
       start.now = 0;
       start.commands.push_back({false, 0, 0, 0});
       MoveClaim claim;
@@ -193,7 +206,7 @@
       if (std::popcount(state.there[index]) > 1)
         bad_ = "a replica on two machines";
     }
-    if (state.dead >= 0) return;  // a loss that no move has made
+    if (state.dead >= 0) return;  // the loss was not caused by a move
     for (int s = state.exited ? 1 : 0; s < kServices; ++s) {
       int there = 0;
       for (int r = 0; r < kReplicas; ++r) {
@@ -222,7 +235,7 @@
            !Outstanding(state, machine, state.leader);
   }
 
-  // A replica's replica runs and nothing that is under way can stop it.
+  // Whether the replica certainly runs and no command in flight can stop it.
   bool RunsSurely(const Simulation& state, int replica) const {
     if (std::popcount(state.belief[replica]) != 1 ||
         state.stopped[replica] != 0 ||
@@ -261,8 +274,8 @@
     return observation;
   }
 
-  // A move stops a replica: as far as the leader can know, the service keeps
-  // its floor without it.
+  // Checks a stop by a move: as far as the leader can know, another replica of
+  // the service must be left.
   void Stopped(const Simulation& state, int replica) {
     int left = 0;
     const int first = replica / kReplicas * kReplicas;
@@ -289,8 +302,8 @@
         Stopped(state, ReplicaOf(move.claim));
       }
     }
-    // Placing, as the core does it: once it is surely gone, and every machine
-    // is accounted for.
+    // Placement as in the production code: a replica is started again once it
+    // is known to be gone and every machine is accounted for.
     bool accounted = true;
     for (int machine = 0; machine < kMachines; ++machine)
       accounted &= machine == state.dead || state.heard[machine];
@@ -317,14 +330,14 @@
     }
   }
 
-  // One report's time: what happens to each message, to the leader and to the
-  // machines, each way of it; then the leader's turn. False: the same as one
-  // with other choices.
+  // One heartbeat interval: chooses what happens to each message, to the leader
+  // and to the machines, and then lets the leader act. Returns false if other
+  // choices lead to the same state.
   bool Step(Simulation& state, Choices& choose) {
     std::vector<WorkerCommand> commands = std::move(state.commands);
     state.commands.clear();
     for (const WorkerCommand& command : commands) {
-      // A command that the worker would refuse may as well be lost.
+      // A command that the worker would reject is treated as lost.
       const bool dead = command.machine == state.dead ||
                         command.leader < state.token[command.machine];
       switch (dead ? 1 : choose(3)) {
@@ -349,7 +362,7 @@
           state.rebalancer.OnNotRecorded(claim.id, state.now);
           state.writes.erase(state.writes.begin());
           break;
-        case 2:  // it stands, its answer never comes
+        case 2:  // the write is applied, but its response is lost
           state.stored[claim.id] = claim;
           state.writes.erase(state.writes.begin());
           break;
@@ -363,7 +376,7 @@
       ChangeLeader(state);
     } else if (event == 2) {
       if (state.dead >= 0) return false;
-      state.dead = 2;  // a target, and the home of a replica
+      state.dead = 2;  // a possible target that also runs a replica
       Bury(state);
     } else if (event == 3) {
       if (!state.wanted || state.rebalancer.in_progress() == 0) return false;
@@ -394,7 +407,8 @@
     }
   }
 
-  // A message of the worker under the leader's token, newer than its commands.
+  // A heartbeat of the worker, sent with the current leader's token after all
+  // earlier commands of this leader.
   void Report(Simulation& state, int machine) {
     if (!without_.token) state.token[machine] = state.leader;
     state.heard[machine] = true;
@@ -414,11 +428,11 @@
   void ChangeLeader(Simulation& state) {
     ++state.leader;
     state.writes
-        .clear();  // conditioned on the leader key: they fail from here on
+        .clear();  // conditioned on the old leader's key: they fail from now on
     state.heard.fill(false);
     state.stopped.fill(0);
     state.seen.fill(0);
-    // Nothing is known: each replica may be wherever it ever was.
+    // The new leader knows nothing, so each replica may be on any machine.
     for (int index = 0; index < kAllReplicas; ++index)
       state.belief[index] = (1 << kMachines) - 1;
     if (state.dead >= 0) Bury(state);
@@ -448,8 +462,8 @@
     return state.token[machine] != state.leader;
   }
 
-  // Any replica that runs surely, to any machine: wider than what a plan
-  // chooses.
+  // Begins a move of any replica that certainly runs to any machine. These are
+  // more moves than the production planner would choose.
   void Begin(Simulation& state, Choices& choose) {
     if (!state.wanted) return;
     std::vector<std::pair<int, int>> options;
@@ -480,7 +494,7 @@
   }
 
   const Without without_;
-  const int ticks_;  // of a heartbeat each; a lease is two
+  const int ticks_;  // a tick is one heartbeat interval; a lease is two ticks
   std::deque<Simulation> open_;
   std::unordered_set<std::string> seen_;
   std::string bad_;
