--- a/tests/dependency_graph_memory.cc
+++ b/tests/dependency_graph_memory.cc
@@ -1,6 +1,7 @@
-// What 20,000 waiting jobs and 1,000,000 terminal states take of a controller's
-// memory: the catalog's records, the graph, the index of ends. Built by hand,
-// without the sanitizers: the figures stand in docs/graph.md.
+// Measures how much memory 20,000 waiting jobs and 1,000,000 terminal states
+// take in a controller: the catalog's records, the dependency graph and the
+// index of terminal states. Built by hand without sanitizers; docs/graph.md has
+// the results.
 
 #include <malloc.h>
 
@@ -36,7 +37,7 @@
   Catalog catalog;
   double before = Mib();
   for (int n = 0; n < kEnded; ++n) {
-    // Ids come in no order, and one in twelve is cancelled.
+    // Ids are in no order, and one job in twelve is cancelled.
     const int id = static_cast<int>((n * 7919LL) % 1'500'000);
     catalog.RememberTerminalState(
         IdOf(id),
--- a/tests/dependency_graph_test.cc
+++ b/tests/dependency_graph_test.cc
@@ -1,7 +1,8 @@
-// The code of core/dependencies: what jobs inherit, every order of events of
-// three jobs under two leaders, and random graphs under failing leaders and
-// late writes, with an account of its own (Sim::CheckChainStart,
-// CheckOrphanedTasks).
+// Tests of core/dependencies: what jobs inherit, a model checker that explores
+// every order of events of three jobs under two leaders, and simulations of
+// random graphs with crashing leaders and late writes. In the simulations
+// Sim::CheckChainStart and CheckOrphanedTasks check every start independently
+// of the graph.
 
 #include "core/dependencies/dependency_graph.h"
 
@@ -19,7 +20,7 @@
 namespace oxbow::test {
 namespace {
 
-// Each job takes 10 s.
+// Uses the job's estimate as its path; the jobs of SpecOf take 10 s each.
 class TenSeconds : public DependencyGraph::Estimates {
  public:
   double CriticalPathSeconds(const JobSpec& spec) const override {
@@ -50,7 +51,7 @@
 
 TEST(DependencyGraph, InheritAlongTheLongestPathThatIsLeft) {
   DependencyGraph graph(kEstimates);
-  // a and b before c, c before d, a before d too.
+  // c depends on a and b; d depends on c and a.
   graph.Add(SpecOf("c", {"a", "b"}), 0, kNobodyEnded);
   EXPECT_EQ(graph.InheritedBy("a").priority, Priority::kLow);
   const auto last = SpecOf("d", {"c", "a"});
@@ -82,7 +83,7 @@
   }
   EXPECT_EQ(graph.InheritedBy("job-000000").due.first,
             1e6 - 10.0 * (kLength - 1));
-  // Each of the chain goes with the one before it.
+  // Each job of the chain is cancelled because the one before it was.
   graph.OnTerminalState("job-000000", TerminalState::kAborted);
   int gone = 0;
   for (auto id = graph.PopDue(); id; id = graph.PopDue()) {
@@ -109,8 +110,9 @@
   int mod_revision = 0;
 };
 
-// The records, a leader with the real Chains, its write under way, and one
-// write without an answer that may be carried out at any later time.
+// One state of the model: the records, a leader with the production
+// DependencyGraph, its write in flight, and one write without a response that
+// may be applied at any later time.
 struct Simulation {
   std::vector<std::vector<int>> needs;
   std::array<Rec, 3> rec{};
@@ -170,7 +172,8 @@
     for (const int need : needs[job]) may = may || rec[need] == Rec::kAborted;
     ASSERT_TRUE(may) << "cancelled without a reason";
   }
-  // The leader learns how a record stands: its own write's answer or its read.
+  // The leader learns the current record, from the response to its write or
+  // from a read.
   void Settle(int job) {
     if (rec[job] == Rec::kWaiting) {
       graph.RequeueDue(Id(job));
@@ -208,8 +211,8 @@
   }
 };
 
-// Follows every event from every state; returns how many states there are.
-// Plays every order of the events; one branch for each of them.
+// Explores every order of events from every reachable state, with one branch
+// for each event. Returns the number of states.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size)
 size_t Explore(const std::vector<std::vector<int>>& needs) {
   Simulation first;
@@ -251,14 +254,14 @@
       }
     }
     if (from.write) {
-      visit([](Simulation& w) {  // carried out, and answered
+      visit([](Simulation& w) {  // the write is applied and answered
         const Txn txn = *std::exchange(w.write, std::nullopt);
         w.Apply(txn);
         w.Settle(txn.job);
       });
       if (!from.lost_one) {
         for (const bool at_once : {true, false}) {
-          visit([at_once](Simulation& w) {  // no answer: the record is read
+          visit([at_once](Simulation& w) {  // no response: the record is read
             const Txn txn = *std::exchange(w.write, std::nullopt);
             w.lost_one = true;
             if (at_once) {
@@ -271,7 +274,7 @@
         }
       }
     } else {
-      // Nothing under way: whatever is due has been done.
+      // With no write in flight, everything that was due must have been done.
       for (int job = 0; job < 3; ++job) {
         if (from.rec[job] != Rec::kWaiting) continue;
         bool all_done = true;
@@ -286,7 +289,7 @@
     if (from.late) {
       visit([](Simulation& w) {
         const Txn txn = *std::exchange(w.late, std::nullopt);
-        // Its record is seen by the watch.
+        // The watch delivers the record.
         if (w.Apply(txn)) w.Settle(txn.job);
       });
     }
@@ -295,7 +298,8 @@
         w.leader = 2;
         if (w.write && !w.late) w.late = w.write;
         w.write.reset();
-        // The wish of a user goes with the leader it was told to.
+        // A user's cancellation of a waiting job is lost with the leader that
+        // received it.
         for (int job = 0; job < 3; ++job) {
           if (w.rec[job] == Rec::kWaiting) w.user_cancelled[job] = false;
         }
@@ -323,9 +327,9 @@
 
 // --- random graphs
 
-class ChainStorm {
+class DependencySimulation {
  public:
-  explicit ChainStorm(uint64_t seed) : random_(seed) {
+  explicit DependencySimulation(uint64_t seed) : random_(seed) {
     sim_.settings.store.txn_ops = Happens(0.5) ? 5 : 16;
     sim_.settings.teams.push_back({"t", 0, 0, 0, 0});
     MachineType type;
@@ -348,8 +352,8 @@
     sim_.Lead();
   }
 
-  // The first broken rule; empty for none.
-  std::string Play() {
+  // Returns the first violation; empty if there is none.
+  std::string Run() {
     for (double t = 0; t < kBusy; t += kStep) {
       if (Happens(0.06)) Submit();
       if (jobs_ > 0 && Happens(0.02)) sim_.CancelJob(Any());
@@ -422,7 +426,7 @@
       runs == nullptr ? 12 : std::strtoull(runs, nullptr, 10);
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     const TrailedRun trailed("chains", seed);
-    const std::string wrong = ChainStorm(seed).Play();
+    const std::string wrong = DependencySimulation(seed).Run();
     ASSERT_EQ(wrong, "") << "seed " << seed;
   }
 }
--- a/tests/maintenance_calendar_test.cc
+++ b/tests/maintenance_calendar_test.cc
@@ -1,4 +1,5 @@
-// The calendar: times out of rules, what may be booked, and what may start.
+// Tests of the maintenance calendar: the expansion of recurrence rules, the
+// validation of windows, and the decisions whether work may start.
 
 #include "core/maintenance/maintenance_calendar.h"
 
@@ -21,81 +22,84 @@
 MaintenanceWindow Rule(WindowKind kind, const std::string& zone,
                        const std::string& starts, double length,
                        const std::string& rule) {
-  MaintenanceWindow b;
-  b.id = "b";
-  b.kind = kind;
-  b.zone = zone;
-  b.starts = starts;
-  b.length_seconds = length;
-  b.rule = rule;
-  return b;
+  MaintenanceWindow window;
+  window.id = "b";
+  window.kind = kind;
+  window.zone = zone;
+  window.starts = starts;
+  window.length_seconds = length;
+  window.rule = rule;
+  return window;
 }
 
-std::string Expand(MaintenanceWindow& b, double from = kMarch,
+std::string Expand(MaintenanceWindow& window, double from = kMarch,
                    double length = 300 * kDay, size_t most = 300) {
-  return cli::WorkOutTimes({from, length, most}, &b);
+  return cli::WorkOutTimes({from, length, most}, &window);
 }
 
 TEST(Recurrence, DaysOfTwentyThreeAndTwentyFiveHours) {
   // Berlin: 29 March 2026 has 23 hours, 25 October has 25.
-  MaintenanceWindow b = Rule(WindowKind::kWindow, "Europe/Berlin",
-                             "2026-03-28T00:00:00", kDay, "FREQ=DAILY;COUNT=3");
-  ASSERT_EQ(Expand(b), "");
-  // They touch, so they are one: 71 hours.
-  ASSERT_EQ(b.times.size(), 1U);
-  EXPECT_EQ(b.times[0].length(), 71 * kHour);
-  b = Rule(WindowKind::kPeak, "Europe/Berlin", "2026-10-24T22:00:00", 8 * kHour,
-           "FREQ=DAILY;COUNT=2");
-  ASSERT_EQ(Expand(b), "");
-  ASSERT_EQ(b.times.size(), 2U);
-  EXPECT_EQ(b.times[0].length(), 9 * kHour);
-  EXPECT_EQ(b.times[1].length(), 8 * kHour);
-  EXPECT_EQ(b.known_until, 0);
+  MaintenanceWindow window =
+      Rule(WindowKind::kWindow, "Europe/Berlin", "2026-03-28T00:00:00", kDay,
+           "FREQ=DAILY;COUNT=3");
+  ASSERT_EQ(Expand(window), "");
+  // The three days touch, so they become one interval of 71 hours.
+  ASSERT_EQ(window.times.size(), 1U);
+  EXPECT_EQ(window.times[0].length(), 71 * kHour);
+  window = Rule(WindowKind::kPeak, "Europe/Berlin", "2026-10-24T22:00:00",
+                8 * kHour, "FREQ=DAILY;COUNT=2");
+  ASSERT_EQ(Expand(window), "");
+  ASSERT_EQ(window.times.size(), 2U);
+  EXPECT_EQ(window.times[0].length(), 9 * kHour);
+  EXPECT_EQ(window.times[1].length(), 8 * kHour);
+  EXPECT_EQ(window.known_until, 0);
 }
 
 TEST(Recurrence, MissingAndDoubledHour) {
-  // 02:00 to 03:00 is missing on 29 March: nothing is left of the window.
-  MaintenanceWindow b =
+  // 02:00 to 03:00 does not exist on 29 March, so that day has no window.
+  MaintenanceWindow window =
       Rule(WindowKind::kWindow, "Europe/Berlin", "2026-03-28T02:00:00", kHour,
            "FREQ=DAILY;COUNT=3");
-  ASSERT_EQ(Expand(b), "");
-  EXPECT_EQ(b.times.size(), 2U);
-  // The doubled one on 25 October: a window is the second, a peak is both.
-  b = Rule(WindowKind::kWindow, "Europe/Berlin", "2026-10-25T02:00:00", kHour,
-           "");
-  ASSERT_EQ(Expand(b), "");
-  const double second = b.times.at(0).from;
-  EXPECT_EQ(b.times[0].length(), kHour);
-  b.kind = WindowKind::kPeak;
-  ASSERT_EQ(Expand(b), "");
-  EXPECT_EQ(b.times.at(0).from, second - kHour);
-  EXPECT_EQ(b.times[0].length(), 2 * kHour);
+  ASSERT_EQ(Expand(window), "");
+  EXPECT_EQ(window.times.size(), 2U);
+  // That hour occurs twice on 25 October: a window takes the second one only, a
+  // peak takes both.
+  window = Rule(WindowKind::kWindow, "Europe/Berlin", "2026-10-25T02:00:00",
+                kHour, "");
+  ASSERT_EQ(Expand(window), "");
+  const double second = window.times.at(0).from;
+  EXPECT_EQ(window.times[0].length(), kHour);
+  window.kind = WindowKind::kPeak;
+  ASSERT_EQ(Expand(window), "");
+  EXPECT_EQ(window.times.at(0).from, second - kHour);
+  EXPECT_EQ(window.times[0].length(), 2 * kHour);
 }
 
 TEST(Recurrence, LeapDayIsFoundYearsAhead) {
-  MaintenanceWindow b =
+  MaintenanceWindow window =
       Rule(WindowKind::kWindow, "America/Jamaica", "2024-02-29T01:00:00", kHour,
            "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=29");
-  ASSERT_EQ(Expand(b), "");
-  ASSERT_EQ(b.times.size(), 1U);
-  EXPECT_EQ(b.times[0].from, 1835416800);  // 2028-02-29T06:00:00Z
-  EXPECT_GT(b.known_until, b.times[0].to + 3 * 365 * kDay);
+  ASSERT_EQ(Expand(window), "");
+  ASSERT_EQ(window.times.size(), 1U);
+  EXPECT_EQ(window.times[0].from, 1835416800);  // 2028-02-29T06:00:00Z
+  EXPECT_GT(window.known_until, window.times[0].to + 3 * 365 * kDay);
 }
 
 TEST(Recurrence, ExceptionsAreLeftOut) {
-  MaintenanceWindow b = Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00",
-                             kHour, "FREQ=DAILY;COUNT=4");
-  b.except = {"2026-03-03T00:00:00"};
-  ASSERT_EQ(Expand(b), "");
-  ASSERT_EQ(b.times.size(), 3U);
-  EXPECT_EQ(b.times[1].from - b.times[0].from, 2 * kDay);
+  MaintenanceWindow window =
+      Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00", kHour,
+           "FREQ=DAILY;COUNT=4");
+  window.except = {"2026-03-03T00:00:00"};
+  ASSERT_EQ(Expand(window), "");
+  ASSERT_EQ(window.times.size(), 3U);
+  EXPECT_EQ(window.times[1].from - window.times[0].from, 2 * kDay);
 }
 
 TEST(Recurrence, WhatCannotBeFollowedIsRefusedByName) {
   const auto wrong = [](const std::string& rule) {
-    MaintenanceWindow b =
+    MaintenanceWindow window =
         Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00", kHour, rule);
-    return Expand(b);
+    return Expand(window);
   };
   EXPECT_NE(wrong("FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30").find("never matches"),
             std::string::npos);
@@ -103,25 +107,27 @@
             std::string::npos);
   EXPECT_NE(wrong("FREQ=SECONDLY").find("HOURLY"), std::string::npos);
   EXPECT_NE(wrong("nightly").find("no RRULE"), std::string::npos);
-  MaintenanceWindow b = Rule(WindowKind::kWindow, "Mars/Olympus",
-                             "2026-03-02T00:00:00", kHour, "");
-  EXPECT_EQ(Expand(b), "zone: Mars/Olympus is not known here");
-  b = Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00+02", kHour, "");
-  EXPECT_NE(Expand(b).find("starts"), std::string::npos);
+  MaintenanceWindow window = Rule(WindowKind::kWindow, "Mars/Olympus",
+                                  "2026-03-02T00:00:00", kHour, "");
+  EXPECT_EQ(Expand(window), "zone: Mars/Olympus is not known here");
+  window =
+      Rule(WindowKind::kWindow, "UTC", "2026-03-02T00:00:00+02", kHour, "");
+  EXPECT_NE(Expand(window).find("starts"), std::string::npos);
 }
 
 TEST(Recurrence, ARuleWithoutEndIsBounded) {
-  MaintenanceWindow b = Rule(WindowKind::kPeak, "UTC", "2020-01-01T00:00:00",
-                             kHour / 2, "FREQ=HOURLY");
-  ASSERT_EQ(Expand(b, kMarch, 4000 * kDay, 300), "");
-  EXPECT_EQ(b.times.size(), 300U);
-  EXPECT_EQ(b.known_until, b.times.back().from + kHour);
-  // One that leaves no gap is one stretch.
-  b.length_seconds = kHour;
-  ASSERT_EQ(Expand(b, kMarch, 10 * kDay, 300), "");
-  ASSERT_EQ(b.times.size(), 1U);
-  EXPECT_EQ(b.times[0].to, b.known_until);
-  const std::string text = wire::WriteBooking(b);
+  MaintenanceWindow window =
+      Rule(WindowKind::kPeak, "UTC", "2020-01-01T00:00:00", kHour / 2,
+           "FREQ=HOURLY");
+  ASSERT_EQ(Expand(window, kMarch, 4000 * kDay, 300), "");
+  EXPECT_EQ(window.times.size(), 300U);
+  EXPECT_EQ(window.known_until, window.times.back().from + kHour);
+  // A rule whose times leave no gaps becomes one interval.
+  window.length_seconds = kHour;
+  ASSERT_EQ(Expand(window, kMarch, 10 * kDay, 300), "");
+  ASSERT_EQ(window.times.size(), 1U);
+  EXPECT_EQ(window.times[0].to, window.known_until);
+  const std::string text = wire::WriteBooking(window);
   MaintenanceWindow again;
   EXPECT_EQ(wire::ReadMaintenanceWindow("b", text, true, &again), "");
 }
@@ -138,19 +144,21 @@
     spec_.tasks = 10;
     spec_.need = {8, 0, 1};
   }
-  void Book(const std::string& id, WindowKind kind,
-            std::vector<UtcInterval> times,
-            Overrun overrun = Overrun::kHoldBack, double known_until = 0) {
-    MaintenanceWindow b;
-    b.id = id;
-    b.kind = kind;
-    b.work.cores_above = 64;
-    b.overrun = overrun;
-    b.times = std::move(times);
-    b.known_until = known_until;
-    calendar_.AddWindow(b, ++version_, 0);
+  void RecordWindow(const std::string& id, WindowKind kind,
+                    std::vector<UtcInterval> times,
+                    Overrun overrun = Overrun::kHoldBack,
+                    double known_until = 0) {
+    MaintenanceWindow window;
+    window.id = id;
+    window.kind = kind;
+    window.work.cores_above = 64;
+    window.overrun = overrun;
+    window.times = std::move(times);
+    window.known_until = known_until;
+    calendar_.AddWindow(window, ++version_, 0);
   }
-  // The wall clock shows so much and is right by its bound.
+  // Decides at a reading `wall` of the wall clock, which may be wrong by
+  // kBound.
   AdmissionBlocker At(double wall, double run_seconds = 1) {
     calendar_.OnConfirmed(0, 0);
     calendar_.OnWallReading({wall, 0, 0});
@@ -163,33 +171,33 @@
 };
 
 TEST_F(CalendarRules, BothEdgesAreGuarded) {
-  Book("night", WindowKind::kWindow, {{1000, 2000}});
+  RecordWindow("night", WindowKind::kWindow, {{1000, 2000}});
   EXPECT_EQ(At(1000), AdmissionBlocker::kNoOpenWindow);  // it may be 999.975
   EXPECT_EQ(At(1000.03), AdmissionBlocker::kNone);
   EXPECT_EQ(At(1995, 0), AdmissionBlocker::kNone);
-  // An answer that is carried out 4 s later would be past the end.
+  // A start that is carried out 4 s later would be after the end.
   EXPECT_EQ(At(1995.98, 0), AdmissionBlocker::kNoOpenWindow);
   EXPECT_EQ(At(2100), AdmissionBlocker::kNoOpenWindow);
 }
 
 TEST_F(CalendarRules, TheSteadyClockDriftsSinceTheLook) {
-  Book("noon", WindowKind::kPeak, {{5000, 6000}});
+  RecordWindow("noon", WindowKind::kPeak, {{5000, 6000}});
   calendar_.OnConfirmed(3990, 3990);
   calendar_.OnWallReading({1002.5, 0, 0});
-  // 3,990 s later by a clock that may be a thousandth off.
+  // 3,990 s later by a steady clock that may drift by a thousandth.
   EXPECT_EQ(calendar_.Admit(spec_, "", 0, 3990).blocker,
             AdmissionBlocker::kInPeak);
   calendar_.OnWallReading({4992.5, 3990, 3990});
   EXPECT_EQ(calendar_.Admit(spec_, "", 0, 3990).blocker,
             AdmissionBlocker::kNone);
-  // A stall between the looks at the two clocks.
+  // The process stalled between the readings of the two clocks.
   calendar_.OnWallReading({4992.5, 3980, 3990});
   EXPECT_EQ(calendar_.Admit(spec_, "", 0, 3990).blocker,
             AdmissionBlocker::kInPeak);
 }
 
 TEST_F(CalendarRules, OnlyWhatIsNamedIsHeld) {
-  Book("night", WindowKind::kWindow, {{1000, 2000}});
+  RecordWindow("night", WindowKind::kWindow, {{1000, 2000}});
   EXPECT_EQ(At(500), AdmissionBlocker::kNoOpenWindow);
   EXPECT_EQ(calendar_.Admit(spec_, "", 1, 0).next_start, 1000);
   spec_.tasks = 8;  // 64 cores, not above
@@ -203,21 +211,22 @@
 }
 
 TEST_F(CalendarRules, WhatWontFitWaitsForAChanceThatIsLongEnough) {
-  Book("night", WindowKind::kWindow, {{1000, 1100}, {3000, 3400}});
+  RecordWindow("night", WindowKind::kWindow, {{1000, 1100}, {3000, 3400}});
   EXPECT_EQ(At(1010, 50), AdmissionBlocker::kNone);  // 75 s with its slack
   EXPECT_EQ(At(1010, 100),
             AdmissionBlocker::kDoesNotFit);  // the next one is longer
   EXPECT_EQ(calendar_.Admit(spec_, "", 100, 0).next_start, 3000);
-  // Too long for any: in the first part of the longest.
+  // Work too long for any period starts in the first part of the longest.
   EXPECT_EQ(At(1010, 1000), AdmissionBlocker::kDoesNotFit);
   EXPECT_EQ(At(3010, 1000), AdmissionBlocker::kNone);
   EXPECT_EQ(At(3150, 1000), AdmissionBlocker::kDoesNotFit);
 }
 
 TEST_F(CalendarRules, OverrunsGoAsTheBookingSays) {
-  Book("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kRunOn);
+  RecordWindow("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kRunOn);
   EXPECT_EQ(At(900, 500), AdmissionBlocker::kNone);
-  Book("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kSaveAndStop);
+  RecordWindow("noon", WindowKind::kPeak, {{1000, 2000}},
+               Overrun::kSaveAndStop);
   EXPECT_EQ(At(900, 500), AdmissionBlocker::kDoesNotFit);  // it can't save
   spec_.checkpoint_seconds = 10;
   EXPECT_EQ(At(900, 500), AdmissionBlocker::kNone);
@@ -231,7 +240,8 @@
 }
 
 TEST_F(CalendarRules, PastTheKnownTimesNothingIsSurelyAllowed) {
-  Book("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kRunOn, 5000);
+  RecordWindow("noon", WindowKind::kPeak, {{1000, 2000}}, Overrun::kRunOn,
+               5000);
   EXPECT_EQ(At(4000), AdmissionBlocker::kNone);
   EXPECT_EQ(At(5001), AdmissionBlocker::kBeyondKnownTimes);
 }
@@ -239,7 +249,7 @@
 TEST_F(CalendarRules, AnOldCalendarStartsNothingThatItNames) {
   using enum CalendarFreshness;
   EXPECT_EQ(calendar_.FreshnessAt(1e6), kNone);
-  Book("noon", WindowKind::kPeak, {{1e6, 2e6}});
+  RecordWindow("noon", WindowKind::kPeak, {{1e6, 2e6}});
   EXPECT_EQ(At(1000), AdmissionBlocker::kNone);
   EXPECT_EQ(calendar_.FreshnessAt(kStaleLeases * kLease), kCurrent);
   EXPECT_EQ(calendar_.FreshnessAt(kTooOldLeases * kLease), kStale);
@@ -253,7 +263,7 @@
 }
 
 TEST_F(CalendarRules, AnOlderVersionIsNoNewsAndACancelledOneStaysGone) {
-  Book("noon", WindowKind::kPeak, {{1000, 2000}});
+  RecordWindow("noon", WindowKind::kPeak, {{1000, 2000}});
   MaintenanceWindow old;
   old.id = "noon";
   calendar_.AddWindow(old, 0, 0);
@@ -261,7 +271,7 @@
   calendar_.WithdrawWindow("noon", 2, 0);
   EXPECT_EQ(At(1500), AdmissionBlocker::kNone);
   version_ = 1;
-  Book("noon", WindowKind::kPeak, {{1000, 2000}});  // version 2 again
+  RecordWindow("noon", WindowKind::kPeak, {{1000, 2000}});  // version 2 again
   EXPECT_TRUE(calendar_.empty());
 }
 
@@ -277,75 +287,74 @@
     context_.settings = &settings_;
     context_.wall = 1000;
     context_.fleet = {1000, 100, 1000};
-    booking_.id = "night";
-    booking_.work.classes = {"rebuild"};
-    booking_.capacity_share = 0.5;
-    booking_.length_seconds = 1000;
-    booking_.times = {{2000, 3000}};
+    window_.id = "night";
+    window_.work.classes = {"rebuild"};
+    window_.capacity_share = 0.5;
+    window_.length_seconds = 1000;
+    window_.times = {{2000, 3000}};
   }
-  std::string Why() {
-    const std::optional<WindowError> error =
-        FindWindowError(booking_, context_);
+  std::string ErrorText() {
+    const std::optional<WindowError> error = FindWindowError(window_, context_);
     return error ? Render(*error) : "";
   }
-  void ExpectsWord(const std::string& word) {
-    EXPECT_NE(Why().find(word), std::string::npos) << Why();
+  void ExpectErrorContains(const std::string& word) {
+    EXPECT_NE(ErrorText().find(word), std::string::npos) << ErrorText();
   }
 
   Settings settings_;
   WindowValidationContext context_;
-  MaintenanceWindow booking_;
+  MaintenanceWindow window_;
 };
 
 TEST_F(BookingChecks, NamesTheValueThatIsWrong) {
-  EXPECT_EQ(Why(), "");
-  MaintenanceWindow other = booking_;
+  EXPECT_EQ(ErrorText(), "");
+  MaintenanceWindow other = window_;
   other.id = "other";
   other.capacity_share = 0.6;
   other.times = {{2500, 2600}};
   context_.others = {other};
-  ExpectsWord("together with other");
+  ExpectErrorContains("together with other");
   other.kind = WindowKind::kPeak;
   other.times = {{1900, 3100}};
   context_.others = {other};
-  ExpectsWord("inside the peak other");
+  ExpectErrorContains("inside the peak other");
   context_.others.clear();
   context_.wall = 3500;
-  ExpectsWord("in the past");
+  ExpectErrorContains("in the past");
   context_.wall = 1930;
-  ExpectsWord("notice of 80.05 s");
-  context_.replaces = booking_;  // its time was known before
-  EXPECT_EQ(Why(), "");
+  ExpectErrorContains("notice of 80.05 s");
+  context_.replaces = window_;  // its time was known before
+  EXPECT_EQ(ErrorText(), "");
   context_.wall = 1000;
-  booking_.work.classes = {"rebuilt"};
-  ExpectsWord("class rebuilt is not known");
-  booking_.work.classes.clear();
-  ExpectsWord("names nothing");
-  booking_.work.teams = {"vision"};
-  ExpectsWord("over the teams' limit of 200");
-  booking_.capacity_share = 0.2;
-  EXPECT_EQ(Why(), "");
-  booking_.work.cores_above = 200;
-  ExpectsWord("not below the teams' limit of 200");
-  booking_.work.teams = {"visions"};
-  ExpectsWord("team visions is not known");
+  window_.work.classes = {"rebuilt"};
+  ExpectErrorContains("class rebuilt is not known");
+  window_.work.classes.clear();
+  ExpectErrorContains("names nothing");
+  window_.work.teams = {"vision"};
+  ExpectErrorContains("over the teams' limit of 200");
+  window_.capacity_share = 0.2;
+  EXPECT_EQ(ErrorText(), "");
+  window_.work.cores_above = 200;
+  ExpectErrorContains("not below the teams' limit of 200");
+  window_.work.teams = {"visions"};
+  ExpectErrorContains("team visions is not known");
 }
 
 TEST(CalendarJson, ReadsBackWhatItWrote) {
-  MaintenanceWindow b = Rule(WindowKind::kPeak, "Europe/Berlin",
-                             "2026-03-28T08:00:00", kHour, "FREQ=DAILY");
-  b.work.teams = {"vision"};
-  b.work.accelerators_above = 8;
-  b.overrun = Overrun::kSaveAndStop;
-  ASSERT_EQ(Expand(b), "");
+  MaintenanceWindow window = Rule(WindowKind::kPeak, "Europe/Berlin",
+                                  "2026-03-28T08:00:00", kHour, "FREQ=DAILY");
+  window.work.teams = {"vision"};
+  window.work.accelerators_above = 8;
+  window.overrun = Overrun::kSaveAndStop;
+  ASSERT_EQ(Expand(window), "");
   MaintenanceWindow again;
-  ASSERT_EQ(
-      wire::ReadMaintenanceWindow("b", wire::WriteBooking(b), true, &again),
-      "");
-  EXPECT_EQ(wire::WriteBooking(again), wire::WriteBooking(b));
-  EXPECT_EQ(again.times.size(), b.times.size());
-  EXPECT_EQ(wire::ReadMaintenanceWindow("a b", "{}", true, &again),
-            "the id a b");
+  ASSERT_EQ(wire::ReadMaintenanceWindow("b", wire::WriteBooking(window), true,
+                                        &again),
+            "");
+  EXPECT_EQ(wire::WriteBooking(again), wire::WriteBooking(window));
+  EXPECT_EQ(again.times.size(), window.times.size());
+  EXPECT_EQ(wire::ReadMaintenanceWindow("a window", "{}", true, &again),
+            "the id a window");
   EXPECT_EQ(
       wire::ReadMaintenanceWindow("b", "{\"kind\":\"hour\"}", true, &again),
       "field kind");
--- a/tests/maintenance_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -1,7 +1,8 @@
-// Randomized simulations round the edges of windows and peaks: leaders die,
-// stall and are cut from the key-value store there, their wall clocks off by up
-// to the bound, messages late and lost, bookings made, cancelled and lost. An
-// account of its own, by true time, is asked at every start.
+// Randomized simulations of maintenance windows with fault injection, mostly
+// around the beginnings and ends of windows and peaks. Leaders crash, stall and
+// are partitioned from the key-value store, wall clocks are wrong by up to the
+// configured bound, messages are delayed and lost, and windows are recorded,
+// withdrawn and lost. A separate model in true time checks every task start.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -14,13 +15,14 @@
 namespace oxbow::test {
 namespace {
 
-constexpr double kStep = 0.05;    // s
-constexpr double kLength = 260;   // s
-constexpr double kNotice = 81.5;  // s, as the checks at booking ask for
+constexpr double kStep = 0.05;   // s
+constexpr double kLength = 260;  // s
+constexpr double kNotice =
+    81.5;  // s; the minimum notice that validation requires
 
-class BookedDay {
+class MaintenanceSimulation {
  public:
-  BookedDay(uint64_t seed, int machines, double length)
+  MaintenanceSimulation(uint64_t seed, int machines, double length)
       : random_(seed), machines_(machines), length_(length) {
     sim_.faults.emplace();
     RandomFaults& faults = *sim_.faults;
@@ -37,28 +39,30 @@
     type.total = {4, 0, 64};
     type.cache_gb = 100;
     type.boot_seconds = 3;
-    type.zones = {"a", "b"};
+    type.zones = {"a", "window"};
     sim_.types["small"] = type;
     sim_.capacity["small"] = machines / 2;
     for (int i = 1; i <= machines; ++i) {
-      sim_.AddWorker(fmt::format("n-{}", i), "small", i % 2 ? "a" : "b", false);
+      sim_.AddWorker(fmt::format("n-{}", i), "small", i % 2 ? "a" : "window",
+                     false);
     }
     for (const std::string& name : names_) {
       sim_.AddController(name);
       sim_.controller(name).wall_off = Happens(0.5) ? bound_ : -bound_;
     }
     for (double at = 0; at < length_; at += 5) edges_.push_back(at);
-    BookAll();
+    RecordAllWindows();
     sim_.forbidden = [this](const JobSpec& spec, double wall) {
       return Forbidden(spec, wall);
     };
     sim_.Lead();
   }
 
-  // The first heavy start that must not be, or other broken rule.
-  std::string Play() {
+  // Returns the first forbidden start or other violation; empty if there is
+  // none.
+  std::string Run() {
     for (double t = 0; t < length_; t += kStep) {
-      Trouble();
+      InjectFaults();
       sim_.Run(kStep);
       if (!sim_.broken().empty()) {
         return fmt::format("at {:.2f} s: {}", sim_.now(),
@@ -71,12 +75,13 @@
 
   int heavy_starts() const { return heavy_starts_; }
   int leaders() const { return leaders_; }
-  // Longest that work ran on after the end of its window, s.
+  // Longest time that work continued after the end of its window, s.
   double latest_end() const { return latest_end_; }
+  // Average share of the windows' capacity that was in use while one was open.
   double used() const {
     return window_seconds_ > 0 ? used_seconds_ / window_seconds_ : 0;
   }
-  std::string TroubleTold() const {
+  std::string FaultSummary() const {
     return fmt::format("{} leaders, {} stalls, {} outages", leaders_, stalls_,
                        outages_);
   }
@@ -97,22 +102,23 @@
   }
   bool Every(double seconds) { return Happens(kStep / seconds); }
 
-  void Book(const std::string& id, WindowKind kind, const std::string& name,
-            Overrun overrun, std::vector<UtcInterval> times) {
-    MaintenanceWindow b;
-    b.id = id;
-    b.kind = kind;
-    b.work.classes = {name};
-    b.overrun = overrun;
-    b.capacity_share = kind == WindowKind::kWindow ? 0.5 : 1;
-    b.times = std::move(times);
-    for (const UtcInterval& t : b.times) {
+  void RecordWindow(const std::string& id, WindowKind kind,
+                    const std::string& name, Overrun overrun,
+                    std::vector<UtcInterval> times) {
+    MaintenanceWindow window;
+    window.id = id;
+    window.kind = kind;
+    window.work.classes = {name};
+    window.overrun = overrun;
+    window.capacity_share = kind == WindowKind::kWindow ? 0.5 : 1;
+    window.times = std::move(times);
+    for (const UtcInterval& t : window.times) {
       auto& spans = kind == WindowKind::kWindow ? windows_ : peaks_;
       spans.push_back({id, t.from, t.to});
       edges_.push_back(t.from - sim_.true_wall());
       edges_.push_back(t.to - sim_.true_wall());
     }
-    sim_.Book(b);
+    sim_.Book(window);
   }
   Overrun AnyOverrun() {
     return Happens(0.33)  ? Overrun::kRunOn
@@ -129,14 +135,16 @@
     }
     return times;
   }
-  void BookAll() {
+  void RecordAllWindows() {
     edges_.clear();
-    Book("noon", WindowKind::kPeak, "heavy", AnyOverrun(), Times(10));
-    Book("extra", WindowKind::kPeak, "heavy", AnyOverrun(), Times(20));
-    Book("night", WindowKind::kWindow, "rebuild", AnyOverrun(), Times(15));
+    RecordWindow("noon", WindowKind::kPeak, "heavy", AnyOverrun(), Times(10));
+    RecordWindow("extra", WindowKind::kPeak, "heavy", AnyOverrun(), Times(20));
+    RecordWindow("night", WindowKind::kWindow, "rebuild", AnyOverrun(),
+                 Times(15));
   }
 
-  // Written from what a booking says, not from how it is kept.
+  // Returns why the start is forbidden; empty if it is allowed. Follows the
+  // definition of windows and shares no code with MaintenanceCalendar.
   std::string Forbidden(const JobSpec& spec, double wall) {
     if (spec.job_class == "heavy") {
       ++heavy_starts_;
@@ -155,8 +163,8 @@
     return "outside every window";
   }
 
-  // Each second: use of the booked room, and how long after a window's end its
-  // work still runs.
+  // Measures each second how much of the window's capacity is in use, and how
+  // long after a window's end its work still runs.
   void Measure() {
     if (sim_.now() < next_measure_) return;
     next_measure_ = sim_.now() + 1;
@@ -192,11 +200,12 @@
     return false;
   }
 
-  void Trouble() {
+  void InjectFaults() {
     const Time now = sim_.now();
     const double near = NearEdge() ? 0.2 : 1;
     if (sim_.leader() == nullptr) {
-      // A tenth of a second: nobody has noticed.
+      // After 0.1 s no other controller has noticed the crash, so the same one
+      // often leads again.
       if (now >= next_leader_) {
         sim_.Lead(Happens(0.3) ? sim_.leading()
                                : names_[static_cast<size_t>(Between(0, 4.99))]);
@@ -220,7 +229,8 @@
       ++outages_;
     }
     sim_.state_down = now < state_until_;
-    // Cut from the key-value store alone: it leads by promises.
+    // Partition the leader from the key-value store only; it keeps leading by
+    // the promises of its peers.
     if (Every(60)) cut_until_[sim_.leading()] = now + Between(5, 150);
     for (const std::string& name : names_) {
       SimController& controller = sim_.controller(name);
@@ -230,14 +240,16 @@
     if (Every(150)) {
       sim_.LoseBookings(Between(0.2, 15));
     }
-    // A peak that is booked meanwhile binds after its notice.
-    if (Every(40) && !sim_.state_down && !sim_.rebuilding() && booked_ < 3) {
+    // A peak that is recorded during the run takes effect after its notice.
+    if (Every(40) && !sim_.state_down && !sim_.rebuilding() &&
+        late_peaks_ < 3) {
       const double from = sim_.true_wall() + kNotice;
-      Book(fmt::format("late-{}", ++booked_), WindowKind::kPeak, "heavy",
-           AnyOverrun(), {{from, from + Between(5, 30)}});
+      RecordWindow(fmt::format("late-{}", ++late_peaks_), WindowKind::kPeak,
+                   "heavy", AnyOverrun(), {{from, from + Between(5, 30)}});
     }
     if (Every(200) && !sim_.state_down && !sim_.rebuilding()) {
-      // One is left that names the work: see docs/calendar.md, limits.
+      // Another peak that applies to the same work is left; see
+      // docs/calendar.md, limits.
       sim_.CancelBooking("extra");
       for (Span& p : peaks_) {
         if (p.id == "extra") p.cancelled = sim_.true_wall();
@@ -267,7 +279,7 @@
   int machines_;
   double length_;
   Sim sim_;
-  const std::vector<std::string> names_ = {"a", "b", "c", "d", "e"};
+  const std::vector<std::string> names_ = {"a", "window", "c", "d", "e"};
   double bound_ = 0;
   std::vector<Span> windows_;
   std::vector<Span> peaks_;
@@ -277,7 +289,7 @@
   Time next_leader_ = 0;
   Time state_until_ = 0;
   int submitted_ = 0;
-  int booked_ = 0;
+  int late_peaks_ = 0;
   int heavy_starts_ = 0;
   int leaders_ = 0;
   int stalls_ = 0;
@@ -311,21 +323,22 @@
     const int seed = GetParam() + kParts * i;
     if (only >= 0 && seed != only) continue;
     const TrailedRun trailed("calendar", static_cast<uint64_t>(seed));
-    BookedDay day(static_cast<uint64_t>(seed), machines, length);
-    const std::string wrong = day.Play();
+    MaintenanceSimulation simulation(static_cast<uint64_t>(seed), machines,
+                                     length);
+    const std::string wrong = simulation.Run();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others, "
-                         << day.TroubleTold();
-    heavy += day.heavy_starts();
-    leaders += day.leaders();
-    used += day.used();
-    latest = std::max(latest, day.latest_end());
+                         << simulation.FaultSummary();
+    heavy += simulation.heavy_starts();
+    leaders += simulation.leaders();
+    used += simulation.used();
+    latest = std::max(latest, simulation.latest_end());
   }
   if (only >= 0) return;
-  // A simulation in which nothing runs would show nothing.
+  // Without starts and changes of leader the simulation would prove nothing.
   EXPECT_GT(heavy, 20 * seeds);
   EXPECT_GT(leaders, 2 * seeds);
   std::printf(
-      "%d heavy starts under %d leaders, %.2f of the booked room, "
+      "%d heavy starts under %d leaders, %.2f of the windows' capacity, "
       "the last %.0f s after its window\n",
       heavy, leaders, used / seeds, latest);
 }
--- a/tests/rebalancing_simulation_test.cc
+++ b/tests/rebalancing_simulation_test.cc
@@ -1,8 +1,9 @@
-// Randomized simulations round the moves: orders and reports late, lost and
-// refused, leaders killed and stalled, the key-value store out, demands that
-// vanish. But for a lease that runs out, no trouble in them takes a replica
-// away by itself, so whatever is missing of a service was stopped by a move,
-// and that is one at the most.
+// Randomized simulations of replica moves with fault injection: commands and
+// heartbeats are delayed, lost or rejected, leaders crash and stall, the
+// key-value store is unavailable, and waiting jobs are cancelled. Apart from an
+// expired worker lease, no injected fault removes a replica by itself. So any
+// missing replica of a service was stopped by a move, and the test checks that
+// at most one replica of each service is missing at a time.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -18,9 +19,9 @@
 constexpr double kStep = 0.05;   // s
 constexpr double kLength = 200;  // s
 
-class MovingDay {
+class ReplicaMoveSimulation {
  public:
-  explicit MovingDay(uint64_t seed) : random_(seed) {
+  explicit ReplicaMoveSimulation(uint64_t seed) : random_(seed) {
     sim_.faults.emplace();
     RandomFaults& faults = *sim_.faults;
     faults.random.seed(seed ^ 0x9e3779b97f4a7c15);
@@ -31,7 +32,8 @@
     sim_.tuning.fragmentation_weight = 2;
     sim_.tuning.moves_at_once = 4;
     sim_.tuning.moves_cool_leases = 2;
-    // Nothing is taken away for silence, and replicas don't gather in a calm.
+    // Silent machines are not deleted, and replicas are not consolidated while
+    // the cluster is idle, so that only moves remove replicas.
     sim_.tuning.give_up_ratio = 50;
     sim_.tuning.idle_return_leases = 1e6;
     sim_.settings.teams.push_back({"t", 0, 0, 0, 0});
@@ -52,16 +54,17 @@
     sim_.Lead();
   }
 
-  // What went wrong; empty for nothing.
-  std::string Play() {
+  // Returns the first violation; empty if there is none.
+  std::string Run() {
     for (double t = 0; t < kLength; t += kStep) {
-      Trouble();
+      InjectFaults();
       sim_.Run(kStep);
       if (!sim_.broken().empty()) return At(sim_.broken().front());
       const auto wrong = sim_.WronglyGone();
       if (!wrong.empty()) return At(wrong.front());
-      // A worker that no heartbeat was answered for in a whole lease has killed
-      // its tasks: that is no move's doing, and counting begins anew.
+      // A worker whose heartbeats were not answered for a whole lease kills its
+      // tasks and begins a new incarnation. No move caused that loss, so the
+      // services must first become complete again.
       uint64_t sessions = 0;
       for (const auto& [host, w] : sim_.workers()) sessions += w.incarnation;
       if (std::exchange(sessions_, sessions) != sessions) {
@@ -74,7 +77,7 @@
           return At(fmt::format("{}: {} of {}", id, there, service.tasks));
         }
       }
-      Watch();
+      CountMoves();
     }
     return {};
   }
@@ -84,7 +87,7 @@
  private:
   struct Service {
     int tasks = 0;
-    bool whole = false;  // has been
+    bool whole = false;  // all its replicas have been present
   };
 
   double Between(double least, double most) {
@@ -98,8 +101,8 @@
     return fmt::format("at {:.2f} s: {}", sim_.now(), what);
   }
 
-  // How far the moves have come, over all leaders.
-  void Watch() {
+  // Adds up the stopped and settled moves of all leaders.
+  void CountMoves() {
     const Rebalancer* rebalancer =
         sim_.leader() == nullptr ? nullptr : sim_.leader()->rebalancer();
     if (rebalancer == nullptr) return;
@@ -111,7 +114,7 @@
     }
   }
 
-  void Trouble() {
+  void InjectFaults() {
     const Time now = sim_.now();
     if (sim_.leader() == nullptr) {
       if (now >= next_leader_) sim_.Lead();
@@ -119,7 +122,8 @@
       sim_.Crash();
       last_settled_ = 0;
     }
-    // For less than a worker's lease, reports lost on the way included.
+    // There is no leader for less than a worker's lease, even if heartbeats are
+    // lost as well.
     if (sim_.leader() != nullptr) next_leader_ = now + Between(0, 2);
     if (sim_.leader() != nullptr && Every(30)) sim_.Stall(Between(0.2, 2));
     if (Every(20)) {
@@ -146,7 +150,7 @@
     spec.kind = small ? JobKind::kService : JobKind::kGang;
     spec.job_class = small ? "small" : "large";
     spec.team = "t";
-    // Of equal rank: nobody is stopped for another.
+    // All jobs have equal priority, so none is preempted for another.
     spec.priority = Priority::kNormal;
     spec.tasks = small ? 2 : 1 + static_cast<uint32_t>(random_() % 2);
     spec.need = small ? Resources{8, 2, 57} : Resources{57, 8, 310};
@@ -170,7 +174,7 @@
   std::vector<std::string> gangs_;
   Time next_leader_ = 0;
   Time state_until_ = 0;
-  uint64_t sessions_ = 0;  // of all workers
+  uint64_t sessions_ = 0;  // sum of the workers' incarnations
   int submitted_ = 0;
   int settled_ = 0;
   int last_settled_ = 0;
@@ -186,14 +190,14 @@
   for (int seed = 0; seed < seeds; ++seed) {
     if (only != nullptr && std::to_string(seed) != only) continue;
     const TrailedRun trailed("moves", static_cast<uint64_t>(seed));
-    MovingDay day(static_cast<uint64_t>(seed));
-    ASSERT_EQ(day.Play(), "") << "seed " << seed;
-    settled += day.settled();
-    stopped += day.stopped();
+    ReplicaMoveSimulation simulation(static_cast<uint64_t>(seed));
+    ASSERT_EQ(simulation.Run(), "") << "seed " << seed;
+    settled += simulation.settled();
+    stopped += simulation.stopped();
   }
-  fmt::print("{} seeds: {} legs stopped by moves, {} settled\n", seeds, stopped,
-             settled);
-  // A simulation in which nothing is moved would show nothing.
+  fmt::print("{} seeds: {} replicas stopped by moves, {} settled\n", seeds,
+             stopped, settled);
+  // Without moves the simulation would prove nothing.
   if (only == nullptr) {
     EXPECT_GT(settled, seeds / 8);
   }
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -1,5 +1,6 @@
-// Rollouts under fault injection; single decisions of a rollout; health
-// expressions; latencies; declarations.
+// Tests of rollouts: simulations with fault injection, single decisions of
+// class Rollout, health expressions, latency histograms, and the validation of
+// declarations.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -20,16 +21,18 @@
 enum class Build { kGood, kBadAtOnce, kBadLater, kFlapping, kMute };
 constexpr int kBuilds = 5;
 
+// Numbers of rollouts with a good and with a bad build.
 struct Tally {
   int good = 0;
   int bad = 0;
 };
 
-// One rollout, with leaders killed, machines drained, the key-value store out
-// and writes late at random times from a seed.
-class TroubledRollout {
+// Simulates one rollout with faults at random times: leaders crash, machines
+// are drained, the key-value store is unavailable, and writes are late or their
+// responses are lost.
+class RolloutSimulation {
  public:
-  explicit TroubledRollout(uint64_t seed) : random_(seed) {
+  explicit RolloutSimulation(uint64_t seed) : random_(seed) {
     build_ = static_cast<Build>(seed % kBuilds);
     sim_.tuning.rollouts_at_once = 4;
     sim_.settings.teams.push_back({"t", 0, 0, 0, 0});
@@ -47,14 +50,14 @@
     Submit("job-000002");
   }
 
-  // What went wrong; empty for nothing.
-  std::string Play(Tally* tally) {
+  // Returns the first violation; empty if there is none.
+  std::string Run(Tally* tally) {
     constexpr double kStep = 0.05;
     constexpr double kMost = 600;
     for (double t = 0; t < kMost; t += kStep) {
       const auto now = sim_.RolloutOf("ro-1");
       if (now && Ended(now->step)) return Judge(*now, tally);
-      if (t < 60) Trouble(kStep);
+      if (t < 60) InjectFaults(kStep);
       if (sim_.leader() == nullptr && sim_.now() >= lead_at_) sim_.Lead();
       sim_.state_down = sim_.now() < state_until_;
       sim_.Run(kStep);
@@ -128,7 +131,8 @@
     if (!good && end.step != RolloutStep::kRolledBack) {
       return "a bad build was not rolled back";
     }
-    // Afterwards one of the two runs whole, the other is gone.
+    // Afterwards all replicas of one job run, and none of the other job is
+    // left.
     sim_.state_down = false;
     sim_.Run(30);
     if (sim_.leader() == nullptr) sim_.Lead();
@@ -157,7 +161,7 @@
     sim_.Submit(spec);
   }
 
-  void Trouble(double step) {
+  void InjectFaults(double step) {
     const auto every = [&](double seconds) { return Happens(step / seconds); };
     const double now = sim_.now();
     if (sim_.leader() != nullptr && every(15)) {
@@ -168,7 +172,8 @@
     if (every(20)) {
       sim_.next_write = Happens(0.5) ? Fate::kLate : Fate::kLostAnswer;
     }
-    // With notice enough to move: one that leaves without is no drain.
+    // The notice is long enough for replicas to move to other machines first.
+    // Without such a notice this would be a loss of the machine, not a drain.
     if (notices_ < 3 && every(6)) {
       const int n = static_cast<int>(Between(1, 4.999));
       const auto it = sim_.workers().find(fmt::format("n-{}", n));
@@ -195,8 +200,8 @@
   for (uint64_t seed = 0; seed < kSeeds; ++seed) {
     if (only != nullptr && std::to_string(seed) != only) continue;
     const TrailedRun trailed("rollout", seed);
-    TroubledRollout one(seed);
-    ASSERT_EQ(one.Play(&tally), "") << "seed " << seed;
+    RolloutSimulation simulation(seed);
+    ASSERT_EQ(simulation.Run(&tally), "") << "seed " << seed;
   }
   if (only != nullptr) return;
   EXPECT_EQ(tally.good, kSeeds / kBuilds);
@@ -274,10 +279,10 @@
   EXPECT_FALSE(rollout.MayStop(fixture.Old(), 105));
   fixture.AllGood(&rollout, 110);
   EXPECT_TRUE(rollout.MayStop(fixture.Old(), 110));
-  // Only one of them: what is stopped carries nothing any more.
+  // Only one old replica may stop: a stopping replica does not count any more.
   rollout.MarkStopping(fixture.Old());
   EXPECT_FALSE(rollout.MayStop(fixture.view.replicas[1].key, 110));
-  // A single bad answer begins the baking anew.
+  // A single bad response restarts the bake time.
   rollout.OnCheck(fixture.New(), {true, false, 0.01}, 111);
   fixture.AllGood(&rollout, 112);
   EXPECT_EQ(rollout.Count(112).new_baked, 0U);
@@ -326,15 +331,16 @@
     rollout.OnCheck(fixture.New(), {}, end);
     return rollout.Review(fixture.view, end).next;
   };
-  // A cut: heard last before it began, and again a moment after it has ended,
-  // before a check has passed.
+  // A partition: the last heartbeat arrives before it begins, and the next one
+  // just after it ends, before any check has passed.
   machine.last_heartbeat = 100.5;
   EXPECT_FALSE(silent_check(101, 102));
   EXPECT_FALSE(silent_check(103, 104));
   EXPECT_FALSE(silent_check(105, 106));
   machine.last_heartbeat = 106.1;
   EXPECT_FALSE(rollout.Review(fixture.view, 106.2).next);
-  // Heard, and silent again: that is the instance.
+  // A heartbeat arrived, and the next check has no response either: the replica
+  // itself is at fault.
   EXPECT_EQ(silent_check(107, 108), RolloutStep::kRollingBack);
 }
 
@@ -366,7 +372,7 @@
   using enum HealthExpression::Result;
   EXPECT_EQ(JudgeOnce("status == 200", 200, ""), kGood);
   EXPECT_EQ(JudgeOnce("status == 200", 503, ""), kBad);
-  // 200, but with empty results: what the users fear.
+  // A service that answers 200 with empty results must be detected as bad.
   const std::string found = "status == 200 and count('/chargers') > 0";
   EXPECT_EQ(JudgeOnce(found, 200, R"({"chargers":[{"id":1}]})"), kGood);
   EXPECT_EQ(JudgeOnce(found, 200, R"({"chargers":[]})"), kBad);
@@ -399,19 +405,19 @@
                            "setmetatable", "debug", "coroutine", "_G"}) {
     EXPECT_EQ(JudgeOnce(std::string(name) + " == nil", 200, ""), kGood) << name;
   }
-  // One that has run into a limit is as good as new for the next answer, and
-  // nothing is carried from one to the next.
+  // An expression that ran into a limit works for the next response, and no
+  // state is kept between evaluations.
   HealthExpression verdict(
       "(function() if has('loop') then while true do end end "
       "local seen = kept kept = 1 return seen == nil end)()");
   EXPECT_EQ(verdict.Judge({200, "loop", 1}), kError);
   EXPECT_EQ(verdict.Judge({200, "", 1}), kGood);
   EXPECT_EQ(verdict.Judge({200, "", 1}), kGood);
-  // A body of nothing but brackets does not use up the stack.
+  // A deeply nested body does not overflow the stack.
   EXPECT_EQ(JudgeOnce("count('') == -1", 200, std::string(60'000, '[')), kGood);
 }
 
-// Not run with the others: prints what the leader pays.
+// Disabled by default. Prints the leader's CPU time for reviews and checks.
 //   oxbow_tests --gtest_also_run_disabled_tests --gtest_filter='*Cost*'
 TEST(Rollouts, DISABLED_CostOfManyInstances) {
   for (const uint32_t count : {1000U, 4000U}) {
