--- a/tests/maintenance_calendar_test.cc
+++ b/tests/maintenance_calendar_test.cc
@@ -353,8 +353,8 @@
             "");
   EXPECT_EQ(wire::WriteBooking(again), wire::WriteBooking(window));
   EXPECT_EQ(again.times.size(), window.times.size());
-  EXPECT_EQ(wire::ReadMaintenanceWindow("a window", "{}", true, &again),
-            "the id a window");
+  EXPECT_EQ(wire::ReadMaintenanceWindow("a b", "{}", true, &again),
+            "the id a b");
   EXPECT_EQ(
       wire::ReadMaintenanceWindow("b", "{\"kind\":\"hour\"}", true, &again),
       "field kind");
--- a/tests/maintenance_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -39,12 +39,11 @@
     type.total = {4, 0, 64};
     type.cache_gb = 100;
     type.boot_seconds = 3;
-    type.zones = {"a", "window"};
+    type.zones = {"a", "b"};
     sim_.types["small"] = type;
     sim_.capacity["small"] = machines / 2;
     for (int i = 1; i <= machines; ++i) {
-      sim_.AddWorker(fmt::format("n-{}", i), "small", i % 2 ? "a" : "window",
-                     false);
+      sim_.AddWorker(fmt::format("n-{}", i), "small", i % 2 ? "a" : "b", false);
     }
     for (const std::string& name : names_) {
       sim_.AddController(name);
@@ -279,7 +278,7 @@
   int machines_;
   double length_;
   Sim sim_;
-  const std::vector<std::string> names_ = {"a", "window", "c", "d", "e"};
+  const std::vector<std::string> names_ = {"a", "b", "c", "d", "e"};
   double bound_ = 0;
   std::vector<Span> windows_;
   std::vector<Span> peaks_;
