--- a/tests/maintenance_simulation_test.cc
+++ b/tests/maintenance_simulation_test.cc
@@ -224,16 +224,16 @@
     for (; due >= 1; --due) Submit();
     if (Happens(due)) Submit();
     if (Every(100)) {
-      state_until_ = now + Between(1, 40);
+      store_down_until_ = now + Between(1, 40);
       ++outages_;
     }
-    sim_.state_down = now < state_until_;
+    sim_.state_down = now < store_down_until_;
     // Partition the leader from the key-value store only; it keeps leading by
     // the promises of its peers.
-    if (Every(60)) cut_until_[sim_.leading()] = now + Between(5, 150);
+    if (Every(60)) partitioned_until_[sim_.leading()] = now + Between(5, 150);
     for (const std::string& name : names_) {
       SimController& controller = sim_.controller(name);
-      controller.no_state = now < cut_until_[name];
+      controller.no_state = now < partitioned_until_[name];
       if (Every(1)) controller.wall_off = Between(-bound_, bound_);
     }
     if (Every(150)) {
@@ -284,9 +284,9 @@
   std::vector<Span> peaks_;
   std::vector<double> edges_;
   std::set<std::string> rebuilds_;
-  std::map<std::string, Time> cut_until_;
+  std::map<std::string, Time> partitioned_until_;
   Time next_leader_ = 0;
-  Time state_until_ = 0;
+  Time store_down_until_ = 0;
   int submitted_ = 0;
   int late_peaks_ = 0;
   int heavy_starts_ = 0;
--- a/tests/rebalancing_simulation_test.cc
+++ b/tests/rebalancing_simulation_test.cc
@@ -129,8 +129,8 @@
     if (Every(20)) {
       sim_.next_write = Happens(0.5) ? Fate::kLate : Fate::kLostAnswer;
     }
-    if (Every(40)) state_until_ = now + Between(1, 6);
-    sim_.state_down = now < state_until_;
+    if (Every(40)) store_down_until_ = now + Between(1, 6);
+    sim_.state_down = now < store_down_until_;
     if (Every(2) && services_.size() < 16) Submit(/*small=*/true);
     if (Every(5)) Submit(/*small=*/false);
     if (!services_.empty() && Every(7)) {
@@ -173,7 +173,7 @@
   std::map<std::string, Service> services_;
   std::vector<std::string> gangs_;
   Time next_leader_ = 0;
-  Time state_until_ = 0;
+  Time store_down_until_ = 0;
   uint64_t sessions_ = 0;  // sum of the workers' incarnations
   int submitted_ = 0;
   int settled_ = 0;
--- a/tests/rollout_test.cc
+++ b/tests/rollout_test.cc
@@ -58,8 +58,8 @@
       const auto now = sim_.RolloutOf("ro-1");
       if (now && Ended(now->step)) return Judge(*now, tally);
       if (t < 60) InjectFaults(kStep);
-      if (sim_.leader() == nullptr && sim_.now() >= lead_at_) sim_.Lead();
-      sim_.state_down = sim_.now() < state_until_;
+      if (sim_.leader() == nullptr && sim_.now() >= next_leader_) sim_.Lead();
+      sim_.state_down = sim_.now() < store_down_until_;
       sim_.Run(kStep);
       if (!sim_.broken().empty()) return sim_.broken().front();
     }
@@ -166,9 +166,9 @@
     const double now = sim_.now();
     if (sim_.leader() != nullptr && every(15)) {
       sim_.Crash();
-      lead_at_ = now + Between(0, 3);
+      next_leader_ = now + Between(0, 3);
     }
-    if (every(20)) state_until_ = now + Between(1, 8);
+    if (every(20)) store_down_until_ = now + Between(1, 8);
     if (every(20)) {
       sim_.next_write = Happens(0.5) ? Fate::kLate : Fate::kLostAnswer;
     }
@@ -188,8 +188,8 @@
   Sim sim_;
   Build build_;
   uint32_t tasks_ = 0;
-  double lead_at_ = 0;
-  double state_until_ = 0;
+  double next_leader_ = 0;
+  double store_down_until_ = 0;
   int notices_ = 0;
 };
 
