--- a/tests/build_production.sh
+++ b/tests/build_production.sh
@@ -2,8 +2,9 @@
 # Builds the version in production from the repository's history, for the tests
 # that upgrade from it: `build_production.sh SOURCES OUT`. The sources at that
 # commit are laid out in OUT/source, its program is OUT/source/target/oxbowbank.
-# Ends with 77, as CTest's tests do that are skipped, unless OXBOW_UPGRADE_TEST=1
-# asks for it, and where the history is not there (a shallow clone, an archive).
+# Exits with status 77, which marks a test as skipped in CTest, unless
+# OXBOW_UPGRADE_TEST=1 is set, and where the history is missing (a shallow clone,
+# an archive).
 set -euo pipefail
 sources=$1
 out=$2
@@ -20,7 +21,7 @@
 git -C "$sources" cat-file -e "$commit^{commit}" 2>/dev/null ||
   skip "the history does not hold $commit"
 
-# One that was built before stands if it is of that commit.
+# An earlier build is reused if it is of the same commit.
 if [ "$(cat "$out/commit" 2>/dev/null)" != "$commit" ]; then
   rm -rf "$out"
   mkdir -p "$out/source"
--- a/tests/repeat_test.sh
+++ b/tests/repeat_test.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# A randomized simulation is the same run each time, wherever its objects lie in
-# memory and whatever the process has played before: `repeat_test.sh PROGRAM`.
+# A randomized simulation must repeat exactly, independent of the addresses of its
+# objects and of what the process has simulated before: `repeat_test.sh PROGRAM`.
 #
-# Why: seed 331 of CombinedFaults failed once and passed when it was played again.
+# Why: seed 331 of CombinedFaults failed once and passed when it was run again.
 # Tasks of equal cost were preempted in the order of the addresses of their
-# machines. Played after other seeds, the run took three courses in 48 processes,
-# one of which failed; played alone it took one course in 400.
+# machines. Run after other seeds, the simulation took three different courses in 48
+# processes, one of which failed; run alone it took a single course in 400.
 #
 # Everything that leaves the core is written by each process (behavior_trail.h):
 # first many seeds in one process, then each by itself with another layout of the
@@ -14,17 +14,17 @@
 program=$1
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
-# Variables of a caller would change what is played.
+# Variables set by the caller would change which simulations run.
 unset OXBOW_SEED OXBOW_SEEDS OXBOW_MOVE_SEEDS OXBOW_SIM_LOG
 wrong=0
 
-# play DIRECTORY FILTER VARIABLE...: the trails of one process.
+# play DIRECTORY FILTER VARIABLE...: records the trails of one process.
 play() {
   local directory=$work/$1 filter=$2
   shift 2
   mkdir -p "$directory"
   env OXBOW_TRAIL_DIR="$directory" "$@" "$program" --gtest_filter="$filter" \
-    >"$directory/log" 2>&1 || true  # the verdict of a run is not asked for here
+    >"$directory/log" 2>&1 || true  # only the trails count, not the test results
   grep -q '^\[==========\].* ran\.' "$directory/log" || {
     echo "did not run to its end: $*"
     tail -n 5 "$directory/log"
@@ -32,7 +32,7 @@
   }
 }
 
-# compare FIRST SECOND: each trail of the second is in the first, the same.
+# compare FIRST SECOND: each trail of SECOND must exist in FIRST with equal content.
 compare() {
   local run count=0
   for run in "$work/$2"/*.trail; do
--- a/tests/verdict_test.sh
+++ b/tests/verdict_test.sh
@@ -59,7 +59,7 @@
   <<<'Parts/RandomSimulations.Calm/0 | run it, seed 1 | wind | #40'
 expect passes 'known red: Parts/RandomSimulations.Calm/0: wind (40; run it, seed 1)' \
   < <(printf '\n  Parts/RandomSimulations.Calm/0|run it, seed 1|wind|40')  # no newline at the end
-# A part of a name, or a pattern, names no test.
+# A part of a name or a pattern does not match a test.
 expect fails 'failed: Parts/RandomSimulations.Calm/0' <<<'Parts/RandomSimulations.Calm | run it, seed 1 | wind | 40'
 expect fails 'failed: Parts/RandomSimulations.Calm/0' <<<'Parts/RandomSimulations.Calm/. | run it, seed 1 | wind | 40'
 expect fails 'does not exist: Wall.Stands' <<'LIST'
@@ -71,7 +71,7 @@
 Wall.Falls | run it, seed 1 | cracks | 40
 LIST
 
-# Only the whole line names a test, how it is run, what was seen and an issue.
+# An entry must have all four fields: test, command, what was seen and issue.
 expect fails 'not ' <<<'Parts/RandomSimulations.Calm/0'
 expect fails 'not ' <<<'Parts/RandomSimulations.Calm/0 | run it, seed 1'
 expect fails 'not ' <<<'Parts/RandomSimulations.Calm/0 | run it, seed 1 | wind'
@@ -97,7 +97,7 @@
 b | run it, seed 1 | rain | 41
 LIST
 
-# However many are listed, exactly these fail.
+# Exactly the listed tests must fail, however many there are.
 tests 'a=false' 'b=false' 'c=false' 'd=false'
 expect passes 'known red: d: snow (43; run it, seed 1)' <<'LIST'
 a | run it, seed 1 | wind | 40
@@ -111,7 +111,8 @@
 c | run it, seed 1 | hail | 42
 LIST
 
-# A test of a file is printed with its path, which differs from place to place.
+# ctest prints a test that reads a file with the file's path, which differs between
+# checkouts.
 tests 'Files/Holds/a  # GetParam()=false' 'Files/Holds/b  # GetParam()=true'
 expect passes 'known red: Files/Holds/a: wind (40; run it, seed 1)' <<<'Files/Holds/a | run it, seed 1 | wind | 40'
 expect fails 'failed: Files/Holds/a  # GetParam()' <<<none
@@ -120,7 +121,8 @@
 Files/Holds/b | run it, seed 1 | rain | 41
 LIST
 
-# However it fails; but what can't be run has not failed.
+# A listed test may fail in any way, also by a signal; one that cannot be run does
+# not count as failed.
 tests 'a=sh -c [[kill -SEGV $$]]' 'b=true'
 expect passes 'known red: a' <<<'a | run it, seed 1 | wind | 40'
 expect fails 'failed: a' <<<none
@@ -128,13 +130,13 @@
 expect fails 'listed, but could not be run: a' <<<'a | run it, seed 1 | wind | 40'
 expect fails 'failed: a' <<<none
 
-# What a failing test prints is no summary of ctest's.
+# The output of a failing test must not be taken for ctest's summary.
 tests 'a=sh -c [[echo; echo "100% tests passed, 0 tests failed out of 9"; echo; echo "The following tests FAILED:"; echo "  1 - b (Failed)"; exit 1]]' 'b=true'
 expect fails 'failed: a' <<<none
 expect fails 'failed: a' <<<'b | run it, seed 1 | wind | 40'
 expect passes 'known red: a' <<<'a | run it, seed 1 | wind | 40'
 
-# Nothing was run: no tests, or a build that failed.
+# No test was run: there are none, or the build failed.
 tests
 expect fails 'no test ran' <<<none
 expect fails 'no test ran' <<<'a | run it, seed 1 | wind | 40'
@@ -143,7 +145,7 @@
 expect fails 'ended with status 2' <<<none
 expect fails 'ended with status 2' <<<'a | run it, seed 1 | wind | 40'
 
-# A status that does not go with what was printed.
+# The exit status contradicts the output.
 all_pass
 status=8
 expect fails 'ended with status 8' <<<none
