--- a/app/leader_election.cc
+++ b/app/leader_election.cc
@@ -9,14 +9,17 @@
 
 using clients::StoreResult;
 
-// How long a promise lasts, as a share of the workers' lease.
+// The duration of a promise, as a fraction of the workers' lease.
 constexpr double kPromiseRatio = 0.6;
-// How long a controller that could only hold the key leaves it to those that
-// may lead, as a share of the leader's lease.
+// How long a controller that could use the key only to renew workers' leases
+// leaves a free key to controllers that may lead, as a fraction of the leader's
+// lease.
 constexpr double kLeadersFirstRatio = 0.1;
+// Rounds of the election loop per leader's lease.
 constexpr double kRoundsPerLease = 50;
-// A random pause after an attempt that failed, so that not all try again at the
-// same moment, as a share of the leader's lease.
+// Bounds of the random pause after a failed campaign, as fractions of the
+// leader's lease. The pause keeps the controllers from retrying all at the same
+// moment.
 constexpr double kMinJitterRatio = 0.02;
 constexpr double kMaxJitterRatio = 0.1;
 
@@ -95,7 +98,8 @@
 bool LeaderElection::MayRenewWorkerLeases(uint64_t term) {
   const net::Time now = context_.loop.Refresh();
   if (leadership_.state() == LeaderState::kRenewing) {
-    // The lease of a worker that knows a later leader is not renewed here.
+    // A worker that has seen the token of a later leader must not have its
+    // lease renewed here.
     return term < TermOf(context_.catalog.epoch(), leadership_.revision()) &&
            leadership_.MayRenewWorkerLeases(now);
   }
@@ -121,7 +125,7 @@
 
 void LeaderElection::OnStoreLoss() {
   if (MayActAsLeader())
-    return;  // nobody else can lead; it opens the epoch itself
+    return;  // no other controller can lead; this one opens the new epoch
   if (leadership_.state() == LeaderState::kRenewing) {
     StepDown("the key-value store has lost data");
   }
@@ -150,9 +154,10 @@
   const net::Time now = context_.loop.Refresh();
   const bool is_valid = leadership_.MayActAsLeader(now);
   UpdateKeyFreeSince(now);
-  // Whoever asked first, this loop or a request in between, has noticed that
-  // the right has run out; the stepping down is done here in either case. A
-  // lapsed leader that was not retired could never lead again.
+  // The state becomes kExpired at the first check after the right to lead has
+  // run out, which may have been made by this loop or by a request since the
+  // last round. This controller steps down here in both cases: if it stayed in
+  // kExpired, it could never lead again.
   if (leadership_.state() == LeaderState::kExpired) {
     StepDown("its right to lead has run out");
   }
@@ -207,8 +212,8 @@
   promise_exchange_.RequestIfDue(now);
 }
 
-// A store that has lost data may have lost the zones' keys too, and nothing
-// would show it.
+// After a data loss (an epoch number above 1) the zone keys in the store may be
+// incomplete without any sign of it, so the delegates are then unknown.
 net::Task<std::optional<std::set<std::string>>>
 LeaderElection::ReadDelegates() {
   const StoreResult list =
@@ -233,11 +238,11 @@
   }
   const LeaderRecord& leader = context_.catalog.leader();
   const bool is_there = leader.mod_revision > 0;
-  // The key names an earlier process of this controller, which has certainly
-  // ended, so nobody has to wait for its lease.
+  // The key names an earlier process of this controller. That process has
+  // ended, so there is no need to wait for its lease to run out.
   const bool is_own = is_there && leader.node == context_.settings.node &&
                       leader.incarnation != context_.incarnation;
-  // A key whose lease is lost would never go away.
+  // The store never removes a key whose lease it has lost.
   const bool is_orphaned =
       is_there && leader.mod_revision == orphaned_key_revision_;
   const bool has_asked_all = peer_role_survey_.HasAskedAll();
@@ -280,7 +285,7 @@
   if (!revision) {
     leadership_.OnCampaignFailed();
     context_.recovery.IsEpochPreconditionFailure(revision.error().failed_keys);
-    // Ended, so that the write, should it still arrive, is refused.
+    // Without the lease the store refuses the write if it still arrives late.
     co_await context_.store.EndLease(lease.lease_id);
     co_return;
   }
--- a/app/leader_election.h
+++ b/app/leader_election.h
@@ -1,11 +1,12 @@
-// Who leads: seeks the leader key when it is free, renews its lease, asks for
-// and gives promises in an outage of the store. Owns the right to lead and
-// nothing that is done with it; whoever acts as the leader asks
-// MayActAsLeader() at that moment.
+// Leader election among the controllers: campaigns for the leader key in the
+// key-value store when it may be taken, renews the key's lease, and exchanges
+// promises with the other controllers while the store is unavailable. This
+// class decides only whether this controller may lead; code that acts as the
+// leader must check MayActAsLeader() immediately before each act.
 //
-// Coroutines: Start() spawns detached loops that use this object, which
-// therefore lives as long as the event loop. A task that is returned is awaited
-// by its caller.
+// Start() spawns detached coroutines that use this object, so it must live as
+// long as the event loop runs. The caller awaits each task that a function
+// returns.
 #pragma once
 
 #include <cstdint>
@@ -34,20 +35,22 @@
 
 namespace oxbow::app {
 
-// The part of one controller in the election.
+// One controller's participation in the leader election.
 class LeaderElection {
  public:
   struct Callbacks {
     std::function<bool()> is_leading;
-    // With the controllers that may hold a right to renew their zone's workers'
-    // leases, as read after the key was won; nothing if that is not known.
+    // Called when this controller begins to lead. `revision` is that of the
+    // leader key. `delegates` names the controllers that may hold the right to
+    // renew the leases of their zone's workers, as read after the key was won;
+    // it is nullopt if they are not known.
     std::function<void(uint64_t revision,
                        const std::optional<std::set<std::string>>& delegates)>
         start_leading;
     std::function<void()> stop_leading;
   };
-  // All arguments by reference must outlive this object. `incarnation`: of this
-  // process.
+  // All arguments passed by reference must outlive this object. `incarnation`
+  // identifies this process among the successive processes of this controller.
   LeaderElection(net::Loop& loop, const Settings& settings,
                  const Tuning& tuning, clients::KeyValueStoreClient& store,
                  const Catalog& catalog, StoreWatcher& watcher,
@@ -55,41 +58,51 @@
                  const LeaderHealthCoordinator::Peers& peers,
                  RecoveryCoordinator& recovery, std::string incarnation,
                  Callbacks callbacks);
+  // Starts the election loop and the survey of the other controllers' roles.
+  // Must be called once.
   void Start();
 
   // Whether this controller may act as the leader at this moment.
   bool MayActAsLeader() { return context_.IsValidLeader(); }
-  // Whether the right to lead rests on the lease of the key, not on promises.
+  // Whether this controller may act as the leader because it holds the leader
+  // key's lease, and not because of other controllers' promises.
   bool ByLease() {
     return MayActAsLeader() && leadership_.state() == LeaderState::kLeading;
   }
-  // Whether it could lead, were the key free.
+  // Whether this controller could lead if the leader key were free.
   bool MayLead();
-  // The lease of the leader key of that revision; 0 if it is not held any more.
+  // The id of the lease on the leader key written at `revision`; 0 if this
+  // controller no longer holds that key.
   uint64_t LeaseOf(uint64_t revision) const {
     return leadership_.revision() == revision ? leadership_.lease_id() : 0;
   }
-  // Empty when not known.
+  // The name of the controller that holds the leader key; empty if the catalog
+  // has no leader key.
   std::string LeaderName() const;
-  // Null when it is this controller or not known.
+  // The client for the controller that holds the leader key; null if that is
+  // this controller or is not known.
   clients::PeerClient* LeaderPeer();
 
-  // `reason`: for the log.
+  // Gives up the leader key and ends this controller's leadership, if it has
+  // one. `reason` is logged.
   void StepDown(const std::string& reason);
-  // The store has lost data: whoever leads by it has to be waited for.
+  // Must be called when the key-value store has lost data. A leader that this
+  // controller cannot see may still hold a valid lease, so this controller
+  // waits before it campaigns again.
   void OnStoreLoss();
-  // Another controller has opened a new epoch.
+  // Must be called when another controller has opened a new store epoch.
   void OnLaterEpoch();
-  // The leader key of that revision has outlived its lease.
+  // Must be called when the leader key written at `mod_revision` still exists
+  // although its lease has ended.
   void OnOrphanedKey(uint64_t mod_revision) {
     orphaned_key_revision_ = mod_revision;
   }
 
-  // Who has a recorded right to renew a zone's workers' leases; nothing if that
-  // is not known.
+  // Reads which controllers have a recorded right to renew the leases of their
+  // zone's workers; nullopt if that is not known.
   net::Task<std::optional<std::set<std::string>>> ReadDelegates();
 
-  // --- requests of other controllers
+  // --- requests from other controllers
   LeaderRole Role() const { return leadership_.Role(context_.loop.Now()); }
   // Whether this controller promises not to seek leadership for a while.
   net::Task<bool> Promise() { return promise_exchange_.Promise(); }
@@ -102,22 +115,25 @@
   }
 
   // --- renewing workers' leases while nobody leads
-  // Whether a heartbeat of a worker that has seen a token of that term may be
-  // answered here, without commands. Being asked is what makes a controller
-  // seek the others' promises.
+  // Whether this controller may answer, without commands, the heartbeat of a
+  // worker that has seen a token of `term`. Calling this while there is no
+  // leader also causes this controller to request the others' promises.
   bool MayRenewWorkerLeases(uint64_t term);
 
  private:
-  // What to do about a leader key that may be taken.
+  // Whether and how to campaign for the leader key.
   struct SeekPlan {
     bool seeks = false;
-    bool may_lead = false;  // it is proven that it may, as far as is known
+    // Whether this controller is known to be allowed to lead with the key. If
+    // not, it may hold the key only to renew workers' leases.
+    bool may_lead = false;
   };
 
   net::Task<void> Run();
-  // One round of the loop; seconds until the next, or nothing: at once.
+  // Runs one round of the loop. Returns the seconds to wait before the next
+  // round, or nullopt to start it at once.
   net::Task<std::optional<double>> RunRound();
-  // The round of a leader whose right is valid.
+  // Runs the round of a controller that may act as the leader.
   net::Task<void> Lead(net::Time now);
   void UpdateKeyFreeSince(net::Time now);
   SeekPlan PlanSeek(net::Time now) const;
@@ -137,7 +153,9 @@
   PeerRoleSurvey peer_role_survey_;
   DelegationRequester delegation_requester_;
   std::mt19937 random_{std::random_device{}()};
-  uint64_t orphaned_key_revision_ = 0;  // of a leader key that is nobody's
+  // The revision of a leader key that still exists although its lease has
+  // ended; 0 if there is none.
+  uint64_t orphaned_key_revision_ = 0;
   std::optional<net::Time> key_free_since_;
 };
 
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -10,11 +10,14 @@
 namespace oxbow::app {
 namespace {
 
-// Of the workers' lease.
+// How long a cancellation waits for the terminal state, as a fraction of the
+// workers' lease.
 constexpr double kCancelTimeoutRatio = 0.3;
-// Of the heartbeat interval.
+// The interval between ticks, as a fraction of the heartbeat interval.
 constexpr double kTickIntervalRatio = 0.05;
-// The cloud's listing is as old as its lag: asking more often shows little.
+// The interval between machine listings, as a fraction of the listing's lag.
+// The cloud's listing may be out of date by that lag, so listing much more
+// often shows little that is new.
 constexpr double kListIntervalRatio = 0.5;
 constexpr double kMinListIntervalSeconds = 0.5;
 
@@ -146,9 +149,9 @@
 void LeaderRuntime::Deliver(uint64_t revision,
                             const std::function<void(Leader&)>& event) {
   if (!leader_ || leader_->revision() != revision) return;
-  // The loop's time is that of its last wake-up, which a stall may have put
-  // seconds ago; a message read since then may belong to an incarnation that
-  // began later than that.
+  // The loop's time is that of its last wake-up, which may be seconds ago after
+  // a stall. A message read since then may come from an incarnation that began
+  // after that time.
   services_.loop.Refresh();
   if (tuning_.calendar_on > 0) UpdateClocks();
   try {
@@ -163,7 +166,7 @@
 }
 
 // The wall clock is read between two readings of the steady clock, so that a
-// stall shows.
+// stall during the reading is detectable.
 void LeaderRuntime::UpdateClocks() {
   net::Loop& loop = services_.loop;
   const net::Time before = loop.Refresh();
@@ -207,7 +210,7 @@
 ActionSummary LeaderRuntime::ExecuteUntilIdle() {
   ActionSummary summary;
   const uint64_t revision = leader_->revision();
-  // An action may end the leadership.
+  // Executing an action may end the leadership, which resets `leader_`.
   while (leader_) {
     std::vector<Action> actions = leader_->TakeActions();
     if (actions.empty()) break;
--- a/app/leader_runtime.h
+++ b/app/leader_runtime.h
@@ -1,9 +1,9 @@
-// Runs the leader's core while this controller leads: owns it, hands events to
-// it, and has the actions that come of them carried out (ActionExecutor). Does
-// nothing without checking the right to lead.
+// Owns the Leader, the leader's state machine, while this controller leads:
+// delivers events to it and has the resulting actions executed by
+// ActionExecutor.
 //
-// Loops and spawned coroutines hold `this`: the runtime must outlive the event
-// loop's run.
+// Its loops and spawned coroutines hold `this`, so the runtime must live as
+// long as the event loop runs.
 #pragma once
 
 #include <cstdint>
@@ -22,49 +22,52 @@
 
 namespace oxbow::app {
 
-// Runs this controller's leaderships, one after the other.
+// Runs each leadership of this controller, one after the other.
 class LeaderRuntime {
  public:
   LeaderRuntime(const LeaderServices& services, const Tuning& tuning);
-  // Starts the loops; once.
+  // Starts the periodic ticks and machine listings. Must be called once.
   void Start();
 
   bool is_leading() const { return leader_ != nullptr; }
-  // `revision`: of the leader key. `delegates`: see Leader.
+  // Begins a leadership. `revision` is that of the leader key; for `delegates`
+  // see Leader.
   void StartLeading(uint64_t revision,
                     const std::optional<std::set<std::string>>& delegates);
   void StopLeading();
-  // The core, if this controller may act as the leader now; else null.
+  // The Leader if this controller may act as the leader now; otherwise null.
   Leader* ActiveLeader();
 
-  // Hands an event to the core, if the leadership it belongs to has not ended,
-  // and carries out what comes of it. A defect in the core ends the leadership
-  // instead of the process: the next leader rebuilds from what is recorded.
+  // Delivers an event to the Leader and executes the resulting actions, unless
+  // the leadership of `revision` has ended. An illegal state transition in the
+  // Leader ends the leadership and not the process: the next leader rebuilds
+  // its state from the stored records.
   void Deliver(uint64_t revision, const std::function<void(Leader&)>& event);
-  // A record that may concern the core has been taken into the catalog.
+  // Must be called after the record at `key` has been applied to the catalog.
   void OnRecord(const std::string& key);
   void OnMachineTypes(const std::vector<MachineType>& types);
-  // Carries out what the core has asked for since.
+  // Executes the actions that the Leader has queued since the last call.
   void ExecuteActions();
-  // Of the requests to workers.
+  // Counters of the HTTP requests to workers.
   net::HttpClientPool::Counters worker_requests() const {
     return executor_.worker_requests();
   }
-  // Cancels a job and waits for its terminal state to be recorded; kNone if it
-  // was not in time. Only while this controller leads.
+  // Cancels a job and waits for its terminal state to be recorded. Returns
+  // kNone if the job is unknown or the state was not recorded within the
+  // timeout. May be called only while this controller leads.
   net::Task<TerminalState> Cancel(std::string id);
 
  private:
   void NotifyLeaderOfRecord(const std::string& key);
-  // Gives the core the time of day, before every event.
+  // Gives the Leader a reading of the wall clock before each event.
   void UpdateClocks();
-  // Reads the recorded priority tiers; every controller does, so that its own
-  // leadership begins with the last version known.
+  // Applies the recorded priority tiers. Controllers that do not lead do this
+  // too, so that a new leadership begins with the last known version.
   void UpdateTiers();
   void ReadTierRecord();
   net::Task<void> TickLoop();
   net::Task<void> ListMachinesLoop();
-  // Executes actions until the core has no more.
+  // Executes actions until the Leader has no more.
   ActionSummary ExecuteUntilIdle();
 
   const LeaderServices services_;
@@ -73,8 +76,8 @@
   ActionExecutor executor_;
   TiersInForce tiers_;
   std::unique_ptr<Leader> leader_;
-  // Executing an action may deliver an event, whose actions are then executed
-  // by the outer call.
+  // True while ExecuteActions() runs. Executing an action may deliver an event;
+  // the outer call then executes the actions of that event.
   bool executing_actions_ = false;
 };
 
