--- a/app/job_canceller.cc
+++ b/app/job_canceller.cc
@@ -12,8 +12,9 @@
 using clients::PeerKind;
 using Presence = api::JobStatus::Presence;
 
-// Of the workers' lease: what the leader waits for the terminal state to be
-// recorded (LeaderRuntime::Cancel), and a little for the way there and back.
+// The timeout of a cancellation at the leader, as a fraction of the workers'
+// lease: 0.3 while the leader waits for the terminal state to be recorded
+// (LeaderRuntime::Cancel), and 0.05 for the network.
 constexpr double kLeaderTimeoutRatio = 0.3 + 0.05;
 
 }  // namespace
--- a/app/job_canceller.h
+++ b/app/job_canceller.h
@@ -1,8 +1,9 @@
-// Cancels jobs: as the leader by its own core, else through the leader. A
-// cancellation is answered only once the job's terminal state is recorded.
+// Cancels jobs: in this process if this controller leads, otherwise by asking
+// the leader. A cancellation is confirmed only once the job's terminal state is
+// recorded.
 //
-// Coroutines hold `this` and copies of their arguments: the canceller must
-// outlive the event loop's run.
+// Coroutines hold `this` and copies of their arguments, so the canceller must
+// live as long as the event loop runs.
 #pragma once
 
 #include <string>
@@ -21,10 +22,12 @@
   JobCanceller(const RequestContext& context, JobStatusReader& status_reader)
       : context_(context), status_reader_(status_reader) {}
 
-  // Here or at the leader. kUnknown: the outcome is not known in time.
+  // Cancels the job and returns its status. The presence is kUnknown if the
+  // outcome is not known in time.
   net::Task<api::JobStatus> Cancel(std::string id);
-  // As the leader, on behalf of another controller. The job's terminal state;
-  // kNone: not cancelled, or not known in time.
+  // Cancels the job on behalf of another controller, if this one leads. Returns
+  // the job's terminal state; kNone if the job was not cancelled or the outcome
+  // is not known in time.
   net::Task<TerminalState> CancelAsLeader(std::string id);
 
  private:
--- a/app/job_request_handler.cc
+++ b/app/job_request_handler.cc
@@ -8,20 +8,22 @@
 
 using clients::PeerKind;
 
-// Users wait 2 s for the answer to a status request and 5 s for that to another
-// one, as the protocol says. At least half of it is left for asking another
-// controller after this one has answered that it can't tell.
+// How long a user waits for this controller. The protocol lets users wait 2 s
+// for the answer to a status request and 5 s for the answer to any other
+// request. At least half of that is left for the user to ask another controller
+// if this one cannot tell.
 constexpr double kStatusTimeoutSeconds = 1;
 constexpr double kChangeTimeoutSeconds = 2.5;
+// The interval between asking one peer and the next.
 constexpr double kStatusPeerIntervalSeconds = 0.1;
 constexpr double kChangePeerIntervalSeconds = 0.4;
-// Requests in progress for each connection: one whose user has stopped waiting
-// goes on.
+// The limit of requests in progress per connection. It is above 1 because a
+// request continues after its user has stopped waiting.
 constexpr size_t kMaxRequestsPerConnection = 4;
-// Of the connections: those whose users may wait for an answer at a time. The
-// others are for the workers.
+// The fraction of the connections whose users may wait for an answer at the
+// same time. The other connections are left to the workers.
 constexpr double kMaxWaitingShare = 0.5;
-// Between two log lines about questions that were not answered, in heartbeat
+// The time between two log lines about withheld statuses, in heartbeat
 // intervals.
 constexpr double kMetricsLogHeartbeats = 1;
 
@@ -95,13 +97,13 @@
   const net::Time started = context_.loop.Now();
   api::JobStatus status = co_await std::move(local);
   // A request whose user has stopped waiting is not forwarded.
-  const double left_seconds =
+  const double remaining_seconds =
       started + request.timeout_seconds - context_.loop.Now();
   if (status.presence == api::JobStatus::Presence::kUnknown &&
-      left_seconds > 0) {
+      remaining_seconds > 0) {
     const clients::PeerMessage answer = co_await context_.forwarder.AskPeers(
         MakeJobMessage(request.relay_kind, std::move(id)),
-        request.peer_interval_seconds, left_seconds);
+        request.peer_interval_seconds, remaining_seconds);
     const std::optional<WithheldReason> withheld_here = status.withheld;
     status = StatusFromPeer(answer);
     status.withheld = withheld_here;
@@ -112,10 +114,10 @@
 net::Task<api::JobStatus> JobRequestHandler::GetStatus(std::string id) {
   ResolvedStatus resolved = status_reader_.Resolve(id, RecordRead::kNone);
   if (resolved.decision != StatusDecision::kReadFirst) {
-    co_return Counted(id, std::move(resolved.status));
+    co_return CountStatus(id, std::move(resolved.status));
   }
   api::JobStatus status = co_await AskForStatus(id);
-  co_return Counted(id, std::move(status));
+  co_return CountStatus(id, std::move(status));
 }
 
 net::Task<api::JobStatus> JobRequestHandler::AskForStatus(std::string id) {
@@ -130,8 +132,8 @@
                                   kStatusRequest.timeout_seconds);
 }
 
-api::JobStatus JobRequestHandler::Counted(const std::string& id,
-                                          api::JobStatus status) {
+api::JobStatus JobRequestHandler::CountStatus(const std::string& id,
+                                              api::JobStatus status) {
   if (status.presence == api::JobStatus::Presence::kUnknown) {
     metrics_.OnWithheld(id, status.withheld.value_or(WithheldReason::kTimedOut),
                         context_.loop.Now());
--- a/app/job_request_handler.h
+++ b/app/job_request_handler.h
@@ -1,12 +1,13 @@
-// Users' requests about jobs and workers' heartbeats, as the HTTP interface
-// hands them in. Bounds how many requests are in progress and how long each may
-// take; what this controller can't answer in time is forwarded to another one.
-// The work itself is done by JobSubmitter, JobStatusReader, JobCanceller and
-// WorkerHeartbeatHandler; owns no state of a job.
+// Handles users' requests about jobs and workers' heartbeats from the HTTP
+// interface. Limits how many requests are in progress and how long a user waits
+// for each; forwards requests that this controller cannot answer to another
+// one. JobSubmitter, JobStatusReader, JobCanceller and WorkerHeartbeatHandler
+// do the work itself. The handler holds no state of jobs.
 //
-// A request goes on after its user was answered "come again", for as long as
-// what it waits for may take: coroutines hold `this` and copies of their
-// arguments, so the handler must outlive the event loop's run.
+// A request continues after its user was told to try again, until the
+// operations that it waits for have ended. Its coroutines hold `this` and
+// copies of their arguments, so the handler must live as long as the event loop
+// runs.
 #pragma once
 
 #include <map>
@@ -27,7 +28,7 @@
 
 namespace oxbow::app {
 
-// Answers the HTTP interface; one per controller.
+// Implements the service behind the HTTP interface; one per controller.
 class JobRequestHandler : public api::Service {
  public:
   explicit JobRequestHandler(const RequestContext& context);
@@ -46,20 +47,20 @@
   api::LeaderView CurrentLeader() override;
   api::ControllerCounters Counters() override;
 
-  // What other controllers ask.
+  // The handler of other controllers' requests.
   PeerRequestHandler& peer_requests() { return peer_requests_; }
 
  private:
   // How a request that is answered by a job's status is forwarded.
   struct StatusRequest {
     clients::PeerKind relay_kind;
-    double timeout_seconds;        // until the user is answered to try again
-    double peer_interval_seconds;  // between the peers that are asked
+    double timeout_seconds;        // until the user is told to try again
+    double peer_interval_seconds;  // between asking one peer and the next
   };
   static const StatusRequest kStatusRequest;
   static const StatusRequest kCancelRequest;
 
-  // An answer that a user waits for only so long.
+  // The answer of a request that continues when its user has stopped waiting.
   template <typename Answer>
   struct PendingAnswer {
     explicit PendingAnswer(net::Loop& loop) : done(loop) {}
@@ -67,24 +68,27 @@
     Answer answer{};
   };
 
-  // Whether one more request may be in progress.
+  // Whether the limits allow one more request.
   bool MayStartRequest() const;
-  // The answer of `work`, or a default answer when the time is over; the work
-  // goes on then.
+  // Returns the answer of `work`, or a default answer after `timeout_seconds`;
+  // the work then continues.
   template <typename Answer>
   net::Task<Answer> AnswerWithin(net::Task<Answer> work,
                                  double timeout_seconds);
   template <typename Answer>
   net::Task<void> Complete(net::Task<Answer> work,
                            std::shared_ptr<PendingAnswer<Answer>> pending);
-  // The answer of `local`; if this controller can't know it, another one's.
+  // Returns the answer of `local` or, if that is unknown and time remains, the
+  // answer of another controller.
   net::Task<api::JobStatus> AnswerOrForward(StatusRequest request,
                                             net::Task<api::JobStatus> local,
                                             std::string id);
 
-  // The status of a job whose status is not known without asking.
+  // Determines a status that this controller cannot tell from memory, within
+  // the limits of requests and time.
   net::Task<api::JobStatus> AskForStatus(std::string id);
-  api::JobStatus Counted(const std::string& id, api::JobStatus status);
+  // Counts the status as answered or withheld, and returns it.
+  api::JobStatus CountStatus(const std::string& id, api::JobStatus status);
 
   const RequestContext context_;
   JobStatusReader status_reader_;
@@ -93,7 +97,7 @@
   WorkerHeartbeatHandler heartbeat_handler_;
   PeerRequestHandler peer_requests_;
   size_t requests_in_progress_ = 0;
-  size_t users_waiting_ = 0;  // each holds its connection
+  size_t users_waiting_ = 0;  // each keeps a connection open
   StatusMetrics metrics_;
 };
 
--- a/app/job_status_reader.cc
+++ b/app/job_status_reader.cc
@@ -16,11 +16,12 @@
 using clients::Urgency;
 using Presence = api::JobStatus::Presence;
 
-// Shares of the workers' lease.
+// The timeout of a question to the leader and the interval between probes of
+// the key-value store, as fractions of the workers' lease.
 constexpr double kLeaderTimeoutRatio = 0.06;
 constexpr double kProbeIntervalRatio = 0.05;
-// The longest wait for the leader's answer to a status request, for which a
-// user waits a second.
+// The longest wait for the leader's answer to a status request. The user's
+// whole request times out after 1 s (kStatusTimeoutSeconds).
 constexpr double kMaxLeaderTimeoutSeconds = 0.4;
 
 WithheldReason ReasonOf(const StoreResult& read) {
@@ -61,8 +62,8 @@
   const Catalog& catalog = context_.catalog;
   TerminalRecord terminal = catalog.FindTerminalRecord(id);
   if (terminal.state == TerminalState::kNone) {
-    // Received from other controllers, while a leader that has just started may
-    // read an older copy of the store in which the job is live.
+    // This state was received from other controllers. A leader that has just
+    // started may read an older copy of the store in which the job is live.
     terminal.state = catalog.FindTerminalState(id);
     const JobRecord* job = catalog.FindJob(id);
     if (terminal.state == TerminalState::kDone && job == nullptr) {
@@ -78,7 +79,7 @@
   return status;
 }
 
-// A terminal state never changes, so it can't be outdated, whatever else can't
+// A terminal state never changes, so a known one is valid even if nothing can
 // be read now.
 std::optional<api::JobStatus> JobStatusReader::TerminalStatusWithoutCounts(
     const std::string& id) const {
@@ -119,7 +120,7 @@
   switch (resolved.decision) {
     case StatusDecision::kTerminalState: {
       std::optional<api::JobStatus> terminal = TerminalStatus(id);
-      // How many tasks the job had is read, if it can be.
+      // The number of tasks is not in memory, so a read is tried first.
       if (!terminal && read == RecordRead::kNone) {
         resolved.decision = StatusDecision::kReadFirst;
         break;
@@ -161,8 +162,8 @@
   if (resolved.decision != StatusDecision::kReadFirst) {
     co_return std::move(resolved.status);
   }
-  // Nobody can be asked: answered at once, so that the user asks another
-  // controller.
+  // An isolated controller can ask no other one. It answers at once, so that
+  // the user turns to another controller.
   if (context_.zone_coordinator.IsIsolated()) {
     co_return Withhold(id, WithheldReason::kIsolated);
   }
@@ -204,9 +205,9 @@
   if (live.status != StoreStatus::kNotFound) {
     co_return Withhold(id, ReasonOf(live));
   }
-  // A job changes from one record to the next in one transaction, so one that
-  // is missing in all of them, read in this order, was not accepted when the
-  // first was read.
+  // A job moves from one record to the next in one transaction. If all three
+  // records, read in this order, are missing, the job was not accepted when the
+  // first of them was read.
   co_return co_await ReadTerminalRecord(std::move(id), leader_answer);
 }
 
@@ -222,7 +223,8 @@
   if (!read.ok()) co_return waiting;
   context_.watcher.Apply(key, read.items[0].record, read.items[0].mod_revision);
   context_.leader_runtime.ExecuteActions();
-  // Released or terminated since, by what is known here.
+  // The job is not waiting if this controller knows of a later release or
+  // termination.
   if (context_.catalog.FindWaiting(id) == nullptr) {
     waiting.presence = RecordPresence::kMissing;
   } else if (context_.recovery.MayReportLive(read.items[0].mod_revision)) {
@@ -243,7 +245,7 @@
   if (context_.catalog.FindTerminalState(id) == TerminalState::kNone) {
     RecoveryCoordinator& recovery = context_.recovery;
     if (recovery.IsEnabled() && context_.catalog.FindJob(id) == nullptr) {
-      // The watch has passed this revision and seen the record deleted: the
+      // The watch has passed this revision and seen the record deleted, so the
       // store serves an older copy of its data.
       recovery.ReportDataLoss(DataLossIndication::kRevisionDecreased);
       return WithheldStatus(WithheldReason::kStoreUnverified);
@@ -270,9 +272,10 @@
   co_return Withhold(id, ReasonOf(read));
 }
 
-// A missing record proves nothing once the key-value store may have lost data.
-// What is retained in memory is answered; otherwise a denial requires that the
-// store still holds its epoch record, checked after the reads.
+// Once the key-value store may have lost data, a missing record does not prove
+// that the job does not exist. A job retained in memory is still reported; the
+// existence of any other job is denied only if a check after the reads finds
+// that the store still holds its epoch record.
 net::Task<api::JobStatus> JobStatusReader::StatusWithoutRecord(
     std::string id, LeaderAnswer leader_answer) {
   using Known = RecoveryCoordinator::Known;
@@ -307,9 +310,9 @@
   co_return StatusAfter(id, RecordRead::kMissing);
 }
 
-// A store that does not answer is probed on behalf of no request: a user who
-// waits for one more silence could have been answered by another controller
-// meanwhile.
+// While the store does not answer, it is probed separately from users'
+// requests. A user who waited here for another timeout could have been answered
+// by another controller in that time.
 bool JobStatusReader::MayWaitForStore() {
   const net::Time now = context_.loop.Now();
   const double interval_seconds =
--- a/app/job_status_reader.h
+++ b/app/job_status_reader.h
@@ -1,10 +1,10 @@
-// Answers what the status of a job is, from what this controller knows, from
-// the leader, or by fresh reads of the key-value store. What may be said given
-// the evidence is decided by DecideStatus() (core/read_consistency). Changes no
-// job; what it reads is taken into the catalog.
+// Determines the status of a job from this controller's memory, by asking the
+// leader, or by fresh reads of the key-value store. DecideStatus()
+// (core/read_consistency) decides which status the evidence allows. The reader
+// changes no job; it applies the records that it reads to the catalog.
 //
-// Coroutines hold `this` and copies of their arguments: the reader must outlive
-// the event loop's run.
+// Coroutines hold `this` and copies of their arguments, so the reader must live
+// as long as the event loop runs.
 #pragma once
 
 #include <cstdint>
@@ -34,18 +34,20 @@
 
   explicit JobStatusReader(const RequestContext& context) : context_(context) {}
 
-  // From memory, else from the leader, else by a fresh read.
+  // Returns the job's status from memory; failing that, from the leader;
+  // failing that, by a fresh read.
   net::Task<api::JobStatus> Read(std::string id);
-  // By reads of the key-value store that begin after the call.
+  // Returns the job's status by reads of the key-value store that begin after
+  // the call.
   net::Task<api::JobStatus> ReadFresh(
       std::string id, LeaderAnswer leader_answer = LeaderAnswer::kNone);
-  // Whether the job was accepted, by a fresh read.
+  // Determines by a fresh read whether the job was accepted.
   net::Task<RecordPresence> ReadAcceptance(std::string id);
 
-  // What may be said of the job by what is known here, given what a read that
-  // began after the question has found.
+  // Decides what this controller may answer about the job from what it knows.
+  // `read` is the result of a read that began after the question arrived.
   ResolvedStatus Resolve(const std::string& id, RecordRead read);
-  // The status of a job whose terminal state is known here.
+  // The status of the job if its terminal state is known here.
   std::optional<api::JobStatus> TerminalStatus(const std::string& id) const;
 
   // Whether this controller leads, has received heartbeats of all machines, and
@@ -55,26 +57,29 @@
   // record.
   bool IsObservedWithoutRecord(const std::string& id);
 
-  // Whether a user's request may wait for the key-value store. If it may not,
-  // probes the store now and then, so that requests notice its return.
+  // Whether a user's request may wait for the key-value store. If not, this
+  // probes the store at intervals, so that requests use it again once it
+  // answers.
   bool MayWaitForStore();
 
  private:
-  // The leader's own observation of the job; kUnseen where this controller does
-  // not lead.
+  // What this controller observes of the job as the leader; kUnseen if it does
+  // not lead. Fills `view` with the job's current state.
   JobObservation ObservationOf(const std::string& id, JobView* view);
-  // The terminal state alone, without the number of tasks.
+  // The status with the terminal state but without the number of tasks.
   std::optional<api::JobStatus> TerminalStatusWithoutCounts(
       const std::string& id) const;
+  // The status from Resolve().
   api::JobStatus StatusAfter(const std::string& id, RecordRead read);
-  // The status if it can be told without a reliable read; otherwise none, for
-  // that reason.
+  // The status if it can be determined without a conclusive read; otherwise an
+  // unknown status withheld for `reason`.
   api::JobStatus Withhold(const std::string& id, WithheldReason reason);
   api::JobStatus StatusOfLiveRecord(const std::string& id,
                                     const clients::KeyValue& item);
   struct WaitingRead {
     RecordPresence presence = RecordPresence::kUnknown;
-    WithheldReason reason = WithheldReason::kReadFailed;  // if unknown
+    WithheldReason reason =
+        WithheldReason::kReadFailed;  // if presence is kUnknown
   };
   net::Task<WaitingRead> ReadWaitingRecord(std::string id);
   net::Task<api::JobStatus> ReadTerminalRecord(std::string id,
@@ -88,9 +93,9 @@
   net::Time next_probe_ = 0;
 };
 
-// A question to another controller about the job.
+// Makes a message about the job for another controller.
 clients::PeerMessage MakeJobMessage(clients::PeerKind kind, std::string id);
-// The status of a job as another controller has answered it.
+// Converts another controller's answer about a job to the job's status.
 api::JobStatus StatusFromPeer(const clients::PeerMessage& answer);
 
 }  // namespace oxbow::app
--- a/app/job_submitter.cc
+++ b/app/job_submitter.cc
@@ -18,17 +18,17 @@
 using clients::StoreStatus;
 using clients::Urgency;
 
-// Of the workers' lease.
+// The timeout of a question to the leader, as a fraction of the workers' lease.
 constexpr double kLeaderTimeoutRatio = 0.06;
-// The longest wait for all peers that are asked, and the time between the
-// questions to two of them.
+// The longest wait for all peers together, and the interval between asking one
+// peer and the next.
 constexpr double kMaxPeersTimeoutSeconds = 1;
 constexpr double kPeerIntervalSeconds = 0.4;
-// What one leader keeps in memory and schedules in time.
+// The limits of what one leader can keep in memory and schedule in time.
 constexpr size_t kMaxLiveJobs = 20'000;
 constexpr size_t kMaxLiveTasks = 600'000;
-// A job's record is written again, a little longer, when the job is released
-// and when it terminates.
+// Space left for the growth of a job's record: it is rewritten, slightly
+// longer, when the job is released and when it terminates.
 constexpr size_t kRecordGrowthBytes = 64;
 
 JobRecord NewJobRecord(const std::shared_ptr<const JobSpec>& spec) {
@@ -51,12 +51,15 @@
     std::shared_ptr<const JobSpec> spec, double timeout_seconds) {
   const net::Time started = context_.loop.Now();
   const SubmitResult local = co_await SubmitLocally(spec);
-  const double left_seconds = started + timeout_seconds - context_.loop.Now();
-  if (local != SubmitResult::kUnavailable || left_seconds <= 0) co_return local;
+  const double remaining_seconds =
+      started + timeout_seconds - context_.loop.Now();
+  if (local != SubmitResult::kUnavailable || remaining_seconds <= 0)
+    co_return local;
   const bool has_dependencies = !spec->dependencies.empty();
-  // A peer that runs an earlier version might be asked.
+  // Otherwise a peer of an earlier version, which does not know dependencies,
+  // might be asked.
   if (has_dependencies && !context_.versions.IsOpen()) co_return local;
-  const PeerMessage answer = co_await AskPeers(spec, left_seconds);
+  const PeerMessage answer = co_await AskPeers(spec, remaining_seconds);
   switch (answer.answer) {
     case PeerAnswer::kYes:
       co_return SubmitResult::kAccepted;
@@ -83,8 +86,8 @@
         std::move(question), kPeerIntervalSeconds,
         std::min(timeout_seconds, kMaxPeersTimeoutSeconds));
   }
-  // Only the leader holds all retained records, and can tell a new job from a
-  // known one.
+  // Only the leader holds all retained records and so can distinguish a new job
+  // from a known one.
   const clients::PeerClient::Answer answer =
       co_await context_.forwarder.AskLeader(
           std::move(question),
@@ -135,7 +138,8 @@
   std::vector<Precondition> preconditions = acceptance.preconditions;
   context_.recovery.AddEpochPrecondition(&preconditions);
   std::vector<Mutation> mutations{{acceptance.key, acceptance.record}};
-  // Of several copies one can be accepted: the others find the job's record.
+  // An unanswered write may be sent again: only one copy can succeed, because
+  // the others find the job's record.
   const StoreResult result = co_await context_.store.Write(
       std::move(preconditions), std::move(mutations), Urgency::kUser,
       /*lease_id=*/0, clients::WhenUnanswered::kSendAgain);
@@ -166,7 +170,7 @@
   context_.watcher.Apply(acceptance.key, acceptance.record, revision);
   context_.leader_runtime.ExecuteActions();
   NotifyLeader(spec.id, acceptance, revision);
-  // So that a reader of the log need not guess what each job was.
+  // Logged so that the log shows what kind of job each id stands for.
   if (!logging::DebugEnabled()) return;
   logging::Debug("job accepted",
                  {{"job", spec.id},
--- a/app/leader_election.cc
+++ b/app/leader_election.cc
@@ -231,34 +231,35 @@
 // --- seeking the key
 
 LeaderElection::SeekPlan LeaderElection::PlanSeek(net::Time now) const {
-  const bool is_proven = leadership_.MayCampaign(now);
+  const bool may_campaign = leadership_.MayCampaign(now);
   if (!context_.watcher.synced() || !context_.recovery.MayCampaign() ||
-      !(is_proven || leadership_.MayTakeFreeKey(now))) {
+      !(may_campaign || leadership_.MayTakeFreeKey(now))) {
     return {};
   }
   const LeaderRecord& leader = context_.catalog.leader();
-  const bool is_there = leader.mod_revision > 0;
+  const bool key_exists = leader.mod_revision > 0;
   // The key names an earlier process of this controller. That process has
   // ended, so there is no need to wait for its lease to run out.
-  const bool is_own = is_there && leader.node == context_.settings.node &&
+  const bool is_own = key_exists && leader.node == context_.settings.node &&
                       leader.incarnation != context_.incarnation;
   // The store never removes a key whose lease it has lost.
   const bool is_orphaned =
-      is_there && leader.mod_revision == orphaned_key_revision_;
+      key_exists && leader.mod_revision == orphaned_key_revision_;
   const bool has_asked_all = peer_role_survey_.HasAskedAll();
-  const bool is_own_proven = is_own && !leader.renews_only && has_asked_all &&
-                             leadership_.delegation_seconds() > 0 &&
-                             leadership_.ForgottenDelegationsExpired(now);
-  const bool was_left_to_leaders =
+  const bool may_lead_by_own_key = is_own && !leader.renews_only &&
+                                   has_asked_all &&
+                                   leadership_.delegation_seconds() > 0 &&
+                                   leadership_.ForgottenDelegationsExpired(now);
+  const bool has_waited_for_leaders =
       key_free_since_ &&
       now - *key_free_since_ >= kLeadersFirstRatio * context_.lease_seconds;
   const bool may_try =
-      is_proven || was_left_to_leaders || (is_own && has_asked_all);
+      may_campaign || has_waited_for_leaders || (is_own && has_asked_all);
   const bool seeks =
-      (may_try && is_own) || (is_proven && is_orphaned) ||
-      (may_try && !is_there && key_free_since_ &&
+      (may_try && is_own) || (may_campaign && is_orphaned) ||
+      (may_try && !key_exists && key_free_since_ &&
        leader_health_coordinator_.MayCampaign(now - *key_free_since_));
-  return {seeks, is_proven || is_own_proven};
+  return {seeks, may_campaign || may_lead_by_own_key};
 }
 
 net::Task<void> LeaderElection::Seek(bool may_lead) {
--- a/app/leader_health_coordinator.cc
+++ b/app/leader_health_coordinator.cc
@@ -13,17 +13,23 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-constexpr double kProbeTimeoutRatio = 0.06;  // of the workers' lease
-constexpr double kProbeSocketShare = 0.1;    // of the sockets there are
-// Of the probes' timeout: the probes and a little for the network. Not more: a
-// peer that is down would delay the survey of machines that have just died.
+// The timeout of a probe, as a fraction of the workers' lease.
+constexpr double kProbeTimeoutRatio = 0.06;
+// The sockets that probes may use, as a fraction of the connection limit.
+constexpr double kProbeSocketShare = 0.1;
+// The timeout of a survey, as a fraction of the probes' timeout. It covers the
+// probes and a short time for the network. With a longer timeout, a peer that
+// is down would delay the survey of machines that have just failed.
 constexpr double kSurveyTimeoutRatio = 1.3;
-constexpr size_t kMaxProbes = 128;          // at once
-constexpr size_t kMaxHostsInQuestion = 64;  // more are not answered
-// Fewer machines than that may all be dead.
+constexpr size_t kMaxProbes = 128;  // at the same time
+// Hosts after this many in one request are not probed.
+constexpr size_t kMaxHostsInQuestion = 64;
+// The fewest machines from which a controller that reaches none of them
+// concludes that it is unfit; fewer machines might all have failed.
 constexpr size_t kMinSample = 8;
-// Of the leader lease: long enough for another controller to win the key; not
-// for ever, this one may be the last.
+// How long a controller defers after it has yielded, as a fraction of the
+// leader lease. Long enough for another controller to win the key, but limited,
+// since this controller may be the only one left.
 constexpr double kDeferAfterYieldRatio = 1.5;
 
 }  // namespace
@@ -98,7 +104,7 @@
         AskPeer(round, i + 1, peers_[i].get(), question, ask.hosts.size()));
   }
   co_await round->done.Wait(kSurveyTimeoutRatio * probe_timeout_seconds_);
-  // Later answers are ignored.
+  // Answers that arrive after this copy are ignored.
   std::vector<ReachabilityAnswer> answers = round->answers;
   callbacks_.deliver(revision, [&](Leader& leader) {
     leader.OnReachabilityAnswers(ask.round, std::move(answers), loop_.Now());
@@ -142,7 +148,8 @@
                    revision);
     co_return;
   }
-  // The leadership may have ended, and another begun, during the question.
+  // During the wait for the answer this leadership may have ended and another
+  // one begun.
   bool leads = false;
   callbacks_.deliver(revision, [&](Leader& leader) {
     leads = true;
@@ -154,7 +161,7 @@
   callbacks_.step_down("leadership transfer, " + offer.why);
 }
 
-// The other controllers defer to the one that has accepted.
+// Tells the other controllers to defer to the one that has accepted.
 void LeaderHealthCoordinator::AnnounceTransfer(const std::string& to) {
   for (const auto& peer : peers_) {
     if (peer->name() == to) continue;
@@ -178,15 +185,16 @@
   std::istringstream hosts(message.text);
   std::string host;
   while (endpoints.size() < kMaxHostsInQuestion && std::getline(hosts, host)) {
-    // By this controller's own record: an address is not taken from a message.
+    // The address comes from this controller's own record, never from a
+    // message.
     const auto it = catalog_.machines().find(host);
     endpoints.push_back(it == catalog_.machines().end() ? std::string()
                                                         : it->second.endpoint);
   }
   clients::ReachClient::Result found =
       co_await reach_.Ask(std::move(endpoints), probe_timeout_seconds_);
-  // What this controller learns of itself: it defers to others if it reaches no
-  // machine.
+  // A controller that reaches none of the machines is unfit to lead and defers
+  // to others.
   size_t reached = 0;
   size_t asked = 0;
   for (const char result : found.machines) {
--- a/app/leader_health_coordinator.h
+++ b/app/leader_health_coordinator.h
@@ -1,10 +1,10 @@
-// A controller's part in deciding which controller is fit to lead: surveys of
-// which machines each controller reaches, offers of leadership transfers, and
-// which controller defers to which when the leader key is free. Owns no right
-// to lead: that is the lease of the key.
+// Helps the controllers to choose a leader that reaches the machines: surveys
+// which machines each controller reaches, offers leadership transfers, and
+// makes controllers defer to others when the leader key is free. It does not
+// grant the right to lead, which comes from the lease of the leader key.
 //
-// Coroutines hold `this` and copies of their arguments: the coordinator must
-// outlive the event loop's run.
+// Coroutines hold `this` and copies of their arguments, so the coordinator must
+// live as long as the event loop runs.
 #pragma once
 
 #include <functional>
@@ -24,12 +24,13 @@
  public:
   using Peers = std::vector<std::unique_ptr<clients::PeerClient>>;
   struct Callbacks {
-    // Hands an event to the leader's core, if that leadership has not ended.
+    // Delivers an event to the Leader unless the leadership of `revision` has
+    // ended.
     std::function<void(uint64_t revision, const std::function<void(Leader&)>&)>
         deliver;
-    // Whether this controller could take office now.
+    // Whether this controller could lead now if the leader key were free.
     std::function<bool()> may_lead;
-    // Gives the leadership up.
+    // Gives up the leadership. `why` is logged.
     std::function<void(const std::string& why)> step_down;
   };
 
@@ -38,15 +39,18 @@
                           const Peers& peers, Callbacks callbacks);
 
   // --- as the leader
-  // Asks every controller, this one too, which of the machines it reaches.
+  // Asks every controller, including this one, which of the machines it
+  // reaches, and delivers the answers to the Leader.
   net::Task<void> SurveyReachability(AskReach ask, uint64_t revision);
-  // Steps down if the other controller agrees to lead.
+  // Offers the leadership to another controller, and steps down if that one
+  // accepts.
   net::Task<void> OfferTransfer(OfferLeadershipTransfer offer,
                                 uint64_t revision);
-  // This controller has stepped down as unfit.
+  // Must be called when this controller has stepped down because it is unfit to
+  // lead.
   void OnLeadershipYielded();
 
-  // --- as one who is asked
+  // --- requests from other controllers
   // `reply` must outlive the task.
   net::Task<void> OnReachabilityQuestion(clients::PeerMessage message,
                                          clients::PeerMessage* reply);
@@ -54,8 +58,9 @@
                        clients::PeerMessage* reply);
   void OnDeferCandidacy(const clients::PeerMessage& message);
 
-  // Whether this controller may try to take the free leader key now, given for
-  // how long nobody has led. Affects speed only: safety rests on the key.
+  // Whether this controller may try to take the leader key now, which has been
+  // free for `free_for_seconds`. This affects only how soon a suitable leader
+  // is elected; safety rests on the key.
   bool MayCampaign(double free_for_seconds) const;
 
  private:
@@ -88,9 +93,11 @@
   LeadershipTransferLog transfers_;
   const double probe_timeout_seconds_;
   const double leader_lease_seconds_;  // of the leader key
-  // Until then it leads only if nobody else does.
+  // Until this time the controller campaigns only if no other one has taken the
+  // free key.
   net::Time unfit_until_ = kNever;
-  net::Time defers_until_ = kNever;  // to other candidates
+  // Until this time the controller leaves the key to other candidates.
+  net::Time defers_until_ = kNever;
 };
 
 }  // namespace oxbow::app
--- a/app/peer_request_handler.cc
+++ b/app/peer_request_handler.cc
@@ -28,7 +28,7 @@
   }
 }
 
-// The record that another controller has sent; nothing if it can't be decoded.
+// The record that another controller has sent; nullopt if it can't be decoded.
 std::optional<Record> DecodeRecord(const PeerMessage& message,
                                    const std::string& key) {
   rapidjson::Document doc;
@@ -104,7 +104,7 @@
   } else if (status_reader_.IsUnknownToLeaderHere(id)) {
     reply->answer = PeerAnswer::kUnknownJob;
   } else if (status_reader_.IsObservedWithoutRecord(id)) {
-    // No other controller observes its tasks.
+    // Only the leader observes the job's tasks, so it reads the record itself.
     FillStatus(co_await status_reader_.ReadFresh(id), reply);
   }
 }
--- a/app/peer_request_handler.h
+++ b/app/peer_request_handler.h
@@ -1,9 +1,9 @@
-// Answers the other controllers: requests of users that they hand on, questions
-// to the leader about a job, and heartbeats of workers that they relay. One
-// function for each kind of message.
+// Answers messages from other controllers about jobs and workers: forwarded
+// requests of users, questions to the leader about a job, notices of accepted
+// jobs, and relayed heartbeats of workers.
 //
-// Coroutines hold `this` and copies of messages. `reply` must outlive the task:
-// the peer server keeps it until it has sent it.
+// Coroutines hold `this` and copies of messages. `reply` must outlive the task;
+// the peer server keeps it until it has been sent.
 #pragma once
 
 #include <string>
@@ -18,7 +18,7 @@
 
 namespace oxbow::app {
 
-// Answers other controllers; one per controller.
+// Answers other controllers' messages; one per controller.
 class PeerRequestHandler {
  public:
   PeerRequestHandler(const RequestContext& context,
@@ -31,8 +31,9 @@
         canceller_(canceller),
         heartbeat_handler_(heartbeat_handler) {}
 
-  // Whether messages of that kind are answered here.
+  // Whether this handler answers messages of `kind`.
   static bool Handles(clients::PeerKind kind);
+  // Answers a message for which Handles() is true.
   net::Task<void> Handle(clients::PeerMessage message,
                          clients::PeerMessage* reply);
 
--- a/app/recovery_coordinator.cc
+++ b/app/recovery_coordinator.cc
@@ -90,7 +90,8 @@
 
 net::Task<void> RecoveryCoordinator::CheckUnknownJob(std::string id) {
   const StoreCheck result = co_await inspector_.CheckJob(id);
-  // Where jobs may have been lost it indicates no further loss.
+  // If jobs may already have been lost, a missing job indicates no further
+  // loss.
   if (result == StoreCheck::kMissing && verification().MayDeny() &&
       context_.catalog.epoch().whole) {
     ReportDataLoss(DataLossIndication::kUnknownTask, id);
@@ -101,8 +102,8 @@
   const std::string id = JobIdOfKey(key);
   if (id.empty()) co_return StoreCheck::kIntact;
   if (context_.catalog.pending_writes().contains(key)) {
-    // It was never in the store; but the job may have ended, which is why its
-    // write conflicts.
+    // The record is still to be written, so it was never in this store; but its
+    // write may conflict because the job has ended.
     const StoreCheck found = co_await inspector_.CheckJob(id);
     co_return found == StoreCheck::kNoAnswer ? found : StoreCheck::kIntact;
   }
@@ -117,10 +118,10 @@
 }
 
 net::Task<void> RecoveryCoordinator::CheckLoop() {
-  const double pause =
+  const double pause_seconds =
       context_.settings.workers.lease_seconds / context_.tuning.recovery_checks;
   for (;;) {
-    co_await context_.loop.Sleep(pause);
+    co_await context_.loop.Sleep(pause_seconds);
     if (context_.catalog.epoch().number == 0) continue;
     const StoreVerificationState state = verification().state();
     if (state == StoreVerificationState::kSuspected) continue;
@@ -166,7 +167,8 @@
       retained_records_writer_.HasStarted(epoch.number)) {
     return;
   }
-  // An epoch that has just been observed is being read anew already.
+  // In any other state the epoch has only just been observed, and the records
+  // are being reread already.
   if (state_before == StoreVerificationState::kReconciling) {
     context_.watcher.Reread();
   }
--- a/app/recovery_coordinator.h
+++ b/app/recovery_coordinator.h
@@ -1,12 +1,13 @@
-// What happens when the key-value store has lost data: composes the detection
-// of the loss, the new epoch, the collection of what all controllers remember
-// and the bootstrap of a controller that has just started, and says what a
-// request may rest on meanwhile. Who may open an epoch is for the
-// LeaderElection; what is written back for the leader's core.
+// Coordinates the recovery after the key-value store has lost data: detecting
+// the loss, opening a new store epoch, collecting the records that all
+// controllers retain in memory, and bootstrapping a controller that has just
+// started. Also tells which answers to requests are safe meanwhile.
+// LeaderElection decides who may open an epoch, and Leader which records are
+// written back.
 //
-// Coroutines: a task that is returned is awaited by its caller and owns its
-// arguments. The loops that Start() spawns are detached and use this object,
-// which therefore lives as long as the event loop.
+// The caller awaits each task that a function returns; the task owns its
+// arguments. The loops that Start() spawns are detached and use this object, so
+// it must live as long as the event loop runs.
 #pragma once
 
 #include <cstdint>
@@ -36,84 +37,92 @@
 
 namespace oxbow::app {
 
-// The face of the recovery to the rest of a controller.
+// The interface of the recovery to the rest of a controller; one per
+// controller.
 class RecoveryCoordinator {
  public:
   struct Callbacks {
-    // The loss is certain.
+    // Called once a loss of data is certain.
     std::function<void()> on_loss;
-    // A later epoch is known: whoever led before does not.
+    // Called when a later epoch is known; any earlier leadership has then
+    // ended.
     std::function<void()> on_later_epoch;
     std::function<bool()> is_leading;
-    // The leader key of that revision belongs to nobody.
+    // Called when the leader key of a revision has no lease any more.
     LeaderKeyMonitor::OrphanedKeyHandler on_orphaned_key;
     PeerStateCollector::DeliverToLeader deliver_to_leader;
   };
-  // All arguments by reference must outlive this object.
+  // All arguments passed by reference must outlive this object.
   RecoveryCoordinator(net::Loop& loop, const Settings& settings,
                       const Tuning& tuning, Catalog& catalog,
                       clients::KeyValueStoreClient& store,
                       StoreWatcher& watcher,
                       const LeaderHealthCoordinator::Peers& peers,
                       Callbacks callbacks);
+  // Starts the checks, if data-loss detection is enabled. Must be called once.
   void Start();
 
-  // Whether data loss is looked for at all.
+  // Whether the detection of data loss is enabled.
   bool IsEnabled() const { return context_.IsEnabled(); }
   const StoreVerification& verification() const {
     return detector_.verification();
   }
 
-  // --- what a request may rest on
-  // Whether a leader key that is free, or missing, means that nobody leads.
+  // --- which answers and actions are safe now
+  // Whether a free or missing leader key proves that no controller leads.
   bool MayCampaign() const;
-  // Whether a job that is neither recorded nor remembered may be denied, if no
-  // controller of those that answer knows it.
+  // Whether this controller may say that a job does not exist if the job is
+  // neither in the store nor in memory and no controller that answers knows it.
   bool MayDeny() const;
   // Whether an accepted job may be known only to a controller or machine that
-  // is not in contact now. A denial then needs the answers of all, the leader
-  // first. It ends: what nobody has reported for a fixed time is forgotten.
+  // cannot be reached now. Denying a job's existence then requires the answers
+  // of all controllers, the leader's first. This state is limited in time: a
+  // job that nobody has reported for a fixed time is forgotten.
   bool MayBeKnownElsewhere() const;
-  // Whether a live record of that revision that was read here tells the job's
-  // status. One from before the epoch may be an older copy, of a job whose
-  // terminal state is retained elsewhere.
+  // Whether a live record of `mod_revision` that was read here shows the job's
+  // status. A record from before the epoch may be an older copy, and the job's
+  // terminal state may be retained by another controller.
   bool MayReportLive(uint64_t mod_revision) const;
   // Whether a submission may be accepted here.
   bool MayAccept() const;
-  // Whether any other controller knows the job. For a caller about to deny it.
+  // Asks whether any other controller knows the job. Used before denying that
+  // the job exists.
   enum class Known : uint8_t { kYes, kNoAnswerFromSome, kNobody };
   net::Task<Known> AskPeersForJob(std::string id);
 
-  // Makes a write one of the epoch that is known here.
+  // Adds the precondition that the store still holds the epoch known here.
   void AddEpochPrecondition(std::vector<Precondition>* preconditions) const {
     inspector_.AddEpochPrecondition(preconditions);
   }
-  // Whether a write failed for not being one of the present epoch.
+  // Whether a write failed because the store does not hold the epoch known
+  // here.
   bool IsEpochPreconditionFailure(const std::vector<std::string>& failed_keys) {
     return detector_.IsEpochPreconditionFailure(failed_keys);
   }
 
   // --- indications of a loss
-  // `key`: the record that is missing.
+  // `key` is that of the missing record.
   void ReportDataLoss(DataLossIndication indication, const std::string& key) {
     detector_.Report(indication, key);
   }
   void ReportDataLoss(DataLossIndication indication) {
     detector_.Report(indication);
   }
-  // The upper part of a fencing token that a worker has shown.
+  // `term` is the upper part of a fencing token that a worker has presented.
   void OnObservedTerm(uint64_t term) { detector_.OnObservedTerm(term); }
-  // A task runs whose job the leader does not know: reads its record, or how it
-  // ended; having neither indicates a loss.
+  // Must be called for a running task whose job the leader does not know. Reads
+  // the job's live and terminal records; if both are missing, that indicates a
+  // loss.
   net::Task<void> CheckUnknownJob(std::string id);
-  // Whether a key that was not found may be taken for deleted: a job's, if its
-  // terminal state is recorded. If it is not, that indicates a loss.
+  // Whether a key that was not found may be regarded as deleted. A job's key
+  // may be if the job's terminal state is recorded; if it is not recorded, that
+  // indicates a loss.
   net::Task<StoreCheck> IsDeleted(std::string key);
-  // Whether the store holds the epoch that is known here; reads afresh.
+  // Determines by a fresh read whether the store holds the epoch known here.
   net::Task<StoreCheck> CheckEpoch() { return inspector_.CheckEpoch(); }
 
   // --- epochs, see EpochOpener
-  // The catalog's epoch may have changed.
+  // Must be called when the catalog's epoch may have changed.
   void OnEpochRecord();
   EpochOpening InitialEpoch() const { return epoch_opener_.InitialEpoch(); }
   net::Task<std::optional<EpochOpening>> PrepareEpoch(OpenedBy opened_by) {
@@ -122,15 +131,16 @@
   void OnEpochOpened(const EpochOpening& opening, uint64_t revision) {
     epoch_opener_.OnOpened(opening, revision);
   }
-  // Whether the leader of that revision knows all that is remembered. Starts to
-  // collect it if it does not.
+  // Whether the leader of `revision` has collected the records that the other
+  // controllers retain. If not, starts collecting them.
   bool HasCollected(uint64_t revision) {
     return collector_.HasCollected(revision);
   }
 
-  // --- requests of other controllers
+  // --- requests from other controllers
   static bool Handles(clients::PeerKind kind);
-  // `reply` belongs to the awaiting caller.
+  // Answers a message for which Handles() is true. `reply` belongs to the
+  // caller that awaits the task.
   net::Task<void> OnPeer(clients::PeerMessage message,
                          clients::PeerMessage* reply);
 
--- a/app/request_context.h
+++ b/app/request_context.h
@@ -1,6 +1,6 @@
-// What every part of the request handling works with: references to the parts
-// of one controller that requests are answered from. Owns nothing; all of it
-// lives as long as the controller.
+// References to the components of one controller that the request-handling
+// classes use. The struct owns none of them; each lives as long as the
+// controller.
 #pragma once
 
 #include "app/leader_election.h"
@@ -17,7 +17,7 @@
 
 namespace oxbow::app {
 
-// The parts of one controller that requests are answered from.
+// The components of one controller that are used to handle requests.
 struct RequestContext {
   net::Loop& loop;
   const Settings& settings;
--- a/app/request_forwarder.cc
+++ b/app/request_forwarder.cc
@@ -9,14 +9,15 @@
 using clients::PeerAnswer;
 using clients::PeerMessage;
 
-// Of the workers' lease.
+// The timeout of a probe, as a fraction of the workers' lease.
 constexpr double kProbeTimeoutRatio = 0.06;
-// Of the heartbeat interval: how long a peer that does not answer is left
-// alone, at first and at most.
+// The initial and the longest time between two probes of a peer that does not
+// answer, as fractions of the heartbeat interval.
 constexpr double kPeerRestRatio = 0.1;
 constexpr double kMaxPeerRestRatio = 0.5;
-// Of this controller's share of the key-value store's requests: how many may be
-// forwarded though forwarding has been of no use.
+// How many requests may be forwarded although earlier forwarding has got no
+// answer, as a fraction of this controller's share of the key-value store's
+// request rate.
 constexpr double kFruitlessShare = 0.25;
 
 }  // namespace
@@ -28,27 +29,29 @@
       settings_(settings),
       election_(election),
       peers_(peers),
-      choice_(peers.size(),
-              kPeerRestRatio * settings.workers.heartbeat_interval_seconds,
-              kMaxPeerRestRatio * settings.workers.heartbeat_interval_seconds,
-              kFruitlessShare * settings.store.rps / settings.nodes) {}
+      peer_selector_(
+          peers.size(),
+          kPeerRestRatio * settings.workers.heartbeat_interval_seconds,
+          kMaxPeerRestRatio * settings.workers.heartbeat_interval_seconds,
+          kFruitlessShare * settings.store.rps / settings.nodes) {}
 
 // A controller that alone can't reach the key-value store keeps its users'
-// connections: without forwarding they would get 503 while other controllers
-// could answer. A job is accepted or denied only by the controller that has
-// written or read its record.
+// connections. Without forwarding, these users would get 503 although other
+// controllers could answer them. Only the controller that has written or read a
+// job's record accepts the job or denies that it exists.
 net::Task<PeerMessage> RequestForwarder::AskPeers(PeerMessage message,
                                                   double interval_seconds,
                                                   double timeout_seconds) {
-  if (peers_.empty() || !choice_.MayForwardRequest(loop_.Now())) {
+  if (peers_.empty() || !peer_selector_.MayForwardRequest(loop_.Now())) {
     co_return PeerMessage{};
   }
   message.node = settings_.node;
   auto round = std::make_shared<Round>(loop_);
   const net::Time deadline = loop_.Now() + timeout_seconds;
-  // All of them, until one could answer: if each request asked a single peer in
-  // turn, the requests about one job might always meet those that can't.
-  for (const size_t peer : choice_.PreferenceOrder()) {
+  // Each request asks all peers until one can answer. If each request asked
+  // only a single peer, in rotation, the requests about one job might always
+  // reach peers that can't answer.
+  for (const size_t peer : peer_selector_.PreferenceOrder()) {
     if (round->answered || loop_.Now() >= deadline) break;
     if (!IsResponsive(peer)) continue;
     ++round->asked;
@@ -68,8 +71,8 @@
 }
 
 bool RequestForwarder::IsResponsive(size_t peer) {
-  if (choice_.MayProbe(peer, loop_.Now())) net::Spawn(ProbePeer(peer));
-  return choice_.IsResponsive(peer);
+  if (peer_selector_.MayProbe(peer, loop_.Now())) net::Spawn(ProbePeer(peer));
+  return peer_selector_.IsResponsive(peer);
 }
 
 net::Task<void> RequestForwarder::ProbePeer(size_t peer) {
@@ -83,9 +86,9 @@
 
 void RequestForwarder::RecordOutcome(size_t peer, bool answered) {
   if (answered) {
-    choice_.OnPeerAnswered(peer);
+    peer_selector_.OnPeerAnswered(peer);
   } else {
-    choice_.OnPeerSilent(peer, loop_.Now());
+    peer_selector_.OnPeerSilent(peer, loop_.Now());
   }
 }
 
@@ -97,7 +100,7 @@
   RecordOutcome(peer, answer.ok);
   if (answer.ok && answer.message.answer != PeerAnswer::kNo &&
       !round->answered) {
-    choice_.OnRequestResolved(peer);
+    peer_selector_.OnRequestResolved(peer);
     round->answered = true;
     round->answer = answer.message;
   }
@@ -110,7 +113,8 @@
   const clients::PeerClient* leader = election_.LeaderPeer();
   size_t index = 0;
   while (index < peers_.size() && peers_[index].get() != leader) ++index;
-  // Behind a network partition each request would wait for the leader in vain.
+  // Behind a network partition each request would otherwise wait for an
+  // unreachable leader until its timeout.
   if (index == peers_.size() || !IsResponsive(index)) {
     co_return clients::PeerClient::Answer{};
   }
--- a/app/request_forwarder.h
+++ b/app/request_forwarder.h
@@ -1,9 +1,9 @@
-// Forwards users' requests to the other controllers: to the leader, and, when
-// this one can't reach the key-value store, to whichever can answer. Owns no
-// request; decides only which controllers are asked.
+// Forwards users' requests to other controllers: to the leader or, when this
+// controller can't answer itself, to any peer that can. Decides only which
+// controllers are asked and how long they are waited for.
 //
 // Coroutines hold `this` and copies of messages, and may outlive the call that
-// started them: the forwarder must outlive the event loop's run.
+// started them, so the forwarder must live as long as the event loop runs.
 #pragma once
 
 #include <memory>
@@ -24,12 +24,14 @@
                    LeaderElection& election,
                    const LeaderHealthCoordinator::Peers& peers);
 
-  // Asks one peer after the other until one of them can answer. kNo: none
-  // could. Peers do not forward the message any further.
+  // Asks one peer after the other, at most `interval_seconds` apart, until one
+  // of them can answer. The reply's `answer` is kNo if none could within
+  // `timeout_seconds`. Peers do not forward the message any further.
   net::Task<clients::PeerMessage> AskPeers(clients::PeerMessage message,
                                            double interval_seconds,
                                            double timeout_seconds);
-  // Asks the leader, unless it has not answered lately. Not ok: no answer.
+  // Asks the leader, unless it is known not to respond. The result is not `ok`
+  // if there is no answer.
   net::Task<clients::PeerClient::Answer> AskLeader(clients::PeerMessage message,
                                                    double timeout_seconds);
 
@@ -38,12 +40,13 @@
   struct Round {
     explicit Round(net::Loop& loop) : changed(loop) {}
     net::Event changed;
-    size_t asked = 0;     // peers
-    size_t finished = 0;  // peers, with an answer or without
+    size_t asked = 0;     // peers that were asked
+    size_t finished = 0;  // peers that have answered or failed to
     bool answered = false;
     clients::PeerMessage answer;
   };
-  // Whether the peer may be waited for; if not, has it probed now and then.
+  // Whether requests may wait for the peer. If not, this probes the peer at
+  // intervals.
   bool IsResponsive(size_t peer);
   net::Task<void> ProbePeer(size_t peer);
   net::Task<void> AskPeer(std::shared_ptr<Round> round, size_t peer,
@@ -54,7 +57,7 @@
   const Settings& settings_;
   LeaderElection& election_;
   const LeaderHealthCoordinator::Peers& peers_;
-  PeerSelector choice_;  // by index into peers_
+  PeerSelector peer_selector_;  // identifies peers by their index in peers_
 };
 
 }  // namespace oxbow::app
--- a/app/terminal_state_waiters.h
+++ b/app/terminal_state_waiters.h
@@ -1,5 +1,5 @@
-// Requests that wait for a job's terminal state to be recorded. Belongs to the
-// leader's runtime.
+// Lets requests wait until a job's terminal state is recorded. Owned by
+// LeaderRuntime.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace oxbow::app {
 
-// The waiters of one leader's runtime, by job.
+// The waiting requests of one LeaderRuntime, by job.
 class TerminalStateWaiters {
  public:
   struct Waiter {
@@ -24,10 +24,11 @@
 
   explicit TerminalStateWaiters(net::Loop& loop) : loop_(loop) {}
 
-  // The waiter counts until it is notified or removed; the caller shares it.
+  // Registers a waiter, which the caller shares. It stays registered until it
+  // is notified or removed.
   std::shared_ptr<Waiter> Add(const std::string& job_id);
   void Remove(const std::string& job_id, const std::shared_ptr<Waiter>& waiter);
-  // Wakes all that wait for the job.
+  // Wakes and unregisters all waiters of the job.
   void Notify(const JobTerminated& terminated);
 
  private:
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -11,24 +11,29 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-// Shares of the workers' lease. A worker behind a partition has few attempts
-// before its lease expires: controllers inside must be ready by the first.
+// Intervals and timeouts as fractions of the workers' lease. A worker behind a
+// partition has few attempts before its lease expires, so the controllers on
+// its side must be able to renew the lease at the first one.
 constexpr double kDelegationIntervalRatio = 0.03;
 constexpr double kPeerTimeoutRatio = 0.06;
-constexpr double kNeighbourIntervalRatio = 0.05;
-constexpr double kNeighbourValidityRatio = 0.15;
+constexpr double kPeerProbeIntervalRatio = 0.05;
+constexpr double kZoneDelegateValidityRatio = 0.15;
 constexpr double kIsolationRatio = 0.2;
-// How long a controller counts as active after it has asked the leader.
+// How long a controller counts as active after it has asked the leader for a
+// delegated lease.
 constexpr double kPeerActivityRatio = 0.25;
-// The least time between two redirections of one worker.
+// The shortest time between two redirections of one worker.
 constexpr double kRedirectIntervalRatio = 4;
-// Of the 4 s that a worker waits for its answer (protocol, "Workers ->
-// controller nodes"): for the leader, and then for the key-value store.
+// Parts of the 4 s that a worker waits for its answer (protocol, "Workers ->
+// controller nodes"): the first wait for the leader, the total wait for the
+// leader, and the wait for a probe of the key-value store in between.
 constexpr double kFirstWaitSeconds = 1.2;
 constexpr double kForwardTimeoutSeconds = 3.4;
 constexpr double kStoreProbeTimeoutSeconds = 1.6;
+// How often a coroutine checks whether the probe has ended.
 constexpr double kProbePollSeconds = 0.1;
-// Heartbeats of a worker that are answered before it is redirected.
+// The number of the heartbeat, among those of one worker, from which on the
+// worker may be redirected.
 constexpr int kHeartbeatsBeforeRedirect = 2;
 
 uint32_t Milliseconds(double seconds) {
@@ -64,7 +69,7 @@
   if (!enabled_ || DelegatedLeaseTerm(settings_.workers) <= 0) return;
   net::Spawn(RequestDelegationLoop());
   net::Spawn(lease_record_writer_.Run());
-  net::Spawn(ProbeNeighboursLoop());
+  net::Spawn(ProbePeersLoop());
 }
 
 PeerMessage ZoneCoordinator::MakeMessage(PeerKind kind) const {
@@ -81,8 +86,9 @@
   for (;;) {
     const net::Time now = loop_.Refresh();
     if (const Leader* leader = callbacks_.active_leader()) {
-      // The next leader starts after the leader lease has expired, and accounts
-      // for what this one may do from then, as if it had been granted.
+      // The leader grants itself a delegated lease. The next leader starts
+      // after the leader lease has expired, and allows for renewals by this
+      // controller from then on as if the lease had been granted to it.
       leader_answered_at_ = now;
       if (leader->ZoneMayBeDelegated(settings_.zone, now)) {
         delegated_lease_.OnGranted(now);
@@ -109,7 +115,7 @@
     delegated_lease_.OnGranted(sent);
 }
 
-net::Task<void> ZoneCoordinator::ProbeNeighboursLoop() {
+net::Task<void> ZoneCoordinator::ProbePeersLoop() {
   const double lease_seconds = settings_.workers.lease_seconds;
   for (;;) {
     if (!IsCutOff()) {
@@ -118,15 +124,15 @@
       cut_off_since_ = loop_.Refresh();
     }
     if (IsCutOff() || LeaderUnknown()) {
-      for (const auto& peer : peers_) net::Spawn(ProbeNeighbour(peer.get()));
+      for (const auto& peer : peers_) net::Spawn(ProbeOnePeer(peer.get()));
     }
-    co_await loop_.Sleep(kNeighbourIntervalRatio * lease_seconds);
+    co_await loop_.Sleep(kPeerProbeIntervalRatio * lease_seconds);
   }
 }
 
-// The question is the request for a delegated lease: a leader that grants it
-// does no harm.
-net::Task<void> ZoneCoordinator::ProbeNeighbour(clients::PeerClient* peer) {
+// The probe is a request for a delegated lease. If the peer leads and grants
+// it, that does no harm.
+net::Task<void> ZoneCoordinator::ProbeOnePeer(clients::PeerClient* peer) {
   const double lease_seconds = settings_.workers.lease_seconds;
   const net::Time sent = loop_.Refresh();
   const auto answer = co_await peer->Ask(MakeMessage(PeerKind::kDelegateZone),
@@ -135,8 +141,9 @@
   peer_answered_at_ = loop_.Now();
   const bool may_renew = answer.message.done > 0;
   if (may_renew && IsInZone(peer->name(), settings_.zone)) {
-    neighbour_ = peer->name();
-    neighbour_valid_until_ = sent + kNeighbourValidityRatio * lease_seconds;
+    zone_delegate_ = peer->name();
+    zone_delegate_valid_until_ =
+        sent + kZoneDelegateValidityRatio * lease_seconds;
   }
 }
 
@@ -150,12 +157,13 @@
 
 std::string ZoneCoordinator::DelegateInZone() const {
   const bool needed = IsCutOff() || LeaderUnknown();
-  return needed && loop_.Now() < neighbour_valid_until_ ? neighbour_
-                                                        : std::string();
+  return needed && loop_.Now() < zone_delegate_valid_until_ ? zone_delegate_
+                                                            : std::string();
 }
 
-// A controller that has just started inside a partition waits in vain for the
-// key-value store: its neighbour knows of the partition sooner.
+// A controller that has just started behind a partition cannot reach the
+// key-value store and so learns of no leader; another controller of its zone
+// knows of the partition sooner.
 bool ZoneCoordinator::LeaderUnknown() const {
   return callbacks_.leader_peer() == nullptr &&
          callbacks_.active_leader() == nullptr;
@@ -177,7 +185,7 @@
     probing_ = true;
     net::Spawn(SendStoreProbe());
   }
-  // Several coroutines may wait for one probe.
+  // Several coroutines may wait for the same probe.
   const net::Time deadline = loop_.Now() + kStoreProbeTimeoutSeconds;
   while (probing_ && loop_.Now() < deadline) {
     co_await loop_.Sleep(kProbePollSeconds);
@@ -221,8 +229,9 @@
   const auto pending = std::make_shared<PendingAnswer>(loop_);
   net::Spawn(AskLeader(leader, std::move(message), pending));
   if (!co_await pending->done.Wait(kFirstWaitSeconds)) {
-    // The cause may be a partition round both zones, or a busy leader: then the
-    // worker had better wait than start anew with the leader itself.
+    // The cause may be a partition around both zones, or a busy leader. If the
+    // leader is busy, it is better for the worker to wait here than to send its
+    // heartbeat again to the leader itself.
     leader_failed_at_ = std::max(leader_failed_at_, sent);
     co_await ProbeStore();
     if (IsCutOff()) co_return forwarded;
@@ -230,8 +239,8 @@
         std::max(0.0, sent + kForwardTimeoutSeconds - loop_.Refresh()));
   }
   if (!pending->answer.ok) {
-    // A refused connection is noticed at once: the worker reaches the leader
-    // itself, or finds another controller.
+    // A refused connection is noticed at once, so there is time for the worker
+    // to reach the leader itself or another controller.
     leader_failed_at_ = std::max(leader_failed_at_, sent);
     co_return forwarded;
   }
@@ -259,22 +268,22 @@
 std::string ZoneCoordinator::RedirectTargetFor(const Heartbeat& heartbeat,
                                                uint64_t revision) {
   if (!enabled_ || heartbeat.zone == settings_.zone) return {};
-  if (visitors_revision_ != revision) {
-    visitors_revision_ = revision;
-    visitors_.clear();
+  if (remote_workers_revision_ != revision) {
+    remote_workers_revision_ = revision;
+    remote_workers_.clear();
   }
   const net::Time now = loop_.Now();
-  Visitor& visitor = visitors_[heartbeat.host];
-  // Not before the worker has been answered here, and not soon again: the
-  // controllers of its zone may have sent it back.
-  if (++visitor.heartbeats < kHeartbeatsBeforeRedirect ||
-      now - visitor.redirected_at <
+  RemoteWorker& remote_worker = remote_workers_[heartbeat.host];
+  // A worker is redirected only after it has been answered here, and not again
+  // soon: the controllers of its zone may have sent it back.
+  if (++remote_worker.heartbeats < kHeartbeatsBeforeRedirect ||
+      now - remote_worker.redirected_at <
           kRedirectIntervalRatio * settings_.workers.lease_seconds) {
     return {};
   }
   const std::vector<std::string> active = ActiveControllersIn(heartbeat.zone);
   if (active.empty()) return {};
-  visitor.redirected_at = now;
+  remote_worker.redirected_at = now;
   return active[std::hash<std::string>{}(heartbeat.host) % active.size()];
 }
 
@@ -282,8 +291,9 @@
   const bool store_unreachable =
       store_.Failing() || store_failed_at_ > store_.last_good();
   if (!enabled_ || !store_unreachable) return false;
-  // This controller's own name in the leader key is that of an earlier
-  // incarnation, or of a leadership that it could not renew.
+  // If the leader key names this controller although it does not lead, the key
+  // is that of an earlier incarnation or of a leadership that could not be
+  // renewed.
   if (callbacks_.leader_peer() == nullptr) {
     return callbacks_.active_leader() == nullptr;
   }
@@ -326,8 +336,7 @@
                          kPeerTimeoutRatio * settings_.workers.lease_seconds);
   const PeerMessage& message = answer.message;
   if (!answer.ok || message.answer != PeerAnswer::kYes) co_return;
-  // On the wire one more than the time, 0 for never; the core takes -1 for
-  // never.
+  // `done` is the time in ms plus 1, or 0 for never; Leader takes -1 for never.
   const double renewed_ago_seconds =
       message.done == 0 ? -1 : Seconds(message.done - 1);
   callbacks_.deliver(revision, [&](Leader& leader) {
@@ -361,7 +370,7 @@
   const net::Time now = loop_.Refresh();
   Leader* leader = callbacks_.active_leader();
   if (leader == nullptr) {
-    // A neighbour that has restarted may send its workers here.
+    // A controller of this zone that has restarted may send its workers here.
     reply->done = IsCutOff() && delegated_lease_.Holds(now) ? 1 : 0;
     return;
   }
