--- a/app/leader_election.h
+++ b/app/leader_election.h
@@ -86,9 +86,10 @@
   // Gives up the leader key and ends this controller's leadership, if it has
   // one. `reason` is logged.
   void StepDown(const std::string& reason);
-  // Must be called when the key-value store has lost data. A leader that this
-  // controller cannot see may still hold a valid lease, so this controller
-  // waits before it campaigns again.
+  // Must be called when the key-value store has lost data. The key of a leader
+  // may be among the lost data. Before this controller campaigns again, all
+  // others must have told their roles, or the longest promise must have
+  // expired.
   void OnStoreLoss();
   // Must be called when another controller has opened a new store epoch.
   void OnLaterEpoch();
@@ -116,8 +117,9 @@
 
   // --- renewing workers' leases while nobody leads
   // Whether this controller may answer, without commands, the heartbeat of a
-  // worker that has seen a token of `term`. Calling this while there is no
-  // leader also causes this controller to request the others' promises.
+  // worker that has seen a token of `term`. A call may also report an
+  // unanswered worker to DelegationRequester, which then requests the other
+  // controllers' promises.
   bool MayRenewWorkerLeases(uint64_t term);
 
  private:
--- a/app/leader_runtime.cc
+++ b/app/leader_runtime.cc
@@ -159,7 +159,7 @@
   } catch (const IllegalTransition& error) {
     logging::Error("illegal state transition in the leader",
                    {{"reason", error.what()}});
-    services_.election.StepDown("the state of its core is inconsistent");
+    services_.election.StepDown("the leader's state is inconsistent");
     return;
   }
   ExecuteActions();
--- a/app/request_forwarder.cc
+++ b/app/request_forwarder.cc
@@ -11,14 +11,14 @@
 
 // The timeout of a probe, as a fraction of the workers' lease.
 constexpr double kProbeTimeoutRatio = 0.06;
-// The initial and the longest time between two probes of a peer that does not
-// answer, as fractions of the heartbeat interval.
-constexpr double kPeerRestRatio = 0.1;
-constexpr double kMaxPeerRestRatio = 0.5;
-// How many requests may be forwarded although earlier forwarding has got no
-// answer, as a fraction of this controller's share of the key-value store's
-// request rate.
-constexpr double kFruitlessShare = 0.25;
+// The initial and the longest back-off from a peer that does not answer, as
+// fractions of the heartbeat interval.
+constexpr double kInitialBackoffRatio = 0.1;
+constexpr double kMaxBackoffRatio = 0.5;
+// The rate at which requests may be forwarded while no peer can resolve them,
+// as a fraction of this controller's share of the key-value store's request
+// rate.
+constexpr double kUnresolvedRequestShare = 0.25;
 
 }  // namespace
 
@@ -31,9 +31,9 @@
       peers_(peers),
       peer_selector_(
           peers.size(),
-          kPeerRestRatio * settings.workers.heartbeat_interval_seconds,
-          kMaxPeerRestRatio * settings.workers.heartbeat_interval_seconds,
-          kFruitlessShare * settings.store.rps / settings.nodes) {}
+          kInitialBackoffRatio * settings.workers.heartbeat_interval_seconds,
+          kMaxBackoffRatio * settings.workers.heartbeat_interval_seconds,
+          kUnresolvedRequestShare * settings.store.rps / settings.nodes) {}
 
 // A controller that alone can't reach the key-value store keeps its users'
 // connections. Without forwarding, these users would get 503 although other
--- a/app/zone_coordinator.cc
+++ b/app/zone_coordinator.cc
@@ -32,9 +32,9 @@
 constexpr double kStoreProbeTimeoutSeconds = 1.6;
 // How often a coroutine checks whether the probe has ended.
 constexpr double kProbePollSeconds = 0.1;
-// The number of the heartbeat, among those of one worker, from which on the
-// worker may be redirected.
-constexpr int kHeartbeatsBeforeRedirect = 2;
+// How many heartbeats a worker must have sent here before it may be redirected,
+// including the current one.
+constexpr int kMinHeartbeatsForRedirect = 2;
 
 uint32_t Milliseconds(double seconds) {
   constexpr double kMaxMilliseconds = 4e9;  // fits into 32 bits
@@ -276,7 +276,7 @@
   RemoteWorker& remote_worker = remote_workers_[heartbeat.host];
   // A worker is redirected only after it has been answered here, and not again
   // soon: the controllers of its zone may have sent it back.
-  if (++remote_worker.heartbeats < kHeartbeatsBeforeRedirect ||
+  if (++remote_worker.heartbeats < kMinHeartbeatsForRedirect ||
       now - remote_worker.redirected_at <
           kRedirectIntervalRatio * settings_.workers.lease_seconds) {
     return {};
