--- a/app/action_executor.cc
+++ b/app/action_executor.cc
@@ -13,10 +13,10 @@
 using clients::StoreStatus;
 using clients::Urgency;
 
-// Of the workers' lease.
+// Fraction of the duration of a worker's lease.
 constexpr double kCommandTimeoutRatio = 0.15;
-// Of the heartbeat interval, before the core hears that a read has failed and
-// asks again.
+// Fraction of the heartbeat interval that passes before the core is told that a
+// read has failed, upon which it reads again.
 constexpr double kReadRetryRatio = 0.2;
 constexpr size_t kMaxHostsInDeletion = 100;
 
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-// One overload for each type of action; a new one without an overload does not
-// compile.
+// Has one overload for each type of action, so that a new action type without
+// an overload does not compile.
 struct ActionExecutor::Dispatch {
   ActionExecutor& executor;
   const LeaderServices& services;
@@ -127,8 +127,9 @@
                                                      uint64_t revision) {
   const std::string host = commands.host;
   const uint64_t batch = commands.batch;
-  // The right to lead is checked last before anything is sent. A named object:
-  // GCC 12 destroys a temporary of an awaited call twice.
+  // Checks immediately before sending that this controller may still act as the
+  // leader. The function is a named object because GCC 12 destroys a temporary
+  // argument of an awaited call twice.
   std::function<bool()> may_send = [this] {
     return callbacks_.active_leader() != nullptr;
   };
@@ -215,8 +216,9 @@
   co_return deleted;
 }
 
-// A missing record is believed only while the store holds its epoch record: one
-// that a store which has lost data lacks may be retained here alone.
+// A record counts as deleted only while the store holds its epoch record. If
+// the store has lost data, a record that it lacks may exist only in the memory
+// of a controller.
 net::Task<bool> ActionExecutor::IsSurelyDeleted(std::string key) {
   RecoveryCoordinator& recovery = services_.recovery;
   StoreCheck check = StoreCheck::kIntact;
@@ -224,17 +226,19 @@
   if (check == StoreCheck::kMissing) {
     recovery.ReportDataLoss(DataLossIndication::kEpochMissing);
   }
-  // A job's record is deleted only together with the write of its terminal
-  // state: one that is missing alone is lost, and a leader that believed it
-  // would forget the job.
+  // A job's record is deleted only in the transaction that writes the job's
+  // terminal state. If the job's record is missing and there is no terminal
+  // state, the record is lost; a leader that treated it as deleted would forget
+  // the job.
   if (check == StoreCheck::kIntact && recovery.IsEnabled()) {
     check = co_await recovery.IsDeleted(key);
   }
   co_return check == StoreCheck::kIntact;
 }
 
-// The records are read in the order in which a job gets them, so that one that
-// changes meanwhile is found. One that is not found proves nothing.
+// Reads the records in the order in which a job goes through them (waiting,
+// live, terminal), so that a job that changes state between two reads is still
+// found. A job that is not found may still exist.
 net::Task<void> ActionExecutor::ReadJobTerminalState(std::string id,
                                                      uint64_t revision) {
   for (const std::string_view prefix :
--- a/app/action_executor.h
+++ b/app/action_executor.h
@@ -1,12 +1,12 @@
-// Carries out what the leader's core asks for: commands to workers, writes and
-// reads of the key-value store, scale-out, deletion of machines, questions to
-// other controllers. One function for each type of action. What comes of an
-// action is delivered to the core as an event.
+// Executes the actions that the leader's core returns: commands to workers,
+// writes to and reads from the key-value store, renting and deleting machines,
+// and requests to other controllers. There is one function for each type of
+// action. The outcome of an action is delivered to the core as an event.
 //
-// Every action is spawned as a coroutine that holds `this`, its action and the
-// revision of the leadership it belongs to: the executor must outlive the event
-// loop's run, and an outcome that arrives after that leadership has ended is
-// dropped by `deliver`.
+// Most actions run as spawned coroutines that hold `this`, the action and the
+// revision of the leadership that the action belongs to. The executor must
+// therefore outlive the event loop's run, and `deliver` drops an outcome that
+// arrives after that leadership has ended.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +29,8 @@
 
 namespace oxbow::app {
 
-// The parts of one controller that a leader acts through. Owns nothing.
+// References to the components of one controller through which a leader acts.
+// Owns none of them.
 struct LeaderServices {
   net::Loop& loop;
   const Settings& settings;
@@ -43,21 +44,23 @@
   RecoveryCoordinator& recovery;
 };
 
-// What remains to be done after a batch of actions, once the core has no more.
+// What the caller must still do after a batch of actions, once the core returns
+// no further actions.
 struct ActionSummary {
   std::vector<std::string> hosts_to_delete;
   std::string resign_reason;  // empty: the leader does not resign
   bool prefer_other_candidates =
-      false;  // resigns because others are fitter to lead
+      false;  // whether another controller should become the leader instead
 };
 
 // Executes the actions of this controller's leaderships.
 class ActionExecutor {
  public:
   struct Callbacks {
-    // The core, if this controller may act as the leader now; else null.
+    // Returns the core if this controller may act as the leader now, else null.
     std::function<Leader*()> active_leader;
-    // Hands an event to the core, if that leadership has not ended.
+    // Delivers an event to the core, unless the leadership of this revision has
+    // ended.
     std::function<void(uint64_t revision, const std::function<void(Leader&)>&)>
         deliver;
   };
@@ -66,11 +69,13 @@
                  TerminalStateWaiters& terminal_state_waiters,
                  Callbacks callbacks);
 
-  // Starts what the action asks for, or adds it to the summary.
+  // Starts the action, or adds it to the summary if the caller must complete
+  // it.
   void Execute(Action action, uint64_t revision, ActionSummary* summary);
-  // Deletes these machines, in requests of a bounded size.
+  // Deletes these machines through the cloud API, in requests of bounded size.
   void DeleteHosts(const std::vector<std::string>& hosts, uint64_t revision);
-  // The leadership has ended: connections to workers are closed.
+  // Closes the connections to workers and the health checks' connections.
+  // Called when the leadership has ended.
   void Clear();
   net::HttpClientPool::Counters worker_requests() const {
     return workers_.counters();
@@ -87,10 +92,11 @@
                                         uint64_t revision);
   net::Task<void> ReadStoreKeys(ReadKeys read, uint64_t revision);
   net::Task<void> ReadFenceKey(ReadFence read, uint64_t revision);
-  // Takes one record into the catalog; false if it can't be read, or is missing
-  // though the store may have lost data.
+  // Reads one record into the catalog. Returns false if the record cannot be
+  // read, or is missing while the store may have lost data.
   net::Task<bool> ReadStoreKey(std::string key);
-  // Whether a missing record may be believed to be deleted.
+  // Whether a record that the store does not have was certainly deleted, rather
+  // than lost.
   net::Task<bool> IsSurelyDeleted(std::string key);
   net::Task<void> ReadJobTerminalState(std::string id, uint64_t revision);
   net::Task<void> RequestMachines(RequestScaleOut request, uint64_t revision);
--- a/app/delegated_lease_record_writer.cc
+++ b/app/delegated_lease_record_writer.cc
@@ -10,7 +10,8 @@
 using clients::StoreStatus;
 using clients::Urgency;
 
-// Shares of the workers' lease.
+// Fractions of the duration of a worker's lease: the pause between two steps,
+// and the time-out of a renewal request.
 constexpr double kIntervalRatio = 0.1;
 constexpr double kRenewalTimeoutRatio = 0.1;
 
@@ -31,8 +32,8 @@
   for (;;) {
     const RecordStep before = record_.step();
     co_await Advance();
-    // One step follows another at once; after a failure, and while the record
-    // only needs renewal, there is a pause.
+    // The next step follows at once if this one succeeded. After a failure, and
+    // while the record only needs to be renewed, the loop pauses.
     const bool advanced = record_.step() != before &&
                           before != RecordStep::kWrite &&
                           record_.step() != RecordStep::kRenew;
--- a/app/delegated_lease_record_writer.h
+++ b/app/delegated_lease_record_writer.h
@@ -1,8 +1,10 @@
 // Keeps the record of this controller's delegated lease in the key-value store,
-// under a store lease, so that the record ends by itself once it is no longer
-// renewed. What is done next is decided by DelegatedLeaseRecord.
+// under a store lease, so that the store deletes the record once this
+// controller no longer renews it. DelegatedLeaseRecord decides which step comes
+// next; this class sends the requests.
 //
-// Run() holds `this`: the writer must outlive the event loop's run.
+// The coroutine Run() holds `this`, so the writer must outlive the event loop's
+// run.
 #pragma once
 
 #include <string>
@@ -16,7 +18,7 @@
 
 namespace oxbow::app {
 
-// Writes the record of one delegated lease.
+// Writes and renews the record of one delegated lease.
 class DelegatedLeaseRecordWriter {
  public:
   DelegatedLeaseRecordWriter(net::Loop& loop, const Settings& settings,
@@ -24,11 +26,11 @@
                              std::string process_incarnation,
                              DelegatedLease& delegated_lease);
 
-  // Reads, writes and renews the record, for ever.
+  // Reads, writes and renews the record. Never returns.
   net::Task<void> Run();
 
  private:
-  // One request to the store.
+  // Sends the one store request that the current step of the record requires.
   net::Task<void> Advance();
   net::Task<void> ReadRecord();
   net::Task<void> CreateLease();
--- a/app/dependency_admission.cc
+++ b/app/dependency_admission.cc
@@ -16,8 +16,8 @@
 net::Task<DependencyState> DependencyAdmission::Check(
     std::shared_ptr<const JobSpec> spec) {
   if (spec->dependencies.empty()) co_return DependencyState::kNoDependencies;
-  // An earlier version would answer 404 for a waiting job, or, sent the same
-  // submission, start it at once.
+  // A controller of a version without dependencies would answer 404 for a
+  // waiting job or, if it received the same submission, start the job at once.
   if (!callbacks_.all_support_dependencies()) {
     co_return DependencyState::kUnknown;
   }
@@ -40,8 +40,8 @@
     double wall_seconds) {
   Acceptance acceptance;
   const std::string& id = spec->id;
-  // Whatever the job's record is by now: an acceptance that arrives late finds
-  // that the job is waiting, live or terminated.
+  // The job must have no record of any kind, so that an acceptance that arrives
+  // late fails if the job is already waiting, live or terminated.
   for (const std::string_view prefix :
        {keys::kWaiting, keys::kJob, keys::kTerminal}) {
     acceptance.preconditions.push_back({keys::Of(prefix, id), 0});
--- a/app/dependency_admission.h
+++ b/app/dependency_admission.h
@@ -1,10 +1,10 @@
-// Whether a job that depends on others may be accepted, and what its acceptance
-// writes. A job names only jobs that were accepted before it and is accepted
-// under the condition that it is not known itself, so no job can depend on
-// itself through others. Owns no state.
+// Decides whether a job that depends on other jobs may be accepted, and builds
+// the transaction that accepts it. A job may only depend on jobs that were
+// accepted before it, and it is accepted only if its own id is not in use yet.
+// Dependencies therefore cannot form a cycle. Owns no state.
 //
-// Check() holds `this` and its arguments across reads: the object must outlive
-// the event loop's run.
+// The coroutine Check() holds `this` and its arguments while it reads from the
+// store, so the object must outlive the event loop's run.
 #pragma once
 
 #include <cstdint>
@@ -20,43 +20,46 @@
 
 namespace oxbow::app {
 
-// What a read of a record, or of all records of one job, has shown.
+// Whether a read found the record, or any record of one job; kUnknown if the
+// read could not tell.
 enum class RecordPresence : uint8_t { kPresent, kMissing, kUnknown };
 
 // The state of the jobs that a submission depends on.
 enum class DependencyState : uint8_t {
   kNoDependencies,
-  kAllDone,        // each is recorded as done: the job need not wait
-  kPending,        // all were accepted, not all are done
-  kNeverAccepted,  // one was not, by a fresh read
-  kUnknown,        // can't be determined now
+  kAllDone,        // all are recorded as done, so the job need not wait
+  kPending,        // all were accepted, but not all are done
+  kNeverAccepted,  // a fresh read showed that one was never accepted
+  kUnknown,        // cannot be determined now
 };
 
-// The compare-and-swap that accepts a job: it is not known yet, and now it is.
+// The compare-and-swap that accepts a job: it creates the job's first record
+// under the preconditions that the job has no record yet.
 struct Acceptance {
   std::string key;
   Record record;
   std::vector<Precondition> preconditions;
-  bool waits = false;  // for its dependencies
+  bool waits = false;  // whether the job waits for its dependencies
 };
 
-// Decides whether a job may be accepted by its dependencies.
+// Decides whether the dependencies of a job allow the job to be accepted.
 class DependencyAdmission {
  public:
   struct Callbacks {
-    // Whether no controller runs a version that ignores dependencies.
+    // Whether every controller runs a version that supports dependencies.
     std::function<bool()> all_support_dependencies;
-    // Reads afresh whether the job was accepted.
+    // Reads from the store whether the job was accepted.
     std::function<net::Task<RecordPresence>(std::string id)> read_acceptance;
   };
   DependencyAdmission(const Catalog& catalog, Callbacks callbacks)
       : catalog_(catalog), callbacks_(std::move(callbacks)) {}
 
-  // The state of the submission's dependencies; reads those that are not known
-  // here from the store.
+  // Returns the state of the job's dependencies. Reads from the store those
+  // jobs that are not in the catalog.
   net::Task<DependencyState> Check(std::shared_ptr<const JobSpec> spec);
 
-  // What accepts the job at that wall clock time (s since the epoch).
+  // Builds the write that accepts the job at this wall-clock time (s since the
+  // Unix epoch).
   static Acceptance BuildAcceptance(std::shared_ptr<const JobSpec> spec,
                                     DependencyState dependencies,
                                     double wall_seconds);
--- a/app/store_watcher.cc
+++ b/app/store_watcher.cc
@@ -13,8 +13,8 @@
 using clients::StoreStatus;
 
 constexpr double kWatchBlockSeconds = 10;
-// Records taken into the catalog between two turns of the event loop: a page of
-// a listing.
+// The number of records put into the catalog before the coroutine yields to the
+// event loop: one page of a listing.
 constexpr size_t kRecordsAtOnce = 500;
 
 }  // namespace
@@ -46,15 +46,17 @@
 }
 
 void StoreWatcher::Reread() {
-  // The watch in flight waits for revisions that may never come.
+  // The watch request in flight waits for revisions that the store of a new
+  // epoch may never reach, so a new loop starts without waiting for it.
   ++generation_;
   synced_ = false;
   net::Spawn(WatchLoop(generation_));
 }
 
-// The keys of an epoch come before all others, so the first page holds them.
-// Without this check a controller that reads an empty store would take its
-// retained records, perhaps the last ones there are, for outdated.
+// The key of the epoch record sorts before all other keys, so the first page
+// contains it. Without this check, a controller that lists an emptied store
+// would treat the records that it retains in memory as deleted, although they
+// may be the last copies.
 bool StoreWatcher::IsOfKnownEpoch(
     const std::vector<clients::KeyValue>& first_page) const {
   const StoreEpoch& known = catalog_.epoch();
@@ -98,8 +100,8 @@
       callbacks_.on_other_epoch();
       co_return false;
     }
-    // The watch goes on from the first page: what changed between the pages is
-    // delivered again.
+    // The watch continues from the revision of the first page, so that it also
+    // delivers changes made while the later pages were read.
     if (revision == 0) revision = page.revision;
     for (const clients::KeyValue& item : page.items) listed.insert(item.key);
     const bool is_last = !page.more || page.items.empty();
@@ -133,7 +135,7 @@
 }
 
 net::Task<void> StoreWatcher::Watch(uint64_t generation) {
-  // The answer is at most as old as its request.
+  // The answer reflects the store at or after the time of the request.
   const net::Time asked_at = loop_.Refresh();
   StoreResult changes = co_await store_.Watch(
       std::string(keys::kLive), catalog_.watched_revision(),
@@ -158,7 +160,7 @@
 net::Task<void> StoreWatcher::MachineTypesLoop() {
   const double retry_seconds =
       0.5 * settings_.workers.heartbeat_interval_seconds;
-  // Prices change.
+  // The types are read again regularly because prices change.
   const double refresh_seconds = 6 * settings_.workers.lease_seconds;
   for (;;) {
     const clients::CloudClient::Types answer = co_await cloud_.GetTypes();
--- a/app/store_watcher.h
+++ b/app/store_watcher.h
@@ -1,11 +1,11 @@
-// Keeps the catalog up to date with the live records of the key-value store,
-// by a listing and then one watch, and reads the cloud's machine types. Only
-// this class writes the catalog's records; everything else reads them. Decides
-// nothing.
+// Keeps the catalog up to date with the live records of the key-value store:
+// lists them once and then follows one watch. Also polls the cloud API for its
+// machine types. Only this class writes the catalog's live records; other
+// components hand over records that they read or wrote through Apply().
 //
-// Coroutines: Start() and Reread() spawn detached loops that use this object,
-// which therefore lives as long as the event loop. A loop whose generation has
-// passed ends at its next resumption.
+// Start() and Reread() spawn detached coroutines that use this object, so it
+// must live as long as the event loop. Reread() begins a new generation; a
+// watch loop of an earlier generation ends at its next resumption.
 #pragma once
 
 #include <functional>
@@ -19,16 +19,17 @@
 
 namespace oxbow::app {
 
-// Follows the store and the cloud for one controller.
+// Follows the key-value store and the cloud API for one controller.
 class StoreWatcher {
  public:
   struct Callbacks {
     // A record has been taken into the catalog.
     std::function<void(const std::string& key)> on_record;
-    // The catalog is as new as the latest answer of the store.
+    // The catalog holds everything that the store's latest answer contained.
     std::function<void()> on_caught_up;
     std::function<void(const std::vector<MachineType>&)> on_machine_types;
-    // A listing is not of the epoch that is known.
+    // A listing belongs to another store epoch than the one in the catalog, or
+    // contains no epoch record.
     std::function<void()> on_other_epoch;
   };
   StoreWatcher(net::Loop& loop, const Settings& settings,
@@ -36,18 +37,20 @@
                Catalog& catalog, Callbacks callbacks);
   void Start();
 
-  // Takes a record that was read or written into the catalog, whoever did it.
-  // monostate: the key does not exist.
+  // Puts a record that any component has read or written into the catalog. A
+  // std::monostate record means that the key does not exist in the store.
   void Apply(const std::string& key, const Record& record,
              uint64_t mod_revision);
 
-  // Reads everything from the beginning, as for a new epoch.
+  // Ends the current watch and lists all live records again, as is necessary
+  // after a change of the store epoch.
   void Reread();
 
-  // Whether the watch goes on from a complete listing.
+  // Whether a complete listing has been read that the watch can continue from.
   bool synced() const { return synced_; }
   bool ever_synced() const { return ever_synced_; }
-  // All that the store held at that time has been taken into the catalog.
+  // The catalog holds everything that the store held at this time (event loop
+  // time, s).
   net::Time confirmed() const { return confirmed_; }
   const std::map<std::string, MachineType>& types() const { return types_; }
 
@@ -55,16 +58,18 @@
   enum class ApplyOutcome : uint8_t { kApplied, kGenerationPassed };
 
   net::Task<void> WatchLoop(uint64_t generation);
-  // One listing of everything; whether it was complete.
+  // Lists all live records once. Returns whether the listing is complete.
   net::Task<bool> Resync(uint64_t generation);
-  // One request of the watch.
+  // Sends one watch request and applies the changes that it returns.
   net::Task<void> Watch(uint64_t generation);
-  // A record of a new epoch starts another generation, which reads everything
-  // again. The event loop goes on after a bounded number of records, but not
-  // between those of one transaction.
+  // Puts the records into the catalog. Stops when a record of a new store epoch
+  // begins another generation, which lists everything again. Yields to the
+  // event loop after a bounded number of records, but never between the records
+  // of one transaction.
   net::Task<ApplyOutcome> ApplyAll(std::vector<clients::KeyValue> items,
                                    uint64_t generation);
-  // Whether a listing that begins with these is of the epoch that is known.
+  // Whether the listing with this first page belongs to the store epoch in the
+  // catalog or to a later one. True if the catalog has no epoch yet.
   bool IsOfKnownEpoch(const std::vector<clients::KeyValue>& first_page) const;
   net::Task<void> MachineTypesLoop();
   double RetryPauseSeconds() const {
@@ -82,7 +87,7 @@
   uint64_t generation_ = 0;
   bool synced_ = false;
   bool ever_synced_ = false;
-  // Before the first listing: long ago.
+  // Before the first listing this is a time in the distant past.
   net::Time confirmed_ = -1e9;
 };
 
--- a/app/worker_heartbeat_handler.cc
+++ b/app/worker_heartbeat_handler.cc
@@ -21,8 +21,8 @@
   leader_runtime.Deliver(active->revision(), [&](Leader& leader) {
     response = leader.OnHeartbeat(heartbeat, context_.loop.Now());
   });
-  // The heartbeat may have ended this leadership; and a copy of an earlier one
-  // is not answered.
+  // The heartbeat may have ended this leadership, and a repeated copy of an
+  // earlier heartbeat is not answered.
   if (!leader_runtime.is_leading() || response.refused || response.withheld) {
     return std::nullopt;
   }
@@ -78,8 +78,9 @@
   }
   api::HeartbeatAnswer answer;
   if (renewal == Renewal::kYes) {
-    // Answered with the token that the worker knows, and without commands: its
-    // lease is renewed, and the next leader counts from its own start.
+    // The response contains the worker's own fencing token and no commands. It
+    // renews the worker's lease; the next leader measures the lease from the
+    // start of its own leadership.
     answer.response.token = heartbeat.token;
     answer.result = Result::kAnswered;
     return answer;
@@ -95,8 +96,9 @@
                                                    Renewal renewal) const {
   const ZoneCoordinator& zone_coordinator = context_.zone_coordinator;
   const Catalog& catalog = context_.catalog;
-  // A worker that is sent to a controller it can't reach loses its time there.
-  // One that a leader reaches, of the term known here, is sent to that leader.
+  // A worker that is redirected to a controller that it cannot reach loses
+  // lease time there. A worker is redirected to the leader if the leader of the
+  // term known here reaches it, or if this controller is not cut off.
   const bool leader_reaches_worker =
       renewal == Renewal::kRedirected &&
       TermOfToken(heartbeat.token) ==
