--- a/app/calendar_records.cc
+++ b/app/calendar_records.cc
@@ -51,30 +51,31 @@
 }
 
 void PublishMaintenanceWindow(const Catalog& catalog, const std::string& name,
-                              Leader& controller, Time now) {
+                              Leader& leader, Time now) {
   if (!IsBooking(name)) return;
   const auto it = catalog.operator_records().find(name);
-  // A record that is missing proves nothing: the last known holds.
+  // A missing record does not mean that the booking was withdrawn, so the
+  // version that the leader already has stays in force.
   if (it == catalog.operator_records().end()) return;
   const OperatorRecord& record = it->second;
   if (record.withdrawn) {
-    controller.OnMaintenanceWindowWithdrawn(IdOf(name), record.version, now);
+    leader.OnMaintenanceWindowWithdrawn(IdOf(name), record.version, now);
     return;
   }
   MaintenanceWindow booking;
   const std::string wrong =
       wire::ReadMaintenanceWindow(IdOf(name), record.text, true, &booking);
   if (wrong.empty()) {
-    controller.OnMaintenanceWindow(booking, record.version, now);
+    leader.OnMaintenanceWindow(booking, record.version, now);
   } else {
     spdlog::error("booking {} can't be read: {}", name, wrong);
   }
 }
 
-void PublishMaintenanceWindows(const Catalog& catalog, Leader& controller,
+void PublishMaintenanceWindows(const Catalog& catalog, Leader& leader,
                                Time now) {
   for (const auto& [name, record] : catalog.operator_records()) {
-    PublishMaintenanceWindow(catalog, name, controller, now);
+    PublishMaintenanceWindow(catalog, name, leader, now);
   }
 }
 
--- a/app/calendar_records.h
+++ b/app/calendar_records.h
@@ -1,5 +1,6 @@
-// Between the operators' records and the leader's calendar: what may be booked,
-// and which records are bookings.
+// Connects the operators' records with the leader's calendar of maintenance
+// windows: validates bookings and passes them to the leader. A booking is an
+// operators' record that describes one maintenance window.
 #pragma once
 
 #include <string>
@@ -9,16 +10,18 @@
 
 namespace oxbow::app {
 
-// Empty when the record may stand; else one line that names the value.
+// Validates the text of a booking. Returns an empty string if the booking is
+// valid, else a one-line error that names the invalid value.
 std::string CheckBooking(const Settings& settings, const Catalog& catalog,
                          const StoreWatcher& watcher, const std::string& name,
                          const std::string& text);
 
-// Tells the leader of the record, if it is a booking. One that can't be read
-// leaves the version known before in force.
+// Passes the record of this name to the leader if it is a booking. If its text
+// cannot be parsed, the version that the leader already has stays in force.
 void PublishMaintenanceWindow(const Catalog& catalog, const std::string& name,
-                              Leader& controller, Time now);
-void PublishMaintenanceWindows(const Catalog& catalog, Leader& controller,
+                              Leader& leader, Time now);
+// Passes all bookings in the catalog to the leader.
+void PublishMaintenanceWindows(const Catalog& catalog, Leader& leader,
                                Time now);
 
 }  // namespace oxbow::app
--- a/app/connection_log.cc
+++ b/app/connection_log.cc
@@ -8,7 +8,7 @@
 namespace oxbow::app {
 namespace {
 
-// Between two looks at the counters.
+// The interval at which the counters are checked, in heartbeat intervals.
 constexpr double kIntervalHeartbeats = 1;
 
 }  // namespace
@@ -37,8 +37,8 @@
       leader_runtime_.worker_requests();
   const uint64_t failures =
       counters.refused + counters.out_of_descriptors + workers.not_sent;
-  if (failures == failures_before_) return;
-  failures_before_ = failures;
+  if (failures == last_failures_) return;
+  last_failures_ = failures;
   LogFields fields = {{"open", counters.open},
                       {"limit", counters.limit},
                       {"accepted", counters.accepted},
--- a/app/connection_log.h
+++ b/app/connection_log.h
@@ -1,5 +1,5 @@
-// Logs how a controller's connections are used while some are refused or can't
-// be opened, for a person on call.
+// Logs the use of a controller's connections whenever connections have been
+// refused or could not be opened, so that an operator on call sees the cause.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace oxbow::app {
 
-// Only reads what it is given, which lives as long as the event loop.
+// Only reads the objects that it is constructed with. They and this object must
+// live as long as the event loop.
 class ConnectionLog {
  public:
   ConnectionLog(net::Loop& loop, const Settings& settings,
@@ -28,7 +29,7 @@
   const net::HttpServer& server_;
   const LeaderRuntime& leader_runtime_;
   const double interval_seconds_;
-  uint64_t failures_before_ = 0;
+  uint64_t last_failures_ = 0;
 };
 
 }  // namespace oxbow::app
--- a/app/controller_node.cc
+++ b/app/controller_node.cc
@@ -15,7 +15,7 @@
 using clients::PeerKind;
 using clients::PeerMessage;
 
-// The text is valid: it was checked when the settings were read.
+// Parsing cannot fail, because ParseSettings() has checked the address.
 net::Address AddressOf(const std::string& text) {
   net::Address address;
   net::ParseAddress(text, &address);
@@ -37,8 +37,8 @@
   return std::to_string((static_cast<uint64_t>(device()) << 32) | device());
 }
 
-// The kinds of operators' records: each subsystem that uses one is registered
-// here with its validation.
+// Returns the kinds of operators' records, each with the validation of the
+// subsystem that uses it.
 std::vector<RecordKind> RecordKinds(const Settings& settings,
                                     const Tuning& tuning,
                                     const Catalog& catalog,
--- a/app/controller_node.h
+++ b/app/controller_node.h
@@ -1,11 +1,13 @@
-// One controller: owns its parts and connects them. Calls run down:
+// One controller: owns its components and connects them. Calls run from left to
+// right:
 //
 //   Api -> JobRequestHandler -> LeaderRuntime -> LeaderElection -> StoreWatcher
 //
-// The coordinators are called by these and call back through callbacks that
-// are wired here. Parts are constructed in the order of the members; each may
-// keep references to those before it, and uses callbacks to later ones only
-// once the controller has started. Not movable: its parts refer to each other.
+// These components also call the coordinators, which report back through
+// callbacks that are set up here. Components are constructed in the order of
+// the members. Each may keep references to the members before it, and calls
+// later members through callbacks only after Start(). A controller is not
+// movable because its components hold references to each other.
 #pragma once
 
 #include <memory>
@@ -31,16 +33,16 @@
 
 namespace oxbow::app {
 
-// One controller of a deployment, as a process runs it.
+// The single controller that a process runs.
 class ControllerNode {
  public:
   ControllerNode(net::Loop& loop, const Settings& settings,
                  const Tuning& tuning);
 
-  // Starts all parts; the event loop does the rest. The controller must outlive
-  // the loop's run.
+  // Starts all components, which then run on the event loop. The controller
+  // must outlive the loop's run.
   void Start();
-  // Null while the machine types are unknown.
+  // Returns the machine types by name, or null while they are unknown.
   const std::map<std::string, MachineType>* Types() {
     return job_request_handler_.MachineTypes();
   }
--- a/app/main.cc
+++ b/app/main.cc
@@ -1,4 +1,4 @@
-// oxbowbank: the program. Subcommands are the operators' toolbox.
+// The oxbowbank program: runs a controller, or one of the operators' commands.
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -20,7 +20,7 @@
 namespace oxbow::app {
 namespace {
 
-constexpr int kBadSettings = 2;
+constexpr int kBadSettings = 2;  // exit status
 
 bool SetUpLog() {
   spdlog::set_default_logger(spdlog::stderr_logger_st("oxbowbank"));
@@ -74,7 +74,7 @@
   }
 }
 
-// What the controller has counted since its start.
+// Prints the counters that the controller has kept since its start.
 void PrintCounters(const rapidjson::Document& doc) {
   std::printf("questions answered: %llu, withheld for %.1f s at the longest\n",
               static_cast<unsigned long long>(json::GetUint(doc, "answered")),
@@ -91,8 +91,9 @@
   }
 }
 
-// Who leads, and what the leader holds back. Not an error when an older
-// controller does not know the question.
+// Prints which controller leads and, if the controller that was asked is the
+// leader, its alarms and what it delays. Prints nothing if there is no valid
+// answer, because a controller of an older version does not have this path.
 net::Task<void> PrintLeader(net::HttpClient& client) {
   constexpr net::Time kTimeout = 2;
   const net::ClientResult answer =
@@ -111,11 +112,11 @@
   std::printf(
       "leases expired of workers that were alive: %llu\n",
       static_cast<unsigned long long>(json::GetUint(doc, "expired_leases")));
-  const auto print = [&doc](const char* field, const char* before) {
+  const auto print = [&doc](const char* field, const char* prefix) {
     const auto* lines = json::Find(doc, field);
     if (lines == nullptr || !lines->IsArray()) return;
     for (const auto& line : lines->GetArray()) {
-      if (line.IsString()) std::printf("%s%s\n", before, line.GetString());
+      if (line.IsString()) std::printf("%s%s\n", prefix, line.GetString());
     }
   };
   print("alarms", "alarm: ");
--- a/app/options.cc
+++ b/app/options.cc
@@ -11,12 +11,13 @@
 namespace oxbow::app {
 namespace {
 
+// One option of the tuning file and the range of its valid values.
 struct Entry {
   const char* block;
   const char* name;
   double Tuning::*field;
-  double least;
-  double most;
+  double min;
+  double max;
 };
 
 constexpr std::array kEntries = {
@@ -65,7 +66,9 @@
     Entry{"tiers", "follow", &Tuning::tiers, 0, 1},
 };
 
-std::string* g_error = nullptr;  // libConfuse's callback carries no context
+// Receives the first error while a file is parsed, else null. A global, because
+// libConfuse passes no context to its error callback.
+std::string* g_error = nullptr;
 
 void OnError(cfg_t* cfg, const char* format, va_list args) {
   if (g_error == nullptr || !g_error->empty()) return;
@@ -81,8 +84,8 @@
   constexpr std::array kBlocks = {
       "placement", "queue",    "leadership", "machines", "limits",
       "rollouts",  "recovery", "tiers",      "calendar", "moves"};
-  constexpr size_t kMostInBlock = 16;
-  std::array<std::array<cfg_opt_t, kMostInBlock>, kBlocks.size()> blocks;
+  constexpr size_t kMaxOptionsPerBlock = 16;
+  std::array<std::array<cfg_opt_t, kMaxOptionsPerBlock>, kBlocks.size()> blocks;
   for (size_t b = 0; b < kBlocks.size(); ++b) {
     size_t n = 0;
     for (const Entry& e : kEntries) {
@@ -113,7 +116,7 @@
   }
   for (const Entry& e : kEntries) {
     const double value = cfg_getfloat(cfg_getsec(cfg.get(), e.block), e.name);
-    if (!(value >= e.least && value <= e.most)) {
+    if (!(value >= e.min && value <= e.max)) {
       return path + ": " + e.block + "." + e.name + " is out of range";
     }
     out->*e.field = value;
--- a/app/options.h
+++ b/app/options.h
@@ -1,5 +1,6 @@
-// Reads the operators' own file: weights and pacing. Its syntax is libConfuse's
-// (named blocks), the nearest kin to HCL among Debian's C and C++ libraries.
+// Reads the operators' tuning file: weights, limits and rates of the scheduler.
+// The file has the syntax of libConfuse (named blocks), which is the closest to
+// HCL among the C and C++ libraries that Debian packages.
 #pragma once
 
 #include <string>
@@ -8,7 +9,8 @@
 
 namespace oxbow::app {
 
-// Returns what is wrong, or nothing.
+// Reads the file into `out`; options that the file does not contain keep their
+// values. Returns an empty string on success, else an error.
 std::string LoadTuning(const std::string& path, Tuning* out);
 
 }  // namespace oxbow::app
--- a/app/record_coordinator.cc
+++ b/app/record_coordinator.cc
@@ -18,9 +18,10 @@
 using clients::Urgency;
 using Result = RecordAnswer::Result;
 
-constexpr size_t kMaxRecords = 1000;  // withdrawn ones too
+constexpr size_t kMaxRecords = 1000;  // including withdrawn records
 constexpr uint64_t kMaxVersionsKept = 20;
-// How long a withdrawn record is kept, so that its versions are not used again.
+// How long a withdrawn record is kept, so that its version numbers are not used
+// again.
 constexpr double kTombstoneSeconds = 24 * 3600;
 
 RecordAnswer MakeAnswer(Result result, std::string why = {}) {
@@ -72,7 +73,8 @@
     answer.record.mod_revision = read.items[0].mod_revision;
     co_return answer;
   }
-  // A record that a store which has lost data lacks may be retained in memory.
+  // If the store has lost data, a record that it lacks may still be retained in
+  // memory and waiting to be written back.
   if (read.status == StoreStatus::kNotFound && callbacks_.may_write() &&
       !catalog_.pending_writes().contains(key)) {
     co_return MakeAnswer(Result::kNotFound);
@@ -149,8 +151,9 @@
   return wire::EncodeRecord(record).size() <= settings_.store.max_value_bytes();
 }
 
-// Written before the change itself, on condition of the version that the change
-// replaces: whatever becomes of the change, these pieces are correct.
+// The pieces are written before the change, under the precondition that the
+// version that the change replaces is still the present one. They are therefore
+// correct even if the change itself fails.
 net::Task<bool> RecordCoordinator::WritePieces(std::string name,
                                                OperatorRecord record) {
   const std::vector<HistoryEntry> pieces =
@@ -172,7 +175,8 @@
   co_return true;
 }
 
-// For a version too old to be kept. Pieces that a failure leaves do no harm.
+// Removes the pieces of a version that is too old to be kept. Pieces that
+// remain after a failed write do no harm.
 net::Task<void> RecordCoordinator::RemovePieces(std::string name,
                                                 uint64_t version) {
   const StoreResult pieces =
@@ -206,7 +210,7 @@
     const RecordAnswer& present, const OperatorRecord& next) {
   const bool absent = present.result == Result::kNotFound;
   if (present.result != Result::kOk && !absent) return present;
-  // The request is a repeated one.
+  // An earlier copy of this request has already been written.
   if (!absent && SameContent(present.record, next)) return present;
   const uint64_t present_version = absent ? 0 : present.record.version;
   if (present_version == next.version - 1) return std::nullopt;
@@ -223,8 +227,9 @@
   OperatorRecord next = NextVersion(name, std::move(change));
   RecordAnswer checked = Check(name, next);
   if (checked.result != Result::kOk) co_return checked;
-  // The present version is read afresh: of two operators who started from the
-  // same version the second gets a conflict.
+  // The present version is read from the store rather than from the catalog, so
+  // that of two operators who change the same version the second gets a
+  // conflict.
   const RecordAnswer current = co_await Get(name);
   std::optional<RecordAnswer> answer = AnswerWithoutWrite(current, next);
   if (answer) co_return *std::move(answer);
@@ -232,7 +237,8 @@
   if (current.result == Result::kOk) present = current.record;
   if (next.withdrawn) {
     next.text = current.record.text;
-    // Recorded when larger values were taken; the version before keeps it.
+    // The text may have been written when the store accepted larger values. It
+    // is then left out here, and the history keeps it in the previous version.
     if (!Fits(next)) next.text.clear();
   }
   std::optional<Transaction> transaction =
@@ -292,7 +298,8 @@
   }
 }
 
-// Another change was first, or the outcome is unknown: read before answering.
+// Another change may have been written first, or this one's outcome is unknown,
+// so the record is read before the request is answered.
 net::Task<RecordAnswer> RecordCoordinator::ReadOutcome(std::string name,
                                                        OperatorRecord next) {
   RecordAnswer current = co_await Get(std::move(name));
--- a/app/record_coordinator.h
+++ b/app/record_coordinator.h
@@ -1,9 +1,9 @@
-// Reads and changes the operators' records. Each change is this controller's
-// own compare-and-swap on the version that it replaces; the leader sees it in
-// the key-value store. Knows nothing of what a record means: the subsystem that
-// uses a kind of record supplies its validation.
+// Reads and changes the operators' records. Any controller writes a change by a
+// compare-and-swap on the version that the change replaces; the leader sees the
+// change in the key-value store. This class does not interpret the records: the
+// subsystem that uses a kind of record supplies the validation.
 //
-// Coroutines hold `this` and copies of their arguments: the coordinator must
+// Coroutines hold `this` and copies of their arguments, so the coordinator must
 // outlive the event loop's run.
 #pragma once
 
@@ -19,12 +19,15 @@
 
 namespace oxbow::app {
 
-// One kind of record, registered in one place (app/controller_node.cc).
+// One kind of operators' record. All kinds are registered in
+// app/controller_node.cc.
 struct RecordKind {
-  // The name, or, with a slash at its end, the prefix of its names.
+  // The name of the only record of this kind or, if it ends with a slash, the
+  // common prefix of the names of all records of this kind.
   std::string name;
   std::string kind;
-  // Empty when the text is valid; else what is wrong, naming the value.
+  // Returns an empty string if the text is valid, else an error that names the
+  // invalid value.
   std::function<std::string(const std::string& name, const std::string& text)>
       check;
 };
@@ -33,15 +36,17 @@
 class RecordCoordinator : public api::RecordService {
  public:
   struct Callbacks {
-    // Takes a record that was read or written into the catalog.
+    // Puts a record that was read or written into the catalog.
     std::function<void(const std::string& key, const Record&,
                        uint64_t mod_revision)>
         apply;
     std::function<bool()> synced;
-    // Ties a write to the store epoch that is known.
+    // Adds the precondition that the store is still in the epoch that the
+    // catalog holds.
     std::function<void(std::vector<Precondition>*)> add_guard;
-    // False while the key-value store may have lost data: a record that it
-    // lacks may be retained in memory, and no version may be given twice.
+    // False while the key-value store may have lost data. A record that the
+    // store lacks may then be retained in memory, and a change could use a
+    // version number that has already been used.
     std::function<bool()> may_write;
   };
 
@@ -66,29 +71,34 @@
   const RecordKind* KindOf(const std::string& name) const;
   OperatorRecord NextVersion(const std::string& name,
                              wire::OperatorChange change) const;
-  // Whether the record is valid, before anything is read.
+  // Validates a change without reading from the store.
   api::RecordAnswer Check(const std::string& name,
                           const OperatorRecord& record) const;
-  // The answer to a change that need not or can't be written.
+  // Returns the answer to a change that need not or cannot be written, or
+  // nothing if the change must be written.
   static std::optional<api::RecordAnswer> AnswerWithoutWrite(
       const api::RecordAnswer& present, const OperatorRecord& next);
-  // What replaces the present version, if any, by the next one; keeps the
-  // present one as an earlier version. Nothing if that one can't be kept now.
+  // Builds the transaction that writes the next version and keeps the present
+  // one, if any, in the history. Returns nothing if the present version cannot
+  // be kept now.
   net::Task<std::optional<Transaction>> BuildTransaction(
       std::string name, std::optional<OperatorRecord> present,
       OperatorRecord next);
   net::Task<api::RecordAnswer> WriteChange(std::string name,
                                            OperatorRecord next,
                                            Transaction transaction);
-  // After a conflict or an unknown outcome.
+  // Reads the record after a write that conflicted or whose outcome is unknown,
+  // and returns the answer to the change.
   net::Task<api::RecordAnswer> ReadOutcome(std::string name,
                                            OperatorRecord next);
-  // Removes an old tombstone beside a change, so that they don't accumulate.
+  // Adds the removal of one old tombstone (the record of a withdrawn name) to
+  // the transaction of another change, so that tombstones do not accumulate.
   void AddTombstoneRemoval(const std::string& changed_name,
                            Transaction* transaction) const;
-  // Whether the key-value store takes a value of that size.
+  // Whether the record is small enough for the key-value store.
   bool Fits(const OperatorRecord& record) const;
-  // Keeps an earlier version that is larger than what may be written now.
+  // Writes an earlier version in pieces, because it is larger than the values
+  // that the store accepts now. Returns whether all pieces were written.
   net::Task<bool> WritePieces(std::string name, OperatorRecord record);
   net::Task<void> RemovePieces(std::string name, uint64_t version);
 
--- a/app/record_history.cc
+++ b/app/record_history.cc
@@ -10,11 +10,13 @@
 namespace oxbow::app {
 namespace {
 
-// The text is JSON as it was written: a quote or a backslash takes two bytes.
-constexpr size_t kMaxEncodedBytes = 2;
+// The number of bytes that one byte of the text takes at most in the encoded
+// record. The text is JSON, in which encoding escapes each quote and backslash.
+constexpr size_t kMaxEncodedBytesPerTextByte = 2;
 constexpr size_t kMinPieceBytes = 8;
 
-// The end of a piece that begins at `from`; no UTF-8 character is divided.
+// Returns the end of the piece that begins at `from`. A piece does not end
+// inside a UTF-8 character.
 size_t EndOfPiece(std::string_view text, size_t from, size_t max_bytes) {
   size_t end = std::min(text.size(), from + max_bytes);
   const auto inside_character = [&](size_t at) {
@@ -48,7 +50,8 @@
     overhead = wire::EncodeRecord(piece).size();
   }
   const size_t capacity = max_bytes > overhead ? max_bytes - overhead : 0;
-  const size_t each = std::max(kMinPieceBytes, capacity / kMaxEncodedBytes);
+  const size_t each =
+      std::max(kMinPieceBytes, capacity / kMaxEncodedBytesPerTextByte);
   std::vector<HistoryEntry> pieces;
   for (size_t from = 0; from < record.text.size();) {
     const size_t end = EndOfPiece(record.text, from, each);
@@ -65,7 +68,7 @@
   for (const clients::KeyValue& item : items) {
     const auto* record = std::get_if<OperatorRecord>(&item.record);
     if (record == nullptr) continue;
-    // The keys of one version follow one another.
+    // The items are sorted by key, so the pieces of one version are adjacent.
     if (!versions.empty() && versions.back().version == record->version) {
       versions.back().text += record->text;
     } else {
--- a/app/record_history.h
+++ b/app/record_history.h
@@ -1,6 +1,6 @@
-// Earlier versions of operators' records, as the key-value store keeps them:
-// each under a key of its own, or, if the store takes no value of that size any
-// more, in pieces under keys below that one. Functions without state.
+// The format in which the key-value store keeps earlier versions of operators'
+// records: each version under a key of its own or, if the store no longer
+// accepts a value of that size, in pieces under keys that begin with that key.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +13,23 @@
 
 namespace oxbow::app {
 
-// One key of the store and the record, or piece of it, at that key.
+// A key of the store and the record, or the piece of a record, under that key.
 struct HistoryEntry {
   std::string key;
   OperatorRecord record;
 };
 
-// The key of an earlier version.
+// Returns the key of an earlier version.
 std::string PastKey(const std::string& name, uint64_t version);
-// The prefix of the keys of that version's pieces.
+// Returns the common prefix of the keys of that version's pieces.
 std::string PiecesPrefix(const std::string& name, uint64_t version);
 
-// The version in values of at most `max_bytes` each: one if it fits.
+// Divides a version into values of at most `max_bytes` each, under the keys
+// where they are stored. Returns a single entry if the whole version fits.
 std::vector<HistoryEntry> PiecesOf(const std::string& name,
                                    const OperatorRecord& record,
                                    size_t max_bytes);
-// The versions whose values are these, sorted by key.
+// Joins the pieces of each version. `items` must be sorted by key.
 std::vector<OperatorRecord> JoinPieces(
     const std::vector<clients::KeyValue>& items);
 
--- a/app/rollout_coordinator.cc
+++ b/app/rollout_coordinator.cc
@@ -16,7 +16,8 @@
 using clients::Urgency;
 using Result = RolloutAnswer::Result;
 
-// Each step rewrites the record, with a reason.
+// Space that a declared record must leave free: each step of the rollout
+// rewrites the record and adds a reason to it.
 constexpr size_t kRecordGrowthBytes = 256;
 constexpr int kMaxAttempts = 3;
 
@@ -66,8 +67,8 @@
 }
 
 net::Task<RolloutAnswer> RolloutCoordinator::ReadFresh(std::string id) {
-  // A rollout changes from the live to the terminal record in one transaction,
-  // so in this order none is missed.
+  // One transaction replaces the live record by the terminal record, so reading
+  // the live record first never misses both.
   for (const std::string_view prefix : {keys::kRollout, keys::kEndedRollout}) {
     const std::string key = keys::Of(prefix, id);
     const StoreResult read = co_await store_.Get(key, Urgency::kUser);
@@ -179,8 +180,9 @@
       written.status != StoreStatus::kUnknown) {
     co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
-  // Known already, perhaps by this very request: its state is the answer. A
-  // rollout of that id with other jobs is a conflict.
+  // A rollout of this id may already exist, perhaps because this request
+  // created it. Its state is then the answer, unless it is a rollout of other
+  // jobs, which is a conflict.
   RolloutAnswer current = co_await ReadFresh(spec->id);
   if (current.result == Result::kOk) {
     const RolloutSpec& recorded = *current.state.record.spec;
@@ -233,8 +235,8 @@
           Result::kImpossible,
           "the record is larger than the state service takes now");
     }
-    // The leader has recorded a step meanwhile, or the outcome is unknown: read
-    // again before answering.
+    // Otherwise the leader has written a step in the meantime or the outcome is
+    // unknown, so the next attempt reads the record again.
     if (written.status == StoreStatus::kNotExecuted) break;
   }
   co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
--- a/app/rollout_coordinator.h
+++ b/app/rollout_coordinator.h
@@ -1,8 +1,8 @@
-// Declares users' rollouts and records their requests (pause, resume, abort) by
-// this controller's own compare-and-swaps in the key-value store; the leader
-// sees them there and carries them out.
+// Declares users' rollouts and records the users' requests (pause, resume,
+// abort). Any controller writes them to the key-value store by
+// compare-and-swap; the leader sees them there and executes them.
 //
-// Coroutines hold `this` and copies of their arguments: the coordinator must
+// Coroutines hold `this` and copies of their arguments, so the coordinator must
 // outlive the event loop's run.
 #pragma once
 
@@ -22,14 +22,15 @@
 class RolloutCoordinator : public api::RolloutService {
  public:
   struct Callbacks {
-    // Takes a record that was read or written into the catalog.
+    // Puts a record that was read or written into the catalog.
     std::function<void(const std::string& key, const Record&,
                        uint64_t mod_revision)>
         apply;
     std::function<bool()> synced;
-    // Ties a write to the store epoch that is known.
+    // Adds the precondition that the store is still in the epoch that the
+    // catalog holds.
     std::function<void(std::vector<Precondition>*)> add_guard;
-    // The leader's core, where this controller leads; null elsewhere.
+    // Returns the leader's core if this controller leads, else null.
     std::function<const Leader*()> leader;
     std::function<double()> now;  // s, steady clock
   };
@@ -47,15 +48,19 @@
   std::optional<std::vector<api::RolloutState>> List() override;
 
  private:
-  // Reads the live record, then the terminal one; kNotFound only after both.
+  // Reads the live record from the store and, if there is none, the terminal
+  // record. Answers kNotFound only if neither exists.
   net::Task<api::RolloutAnswer> ReadFresh(std::string id);
-  // Why the rollout can't be declared, by what is known here.
+  // Returns why the rollout cannot be declared according to the catalog, or
+  // nothing if it can.
   std::optional<api::RolloutAnswer> RejectDeclaration(
       const RolloutSpec& spec) const;
-  // Why it can't run beside the other rollouts.
+  // Returns why the rollout cannot run at the same time as the other rollouts,
+  // or nothing if it can.
   std::optional<api::RolloutAnswer> RejectBesideOthers(
       const RolloutSpec& spec) const;
-  // After a conflict or an unknown outcome of the declaration's write.
+  // Reads the rollout after its declaration could not be written or the outcome
+  // of the write is unknown, and returns the answer to the declaration.
   net::Task<api::RolloutAnswer> ReadOutcome(
       std::shared_ptr<const RolloutSpec> spec, clients::StoreResult written);
   api::RolloutState StateOf(const RolloutRecord& record) const;
--- a/app/settings.cc
+++ b/app/settings.cc
@@ -14,9 +14,10 @@
 namespace oxbow::app {
 namespace {
 
+// Reads typed fields of JSON objects and keeps the first error.
 class Reader {
  public:
-  std::string error;
+  std::string error;  // empty: none
 
   const rapidjson::Value* Object(const rapidjson::Value& parent,
                                  const char* key) {
@@ -43,14 +44,15 @@
       Fail(key, "must be an IPv4 address and a port");
     }
   }
-  // Absent: the default stays.
+  // Reads a number of at least `minimum`. If the field is absent, `out` keeps
+  // its default.
   template <typename Number>
-  void Amount(const rapidjson::Value& parent, const char* key, double least,
+  void Amount(const rapidjson::Value& parent, const char* key, double minimum,
               Number* out) {
     const auto* v = json::Find(parent, key);
     if (v == nullptr) return;
     if (!v->IsNumber() || !std::isfinite(v->GetDouble()) ||
-        v->GetDouble() < least) {
+        v->GetDouble() < minimum) {
       return Fail(key, "must be a number in its range");
     }
     *out = static_cast<Number>(v->GetDouble());
@@ -75,16 +77,18 @@
 
 void ReadStateLimits(const rapidjson::Value& from, Reader& read,
                      StoreSettings* out) {
-  constexpr double kAbove0 = 1e-3;
-  constexpr double kFewestOps = 3;
-  read.Amount(from, "rps", kAbove0, &out->rps);
-  read.Amount(from, "write_rps", kAbove0, &out->write_rps);
-  read.Amount(from, "value_kb", kAbove0, &out->value_kb);
-  read.Amount(from, "txn_ops", kFewestOps, &out->txn_ops);
+  constexpr double kMinPositive = 1e-3;
+  constexpr double kMinTransactionOperations = 3;
+  read.Amount(from, "rps", kMinPositive, &out->rps);
+  read.Amount(from, "write_rps", kMinPositive, &out->write_rps);
+  read.Amount(from, "value_kb", kMinPositive, &out->value_kb);
+  read.Amount(from, "txn_ops", kMinTransactionOperations, &out->txn_ops);
 }
 
-// The service may change from the limits of today to those of `next` at any
-// moment and says nothing, so the smaller of both hold from the start.
+// Reads the limits of the key-value store. The store may change from its
+// present limits to the announced ones (`next`) at any time and without notice,
+// so the smaller of the two applies from the start. Values already stored may
+// still be as large as the larger limit.
 void ReadState(const rapidjson::Value& state, Reader& read,
                StoreSettings* out) {
   ReadStateLimits(state, read, out);
@@ -130,11 +134,11 @@
     objective.times = json::GetDouble(item, "times", 1);
     out->objectives.push_back(objective);
   }
-  constexpr double kAbove0 = 1e-3;
+  constexpr double kMinPositive = 1e-3;
   if (const auto* workers = read.Object(cluster, "workers")) {
-    read.Amount(*workers, "report_s", kAbove0,
+    read.Amount(*workers, "report_s", kMinPositive,
                 &out->workers.heartbeat_interval_seconds);
-    read.Amount(*workers, "lease_s", kAbove0, &out->workers.lease_seconds);
+    read.Amount(*workers, "lease_s", kMinPositive, &out->workers.lease_seconds);
     read.Amount(*workers, "gang_wait_s", 0, &out->workers.gang_wait_seconds);
     read.Amount(*workers, "gang_peer_s", 0, &out->workers.gang_peer_seconds);
     read.Amount(*workers, "cancel_s", 0, &out->workers.cancel_seconds);
@@ -143,7 +147,7 @@
     ReadState(*state, read, &out->store);
   }
   if (const auto* cloud = read.Object(cluster, "cloud")) {
-    read.Amount(*cloud, "rps", kAbove0, &out->cloud.rps);
+    read.Amount(*cloud, "rps", kMinPositive, &out->cloud.rps);
     read.Amount(*cloud, "list_lag_s", 0, &out->cloud.list_lag_seconds);
   }
   if (const auto* limits = json::Find(cluster, "quota")) {
--- a/app/settings.h
+++ b/app/settings.h
@@ -1,4 +1,5 @@
-// Reads the platform's settings file.
+// Reads the platform's settings file, which is in JSON. Unknown fields are
+// ignored.
 #pragma once
 
 #include <string>
@@ -7,8 +8,11 @@
 
 namespace oxbow::app {
 
-// Returns what is wrong, naming the field, or nothing.
+// Parses the text of the settings file. Returns an empty string on success,
+// else an error that names the invalid field; `out` may then be partly filled.
 std::string ParseSettings(const std::string& text, Settings* out);
+// Reads the file and parses it as ParseSettings() does. An error also names the
+// file.
 std::string LoadSettings(const std::string& path, Settings* out);
 
 }  // namespace oxbow::app
--- a/app/status_metrics.h
+++ b/app/status_metrics.h
@@ -1,5 +1,6 @@
-// Counts the questions about jobs that this controller could not answer, by
-// reason, and for how long there has been no answer here about a job.
+// Counts the status requests for jobs that this controller answered and those
+// that it could not answer, the latter by reason. Also measures for how long a
+// job's status has not been answered.
 #pragma once
 
 #include <array>
@@ -12,27 +13,29 @@
 
 namespace oxbow::app {
 
-// Of one controller; on its event loop's thread. Times are the loop's, s.
+// The metrics of one controller. Used only on the thread of its event loop;
+// times are the loop's, in seconds.
 class StatusMetrics {
  public:
   using Counts = std::array<uint64_t, kWithheldReasons>;
 
-  // `log_interval_seconds`: the least time between two log lines.
+  // `log_interval_seconds` is the minimum time between two log lines.
   explicit StatusMetrics(double log_interval_seconds)
       : log_interval_seconds_(log_interval_seconds) {}
 
   void OnAnswered(const std::string& job);
   void OnWithheld(const std::string& job, WithheldReason reason, net::Time now);
 
-  // Since the start of the process.
+  // Counts since the start of the process.
   uint64_t answered() const { return answered_; }
   const Counts& withheld() const { return withheld_; }
-  // For how long the job that has waited longest has had no answer here; 0 if
-  // none waits.
+  // For how long, in seconds, the status of the job that has waited longest has
+  // been withheld by this controller; 0 if no job waits for an answer.
   double OldestWithheldSeconds(net::Time now) const;
 
  private:
-  // Jobs beyond that are counted but not timed.
+  // Limits the memory for times. Requests for further jobs are counted, but
+  // their jobs are not timed.
   static constexpr size_t kMaxTimedJobs = 10'000;
 
   void Log(net::Time now);
--- a/app/version_coordinator.cc
+++ b/app/version_coordinator.cc
@@ -10,7 +10,8 @@
 using clients::StoreResult;
 using clients::Urgency;
 
-constexpr double kRoundIntervals = 0.5;  // heartbeat intervals
+// The pause between two checks of the gate, in heartbeat intervals.
+constexpr double kCheckPauseIntervals = 0.5;
 
 std::vector<std::string> NamesOf(const Settings& settings) {
   std::vector<std::string> names;
@@ -42,7 +43,7 @@
 
 net::Task<void> VersionCoordinator::RecordLoop() {
   for (;;) {
-    co_await loop_.Sleep(kRoundIntervals *
+    co_await loop_.Sleep(kCheckPauseIntervals *
                          settings_.workers.heartbeat_interval_seconds);
     if (!callbacks_.synced() || !callbacks_.may_write()) continue;
     const bool was_open = gate_.open();
@@ -57,8 +58,9 @@
   }
 }
 
-// A write that fails needs no handling: the watch shows what the store holds,
-// also when another controller was first.
+// A write that fails needs no handling here: the watch delivers what the store
+// holds, also if another controller wrote the record first, and the next check
+// writes what is still missing.
 net::Task<void> VersionCoordinator::Record(GateWrite required) {
   const std::string key =
       keys::Of(keys::kVersion, required == GateWrite::kOwn
--- a/app/version_coordinator.h
+++ b/app/version_coordinator.h
@@ -1,9 +1,10 @@
-// Records the version of the records that this controller writes, and the mark
-// once all controllers have recorded theirs. Writes only what is missing: once
-// for each process and store epoch.
+// Writes to the key-value store which record version this controller writes.
+// Once all controllers have written theirs, also writes the mark that says so.
+// Writes only what is missing, which is normally once for each process and
+// store epoch.
 //
-// Coroutines: Start() spawns a detached loop that uses this object, which
-// therefore lives as long as the event loop.
+// Start() spawns a detached coroutine that uses this object, so it must live as
+// long as the event loop.
 #pragma once
 
 #include <functional>
@@ -19,12 +20,13 @@
 
 namespace oxbow::app {
 
-// Owns the gate and writes what it requires.
+// Owns the version gate and writes the records that the gate requires.
 class VersionCoordinator {
  public:
   struct Callbacks {
     std::function<bool()> synced;
-    // Whether what is written now is of the epoch that is known.
+    // Whether a record that is written now belongs to the store epoch in the
+    // catalog.
     std::function<bool()> may_write;
     std::function<void(std::vector<Precondition>*)> add_guard;
     std::function<void(const std::string& key, const Record& record,
@@ -36,12 +38,13 @@
                      clients::KeyValueStoreClient& store, Callbacks callbacks);
   void Start();
 
-  // Whether records may be written that an earlier version can't act on.
+  // Whether this controller may write records that an earlier version of the
+  // program cannot act on.
   bool IsOpen();
 
  private:
   net::Task<void> RecordLoop();
-  // Writes what the gate requires.
+  // Writes the record that the gate requires.
   net::Task<void> Record(GateWrite required);
 
   net::Loop& loop_;
--- a/tests/settings_test.cc
+++ b/tests/settings_test.cc
@@ -71,7 +71,8 @@
   EXPECT_EQ(s.store.value_kb, 2);
   EXPECT_EQ(s.store.write_rps, 70);
   EXPECT_EQ(s.store.rps, 100);
-  // What stands may have been written before.
+  // Values that are already stored may have been written under the larger
+  // limit.
   EXPECT_EQ(s.store.stored_value_kb, 8);
   for (const auto& [from, to, field] : std::vector<std::array<std::string, 3>>{
            {"\"txn_ops\": 5", "\"txn_ops\": 0", "next, txn_ops"},
@@ -133,8 +134,8 @@
       {"[\"job-000398\",\"job-000405\"]", "\"job-000398\""},
       {"[\"job-000398\",\"job-000405\"]", "[398]"},
       {"job-000398", "398"},
-      {"job-000398", "job-000412"},  // itself
-      {"job-000398", "job-000405"},  // twice
+      {"job-000398", "job-000412"},  // depends on itself
+      {"job-000398", "job-000405"},  // names a dependency twice
   };
   for (const auto& [from, to] : bad) {
     EXPECT_NE(Check(Replace(kJob, from, to)), "") << to;
@@ -171,7 +172,8 @@
   spec.need = {30, 0, 10};
   spec.kind = JobKind::kArray;
   EXPECT_EQ(wire::WhyImpossible(spec, types, teams), "");
-  spec.kind = JobKind::kGang;  // all tasks count
+  // A gang needs room for all its tasks at once.
+  spec.kind = JobKind::kGang;
   EXPECT_NE(wire::WhyImpossible(spec, types, teams), "");
   spec.kind = JobKind::kArray;
   spec.need.cpus = 97;
@@ -197,7 +199,8 @@
   EXPECT_EQ(heartbeat.tasks[0].task, 3U);
   EXPECT_EQ(heartbeat.tasks[1].reason, ExitReason::kDone);
   EXPECT_FALSE(heartbeat.notice_seconds);
-  // A task that can't be understood must not look like one that is not there.
+  // If a report with an unreadable task were accepted, the task would be taken
+  // for one that the worker no longer runs.
   Heartbeat bad;
   EXPECT_FALSE(wire::ParseReport(Replace(good, "job-000412/3", "job"), &bad));
   EXPECT_FALSE(wire::ParseReport("[]", &bad));
