--- a/app/calendar_records.cc
+++ b/app/calendar_records.cc
@@ -68,7 +68,7 @@
   if (wrong.empty()) {
     leader.OnMaintenanceWindow(booking, record.version, now);
   } else {
-    spdlog::error("booking {} can't be read: {}", name, wrong);
+    spdlog::error("cannot read the calendar booking {}: {}", name, wrong);
   }
 }
 
--- a/app/main.cc
+++ b/app/main.cc
@@ -170,13 +170,13 @@
     sub->add_option("--config", config, "the platform's settings file (JSON)")
         ->required();
     sub->add_option("--tuning", tuning_path,
-                    "the operators' file (weights and pacing)");
+                    "the operators' tuning file (weights, limits and rates)");
     return sub;
   };
   const CLI::App* serve =
       with_config(parser.add_subcommand("serve", "run a controller"));
   const CLI::App* check = with_config(
-      parser.add_subcommand("check-config", "check the settings and end"));
+      parser.add_subcommand("check-config", "check the settings and exit"));
   with_config(
       parser.add_subcommand("status", "ask the controller if it is ready"));
   cli::RolloutCommand rollout;
--- a/app/options.cc
+++ b/app/options.cc
@@ -112,7 +112,7 @@
   g_error = nullptr;
   if (result == CFG_FILE_ERROR) return "cannot read " + path;
   if (result != CFG_SUCCESS) {
-    return error.empty() ? path + ": bad syntax" : error;
+    return error.empty() ? path + ": invalid syntax" : error;
   }
   for (const Entry& e : kEntries) {
     const double value = cfg_getfloat(cfg_getsec(cfg.get(), e.block), e.name);
--- a/app/record_coordinator.cc
+++ b/app/record_coordinator.cc
@@ -125,7 +125,8 @@
   }
   const auto& known = catalog_.operator_records();
   if (!known.contains(name) && known.size() >= kMaxRecords) {
-    return MakeAnswer(Result::kTooMany, "as many records as are allowed stand");
+    return MakeAnswer(Result::kTooMany,
+                      "the maximum number of records already exists");
   }
   return MakeAnswer(Result::kOk);
 }
--- a/app/rollout_coordinator.cc
+++ b/app/rollout_coordinator.cc
@@ -108,10 +108,10 @@
     const RolloutSpec& spec) const {
   const JobRecord* from = catalog_.FindJob(spec.from);
   if (from == nullptr || from->terminal_state != TerminalState::kNone) {
-    return MakeAnswer(Result::kImpossible, spec.from + " is no job that runs");
+    return MakeAnswer(Result::kImpossible, spec.from + " is not a running job");
   }
   if (from->spec->kind != JobKind::kService) {
-    return MakeAnswer(Result::kImpossible, spec.from + " is no service");
+    return MakeAnswer(Result::kImpossible, spec.from + " is not a service");
   }
   const std::string invalid = wire::WhyNoRollout(spec, from->spec->tasks);
   if (!invalid.empty()) return MakeAnswer(Result::kImpossible, invalid);
@@ -126,14 +126,15 @@
     for (const std::string& job : {other.spec->from, other.spec->to}) {
       if (job == spec.from || job == spec.to) {
         std::string reason = job;
-        reason += " is part of roll-out ";
+        reason += " is part of rollout ";
         reason += id;
         return MakeAnswer(Result::kConflict, std::move(reason));
       }
     }
   }
   if (static_cast<double>(known.size()) >= tuning_.rollouts_at_once) {
-    return MakeAnswer(Result::kTooMany, "as many roll-outs as are allowed run");
+    return MakeAnswer(Result::kTooMany,
+                      "the maximum number of rollouts is already running");
   }
   return std::nullopt;
 }
@@ -187,8 +188,9 @@
   if (current.result == Result::kOk) {
     const RolloutSpec& recorded = *current.state.record.spec;
     if (recorded.from != spec->from || recorded.to != spec->to) {
-      co_return MakeAnswer(Result::kConflict,
-                           spec->id + " is another roll-out");
+      co_return MakeAnswer(
+          Result::kConflict,
+          spec->id + " is already the id of a rollout of other jobs");
     }
     co_return current;
   }
@@ -233,7 +235,7 @@
     if (written.status == StoreStatus::kRefused) {
       co_return MakeAnswer(
           Result::kImpossible,
-          "the record is larger than the state service takes now");
+          "the record is larger than the key-value store accepts now");
     }
     // Otherwise the leader has written a step in the meantime or the outcome is
     // unknown, so the next attempt reads the record again.
--- a/app/settings.cc
+++ b/app/settings.cc
@@ -32,7 +32,7 @@
               std::string* out) {
     const auto* v = json::Find(parent, key);
     if (v == nullptr || !v->IsString() || v->GetStringLength() == 0) {
-      return Fail(key, "must be a string");
+      return Fail(key, "must be a non-empty string");
     }
     *out = std::string(json::View(*v));
   }
