--- a/app/rollout_coordinator.cc
+++ b/app/rollout_coordinator.cc
@@ -16,7 +16,8 @@
 using clients::Urgency;
 using Result = RolloutAnswer::Result;
 
-// Each step rewrites the record, with a reason.
+// Space that a declared record must leave free: each step of the rollout
+// rewrites the record and adds a reason to it.
 constexpr size_t kRecordGrowthBytes = 256;
 constexpr int kMaxAttempts = 3;
 
@@ -66,8 +67,8 @@
 }
 
 net::Task<RolloutAnswer> RolloutCoordinator::ReadFresh(std::string id) {
-  // A rollout changes from the live to the terminal record in one transaction,
-  // so in this order none is missed.
+  // One transaction replaces the live record by the terminal record, so reading
+  // the live record first never misses both.
   for (const std::string_view prefix : {keys::kRollout, keys::kEndedRollout}) {
     const std::string key = keys::Of(prefix, id);
     const StoreResult read = co_await store_.Get(key, Urgency::kUser);
@@ -107,10 +108,10 @@
     const RolloutSpec& spec) const {
   const JobRecord* from = catalog_.FindJob(spec.from);
   if (from == nullptr || from->terminal_state != TerminalState::kNone) {
-    return MakeAnswer(Result::kImpossible, spec.from + " is no job that runs");
+    return MakeAnswer(Result::kImpossible, spec.from + " is not a running job");
   }
   if (from->spec->kind != JobKind::kService) {
-    return MakeAnswer(Result::kImpossible, spec.from + " is no service");
+    return MakeAnswer(Result::kImpossible, spec.from + " is not a service");
   }
   const std::string invalid = wire::WhyNoRollout(spec, from->spec->tasks);
   if (!invalid.empty()) return MakeAnswer(Result::kImpossible, invalid);
@@ -125,14 +126,15 @@
     for (const std::string& job : {other.spec->from, other.spec->to}) {
       if (job == spec.from || job == spec.to) {
         std::string reason = job;
-        reason += " is part of roll-out ";
+        reason += " is part of rollout ";
         reason += id;
         return MakeAnswer(Result::kConflict, std::move(reason));
       }
     }
   }
   if (static_cast<double>(known.size()) >= tuning_.rollouts_at_once) {
-    return MakeAnswer(Result::kTooMany, "as many roll-outs as are allowed run");
+    return MakeAnswer(Result::kTooMany,
+                      "the maximum number of rollouts is already running");
   }
   return std::nullopt;
 }
@@ -179,14 +181,16 @@
       written.status != StoreStatus::kUnknown) {
     co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
   }
-  // Known already, perhaps by this very request: its state is the answer. A
-  // rollout of that id with other jobs is a conflict.
+  // A rollout of this id may already exist, perhaps because this request
+  // created it. Its state is then the answer, unless it is a rollout of other
+  // jobs, which is a conflict.
   RolloutAnswer current = co_await ReadFresh(spec->id);
   if (current.result == Result::kOk) {
     const RolloutSpec& recorded = *current.state.record.spec;
     if (recorded.from != spec->from || recorded.to != spec->to) {
-      co_return MakeAnswer(Result::kConflict,
-                           spec->id + " is another roll-out");
+      co_return MakeAnswer(
+          Result::kConflict,
+          spec->id + " is already the id of a rollout of other jobs");
     }
     co_return current;
   }
@@ -231,10 +235,10 @@
     if (written.status == StoreStatus::kRefused) {
       co_return MakeAnswer(
           Result::kImpossible,
-          "the record is larger than the state service takes now");
+          "the record is larger than the key-value store accepts now");
     }
-    // The leader has recorded a step meanwhile, or the outcome is unknown: read
-    // again before answering.
+    // Otherwise the leader has written a step in the meantime or the outcome is
+    // unknown, so the next attempt reads the record again.
     if (written.status == StoreStatus::kNotExecuted) break;
   }
   co_return MakeAnswer(Result::kTryLater, "cannot be recorded now");
