--- a/clients/budget.h
+++ b/clients/budget.h
@@ -1,7 +1,7 @@
 // A token bucket over a share of a service's request rate. The more urgent a
-// request, the more of the bucket it may take. A part of the rate is the
-// leader's own: what users ask for has no limit, and would otherwise hold up
-// the writes and reads after which they need not ask any more.
+// request is, the more of the bucket it may use. A part of the rate is reserved
+// for the leader: user requests are unbounded, and would otherwise delay the
+// very writes and reads after which the users stop asking.
 #pragma once
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 namespace oxbow::clients {
 
-// What a request is for, the most important first. Requests for leases always
-// pass, and are paid back by the others.
+// The purpose of a request, the most important first. Lease requests always
+// pass; the tokens that they overdraw are missing for the other requests.
 enum class Urgency { kLease, kUser, kLeader, kBackground };
 
-// Not thread-safe; times in seconds of the steady clock.
+// Not thread-safe; times are seconds of the steady clock.
 class Budget {
  public:
-  // `burst_seconds`: for how long unused requests are saved up.
+  // `burst_seconds`: for how many seconds unused tokens accumulate.
   Budget(double per_second, double burst_seconds)
       : rate_(per_second),
         leader_capacity_(kLeaderShare * per_second * burst_seconds),
@@ -26,10 +26,10 @@
         tokens_(capacity_) {}
 
   // Whether the request may be sent now; takes its tokens if so. An amount
-  // larger than the bucket passes when that is nearly full, and is paid back
-  // afterwards: otherwise it would never pass. A transaction of `txn_ops`
-  // changes is such an amount for a controller whose share of `write_rps` is
-  // less.
+  // larger than the bucket passes when the bucket is nearly full and leaves it
+  // negative: otherwise such an amount would never pass. A transaction of
+  // `txn_ops` changes is such an amount for a controller whose share of
+  // `write_rps` is smaller.
   bool Take(Urgency urgency, double amount, net::Time now) {
     Refill(now);
     if (urgency == Urgency::kLeader && amount <= leader_tokens_) {
@@ -46,8 +46,8 @@
  private:
   static constexpr double kLeaderShare = 0.25;
 
-  // The leader's own tokens first, up to their share of the rate; what they
-  // have no room for is everybody's.
+  // New tokens go to the leader's reserve first, up to its share of the rate;
+  // tokens that do not fit there go to the bucket that all requests share.
   void Refill(net::Time now) {
     const double refill = (now - refilled_at_) * rate_;
     refilled_at_ = now;
@@ -56,8 +56,8 @@
     leader_tokens_ += for_leader;
     tokens_ = std::min(capacity_, tokens_ + refill - for_leader);
   }
-  // The tokens that have to be there: the less urgent a request, the more it
-  // has to leave for others.
+  // The number of tokens that the bucket must hold for the request to pass: the
+  // less urgent a request is, the more tokens it must leave for others.
   double Required(Urgency urgency, double amount) const {
     constexpr double kReserve = 0.15;
     constexpr double kNearlyFull = 0.9;
@@ -66,11 +66,11 @@
     return std::min(reserve + amount, kNearlyFull * capacity_);
   }
 
-  double rate_;  // tokens a second
+  double rate_;  // tokens per second
   double leader_capacity_;
-  double capacity_;       // without the leader's own
-  double leader_tokens_;  // for the leader alone
-  double tokens_;         // negative while an amount is paid back
+  double capacity_;       // tokens, without the leader's reserve
+  double leader_tokens_;  // reserved for the leader
+  double tokens_;         // shared; negative after an overdraft
   net::Time refilled_at_ = 0;
 };
 
--- a/clients/cloud.cc
+++ b/clients/cloud.cc
@@ -18,7 +18,8 @@
                          const Settings& settings)
     : loop_(loop),
       http_(loop, address, kAnswerLimit, 2),
-      // Mostly the leader calls; the others only ask for the types.
+      // Mostly the leader sends requests; the other controllers only list the
+      // machine types.
       budget_(0.8 * settings.cloud.rps, 1.5),
       timeout_seconds_(0.4 * settings.workers.lease_seconds) {}
 
--- a/clients/cloud.h
+++ b/clients/cloud.h
@@ -1,4 +1,4 @@
-// Client of the cloud that rents machines.
+// Client of the cloud API that rents out machines.
 #pragma once
 
 #include <string>
@@ -11,8 +11,8 @@
 namespace oxbow::clients {
 
 // Lists machine types and machines, requests and deletes machines, within the
-// rate that the cloud allows. Nothing is retried here: requests carry a name,
-// so the caller may repeat them. Must outlive its pending calls.
+// request rate that the cloud allows. The client never retries: requests carry
+// a name, so the caller can safely repeat them. Must outlive its pending calls.
 class CloudClient {
  public:
   CloudClient(net::Loop& loop, const net::Address& address,
@@ -31,10 +31,13 @@
     std::vector<ListedMachine> machines;
   };
 
+  // Lists the machine types.
   net::Task<Types> GetTypes();
+  // Requests the machines of `scale_out` under that name.
   net::Task<Rented> Rent(std::string name, ScaleOutRecord scale_out);
+  // Whether the cloud has confirmed the deletion.
   net::Task<bool> Delete(std::vector<std::string> hosts);
-  // All pages.
+  // Reads all pages of the listing.
   net::Task<Listing> List();
 
  private:
--- a/clients/health.cc
+++ b/clients/health.cc
@@ -10,8 +10,9 @@
 constexpr size_t kBodyLimit = 64 * 1024;
 constexpr size_t kMaxExpressions = 64;
 
-// {job} and {task} in a path, for machines where one agent answers for all.
-std::string PathOf(const std::string& pattern, const TaskAttemptKey& key) {
+// Replaces {job} and {task} in a path, for machines on which one agent answers
+// the health checks of all instances.
+std::string ExpandPath(const std::string& pattern, const TaskAttemptKey& key) {
   std::string path = pattern;
   const auto put = [&path](std::string_view name, const std::string& value) {
     for (size_t at = path.find(name); at != std::string::npos;
@@ -41,17 +42,18 @@
   CheckOutcome out;
   net::Address address;
   if (!net::ParseAddress(check.endpoint, &address)) co_return out;
-  const HealthCheck& how = check.spec->check;
+  const HealthCheck& settings = check.spec->check;
   const uint64_t port =
-      how.port + (how.port_per_task ? uint64_t{check.key.task} : 0);
+      settings.port + (settings.port_per_task ? uint64_t{check.key.task} : 0);
   if (port > UINT16_MAX) co_return out;
   address.port = static_cast<uint16_t>(port);
   const net::Time sent = loop_.Now();
-  // A connection for each check: kept ones would hold a socket for each
-  // instance, and a service that takes no new connections is not well.
+  // Each check opens a new connection: kept connections would hold a socket for
+  // each instance, and a service that accepts no new connections is unhealthy.
   net::HttpClient http(loop_, address, kBodyLimit, 0);
-  const net::ClientResult answer = co_await http.Request(
-      "GET", PathOf(how.path, check.key), "", how.timeout_seconds);
+  const net::ClientResult answer =
+      co_await http.Request("GET", ExpandPath(settings.path, check.key), "",
+                            settings.timeout_seconds);
   if (answer.outcome != net::Outcome::kAnswered) co_return out;
   out.answered = true;
   out.latency_seconds = loop_.Now() - sent;
--- a/clients/health.h
+++ b/clients/health.h
@@ -1,5 +1,5 @@
-// Health checks of instances: HTTP against the instance, judged by the
-// operators' expression.
+// Health checks of instances: sends an HTTP request to the instance and
+// evaluates the response with the expression that the operators declared.
 #pragma once
 
 #include <map>
@@ -12,14 +12,16 @@
 
 namespace oxbow::clients {
 
-// Runs checks side by side; each is one request on a connection of its own.
+// Runs checks concurrently; each is one request on its own connection.
 // Owns the compiled expressions, one per rollout. Must outlive its pending
 // checks.
 class HealthClient {
  public:
   explicit HealthClient(net::Loop& loop) : loop_(loop) {}
 
+  // Sends one request and evaluates the answer.
   net::Task<CheckOutcome> Check(RunHealthCheck check);
+  // Drops all compiled expressions.
   void Clear() { expressions_.clear(); }
 
  private:
@@ -27,7 +29,8 @@
       const RunHealthCheck& check);
 
   net::Loop& loop_;
-  // By rollout; a new declaration under an old name brings its own text.
+  // By rollout name. A new declaration under an existing name may have a
+  // different expression.
   struct Entry {
     std::string text;
     std::unique_ptr<health_expression::HealthExpression> expression;
--- a/clients/key_value_store.cc
+++ b/clients/key_value_store.cc
@@ -13,24 +13,27 @@
 namespace oxbow::clients {
 namespace {
 
-constexpr size_t kMaxAnswerBytes = 768 * 1024;  // a listing holds 512 KiB
-// The answer to a watch, which has no limit: of this process's memory.
+constexpr size_t kMaxAnswerBytes = 768 * 1024;  // a listing has up to 512 KiB
+// Limit of the answer to a watch, as a share of this process's memory: the
+// store itself does not limit that answer.
 constexpr double kWatchMemoryShare = 0.125;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024;
-// Changes decoded between two turns of the event loop.
+// Number of watched changes decoded before the event loop runs again.
 constexpr size_t kChangesAtOnce = 200;
 constexpr size_t kMaxRequestBytes = 64 * 1024;
 constexpr int kConnections = 8;
 constexpr int kWatchConnections = 1;
 constexpr std::string_view kNoSuchLease = "no such lease";
 constexpr int kListPageKeys = 500;
-// Of this controller's share of the requests a second.
+// The rate of sending copies of writes, as a fraction of this controller's
+// share of the store's requests per second.
 constexpr double kRetryShare = 0.1;
-// Of the workers' lease.
+// The timeout of a request, as a fraction of the duration of the workers'
+// lease.
 constexpr double kTimeoutRatio = 0.15;
-// A listing may take so many times as long as another request.
+// The timeout of a listing, as a multiple of that of other requests.
 constexpr double kListTimeouts = 4;
-// A watch is given so many timeouts beyond the time that it may block.
+// The time that a watch may take beyond its blocking time, in request timeouts.
 constexpr double kWatchTimeouts = 2;
 
 std::string Milliseconds(double seconds) {
@@ -60,7 +63,7 @@
 }
 
 size_t MaxWatchBytes(const LimitSettings& limits) {
-  // Where no limit of the memory is set, the one that is usual.
+  // Without a configured memory limit, the usual limit is assumed.
   const double memory_mb =
       limits.memory_mb > 0 ? limits.memory_mb : LimitSettings().memory_mb;
   return static_cast<size_t>(kWatchMemoryShare * memory_mb * kBytesPerMegabyte);
@@ -105,7 +108,8 @@
   return Encoding::kDone;
 }
 
-// Nothing when a value or the whole is larger than the store takes.
+// Returns nothing when a value or the whole transaction is larger than the
+// store accepts.
 std::optional<std::string> EncodeTransaction(
     const std::vector<Precondition>& preconditions,
     const std::vector<Mutation>& mutations, uint64_t lease_id,
@@ -166,7 +170,7 @@
                                          const net::Address& address,
                                          const Settings& settings)
     : loop_(loop),
-      // The right to lead rests on its answers.
+      // Urgent, because leadership depends on the store's answers.
       http_(loop, address, kMaxAnswerBytes, kConnections, /*urgent=*/true),
       watch_(loop, address, MaxWatchBytes(settings.limits), kWatchConnections),
       limits_(settings.store),
@@ -206,7 +210,8 @@
     }
   }
   if (!document.IsObject()) return response;
-  // A lease that has ended is refused in the same way as what is too large.
+  // The store refuses a lease that has ended with the same status as a request
+  // that is too large.
   if (result.status == StoreStatus::kRefused &&
       json::GetString(document, "error") == kNoSuchLease) {
     result.status = StoreStatus::kConflict;
@@ -227,7 +232,8 @@
     if (kind == Kind::kChange) round_trip_.OnAnswer(last_good_ - sent_at);
     return;
   }
-  // One lost answer among others that came says nothing about the store.
+  // A single lost answer while others arrive does not mean the store is
+  // failing.
   const bool is_lost_alone =
       answer.outcome == net::Outcome::kUnknown && last_good_ > sent_at;
   if (kind != Kind::kWatch && !is_lost_alone) last_bad_ = loop_.Now();
@@ -236,8 +242,8 @@
 void KeyValueStoreClient::CheckRevision(Kind kind, const KnownWhenSent& known,
                                         StoreResult* result) {
   if (result->revision == 0 || known.generation != generation_) return;
-  // A change takes a new revision; any other answer is as of one that is no
-  // lower.
+  // A change gets a new, higher revision; any other answer must have a revision
+  // that is not lower than the highest one known.
   const bool is_applied = kind == Kind::kChange && result->ok();
   if (result->revision < known.highest ||
       (is_applied && result->revision == known.highest)) {
@@ -293,7 +299,7 @@
   co_return std::move(result);
 }
 
-// --- transactions
+// --- Transactions
 
 net::Task<StoreResult> KeyValueStoreClient::Write(
     std::vector<Precondition> preconditions, std::vector<Mutation> mutations,
@@ -302,7 +308,8 @@
   const auto amount = static_cast<double>(mutations.size());
   StoreResult refused;
   refused.status = StoreStatus::kRefused;
-  // Whatever the store takes today, it may take less from any moment on.
+  // The configured limits apply even while the store accepts more: it may lower
+  // its limits at any time.
   if (!limits_.FitsTransaction(mutations.size())) co_return refused;
   if (!writes_.Take(urgency, amount, now) || !requests_.Take(urgency, 1, now)) {
     co_return StoreResult{};
@@ -347,7 +354,8 @@
 }
 
 bool KeyValueStoreClient::TakeRetry(const Transaction& transaction) {
-  // As the least urgent: what the users and the leader need is left for them.
+  // Copies take tokens at background urgency, so that the tokens which users
+  // and the leader need remain.
   const net::Time now = loop_.Now();
   return retries_.Take(Urgency::kUser, 1, now) &&
          writes_.Take(Urgency::kBackground, transaction.mutations, now) &&
@@ -369,7 +377,7 @@
   transaction->answered.Set();
 }
 
-// --- leases and the watch
+// --- Leases and the watch
 
 net::Task<StoreResult> KeyValueStoreClient::CreateLease(double ttl_seconds) {
   requests_.Take(Urgency::kLease, 1, loop_.Now());
--- a/clients/key_value_store.h
+++ b/clients/key_value_store.h
@@ -1,6 +1,7 @@
 // Client of the consensus-backed key-value store: compare-and-swap
-// transactions, reads, leases and one watch. Keeps to this controller's share
-// of the store's limits, and notices answers that are older than earlier ones.
+// transactions, reads, leases and one watch. Stays within this controller's
+// share of the store's limits, and detects answers that are older than earlier
+// ones.
 //
 // Coroutines: each request owns its arguments; the client must outlive all of
 // them. A transaction that is sent again is shared by its copies, which may
@@ -25,12 +26,12 @@
 
 namespace oxbow::clients {
 
-// A key as it was read.
+// A key with the record and versions that were read.
 struct KeyValue {
   std::string key;
-  Record record;  // monostate: deleted, or of no kind we know
+  Record record;  // monostate: deleted, or of an unknown kind
   uint64_t mod_revision = 0;
-  uint64_t lease = 0;  // that the key is attached to; only from single reads
+  uint64_t lease = 0;  // the key is attached to it; set by single reads only
 };
 
 // The outcome of a request. Which members are set depends on the request.
@@ -40,48 +41,53 @@
   uint64_t lease_id = 0;
   std::vector<std::string> failed;  // keys whose preconditions failed
   std::vector<KeyValue> items;
-  bool more = false;  // a listing goes on after the last of the items
-  // The answer is older than another that had come before this request was
-  // sent: from a store that has lost data, or from a stale copy. Its status is
-  // then kUnknown or kNotExecuted.
+  bool more = false;  // the listing continues after the last item
+  // The answer is older than one that was received before this request was
+  // sent: it comes from a store that has lost data or from a stale replica. The
+  // status is then kUnknown or kNotExecuted.
   bool revision_decreased = false;
-  // Not sent: it is beyond this controller's share of the store's limits.
+  // Not sent: the request exceeds this controller's share of the store's
+  // limits.
   bool beyond_share = false;
 
   bool ok() const { return status == StoreStatus::kOk; }
 };
 
-// What follows when a write is not answered after a few round trips.
+// What the client does when a write is not answered within a few round trips.
 enum class WhenUnanswered : uint8_t {
-  kWait,       // nothing, until the time for an answer is over
-  kGiveUp,     // the result is kUnknown: its sender decides by a read
-  kSendAgain,  // a copy is sent with the same preconditions, see WriteRetry
+  kWait,       // waits for the answer until the timeout
+  kGiveUp,     // returns kUnknown; the caller reads to find the outcome
+  kSendAgain,  // sends a copy with the same preconditions, see WriteRetry
 };
 
-// The client of one controller.
+// The key-value store client of one controller.
 class KeyValueStoreClient {
  public:
   KeyValueStoreClient(net::Loop& loop, const net::Address& address,
                       const Settings& settings);
 
-  // Records are decoded as the kind that their key's prefix names. A request
-  // beyond this controller's share of the limits is kNotExecuted at once.
+  // The prefix of a key determines the kind that its record is decoded as. A
+  // request beyond this controller's share of the limits returns kNotExecuted
+  // at once.
   net::Task<StoreResult> Get(std::string key, Urgency urgency);
-  // One page of the keys with that prefix that come after `after`.
+  // Reads one page of the keys that have that prefix and sort after `after`.
   net::Task<StoreResult> List(std::string prefix, std::string after);
-  // A transaction: all mutations if all preconditions hold. Without mutations
-  // it checks the preconditions. `lease_id`: the lease to which the keys of the
-  // leader, of zones and of fences are attached; 0: none.
+  // Runs a transaction: applies all mutations if all preconditions hold.
+  // Without mutations it only checks the preconditions. `lease_id`: the lease
+  // to which the keys of the leader, of zones and of fences are attached; 0:
+  // none.
   net::Task<StoreResult> Write(std::vector<Precondition> preconditions,
                                std::vector<Mutation> mutations, Urgency urgency,
                                uint64_t lease_id = 0,
                                WhenUnanswered then = WhenUnanswered::kWait);
+  // Creates, renews and ends a lease. Lease requests always pass the limits.
   net::Task<StoreResult> CreateLease(double ttl_seconds);
   net::Task<StoreResult> Renew(uint64_t lease_id, double timeout_seconds);
   net::Task<StoreResult> EndLease(uint64_t lease_id);
-  // The changes of keys with that prefix after that revision; waits for one up
-  // to `block_seconds`. kTooOld: they are no longer kept, or more than this
-  // process has the memory for; the keys have to be listed instead.
+  // Reads the changes of keys with that prefix after that revision; waits up to
+  // `block_seconds` for the first one. kTooOld: the store no longer keeps those
+  // changes, or they exceed the memory that this process has for them; the
+  // caller has to list the keys instead.
   net::Task<StoreResult> Watch(std::string prefix, uint64_t after,
                                double block_seconds);
 
@@ -93,12 +99,14 @@
 
   // The highest revision of all answers.
   uint64_t highest() const { return highest_; }
-  // A new epoch, from that revision on: earlier answers do not count.
+  // Starts a new epoch at that revision: the revisions of earlier answers no
+  // longer count.
   void Restart(uint64_t revision) {
     highest_ = revision;
     ++generation_;
   }
-  std::function<void()> on_step_back;  // may be empty
+  // Called when an answer is older than an earlier one; may be empty.
+  std::function<void()> on_step_back;
 
  private:
   enum class Kind : uint8_t { kRead, kChange, kWatch };
@@ -111,44 +119,47 @@
   };
   struct Response {
     StoreResult result;
-    rapidjson::Document document;  // null if the answer has none
+    rapidjson::Document document;  // null if the answer has no JSON body
   };
-  // What was known when a request was sent: a late answer is judged by that.
+  // What was known when a request was sent: a late answer is compared with
+  // that.
   struct KnownWhenSent {
     uint64_t highest = 0;
     uint64_t generation = 0;
     net::Time sent_at = 0;
   };
-  // A transaction in flight, and what is known of it.
+  // A transaction in flight and what is known about its outcome.
   struct Transaction {
     explicit Transaction(net::Loop& loop) : answered(loop) {}
     std::string body;
     Kind kind = Kind::kChange;
     double mutations = 0;
     WriteRetry retry;
-    StoreResult result;  // of the answer that decided it, or of the last
+    // From the answer that decided the outcome, else from the last answer.
+    StoreResult result;
     net::Event answered;
   };
 
   net::Task<Response> Call(Request request);
-  // Decodes the changes a few at a time, between which the event loop goes on.
+  // Decodes the changes a few at a time and lets the event loop run in between.
   net::Task<StoreResult> DecodeWatch(std::string body);
   // Decodes the status and the body of an answer.
   static Response Decode(const net::ClientResult& answer);
-  // Keeps what Failing() and the timeouts of transactions rest on.
+  // Records the times from which Failing() and the transaction timeouts are
+  // computed.
   void RecordOutcome(const net::ClientResult& answer, StoreStatus status,
                      Kind kind, net::Time sent_at);
-  // Marks a result that is older than what was known.
+  // Marks a result that is older than what was known when it was requested.
   void CheckRevision(Kind kind, const KnownWhenSent& known,
                      StoreResult* result);
   void MarkSteppedBack(bool is_applied, StoreResult* result);
 
   net::Task<void> Send(std::shared_ptr<Transaction> transaction,
                        double timeout_seconds);
-  // Waits until the answers decide what became of it, sending copies.
+  // Sends copies as needed and waits until the answers decide the outcome.
   net::Task<void> AwaitDecision(std::shared_ptr<Transaction> transaction,
                                 WhenUnanswered then, net::Time deadline);
-  // Whether a copy fits what is left of the limits beside all other requests.
+  // Whether the limits leave room for a copy beside all other requests.
   bool TakeRetry(const Transaction& transaction);
 
   net::Loop& loop_;
--- a/clients/peer.cc
+++ b/clients/peer.cc
@@ -9,25 +9,26 @@
 namespace oxbow::clients {
 namespace {
 
-constexpr size_t kHeader = 5;  // length, little end first, and version
-// Reports are handed on over it: a few dozen of the longest may wait.
-constexpr size_t kMaxUnsent = 1024 * 1024;
+constexpr size_t kHeaderBytes = 5;  // bytes: little-endian length, then version
+// Worker reports are forwarded over a connection: a few dozen of the longest
+// may be queued.
+constexpr size_t kMaxUnsentBytes = 1024 * 1024;
 constexpr size_t kMaxConnections = 32;
-constexpr net::Time kIdle = 120;
-constexpr net::Time kWrite = 5;
-constexpr net::Time kRetry = 0.3;
+constexpr net::Time kIdleTimeoutSeconds = 120;
+constexpr net::Time kWriteTimeoutSeconds = 5;
+constexpr net::Time kReconnectDelaySeconds = 0.3;
 
 }  // namespace
 
 std::string EncodeFrame(const PeerMessage& message) {
   std::ostringstream out;
-  out.write("\0\0\0\0\0", kHeader);
+  out.write("\0\0\0\0\0", kHeaderBytes);
   {
     cereal::PortableBinaryOutputArchive archive(out);
     archive(const_cast<PeerMessage&>(message));
   }
   std::string frame = std::move(out).str();
-  const auto length = static_cast<uint32_t>(frame.size() - kHeader);
+  const auto length = static_cast<uint32_t>(frame.size() - kHeaderBytes);
   for (int i = 0; i < 4; ++i) {
     frame[i] = static_cast<char>((length >> (8 * i)) & 0xff);
   }
@@ -36,7 +37,7 @@
 }
 
 FrameReader::Result FrameReader::Next(PeerMessage* out) {
-  if (buffer_.size() < kHeader) return Result::kNeedMore;
+  if (buffer_.size() < kHeaderBytes) return Result::kNeedMore;
   uint32_t length = 0;
   for (int i = 0; i < 4; ++i) {
     length |= static_cast<uint32_t>(static_cast<uint8_t>(buffer_[i]))
@@ -45,14 +46,14 @@
   if (length > kMaxFrame || static_cast<uint8_t>(buffer_[4]) != kPeerVersion) {
     return Result::kBroken;
   }
-  if (buffer_.size() < kHeader + length) return Result::kNeedMore;
-  std::istringstream in(buffer_.substr(kHeader, length));
-  buffer_.erase(0, kHeader + length);
+  if (buffer_.size() < kHeaderBytes + length) return Result::kNeedMore;
+  std::istringstream in(buffer_.substr(kHeaderBytes, length));
+  buffer_.erase(0, kHeaderBytes + length);
   try {
     cereal::PortableBinaryInputArchive archive(in);
     archive(*out);
   } catch (const std::exception&) {
-    // cereal throws on a short stream.
+    // cereal throws when the stream ends early.
     return Result::kBroken;
   }
   return Result::kMessage;
@@ -61,8 +62,9 @@
 void PeerConnection::Send(const PeerMessage& message) {
   if (!open_) return;
   out_ += EncodeFrame(message);
-  if (out_.size() > kMaxUnsent) {
-    // A peer that takes nothing: nothing it is told matters for safety.
+  if (out_.size() > kMaxUnsentBytes) {
+    // The peer does not read. Closing the connection is safe: safety never
+    // depends on what a peer is told.
     open_ = false;
     out_.clear();
     return;
@@ -76,8 +78,8 @@
 net::Task<void> PeerConnection::WriteOut(std::shared_ptr<PeerConnection> self) {
   while (!self->out_.empty() && self->open_) {
     const std::string chunk = std::exchange(self->out_, {});
-    const bool ok =
-        co_await self->socket_->Write(chunk, self->loop_.Now() + kWrite);
+    const bool ok = co_await self->socket_->Write(
+        chunk, self->loop_.Now() + kWriteTimeoutSeconds);
     if (!ok) self->open_ = false;
   }
   self->writing_ = false;
@@ -99,8 +101,9 @@
       if (result != FrameReader::Result::kMessage) break;
       on_message(std::move(message));
     }
-    // What has piled up here, reports that are handed on above all, must not
-    // hold up what the right to lead rests on.
+    // Yields to the event loop: messages that have accumulated on this
+    // connection, mainly forwarded worker reports, must not delay the key-value
+    // store answers that leadership depends on.
     co_await loop_.Sleep(0);
   }
   open_ = false;
@@ -114,7 +117,7 @@
       loop_, address_, loop_.Now() + timeout_seconds);
   connecting_ = false;
   if (!socket) {
-    retry_at_ = loop_.Now() + kRetry;
+    retry_at_ = loop_.Now() + kReconnectDelaySeconds;
     co_return false;
   }
   connection_ = std::make_shared<PeerConnection>(loop_, std::move(socket));
@@ -132,7 +135,7 @@
         it->second->event.Set();
         waiting_.erase(it);
       };
-  co_await connection->Read(on_message, kIdle);
+  co_await connection->Read(on_message, kIdleTimeoutSeconds);
   if (connection_ == connection) {
     connection_.reset();
     for (auto& [id, waiting] : std::exchange(waiting_, {})) {
@@ -155,7 +158,7 @@
 }
 
 net::Task<void> PeerClient::Notify(PeerMessage message) {
-  const bool connected = co_await Connected(kRetry);
+  const bool connected = co_await Connected(kReconnectDelaySeconds);
   if (connected && connection_) connection_->Send(message);
 }
 
@@ -174,14 +177,14 @@
 
 net::Task<void> PeerServer::Serve(std::shared_ptr<PeerConnection> connection) {
   ++open_;
-  // Named, not a temporary of the await: what a temporary lambda there has
-  // captured is released twice by GCC 12, and each peer that went away took a
-  // piece of the heap with it.
+  // A named variable instead of a temporary in the await expression: GCC 12
+  // destroys the captures of such a temporary lambda twice, which corrupted the
+  // heap whenever a peer disconnected.
   const std::function<void(PeerMessage)> on_message =
       [this, connection](PeerMessage message) {
         net::Spawn(Answer(connection, std::move(message)));
       };
-  co_await connection->Read(on_message, kIdle);
+  co_await connection->Read(on_message, kIdleTimeoutSeconds);
   --open_;
 }
 
--- a/clients/peer.h
+++ b/clients/peer.h
@@ -1,5 +1,6 @@
-// Between controllers: cereal messages in frames with a length and a version.
-// Losing every peer costs speed, never correctness.
+// The protocol between controllers: cereal messages in frames with a length and
+// a version.
+// Losing all peers makes a controller slower, but never incorrect.
 #pragma once
 
 #include <cereal/cereal.hpp>
@@ -15,50 +16,53 @@
 
 namespace oxbow::clients {
 
-// What a message asks for. The numbers are sent between versions: new kinds are
-// added at the end, none is removed or reordered.
+// The kind of a message. Controllers of different versions exchange the numeric
+// values: add new kinds at the end, and never remove or reorder one.
 enum class PeerKind : uint8_t {
-  kHello,        // who are you, do you lead?
-  kPoll,         // state of a job
-  kCancel,       // cancel a job
-  kPromise,      // do not seek leadership for a while
-  kJobAccepted,  // a job was accepted here
+  kHello,        // asks who the peer is and whether it leads
+  kPoll,         // asks for the state of a job
+  kCancel,       // asks to cancel a job
+  kPromise,      // asks the peer not to seek leadership for a while
+  kJobAccepted,  // the sender has accepted a job
   kReply,
-  // A user's request, for one who cannot reach the key-value store.
+  // A user's request, relayed by a controller that cannot reach the key-value
+  // store.
   kRelayPoll,
   kRelayCancel,
   kRelaySubmit,
-  kReach,   // which of these machines, a sample of all, do you reach?
-  kSilent,  // the same of machines that the leader does not hear
-  kOfferLeadershipTransfer,  // will you lead? I am worse placed
-  kDeferCandidacy,           // another has agreed to: let it go first
-  kLedger,  // what do you find in the key-value store at this moment?
-  kMemory,  // a page of what you remember, after that key
-  kKnown,   // do you know of this job?
-  kEnded,   // how the jobs that you know to have ended did end
-  // I answer reports while nobody can lead: do not seek for a moment.
+  kReach,   // asks which machines of a sample the peer reaches
+  kSilent,  // as kReach, for machines that the leader does not hear
+  kOfferLeadershipTransfer,  // asks a better connected peer to lead
+  kDeferCandidacy,           // another peer agreed to lead: let it try first
+  kLedger,  // asks what the peer now finds in the key-value store
+  kMemory,  // asks for a page of retained records after that key
+  kKnown,   // asks whether the peer knows the job
+  kEnded,   // asks for the outcome of jobs known to have ended
+  // The sender answers worker reports while no controller can lead: the peer
+  // must not seek leadership for a moment.
   kDelegate,
-  kDelegationOver,  // I do not any more
-  kDelegateZone,    // may I keep the workers of my zone, should it be cut off?
-  kRequestLeaseYield,  // do not, for a moment: I take the silent ones for gone
-  kReport,             // of a worker of my zone, as it came
-  // A submission of a job that waits for others. A kind of its own: a version
-  // that does not know it accepts nothing, where kRelaySubmit would be taken
-  // for an ordinary job.
+  kDelegationOver,  // the sender no longer answers them
+  kDelegateZone,    // asks to renew its zone's workers if the zone is cut off
+  kRequestLeaseYield,  // asks not to renew: the sender treats silent workers as
+                       // lost
+  kReport,             // an unchanged report of a worker in the sender's zone
+  // A submission of a job that waits for others. It has its own kind so that a
+  // version that does not know it accepts nothing; that version would treat
+  // kRelaySubmit as the submission of an ordinary job.
   kRelayChain,
 };
 
-// The answer to a question of the kinds that are answered by yes or no.
+// The answer to a message that asks a yes-or-no question.
 enum class PeerAnswer : uint8_t { kNo, kYes, kUnknownJob, kKnownJob };
 
 inline constexpr uint32_t kMaxFrame = 64 * 1024;
 
-// One frame's content. Which fields count depends on the kind; the others are
-// sent all the same, so that the form of a frame never changes.
+// The content of one frame. The kind determines which fields are used; the
+// others are sent too, so that the layout of a frame never changes.
 struct PeerMessage {
   PeerKind kind = PeerKind::kHello;
   PeerAnswer answer = PeerAnswer::kNo;
-  LeaderRole role = LeaderRole::kNone;  // of the sender of an answer
+  LeaderRole role = LeaderRole::kNone;  // role of the controller that answers
   uint64_t request = 0;
   uint64_t mod_revision = 0;
   std::string node;
@@ -66,14 +70,14 @@
   std::string text;  // a status word, or a record
   uint32_t done = 0;
   uint32_t running = 0;
-  uint64_t term = 0;  // the highest that a worker has shown
+  uint64_t term = 0;  // the highest term that a worker has reported
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(kind, answer, role, request, mod_revision, done, running, term);
     for (std::string* field : {&node, &job_id, &text}) {
-      // The length is checked before it is believed: cereal's own string
-      // support would allocate whatever a broken frame says.
+      // The length is checked before it is used: cereal's own string support
+      // would allocate whatever length a corrupt frame contains.
       auto length = static_cast<uint32_t>(field->size());
       archive(length);
       if (length > kMaxFrame) throw cereal::Exception("text too long");
@@ -87,7 +91,7 @@
 
 std::string EncodeFrame(const PeerMessage& message);
 
-// Cuts frames out of a stream of bytes.
+// Splits a byte stream into frames.
 class FrameReader {
  public:
   enum class Result { kMessage, kNeedMore, kBroken };
@@ -98,14 +102,16 @@
   std::string buffer_;
 };
 
-// One connection; frames of several coroutines leave in one order.
+// One connection; frames that several coroutines send are queued in one order.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
   PeerConnection(net::Loop& loop, std::unique_ptr<net::Socket> socket)
       : loop_(loop), socket_(std::move(socket)) {}
 
+  // Queues the message; closes the connection if too much is unsent.
   void Send(const PeerMessage& message);
-  // Reads until the connection ends.
+  // Reads and passes on messages until the connection ends, at the latest after
+  // `idle_seconds` without data.
   net::Task<void> Read(std::function<void(PeerMessage)> on_message,
                        net::Time idle_seconds);
   bool open() const { return open_; }
@@ -120,7 +126,7 @@
   bool open_ = true;
 };
 
-// The asking side, for one peer.
+// The client side of the protocol, for one peer.
 class PeerClient {
  public:
   PeerClient(net::Loop& loop, std::string name, net::Address address)
@@ -130,7 +136,9 @@
     bool ok = false;
     PeerMessage message;
   };
+  // Sends the message and waits for its reply; connects first if necessary.
   net::Task<Answer> Ask(PeerMessage message, net::Time timeout_seconds);
+  // Sends the message without waiting for a reply.
   net::Task<void> Notify(PeerMessage message);
   const std::string& name() const { return name_; }
 
@@ -153,12 +161,13 @@
   std::map<uint64_t, std::shared_ptr<Waiting>> waiting_;
 };
 
-// The answering side.
+// The server side of the protocol.
 class PeerServer {
  public:
   using Handler = std::function<net::Task<PeerMessage>(PeerMessage)>;
   PeerServer(net::Loop& loop, const net::Address& address, Handler handler)
       : loop_(loop), listener_(loop, address), handler_(std::move(handler)) {}
+  // Accepts connections until the loop stops.
   net::Task<void> Run();
   uint16_t port() const { return listener_.port(); }
 
--- a/clients/reach_client.cc
+++ b/clients/reach_client.cc
@@ -8,12 +8,13 @@
 
 namespace oxbow::clients {
 
-net::Task<void> ReachClient::One(std::shared_ptr<Round> round, size_t i,
-                                 std::string endpoint, double timeout_seconds) {
+net::Task<void> ReachClient::AskOne(std::shared_ptr<Round> round, size_t i,
+                                    std::string endpoint,
+                                    double timeout_seconds) {
   net::Address address;
   if (net::ParseAddress(endpoint, &address)) {
-    // A connection of its own: one that is open already may lead through a
-    // path that a new one would not find, and the reverse.
+    // Each request opens a new connection: an existing connection may still
+    // work over a network path that a new one cannot use, and the reverse.
     net::HttpClient client(loop_, address, wire::kReportLimit, 0);
     const net::ClientResult answer =
         co_await client.Request("GET", "/status", "", timeout_seconds);
@@ -41,9 +42,10 @@
   open_ += asked.size();
   round->left = asked.size();
   for (const size_t i : asked) {
-    net::Spawn(One(round, i, std::move(endpoints[i]), timeout_seconds));
+    net::Spawn(AskOne(round, i, std::move(endpoints[i]), timeout_seconds));
   }
-  // Each request has the same limit; a little more for those that meet it.
+  // All requests have the same timeout; the wait for the round is slightly
+  // longer, so that requests which end at their timeout are still counted.
   constexpr double kSlack = 1.1;
   if (!asked.empty()) co_await round->done.Wait(kSlack * timeout_seconds);
   co_return round->found;
--- a/clients/reach_client.h
+++ b/clients/reach_client.h
@@ -1,5 +1,5 @@
-// Asks workers for their status, many at once, to learn whom this controller
-// reaches.
+// Asks many workers for their status concurrently, to learn which of them this
+// controller can reach.
 #pragma once
 
 #include <memory>
@@ -11,20 +11,22 @@
 
 namespace oxbow::clients {
 
-// Must outlive its pending rounds. Bounded by `most_at_once` connections.
+// Runs survey rounds over a bounded number of connections. Must outlive its
+// pending rounds.
 class ReachClient {
  public:
-  // `most_at_once`: connections open for this purpose at any moment.
+  // `most_at_once`: the maximum number of concurrent connections of all rounds.
   ReachClient(net::Loop& loop, size_t most_at_once)
       : loop_(loop), most_at_once_(most_at_once) {}
 
   struct Result {
-    std::string
-        machines;  // as in core/leader_health/reach.h, in the order asked
+    // One ReachabilityAnswer for each endpoint, in the order of the endpoints.
+    std::string machines;
     std::vector<Heartbeat> reports;
   };
-  // Answers after `timeout_s` at the latest. An empty endpoint, and what is
-  // more than may be open at once, counts as not asked.
+  // Returns when all requests have ended, shortly after `timeout_seconds` at
+  // the latest. An empty endpoint, or one beyond the maximum number of
+  // connections, counts as not asked.
   net::Task<Result> Ask(std::vector<std::string> endpoints,
                         double timeout_seconds);
 
@@ -35,8 +37,8 @@
     Result found;
     size_t left = 0;
   };
-  net::Task<void> One(std::shared_ptr<Round> round, size_t i,
-                      std::string endpoint, double timeout_seconds);
+  net::Task<void> AskOne(std::shared_ptr<Round> round, size_t i,
+                         std::string endpoint, double timeout_seconds);
 
   net::Loop& loop_;
   size_t most_at_once_;
--- a/clients/retained_records_page.cc
+++ b/clients/retained_records_page.cc
@@ -13,7 +13,8 @@
 
 template <class Archive>
 void ArchiveText(Archive& archive, std::string& text) {
-  // The length is checked before anything is allocated for it.
+  // The length is checked before memory is allocated for the text: a corrupt
+  // page may contain any length.
   auto length = static_cast<uint32_t>(text.size());
   archive(length);
   if (length > kMaxTextBytes) throw cereal::Exception("text too long");
--- a/clients/retained_records_page.h
+++ b/clients/retained_records_page.h
@@ -1,5 +1,5 @@
-// The records that one controller retains, in pages for another: see
-// docs/recovery.md.
+// Encodes the records that one controller retains into pages that it sends to
+// another: see docs/recovery.md.
 #pragma once
 
 #include <cstddef>
@@ -18,11 +18,11 @@
   std::string record;  // JSON, as the key-value store holds it
 };
 
-// A page of this size fits a frame between controllers with a margin.
+// A page of this size fits into a frame between controllers with a margin.
 inline constexpr size_t kRetainedRecordsPageBytes = 40 * 1024;
 
 std::string EncodeRetainedRecords(const std::vector<RetainedRecord>& page);
-// Nothing when the bytes are no such page.
+// Returns nothing when the bytes are not a valid page.
 std::optional<std::vector<RetainedRecord>> DecodeRetainedRecords(
     const std::string& bytes);
 
--- a/clients/watch_decoder.cc
+++ b/clients/watch_decoder.cc
@@ -10,7 +10,7 @@
 namespace oxbow::clients {
 namespace {
 
-// Names of the protocol.
+// Field names of the key-value store's protocol.
 constexpr std::string_view kLogField = "log";
 constexpr std::string_view kRevisionField = "ledger_no";
 
--- a/clients/watch_decoder.h
+++ b/clients/watch_decoder.h
@@ -1,6 +1,7 @@
-// Decodes the answer to a watch of the key-value store, which has no size
-// limit, a few changes at a time: a whole document would take a multiple of the
-// answer's memory, and hold the event loop for as long as all changes take.
+// Decodes the answer to a watch of the key-value store a few changes at a time.
+// The answer has no size limit: parsing it as one document would take a
+// multiple of the answer's memory, and block the event loop until all changes
+// are decoded.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -13,8 +14,8 @@
 
 namespace oxbow::clients {
 
-// Owns the answer: an object whose field for the changes is an array. Fields
-// that are not known are passed over.
+// Owns the answer: a JSON object in which one field is the array of changes.
+// Unknown fields are skipped.
 class WatchDecoder {
  public:
   enum class Progress : uint8_t { kMore, kDone, kMalformed };
@@ -26,15 +27,15 @@
 
   // Decodes up to `max_changes` more; calls `on_change` for each, in order.
   Progress Next(size_t max_changes, const OnChange& on_change);
-  // Of the whole answer, once it is done.
+  // The revision of the whole answer; valid once Next() has returned kDone.
   uint64_t revision() const { return revision_; }
 
  private:
   enum class State : uint8_t {
     kBegin,        // before the answer's object
-    kFirstField,   // after its bracket
+    kFirstField,   // after the answer's opening brace
     kField,        // before the name of a field
-    kFirstChange,  // after the bracket of the changes
+    kFirstChange,  // after the opening bracket of the changes
     kChange,       // before a change
     kAfterChange,
     kAfterField,
@@ -43,13 +44,13 @@
     kMalformed,
   };
 
-  // The next state, after what the present one expects.
+  // Reads what the current state expects and returns the next state.
   State Advance(const OnChange& on_change);
   State ReadField();
   State ReadChange(const OnChange& on_change);
-  // Takes the character if it is the next that is not white space.
+  // Consumes the character if it is the next one that is not white space.
   bool Take(char expected);
-  // Reads one JSON value, whatever follows it.
+  // Reads one JSON value and ignores what follows it.
   bool Read(rapidjson::Document* value);
 
   const std::string body_;
--- a/clients/worker.cc
+++ b/clients/worker.cc
@@ -9,12 +9,13 @@
 namespace oxbow::clients {
 namespace {
 
-// Of the connections to workers: the most that probes use.
+// The share of the connections to workers that probes may use.
 constexpr double kProbeShare = 0.5;
-// A probe waits for its turn for so many timeouts: it is not repeated.
+// The time that a probe may wait for a connection, in request timeouts. It is
+// long because a failed probe is not repeated.
 constexpr double kProbeTurnTimeouts = 3;
 
-size_t MostProbes(size_t max_connections) {
+size_t MaxConcurrentProbes(size_t max_connections) {
   return std::max<size_t>(
       1,
       static_cast<size_t>(kProbeShare * static_cast<double>(max_connections)));
@@ -26,7 +27,7 @@
                              size_t max_connections)
     : timeout_seconds_(timeout_seconds),
       pool_(loop, wire::kReportLimit, max_connections),
-      probes_(loop, MostProbes(max_connections)) {}
+      probes_(loop, MaxConcurrentProbes(max_connections)) {}
 
 net::Task<WorkerClients::Answer> WorkerClients::Send(
     SendCommands commands, std::function<bool()> may_send) {
@@ -65,7 +66,8 @@
   const bool has_turn =
       co_await probes_.Acquire(kProbeTurnTimeouts * timeout_seconds_);
   if (!has_turn) co_return out;
-  // A named object: GCC 12 destroys a temporary of an awaited call twice.
+  // A named object, because GCC 12 destroys a temporary in an awaited call
+  // twice.
   std::function<bool()> always = [] { return true; };
   const net::ClientResult answer =
       co_await pool_.Request(std::move(address), "GET", "/status", "",
--- a/clients/worker.h
+++ b/clients/worker.h
@@ -1,4 +1,4 @@
-// The client for direct commands to workers.
+// Client for the commands and probes that the leader sends directly to workers.
 #pragma once
 
 #include <functional>
@@ -12,8 +12,8 @@
 namespace oxbow::clients {
 
 // Sends commands and probes to workers, over a bounded number of connections.
-// Must outlive its pending calls; Clear closes the idle connections when a
-// leadership ends.
+// Must outlive its pending calls. Clear() closes the idle connections, for when
+// this controller stops leading.
 class WorkerClients {
  public:
   WorkerClients(net::Loop& loop, double timeout_seconds,
@@ -25,9 +25,10 @@
     Heartbeat heartbeat;
   };
 
-  // `may_send`: whether the right to send the commands still holds; asked last
-  // before they are sent.
+  // `may_send`: whether this controller may still send the commands; called
+  // just before they are sent.
   net::Task<Answer> Send(SendCommands commands, std::function<bool()> may_send);
+  // Asks the worker at that endpoint for its status.
   net::Task<Answer> Probe(std::string endpoint);
   void Clear() { pool_.CloseAll(); }
   net::HttpClientPool::Counters counters() const { return pool_.counters(); }
@@ -35,8 +36,9 @@
  private:
   const double timeout_seconds_;
   net::HttpClientPool pool_;
-  // A new leader probes all workers at once, and those out of reach hold their
-  // connections for a timeout. The commands need the others.
+  // Limits concurrent probes. A new leader probes all workers at once, and each
+  // unreachable worker holds a connection until the timeout; the commands need
+  // the remaining connections.
   net::Semaphore probes_;
 };
 
--- a/clients/write_retry.cc
+++ b/clients/write_retry.cc
@@ -10,7 +10,7 @@
 namespace oxbow::clients {
 
 void RoundTrip::OnAnswer(double took_seconds) {
-  // The weights of RFC 6298 for the newest measurement.
+  // The weights that RFC 6298 gives to the newest measurement.
   constexpr double kNewest = 1.0 / 8;
   constexpr double kNewestVariation = 1.0 / 4;
   backoff_ = 1;
@@ -70,7 +70,7 @@
   }
   if (answered_ < sent_) return;
   if (unanswered_) return Change(Phase::kSilent);
-  // All copies were refused: none can be carried out later.
+  // The store refused all copies, so none of them can be executed later.
   status_ = too_large_ ? StoreStatus::kRefused : StoreStatus::kNotExecuted;
   Change(Phase::kDecided);
 }
--- a/clients/write_retry.h
+++ b/clients/write_retry.h
@@ -1,5 +1,5 @@
-// When a transaction whose answer is missing is sent again, and what the
-// answers to its copies mean together. No I/O.
+// Decides when to send a transaction again whose answer is missing, and what
+// the answers to all of its copies mean together. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,28 @@
 
 namespace oxbow::clients {
 
-// What is known of a request to the store.
+// What is known about a request to the store.
 enum class StoreStatus {
   kOk,
   kNotFound,
   kConflict,
   kRefused,      // too large, or malformed: it would be refused again
-  kTooOld,       // the watch has fallen behind what the store keeps
+  kTooOld,       // the store no longer keeps the changes asked for
   kNotExecuted,  // refused or never sent
   kUnknown,      // sent, no answer
 };
 
-// How long answers take, smoothed as TCP does for its retransmissions
-// (RFC 6298): a store that grows slow is given more time at once, one that
-// stays silent twice as much each time.
+// Estimates how long answers take and derives a timeout, as TCP does for its
+// retransmissions (RFC 6298): the timeout grows at once when the store becomes
+// slower, and doubles each time an answer is missing.
 class RoundTrip {
  public:
-  // `most_seconds`: the timeout while nothing has been measured, and the
-  // longest.
+  // `most_seconds`: the longest timeout, also used before the first
+  // measurement.
   explicit RoundTrip(double most_seconds) : most_seconds_(most_seconds) {}
 
   void OnAnswer(double took_seconds);
-  // No answer within the timeout.
+  // Call when no answer has arrived within the timeout.
   void OnTimeout();
   double TimeoutSeconds() const;
 
@@ -40,19 +40,22 @@
   double backoff_ = 1;
 };
 
-// A transaction and the copies of it that have been sent with the same
-// preconditions, which hold for the first copy that arrives only. So one answer
-// that says what became of a copy says enough about all of them:
-// - kOk: this copy was carried out, and no other will be;
-// - kConflict: a record in the store refuses them all, that of this transaction
-//   itself, carried out before, or another. The sender has to treat both alike;
-// - kNotExecuted, kRefused: this copy was not carried out, another may be, also
+// A transaction and the copies of it that were sent with the same
+// preconditions, which hold only for the first copy that the store executes.
+// The answers mean:
+// - kOk: this copy was executed, and no other copy will be;
+// - kConflict: a record in the store makes the preconditions of all copies
+// fail,
+//   written either by an earlier copy or by another transaction. The sender has
+//   to treat both cases alike;
+// - kNotExecuted, kRefused: this copy was not executed, but another may be,
+// also
 //   one that arrived before the store lowered its limits.
 class WriteRetry {
  public:
   enum class Phase : uint8_t {
-    kWaiting,  // for the answer to a copy in flight
-    kSilent,   // none is in flight, and an answer is missing
+    kWaiting,  // a copy is in flight
+    kSilent,   // no copy is in flight, and an answer is missing
     kDecided,
   };
 
@@ -62,17 +65,17 @@
   }
   void OnAnswer(StoreStatus status);
 
-  // A copy is worth sending: whatever was sent may yet arrive.
-  bool MaySendAgain() const { return !decided() && sent_ < kMostCopies; }
+  // Whether a copy may be sent; earlier copies may still arrive.
+  bool MaySendAgain() const { return !decided() && sent_ < kMaxCopies; }
   bool decided() const { return phase_ == Phase::kDecided; }
-  // A copy was refused: sending more is of no use now.
+  // Whether a copy was refused: sending more copies is useless now.
   bool refused() const { return refused_; }
   bool silent() const { return phase_ == Phase::kSilent; }
-  // What is known now; kUnknown until it is decided.
+  // The decided outcome; kUnknown until then.
   StoreStatus status() const { return status_; }
 
  private:
-  static constexpr int kMostCopies = 4;
+  static constexpr int kMaxCopies = 4;
   // The only function that changes the phase.
   void Change(Phase next);
 
--- a/health_expression/health_expression.cc
+++ b/health_expression/health_expression.cc
@@ -9,7 +9,7 @@
 
 namespace oxbow::health_expression {
 
-// What one judgement works on. The JSON is parsed when first asked for.
+// The state of one evaluation. The body is parsed as JSON on first use.
 struct HealthExpression::Run {
   const Answer& answer;
   std::optional<rapidjson::Document> json;
@@ -21,7 +21,7 @@
   const rapidjson::Value* At(const char* pointer) {
     if (!json) {
       json.emplace();
-      // Iterative: a body of nothing but brackets must not use up the stack.
+      // Parses iteratively: deeply nested brackets must not exhaust the stack.
       json->Parse<rapidjson::kParseIterativeFlag>(answer.body.data(),
                                                   answer.body.size());
     }
@@ -33,7 +33,8 @@
 
 namespace {
 
-// No destructor may be pending where Lua can raise: it jumps over them.
+// Where Lua can raise an error, no destructor may be pending: Lua leaves the
+// function by longjmp, which skips destructors.
 
 int Has(lua_State* lua, std::string_view body) {
   size_t length = 0;
@@ -43,7 +44,7 @@
   return 1;
 }
 
-void TooLong(lua_State* lua, lua_Debug*) {
+void RaiseTooManyInstructions(lua_State* lua, lua_Debug*) {
   luaL_error(lua, "too many instructions");
 }
 
@@ -67,9 +68,10 @@
 
 }  // namespace
 
-// Everything that can raise is inside the protected call: the expression is
-// its first argument, the run its second. What the expression sees is a table
-// of its own each time, so that nothing is carried from one answer to the next.
+// Evaluates the expression inside the protected call, which contains everything
+// that can raise an error. The first argument is the compiled expression, the
+// second the Run. Each evaluation gets a new table of globals, so that no state
+// carries over from one answer to the next.
 int HealthExpression::Run::Call(lua_State* lua) {
   auto* current = static_cast<Run*>(lua_touserdata(lua, 2));
   const Answer& seen = current->answer;
@@ -100,8 +102,8 @@
   });
   lua_pushvalue(lua, 1);
   lua_pushvalue(lua, 3);
-  // The chunk's only upvalue is what its global names are looked up in. An
-  // expression without any has none.
+  // The chunk's only upvalue is the table of its globals. An expression that
+  // uses no globals has no upvalue.
   if (lua_setupvalue(lua, -2, 1) == nullptr) lua_pop(lua, 1);
   lua_call(lua, 0, 1);
   return 1;
@@ -109,16 +111,17 @@
 
 void* HealthExpression::Allocate(void* self, void* block, size_t old_size,
                                  size_t new_size) {
-  auto* verdict = static_cast<HealthExpression*>(self);
+  auto* expression = static_cast<HealthExpression*>(self);
   const size_t old = block == nullptr ? 0 : old_size;
   if (new_size == 0) {
-    verdict->used_ -= old;
+    expression->used_ -= old;
     std::free(block);
     return nullptr;
   }
-  if (verdict->used_ - old + new_size > verdict->limits_.memory) return nullptr;
+  if (expression->used_ - old + new_size > expression->limits_.memory)
+    return nullptr;
   void* moved = std::realloc(block, new_size);
-  if (moved != nullptr) verdict->used_ += new_size - old;
+  if (moved != nullptr) expression->used_ += new_size - old;
   return moved;
 }
 
@@ -128,8 +131,9 @@
     error_ = "no memory";
     return;
   }
-  // Text only: a precompiled chunk could break out of the machine. No library
-  // is opened; the pattern functions among them run without an end in sight.
+  // Accepts source text only: a precompiled chunk could escape the Lua virtual
+  // machine. No Lua library is opened: the instruction limit does not stop the
+  // pattern functions of the string library, which can run almost indefinitely.
   const std::string chunk = "return (" + expression + "\n)";
   if (luaL_loadbufferx(lua_, chunk.data(), chunk.size(), "=verdict", "t") !=
       LUA_OK) {
@@ -149,7 +153,8 @@
   lua_pushcfunction(lua_, &Run::Call);
   lua_pushvalue(lua_, 1);
   lua_pushlightuserdata(lua_, &run);
-  lua_sethook(lua_, TooLong, LUA_MASKCOUNT, limits_.instructions);
+  lua_sethook(lua_, RaiseTooManyInstructions, LUA_MASKCOUNT,
+              limits_.instructions);
   const int status = lua_pcall(lua_, 2, 1, 0);
   lua_sethook(lua_, nullptr, 0, 0);
   Result result = Result::kError;
--- a/health_expression/health_expression.h
+++ b/health_expression/health_expression.h
@@ -1,5 +1,6 @@
-// The verdict on a health check's answer: an expression of the operators, in
-// Lua, without I/O, bounded in memory and instructions.
+// Evaluates the answer to a health check with a Lua expression that the
+// operators declare. The evaluation does no I/O and is bounded in memory and
+// instructions.
 #pragma once
 
 #include <memory>
@@ -10,20 +11,23 @@
 
 namespace oxbow::health_expression {
 
-// What an expression sees:
+// A compiled expression. The expression can use these names:
 //   status      the HTTP status
 //   body        the body, as text
-//   latency_ms  from the request to the whole answer
+//   latency_ms  milliseconds from the request to the whole answer
 //   has(text)   whether the body contains the text
-//   count(p)    elements of the array or object at JSON pointer p; -1: none
-//   value(p)    string, number or boolean at JSON pointer p; nil: none
+//   count(p)    number of elements of the array or object at JSON pointer p;
+//               -1 if there is no array or object
+//   value(p)    string, number or boolean at JSON pointer p; nil if there is
+//               none
 //
+// Example:
 //   status == 200 and count("/chargers") > 0
 class HealthExpression {
  public:
   struct Limits {
-    size_t memory = 256 * 1024;  // bytes, of one expression
-    int instructions = 20'000;   // for one answer
+    size_t memory = 256 * 1024;  // bytes that one expression may use
+    int instructions = 20'000;   // Lua instructions for one answer
   };
   struct Answer {
     int status = 0;
@@ -39,12 +43,14 @@
   HealthExpression(const HealthExpression&) = delete;
   HealthExpression& operator=(const HealthExpression&) = delete;
 
-  // What keeps the expression from being used; empty when it is good.
+  // Why the expression cannot be used; empty when it is valid.
   const std::string& error() const { return error_; }
-  // True and false are as they say, anything else, a fault or a limit reached
-  // is an error, which no caller may take for good.
+  // Returns kGood for true and kBad for false. Any other value, an error in the
+  // expression or an exceeded limit gives kError, which no caller may treat as
+  // good.
   Result Judge(const Answer& answer);
 
+  // Compiles the expression and returns error().
   static std::string WhatIsWrong(const std::string& expression);
 
  private:
--- a/logging/structured_log.h
+++ b/logging/structured_log.h
@@ -1,7 +1,8 @@
-// The one way into the log: a stable message and named fields, written to
-// standard error at the level of LOG_LEVEL. Levels by meaning: an error needs a
-// person, a warning may, an info tells what the program has decided, a debug
-// line is for a person who looks for a fault.
+// The interface through which all code logs. A log line is a stable message
+// with named fields, written to standard error if its level reaches LOG_LEVEL.
+// An error requires action by an operator, a warning may require it, an info
+// line reports a decision of the program, and a debug line helps to find a
+// fault.
 #pragma once
 
 #include <string>
@@ -15,10 +16,10 @@
 void Info(std::string message, LogFields fields = {});
 void Debug(std::string message, LogFields fields = {});
 
-// An event of the core: info, or debug for a detail.
+// Logs an event of the core, at level info, or at debug if it is a detail.
 void Write(const LogEvent& event);
 
-// Whether debug lines are written at all.
+// Whether debug lines are written.
 bool DebugEnabled();
 
 }  // namespace oxbow::logging
--- a/net/connection_table.h
+++ b/net/connection_table.h
@@ -1,5 +1,5 @@
-// The connections that a server has open: what each of them is doing, for how
-// long, and what kind of client uses it. No I/O.
+// Tracks the open connections of a server: the state of each, since when it is
+// in that state, and the kind of client that uses it. Does no I/O.
 #pragma once
 
 #include <array>
@@ -12,16 +12,16 @@
 namespace oxbow::net {
 
 enum class ConnectionState : uint8_t {
-  kIdle,       // no byte of a request has come
-  kReceiving,  // the first byte of a request has come
+  kIdle,       // no byte of the next request has arrived
+  kReceiving,  // a request has arrived in part
   kAnswering,  // a request is being answered
 };
 
 class Socket;
 class ConnectionTable;
 
-// One entry of the table, for as long as it lives. Neither the socket nor the
-// table may end before it.
+// One entry of the table; the destructor removes it. The socket and the table
+// must outlive it.
 class Connection {
  public:
   Connection(ConnectionTable& table, Socket& socket, Time now);
@@ -30,7 +30,7 @@
   Connection& operator=(const Connection&) = delete;
 
   void Become(ConnectionState next, Time now);
-  // Which of the server's kinds of client has sent the latest request.
+  // Sets the kind of the client that sent the latest request.
   void SetKind(size_t kind);
   Socket& socket() { return socket_; }
   ConnectionState state() const { return state_; }
@@ -50,14 +50,14 @@
 // All connections of one server. Each operation takes constant time.
 class ConnectionTable {
  public:
-  // The server's kinds of client are numbered below that. 0: none, no request
-  // has come yet.
+  // Client kinds are numbers below kMaxKinds. 0: unknown, because no request
+  // has arrived yet.
   static constexpr size_t kMaxKinds = 8;
   using CountByKind = std::array<size_t, kMaxKinds>;
 
   size_t size() const { return size_; }
   const CountByKind& by_kind() const { return by_kind_; }
-  // The one that has been idle for longest; null if none is.
+  // The connection that has been idle longest; null if none is idle.
   Connection* LongestIdle() const {
     return idle_.empty() ? nullptr : idle_.front();
   }
@@ -67,7 +67,7 @@
 
   size_t size_ = 0;
   CountByKind by_kind_{};
-  std::list<Connection*> idle_;  // the longest idle first
+  std::list<Connection*> idle_;  // the one idle longest comes first
 };
 
 }  // namespace oxbow::net
--- a/net/http.cc
+++ b/net/http.cc
@@ -138,7 +138,7 @@
   return out;
 }
 
-// The one place where the parser changes its state.
+// The only function that changes the parser's state.
 void HttpParser::Become(State next) {
   if (state_ == State::kFailed ||
       (state_ == State::kDone && next != State::kStartLine)) {
@@ -220,7 +220,7 @@
 void HttpParser::OnLine(std::string_view line) {
   switch (state_) {
     case State::kStartLine:
-      // Tolerate blank lines between messages, as RFC 9112 asks.
+      // Ignores blank lines before a message, as RFC 9112 requires.
       if (!line.empty()) OnStartLine(line);
       return;
     case State::kHeaders:
@@ -235,7 +235,7 @@
       return;
     case State::kChunkEnd:
       if (!line.empty()) return Fail(400);
-      // Chunk lines are bounded by the body, not by the header limit.
+      // The body limit bounds the chunk lines; the header limit does not apply.
       header_bytes_ = 0;
       return Become(State::kChunkSize);
     case State::kTrailers:
@@ -295,7 +295,7 @@
   if (EqualsIgnoreCase(name, "Content-Length")) {
     size_t length = 0;
     if (!ParseNumber(value, &length)) return Fail(400);
-    // Two lengths that differ are how requests get smuggled.
+    // Different lengths in one message allow request smuggling.
     if (has_length_ && length != remaining_) return Fail(400);
     has_length_ = true;
     remaining_ = length;
--- a/net/http.h
+++ b/net/http.h
@@ -31,15 +31,15 @@
   bool keep_alive = true;
 };
 
-// The phrase of the status line, such as "Not Found".
+// The reason phrase of the status line, such as "Not Found".
 std::string_view ReasonPhrase(int status);
-// The bytes of a whole message.
+// Returns the bytes of a whole message.
 std::string Serialize(const HttpResponse& response);
 std::string SerializeRequest(std::string_view method, std::string_view target,
                              std::string_view host, std::string_view body);
 
-// Feeds on bytes in pieces of any size. One message at a time: bytes beyond
-// the end of a message stay with the caller.
+// Parses one message at a time from pieces of any size. Bytes after the end of
+// the message are not consumed.
 class HttpParser {
  public:
   enum class Kind { kRequest, kResponse };
@@ -64,7 +64,8 @@
 
   // Consumes a prefix of the data and returns its length.
   size_t Feed(std::string_view data);
-  // The stream ended; completes a body that runs until then.
+  // Call at the end of the stream: completes a body without a length, and fails
+  // any other unfinished message.
   void Finish();
   void Reset();
 
@@ -72,7 +73,8 @@
   bool done() const { return state_ == State::kDone; }
   bool failed() const { return state_ == State::kFailed; }
   bool started() const { return started_; }
-  // The status to refuse the request with once failed: 400, 413, 431 or 501.
+  // The HTTP status with which to refuse the request after a failure: 400, 413,
+  // 431 or 501.
   int error_status() const { return error_status_; }
 
   HttpRequest& request() { return request_; }
--- a/net/http_client.cc
+++ b/net/http_client.cc
@@ -17,8 +17,9 @@
 
 Task<ClientResult> HttpClient::Request(std::string method, std::string target,
                                        std::string body, Time timeout_seconds) {
-  // A connection is mostly there in a few milliseconds; a machine without
-  // power never answers, and the caller wants the rest of its time.
+  // One deadline covers connecting, sending and receiving: a connection usually
+  // opens within a few milliseconds and leaves the request the rest of the
+  // time, and a machine without power never answers.
   const Time deadline = loop_.Now() + timeout_seconds;
   ClientResult result;
   std::unique_ptr<Socket> socket;
@@ -32,7 +33,7 @@
     if (!socket) co_return result;
   }
   const std::string wire = SerializeRequest(method, target, host_, body);
-  // From the first byte handed to the system on, the request may arrive.
+  // Once the kernel has the first byte, the request may reach the server.
   result.outcome = Outcome::kUnknown;
   const bool written = co_await socket->Write(wire, deadline);
   if (!written) co_return result;
--- a/net/http_client.h
+++ b/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client to one address with a small pool of open connections.
+// HTTP/1.1 client for one address with a small pool of open connections.
 #pragma once
 
 #include <memory>
@@ -11,17 +11,18 @@
 
 namespace oxbow::net {
 
-// What is known about a request afterwards. The difference between kNotSent and
-// kUnknown is what safety rests on: a request that was never sent cannot be
-// executed later, one without an answer can, minutes later.
+// What is known about a request when it has ended. Safety depends on the
+// difference between kNotSent and kUnknown: a request that was never sent
+// cannot be executed later, but one without an answer can be, even minutes
+// later.
 enum class Outcome {
   kAnswered,
   kNotSent,
   kUnknown,
-  kTooLarge,  // answered, with more than the client takes: executed or refused
+  kTooLarge,  // the answer exceeds the limit: executed or refused
 };
 
-// What came of one request. `status` and `body` count only if it was answered.
+// The result of one request. `status` and `body` are valid only for kAnswered.
 struct ClientResult {
   Outcome outcome = Outcome::kNotSent;
   int status = 0;
@@ -31,12 +32,12 @@
   bool ok() const { return outcome == Outcome::kAnswered && status == 200; }
 };
 
-// Keeps up to `max_idle` connections open. A request that is awaited keeps the
-// client in use: the client must outlive it. Requests run side by side, each on
-// a connection of its own.
+// Keeps up to `max_idle` idle connections open. Requests run concurrently, each
+// on its own connection. The client must outlive its pending requests.
 class HttpClient {
  public:
-  // `urgent`: its answers go before all else that is ready.
+  // `body_limit`: the largest body accepted in an answer, in bytes. `urgent`:
+  // the event loop handles its answers before all other ready descriptors.
   HttpClient(Loop& loop, Address address, size_t body_limit,
              size_t max_idle = 4, bool urgent = false);
 
--- a/net/http_client_pool.h
+++ b/net/http_client_pool.h
@@ -14,29 +14,30 @@
 
 namespace oxbow::net {
 
-// Keeps one connection open to each of the addresses used last, and has no more
-// than `max_connections` requests in flight; others wait for their turn. Must
-// outlive its pending requests.
+// Keeps one connection open to each of the most recently used addresses, and
+// has at most `max_connections` requests in flight; further requests wait for a
+// connection. Must outlive its pending requests.
 class HttpClientPool {
  public:
-  // Of the requests since the start, but for what is now.
+  // The first three are current values, the others count since the start.
   struct Counters {
-    size_t addresses = 0;  // to which a connection may be open
+    size_t addresses = 0;  // those to which a connection may be open
     size_t in_flight = 0;
     size_t waiting = 0;
     uint64_t sent = 0;
-    uint64_t not_sent = 0;  // no connection could be opened, or no turn came
+    uint64_t not_sent = 0;  // no connection, timed out waiting, or forbidden
   };
 
   HttpClientPool(Loop& loop, size_t body_limit, size_t max_connections);
 
-  // `timeout_seconds`: from now to the answer, the wait for a turn included.
-  // `may_send` is asked when the turn has come; false: the request is not sent.
+  // `timeout_seconds`: the time from now to the answer, including the wait for
+  // a connection. `may_send` is called after that wait; if it returns false,
+  // the request is not sent.
   Task<ClientResult> Request(Address address, std::string method,
                              std::string target, std::string body,
                              Time timeout_seconds,
                              std::function<bool()> may_send);
-  // Closes the connections that are kept; those in use are closed after it.
+  // Closes the idle connections now, and those in use when their requests end.
   void CloseAll();
   Counters counters() const;
 
@@ -45,7 +46,7 @@
     std::unique_ptr<HttpClient> client;
     size_t users = 0;
     uint64_t generation = 0;
-    std::list<std::string>::iterator unused_position;  // while without users
+    std::list<std::string>::iterator unused_position;  // valid while users is 0
   };
 
   Entry& Use(const Address& address);
@@ -56,8 +57,8 @@
   const size_t max_connections_;
   Semaphore turns_;
   std::unordered_map<std::string, Entry> entries_;  // by address
-  std::list<std::string> unused_;  // the one used longest ago first
-  uint64_t generation_ = 0;        // raised by CloseAll()
+  std::list<std::string> unused_;                   // least recently used first
+  uint64_t generation_ = 0;                         // incremented by CloseAll()
   Counters counters_;
 };
 
--- a/net/http_server.cc
+++ b/net/http_server.cc
@@ -6,11 +6,13 @@
 namespace oxbow::net {
 namespace {
 
-// Of the limit: with more connections open, each is closed with its answer.
+// A share of the connection limit: while more connections are open, each is
+// closed after its next answer.
 constexpr double kKeepOpenShare = 0.9;
-// A connection that is idle for less is not closed for another.
+// A connection that has been idle for less time is not closed for another.
 constexpr Time kMinIdleSeconds = 0.1;
-// Connections that look idle but have input, before none is taken to be.
+// The number of apparently idle connections with unread input that one search
+// skips before it treats no connection as idle.
 constexpr int kMaxInputChecks = 16;
 
 }  // namespace
@@ -25,18 +27,19 @@
       place_freed_(loop) {}
 
 Task<void> HttpServer::Run() {
-  bool evicted_in_vain = false;
+  bool has_just_evicted = false;
   for (;;) {
     std::unique_ptr<Socket> socket = co_await listener_.Accept();
     if (!socket) {
       ++counters_.out_of_descriptors;
-      evicted_in_vain = !evicted_in_vain && EvictIdle();
-      if (!evicted_in_vain) co_await loop_.Sleep(kOutOfDescriptorsPauseSeconds);
+      has_just_evicted = !has_just_evicted && EvictIdle();
+      if (!has_just_evicted)
+        co_await loop_.Sleep(kOutOfDescriptorsPauseSeconds);
       continue;
     }
-    evicted_in_vain = false;
-    // One that can't be served is closed at once: the load balancer and the
-    // workers then try another node instead of waiting for this one.
+    has_just_evicted = false;
+    // A connection that can't be served is closed at once: the load balancer
+    // and the workers then try another node instead of waiting for this one.
     const bool is_admitted = co_await Admit();
     if (!is_admitted) continue;
     ++counters_.accepted;
@@ -62,7 +65,8 @@
   for (int i = 0; i < kMaxInputChecks; ++i) {
     Connection* idle = table_.LongestIdle();
     if (idle == nullptr || !idle->socket().HasInput()) return idle;
-    // Its coroutine has not been resumed with the request yet.
+    // A request has arrived, but the connection's coroutine has not read it
+    // yet.
     idle->Become(ConnectionState::kReceiving, loop_.Now());
   }
   return nullptr;
@@ -111,7 +115,8 @@
         rest.erase(0, used);
       }
       if (parser.done() || parser.failed()) break;
-      // A request that trickles in must not hold its connection for ever.
+      // A request that arrives slowly must not hold its connection
+      // indefinitely.
       if (parser.started() && deadline == idle_deadline) {
         connection.Become(ConnectionState::kReceiving, loop_.Now());
         deadline = loop_.Now() + limits_.request_seconds;
@@ -143,7 +148,8 @@
         co_await socket->Write(wire, loop_.Now() + limits_.response_seconds);
     if (!written) break;
   }
-  // Whoever waits is resumed at the next turn, when the connection has ended.
+  // Resumes Admit() at the next turn of the loop, when this connection has
+  // left the table.
   place_freed_.Set();
 }
 
--- a/net/loop.cc
+++ b/net/loop.cc
@@ -68,8 +68,8 @@
 }
 
 void Loop::RunPosted() {
-  // Only what was posted before this turn: a callback that posts again must
-  // not starve the sockets.
+  // Runs only callbacks that were posted before this turn: a callback that
+  // posts another must not starve the sockets.
   for (size_t n = posted_.size(); n > 0; --n) {
     auto callback = std::move(posted_.front());
     posted_.pop_front();
@@ -102,7 +102,7 @@
   if (current_->readable && current_->reader) {
     std::exchange(current_->reader, {}).resume();
   }
-  // Whoever ran may have closed it.
+  // The resumed coroutine may have closed the descriptor.
   if (current_ != nullptr && current_->writable && current_->writer) {
     std::exchange(current_->writer, {}).resume();
   }
@@ -110,10 +110,11 @@
 }
 
 void Loop::Run() {
-  // So many of those that are ready between two looks at the clock and at what
-  // is urgent: behind three hundred reports the answer to a renewal came after
-  // the lease had run out.
-  constexpr int kAtOnce = 16;
+  // The number of ready descriptors handled before the loop checks timers and
+  // urgent descriptors again. Without this limit, the answer to a lease renewal
+  // that was queued behind three hundred worker reports was handled only after
+  // the lease had expired.
+  constexpr int kMaxReadyPerTurn = 16;
   Time woke_at = Refresh();
   while (!stopped_) {
     Refresh();
@@ -132,7 +133,8 @@
     Collect(wait_ms);
     woke_at = Refresh();
     while (!urgent_.empty()) Resume(urgent_);
-    for (int i = 0; i < kAtOnce && !ready_.empty(); ++i) Resume(ready_);
+    for (int i = 0; i < kMaxReadyPerTurn && !ready_.empty(); ++i)
+      Resume(ready_);
   }
 }
 
--- a/net/loop.h
+++ b/net/loop.h
@@ -1,4 +1,4 @@
-// The event loop: epoll for sockets, an ordered map for timers. One thread.
+// Single-threaded event loop: epoll for sockets, an ordered map for timers.
 #pragma once
 
 #include <coroutine>
@@ -12,28 +12,30 @@
 
 namespace oxbow::net {
 
-// Steady time in seconds, the unit of the whole project.
+// A time or duration of the steady clock in seconds, the time unit of the whole
+// project.
 using Time = double;
-// Seconds of the steady clock; of the wall clock since 1970.
+// The current time in seconds: of the steady clock, and of the wall clock since
+// 1970.
 Time SteadyNow();
 Time WallNow();
 
-// Waiters of one registered descriptor. Edge-triggered: a socket operation is
-// tried first and waits here only after EAGAIN.
+// Waiting coroutines and readiness of one registered descriptor. Events are
+// edge-triggered: after EAGAIN the coroutine waits for the next edge.
 struct FdWaiters {
   std::coroutine_handle<> reader;
   std::coroutine_handle<> writer;
   bool readable = false;
   bool writable = false;
-  // The other side has closed: reported once, so it has to be remembered.
+  // The peer has closed the connection. epoll reports this only once.
   bool hangup = false;
-  // Goes before all others that are ready.
+  // Handled before all ready descriptors that are not urgent.
   bool urgent = false;
-  bool queued = false;  // stands in one of the loop's queues
+  bool queued = false;  // is in one of the loop's queues
 };
 
-// Runs callbacks and coroutines of one thread. Not thread-safe. Callbacks run
-// between two looks at the sockets; one that takes long delays all others.
+// Runs callbacks and coroutines on one thread. Not thread-safe. A callback that
+// takes long delays all sockets and other callbacks.
 class Loop {
  public:
   using TimerMap = std::multimap<Time, std::function<void()>>;
@@ -47,11 +49,11 @@
   void Run();
   void Stop() { stopped_ = true; }
 
-  // The longest time that callbacks have taken between two looks at the
+  // The longest time that callbacks have taken between two polls of the
   // sockets.
   Time longest_stall() const { return longest_stall_; }
 
-  // Time at the latest wake-up or call of Refresh(); cheap.
+  // The time of the last wake-up or Refresh(); makes no system call.
   Time Now() const { return now_; }
   Time Refresh() { return now_ = SteadyNow(); }
 
@@ -77,9 +79,10 @@
  private:
   void RunTimers();
   void RunPosted();
-  // Takes over what the system has, without waiting longer than that.
+  // Queues the descriptors that epoll reports, waiting at most `wait_ms`
+  // milliseconds for the first.
   void Collect(int wait_ms);
-  // Resumes whoever waits for the first of the queue.
+  // Resumes the coroutines that wait for the first descriptor of the queue.
   void Resume(std::deque<FdWaiters*>& queue);
 
   int epoll_fd_;
@@ -88,7 +91,7 @@
   Time longest_stall_ = 0;
   TimerMap timers_;
   std::deque<std::function<void()>> posted_;
-  // Descriptors with news, in the order of its coming.
+  // Descriptors with events, in the order in which the events arrived.
   std::deque<FdWaiters*> urgent_;
   std::deque<FdWaiters*> ready_;
   FdWaiters* current_ = nullptr;  // being resumed; null once it is closed
@@ -101,7 +104,7 @@
   void Set();
   bool IsSet() const { return set_; }
   void Clear() { set_ = false; }
-  // True when set, false when the time ran out.
+  // Whether the event was set before the time had passed.
   Task<bool> Wait(Time seconds);
 
  private:
--- a/net/semaphore.cc
+++ b/net/semaphore.cc
@@ -11,7 +11,7 @@
   auto granted = std::make_shared<Event>(loop_);
   const auto position = waiting_.insert(waiting_.end(), granted);
   const bool in_time = co_await granted->Wait(timeout_seconds);
-  // Release() has removed those that it has granted a place.
+  // Release() has already removed a waiter that it granted a place.
   if (!in_time) waiting_.erase(position);
   co_return in_time;
 }
--- a/net/semaphore.h
+++ b/net/semaphore.h
@@ -1,4 +1,4 @@
-// A bounded number of places that coroutines of one event loop share.
+// A counting semaphore for the coroutines of one event loop.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 namespace oxbow::net {
 
-// Places are given in the order in which they were asked for. The semaphore
-// must outlive the coroutines that wait for it.
+// Grants places in the order of the requests. The semaphore must outlive the
+// coroutines that wait for it.
 class Semaphore {
  public:
   Semaphore(Loop& loop, size_t places) : loop_(loop), free_(places) {}
 
-  // Whether a place was got in time. One that was got is given back by
+  // Whether a place was acquired in time. The caller must give it back with
   // Release().
   Task<bool> Acquire(Time timeout_seconds);
   void Release();
@@ -25,7 +25,7 @@
  private:
   Loop& loop_;
   size_t free_;
-  std::list<std::shared_ptr<Event>> waiting_;  // the first to be served first
+  std::list<std::shared_ptr<Event>> waiting_;  // in the order of service
 };
 
 }  // namespace oxbow::net
--- a/net/socket.cc
+++ b/net/socket.cc
@@ -22,7 +22,7 @@
   return out;
 }
 
-// Waits for one side of a descriptor; resumed by the loop or by its timer.
+// Waits until a descriptor is readable or writable, or until the deadline.
 struct FdAwaiter {
   Loop& loop;
   std::coroutine_handle<>& slot;
@@ -119,14 +119,15 @@
 }
 
 Task<ssize_t> Socket::Read(char* buffer, size_t size, Time deadline) {
-  // Wait first: on a request-response connection the data is seldom there yet,
-  // and a read that finds nothing costs a system call.
+  // Waits before the first read: on a request-response connection the data has
+  // seldom arrived yet, and a read without data wastes a system call.
   for (;;) {
     const bool ready = co_await WaitReadable(deadline);
     if (!ready) co_return -1;
     const ssize_t n = recv(fd_, buffer, size, 0);
     if (n >= 0) {
-      // A short read has emptied the buffer: the next edge will tell.
+      // A short read has emptied the kernel's buffer: the next edge will report
+      // new data.
       if (n > 0 && static_cast<size_t>(n) < size && !waiters_.hangup) {
         waiters_.readable = false;
       }
@@ -175,7 +176,7 @@
     waiters_.readable = false;
     return false;
   }
-  // Bytes nobody asked for make the connection as useless as its end does.
+  // Unexpected bytes make an idle connection as unusable as its end does.
   return true;
 }
 
--- a/net/socket.h
+++ b/net/socket.h
@@ -1,4 +1,4 @@
-// A non-blocking TCP socket bound to the loop.
+// Non-blocking TCP sockets whose operations are awaited on the event loop.
 #pragma once
 
 #include <cstdint>
@@ -18,12 +18,13 @@
   std::string ToString() const { return ip + ":" + std::to_string(port); }
 };
 
-// "10.0.0.1:80"; false when it is not IPv4 and a port.
+// Parses text such as "10.0.0.1:80"; false when it is not an IPv4 address and a
+// port.
 bool ParseAddress(std::string_view text, Address* out);
 
 // Owns a descriptor and its registration with the loop, which must outlive it.
 // At most one coroutine reads and one writes at a time; neither may outlive the
-// socket. Deadlines are times of the loop, s.
+// socket. Deadlines are times of Loop::Now(), in seconds.
 class Socket {
  public:
   Socket(Loop& loop, int fd);
@@ -31,22 +32,24 @@
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
 
-  // Null when the connection fails or is not there by the deadline.
-  // `urgent`: what arrives on it goes before all else that is ready.
+  // Null when connecting fails or does not complete by the deadline. `urgent`:
+  // the loop handles its events before those of other ready descriptors.
   static Task<std::unique_ptr<Socket>> Connect(Loop& loop, Address address,
                                                Time deadline,
                                                bool urgent = false);
 
-  // Bytes read; 0 at the end of the stream; -1 on an error or at the deadline.
+  // Returns the number of bytes read; 0 at the end of the stream; -1 on an
+  // error or at the deadline.
   Task<ssize_t> Read(char* buffer, size_t size, Time deadline);
   // False on an error or at the deadline.
   Task<bool> Write(std::string_view data, Time deadline);
   // Ends the Read() that is in progress, and all later ones, as at a deadline.
   // Its coroutine is resumed before this returns.
   void CancelRead();
-  // Whether there are bytes to read, also such as the loop has not seen yet.
+  // Whether there are bytes to read, including bytes that the loop has not
+  // noticed yet.
   bool HasInput();
-  // Whether an idle connection has been closed by the other side.
+  // Whether the peer has closed an idle connection or sent unexpected bytes.
   bool PeerClosed();
   int fd() const { return fd_; }
 
@@ -70,8 +73,9 @@
 class Listener {
  public:
   Listener(Loop& loop, const Address& address);
-  // Null if the process has no descriptor left for a connection: then the
-  // caller makes room or waits before it tries again.
+  // Waits for a connection. Null if none can be accepted, such as when the
+  // process has no file descriptor left: the caller must close connections or
+  // wait before it tries again.
   Task<std::unique_ptr<Socket>> Accept();
   uint16_t port() const;
 
--- a/net/task.h
+++ b/net/task.h
@@ -1,5 +1,5 @@
-// Coroutine type of the project: lazily started, awaited by one owner, or
-// detached with Spawn().
+// The coroutine type of the project: it starts lazily, and is either awaited by
+// one owner or detached with Spawn().
 #pragma once
 
 #include <coroutine>
@@ -14,7 +14,8 @@
 
 namespace internal {
 
-// What all promises share: the awaiting coroutine and an exception in transit.
+// Common part of all promises: the awaiting coroutine and the exception, if
+// any, that is passed on to it.
 struct PromiseBase {
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
@@ -56,8 +57,8 @@
 
 }  // namespace internal
 
-// Owns a suspended coroutine; it runs when it is awaited, once. A parameter
-// taken by reference must outlive the coroutine.
+// Owns a suspended coroutine, which starts when it is awaited and may be
+// awaited once. An argument passed by reference must outlive the coroutine.
 template <typename T = void>
 class [[nodiscard]] Task {
  public:
@@ -96,8 +97,9 @@
   return Task<void>(std::coroutine_handle<Promise<void>>::from_promise(*this));
 }
 
-// A coroutine nobody waits for; it frees itself. An exception that reaches it
-// is a defect, so the process ends rather than go on half alive.
+// A coroutine that nothing awaits; it frees itself. An exception that reaches
+// it is a defect, so the process terminates instead of continuing without a
+// part of its work.
 struct Detached {
   struct promise_type {
     Detached get_return_object() { return {}; }
@@ -112,8 +114,8 @@
 
 }  // namespace internal
 
-// Runs the coroutine now, and on, without an owner: it must keep alive whatever
-// it uses.
+// Starts the coroutine at once and lets it run without an owner: the coroutine
+// must keep everything alive that it uses.
 inline void Spawn(Task<void> task) { internal::RunDetached(std::move(task)); }
 
 }  // namespace oxbow::net
