--- a/clients/health.cc
+++ b/clients/health.cc
@@ -42,9 +42,10 @@
   CheckOutcome out;
   net::Address address;
   if (!net::ParseAddress(check.endpoint, &address)) co_return out;
-  const HealthCheck& settings = check.spec->check;
+  const HealthCheck& health_check = check.spec->check;
   const uint64_t port =
-      settings.port + (settings.port_per_task ? uint64_t{check.key.task} : 0);
+      health_check.port +
+      (health_check.port_per_task ? uint64_t{check.key.task} : 0);
   if (port > UINT16_MAX) co_return out;
   address.port = static_cast<uint16_t>(port);
   const net::Time sent = loop_.Now();
@@ -52,8 +53,8 @@
   // each instance, and a service that accepts no new connections is unhealthy.
   net::HttpClient http(loop_, address, kBodyLimit, 0);
   const net::ClientResult answer =
-      co_await http.Request("GET", ExpandPath(settings.path, check.key), "",
-                            settings.timeout_seconds);
+      co_await http.Request("GET", ExpandPath(health_check.path, check.key), "",
+                            health_check.timeout_seconds);
   if (answer.outcome != net::Outcome::kAnswered) co_return out;
   out.answered = true;
   out.latency_seconds = loop_.Now() - sent;
--- a/clients/key_value_store.cc
+++ b/clients/key_value_store.cc
@@ -425,8 +425,7 @@
     result = co_await DecodeWatch(std::move(answer.body));
   } else if (answer.outcome == net::Outcome::kTooLarge) {
     result.status = StoreStatus::kTooOld;
-    logging::Info("changes larger than the memory for them",
-                  {{"after", after}});
+    logging::Info("watch answer exceeds its memory limit", {{"after", after}});
   } else {
     result = Decode(answer).result;
   }
--- a/clients/peer.h
+++ b/clients/peer.h
@@ -32,7 +32,7 @@
   kRelaySubmit,
   kReach,   // asks which machines of a sample the peer reaches
   kSilent,  // as kReach, for machines that the leader does not hear
-  kOfferLeadershipTransfer,  // asks a better connected peer to lead
+  kOfferLeadershipTransfer,  // asks a better placed peer to lead
   kDeferCandidacy,           // another peer agreed to lead: let it try first
   kLedger,  // asks what the peer now finds in the key-value store
   kMemory,  // asks for a page of retained records after that key
@@ -43,9 +43,10 @@
   kDelegate,
   kDelegationOver,  // the sender no longer answers them
   kDelegateZone,    // asks to renew its zone's workers if the zone is cut off
-  kRequestLeaseYield,  // asks not to renew: the sender treats silent workers as
-                       // lost
-  kReport,             // an unchanged report of a worker in the sender's zone
+  // The sender treats silent workers as lost: the peer must not renew its
+  // zone's workers for a moment.
+  kRequestLeaseYield,
+  kReport,  // an unchanged report of a worker in the sender's zone
   // A submission of a job that waits for others. It has its own kind so that a
   // version that does not know it accepts nothing; that version would treat
   // kRelaySubmit as the submission of an ordinary job.
--- a/clients/write_retry.h
+++ b/clients/write_retry.h
@@ -44,13 +44,12 @@
 // preconditions, which hold only for the first copy that the store executes.
 // The answers mean:
 // - kOk: this copy was executed, and no other copy will be;
-// - kConflict: a record in the store makes the preconditions of all copies
-// fail,
-//   written either by an earlier copy or by another transaction. The sender has
+// - kConflict: the preconditions of all copies fail, because of a record that
+//   either an earlier copy or another transaction has written. The sender has
 //   to treat both cases alike;
-// - kNotExecuted, kRefused: this copy was not executed, but another may be,
-// also
-//   one that arrived before the store lowered its limits.
+// - kNotExecuted, kRefused: this copy was not executed, but another may be.
+// That
+//   may be one that arrived before the store lowered its limits.
 class WriteRetry {
  public:
   enum class Phase : uint8_t {
--- a/tests/budget_test.cc
+++ b/tests/budget_test.cc
@@ -5,8 +5,9 @@
 namespace oxbow::clients {
 namespace {
 
-// A leader's transaction was larger than its share of the changes a second:
-// it was never sent, and nothing after it, for a whole day.
+// Guards against a transaction that is never sent because it is larger than the
+// controller's share of the changes per second. That once blocked all of the
+// leader's later transactions for a whole day.
 TEST(Budget, AnAmountLargerThanTheShareIsPaidBackNotRefusedForEver) {
   Budget budget(20, 1.0);
   EXPECT_TRUE(budget.Take(Urgency::kLeader, 24, 1));
@@ -32,10 +33,10 @@
 }
 
 TEST(Budget, ReadsByUsersBeyondTheShareDoNotStarveTheLeader) {
-  constexpr double kShare = 180;  // requests a second
+  constexpr double kShare = 180;  // requests per second
   constexpr double kStepSeconds = 0.001;
   constexpr int kSteps = 10'000;
-  constexpr int kBurstSteps = 2'000;  // what was saved up is used by then
+  constexpr int kBurstSteps = 2'000;  // by then the initial burst is used up
   Budget budget(kShare, 1.0);
   int by_users = 0;
   int by_leader = 0;
--- a/tests/connections_test.cc
+++ b/tests/connections_test.cc
@@ -1,4 +1,4 @@
-// How a server shares its connections among more clients than it has room for.
+// Tests how a server handles more clients than its connection limit allows.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 namespace oxbow::test {
 namespace {
 
-constexpr size_t kLimit = 10;  // connections of a server
+constexpr size_t kLimit = 10;  // connection limit of a server
 
 class ConnectionsOfNode : public WholeNode {};
 
@@ -49,8 +49,8 @@
   co_return net::HttpResponse{};
 }
 
-// Guards against clients that open connections and say nothing: they must not
-// keep out one that asks.
+// Guards against clients that open connections and send nothing: they must not
+// keep a client from getting an answer.
 TEST(ConnectionLimit, ClientsThatSayNothingDoNotShutOutOneThatAsks) {
   net::Loop loop;
   net::HttpServer::Limits limits;
@@ -73,8 +73,8 @@
   }(loop, server));
 }
 
-// Guards against an answer lost to another's connection: one on which a request
-// has begun, or is being answered, is not closed to make room.
+// Guards against lost answers: a connection on which a request has begun or is
+// being answered must not be closed to make room for another.
 TEST(ConnectionLimit, AConnectionWithARequestUnderWayIsNotClosedForAnother) {
   net::Loop loop;
   net::HttpServer::Limits limits;
@@ -113,8 +113,9 @@
   }(loop, server));
 }
 
-// Guards against clients that are closed before their first request arrives,
-// since others have connected at the same moment, each time the same ones.
+// Guards against connections that are closed before their first request arrives
+// because other clients connect at the same moment. The same clients could then
+// fail each time.
 TEST(ConnectionLimit, ClientsThatConnectAtOnceAreAllAnswered) {
   constexpr size_t kClients = 4 * kLimit;
   net::Loop loop;
@@ -128,7 +129,7 @@
       clients.push_back(
           co_await net::Socket::Connect(l, Local(s.port()), l.Now() + 1));
     }
-    // The requests come once the server has seen all connections.
+    // The requests are sent only after all connections have been opened.
     for (const auto& client : clients) {
       co_await client->Write("GET / HTTP/1.1\r\n\r\n", l.Now() + 1);
     }
@@ -143,8 +144,8 @@
   }(loop, server));
 }
 
-// Guards against requests lost to an eviction: bytes that have come, but that
-// the server has not read yet, are a request that has begun.
+// Guards against requests that are lost when an idle connection is closed:
+// bytes that have arrived but that the server has not read yet begin a request.
 TEST(ConnectionLimit, AnIdleConnectionWithUnreadInputIsNotClosedForAnother) {
   net::Loop loop;
   net::HttpServer::Limits limits;
@@ -157,8 +158,9 @@
     const auto silent =
         co_await net::Socket::Connect(l, Local(s.port()), l.Now() + 1);
     co_await l.Sleep(0.2);
-    // In one turn of the loop: the server sees the new connection first, and
-    // the request that has come on the one that was idle for longest after it.
+    // Both events arrive in one turn of the loop: the server sees the new
+    // connection first, and then the request on the connection that has been
+    // idle longest.
     std::unique_ptr<net::Socket> third;
     net::Spawn([](net::Loop* loop_of_test, uint16_t port,
                   std::unique_ptr<net::Socket>* out) -> net::Task<void> {
@@ -173,8 +175,8 @@
   }(loop, server));
 }
 
-// Guards against connections closed without need: far below the limit each
-// client keeps its own.
+// Guards against connections that are closed needlessly: far below the limit,
+// each client keeps its connection.
 TEST(ConnectionLimit, FarBelowTheLimitConnectionsAreKept) {
   net::Loop loop;
   net::HttpServer::Limits limits;
@@ -197,8 +199,9 @@
   }(loop, server));
 }
 
-// Guards against a server that can't accept any more, or that spins, when the
-// process runs out of descriptors: idle connections make room.
+// Guards against a server that stops accepting connections, or retries in a
+// busy loop, when the process runs out of file descriptors: it must close idle
+// connections instead.
 TEST(ConnectionLimit, WithoutDescriptorsIdleConnectionsMakeRoom) {
   net::Loop loop;
   net::HttpServer server(loop, Local(0), {}, AnswerEmpty);
@@ -210,7 +213,8 @@
           co_await net::Socket::Connect(l, Local(s.port()), l.Now() + 1));
     }
     co_await l.Sleep(0.05);
-    // One descriptor is left: the client takes it, and the server has none.
+    // Leaves one descriptor: the client uses it, and none is left for the
+    // server.
     const int next_descriptor = dup(0);
     close(next_descriptor);
     rlimit before{};
@@ -230,7 +234,7 @@
   }(loop, server));
 }
 
-// Asks again and again, without a pause, until the test is over.
+// Sends one request after another without a pause until the test is over.
 net::Task<void> AskWithoutPause(net::Loop& loop, net::HttpClient& client,
                                 const bool& is_over) {
   constexpr double kAfterRefusalSeconds = 0.02;
@@ -241,8 +245,8 @@
   }
 }
 
-// Reports as a worker does: once in an interval, and after a failure again a
-// little later. Keeps the longest time without an answer.
+// Sends reports as a worker does: one per interval, and after a failure again
+// after a fraction of it. Records the longest time without an answer.
 net::Task<void> Report(net::Loop& loop, net::HttpClient& client,
                        double interval_seconds, std::string body,
                        const bool& is_over, double& longest_gap_seconds) {
@@ -259,8 +263,8 @@
   }
 }
 
-// Guards against leases that expire while users take all the connections that
-// they can get.
+// Guards against worker leases that expire because users occupy all connections
+// of the server.
 TEST(ConnectionLimit, ThousandsOfWorkersAreAnsweredBesideAFloodOfUsers) {
   constexpr size_t kWorkers = 2000;
   constexpr size_t kUsers = 200;
@@ -284,7 +288,7 @@
     net::Spawn(AskWithoutPause(loop, *clients[kWorkers + i], is_over));
   }
   for (size_t i = 0; i < kWorkers; ++i) {
-    // Spread over the interval, as reports are.
+    // The workers' reports are spread over the interval, as in operation.
     const double start = kIntervalSeconds * static_cast<double>(i) / kWorkers;
     loop.At(loop.Now() + start, [&, i] {
       net::Spawn(
@@ -306,8 +310,8 @@
   static constexpr int kMaxConnections = 40;
 };
 
-// Guards against users' requests that wait for a slow store and hold all
-// connections meanwhile, so that no worker reaches its leader.
+// Guards against user requests that wait for a slow store and meanwhile occupy
+// all connections, so that no worker can reach its leader.
 TEST_F(FewConnections, HeartbeatsAreAnsweredWhileUsersWaitForTheStore) {
   constexpr size_t kWorkers = 10;
   constexpr size_t kUsers = 60;
--- a/tests/http_client_pool_test.cc
+++ b/tests/http_client_pool_test.cc
@@ -1,4 +1,5 @@
-// How many connections a client of many addresses opens.
+// Tests that HttpClientPool bounds its connections and checks permission to
+// send.
 
 #include "net/http_client_pool.h"
 
@@ -19,8 +20,8 @@
   co_return net::HttpResponse{};
 }
 
-// Guards against a leader that uses up the process's descriptors with one open
-// connection to each worker, until no worker can connect to it any more.
+// Guards against a leader that uses all file descriptors of its process for
+// open connections to workers, so that no worker can connect to it.
 TEST(HttpClientPool, ManyAddressesShareABoundedNumberOfConnections) {
   constexpr size_t kAddresses = 60;
   constexpr size_t kMaxConnections = 12;
@@ -59,14 +60,15 @@
              }
            }(&loop, &count_open, &most_open));
   EXPECT_EQ(answered, 2 * kAddresses);
-  // A server hears of a closed connection a turn of the loop later.
+  // A server notices a closed connection one turn of the loop later, so it may
+  // briefly count both the closed and the new one.
   EXPECT_LE(most_open, 2 * kMaxConnections);
   EXPECT_LE(count_open(), kMaxConnections);
   EXPECT_GT(count_open(), 0U);
 }
 
-// Guards against an order that is sent though the right to lead has ended while
-// it waited for a connection.
+// Guards against a command that is sent although the controller stopped leading
+// while the command waited for a connection.
 TEST(HttpClientPool, WhatMayNotBeSentAnyMoreWhenItsTurnComesIsNotSent) {
   net::Loop loop;
   net::HttpServer server(
--- a/tests/http_test.cc
+++ b/tests/http_test.cc
@@ -109,7 +109,7 @@
   HttpParser cut(HttpParser::Kind::kResponse, {});
   cut.Feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
   cut.Finish();
-  EXPECT_TRUE(cut.failed());  // half an answer is none
+  EXPECT_TRUE(cut.failed());  // an incomplete body is an error
 }
 
 }  // namespace
--- a/tests/loopback_test.cc
+++ b/tests/loopback_test.cc
@@ -1,4 +1,5 @@
-// The network layer over loopback: HTTP servers and clients, and peers.
+// Tests HTTP servers and clients and peer connections over the loopback
+// interface.
 
 #include <gtest/gtest.h>
 
@@ -12,9 +13,9 @@
 #include "net/http_server.h"
 #include "tests/controller_node_fixture.h"
 
-// Servers run until their process ends, so a test that stops its loop leaves
-// their suspended coroutines behind.
-// The sanitizer names it.
+// Tells the leak sanitizer to ignore suspended server coroutines: servers run
+// until their process ends, so a test that stops its loop leaves them behind.
+// The sanitizer prescribes the function's name.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" const char* __lsan_default_suppressions() {
   return "leak:oxbow::net::\nleak:oxbow::clients::\nleak:oxbow::app::\n";
@@ -112,6 +113,8 @@
            }(client, nobody));
 }
 
+// Guards against memory corruption when a peer disconnects: GCC 12 destroyed
+// the captures of a temporary lambda in an awaited call twice.
 TEST(Loopback, APeerThatGoesAwayTakesNothingWithIt) {
   Loop loop;
   clients::PeerServer server(
@@ -138,7 +141,8 @@
   }(loop, server.port()));
 }
 
-// Not run with the others: prints what one check costs, both sides included.
+// Disabled by default. Prints the processor time of one health check, client
+// and server together.
 TEST(Loopback, DISABLED_CostOfACheck) {
   Loop loop;
   net::HttpServer server(loop, Local(0), {},
--- a/tests/watch_test.cc
+++ b/tests/watch_test.cc
@@ -1,4 +1,5 @@
-// A controller that has missed thousands of changes of the key-value store.
+// Tests how a controller catches up after it has missed thousands of changes of
+// the key-value store.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -18,12 +19,13 @@
 
 using Progress = clients::WatchDecoder::Progress;
 
-constexpr size_t kKeptChanges =
-    10'000;  // protocol, "Controller nodes -> state"
+// Changes that the store keeps for watchers, as the protocol's section
+// "Controller nodes -> state" says.
+constexpr size_t kKeptChanges = 10'000;
 
 struct Decoded {
   Progress progress = Progress::kMore;
-  std::vector<std::string> keys;  // of the changes
+  std::vector<std::string> keys;  // keys of the decoded changes
   uint64_t revision = 0;
   size_t most_at_once = 0;
   size_t steps = 0;
@@ -69,7 +71,7 @@
   }
 }
 
-// Guards against taking a part of an answer for all of it.
+// Guards against a truncated answer that is accepted as a complete one.
 TEST(WatchDecoder, AnAnswerCutShortAtAnyByteIsMalformed) {
   const std::string body =
       R"({"ledger_no":7,"log":[{"set":"a","v":{"x":[1,"}"]},"stamp":4}]})";
@@ -81,8 +83,8 @@
   EXPECT_EQ(DecodeAll(body + "}", 5).progress, Progress::kMalformed);
 }
 
-// Guards against one answer that holds the event loop: so many changes at a
-// time, however many there are.
+// Guards against a large answer that blocks the event loop: each step must
+// decode a bounded number of changes.
 TEST(WatchDecoder, ALargeAnswerIsDecodedInBoundedSteps) {
   constexpr size_t kAtOnce = 200;
   std::string body = R"({"ledger_no":9,"log":[)";
@@ -98,7 +100,7 @@
   EXPECT_GE(decoded.steps, kKeptChanges / kAtOnce);
 }
 
-// A watcher of the stand-in store that was cut off from it.
+// A watcher that loses its connection to the fake store.
 class CutOffWatcher : public testing::Test {
  public:
   CutOffWatcher() : store_(loop_), cloud_(loop_) {}
@@ -117,7 +119,7 @@
                                      [](const auto&) {}, [] {}});
     watcher_->Start();
   }
-  // Another controller's changes, with records of 500 bytes.
+  // Changes records of 500 bytes, as another controller would.
   void ChangeThousandsOfRecords() {
     const std::string value =
         fmt::format(R"({{"filler":"{}"}})", std::string(500, 'x'));
@@ -125,7 +127,8 @@
       store_.Put(fmt::format("ob/live/m/n-{:06}", i), value);
     }
   }
-  // Seconds until the catalog is as new as the store; -1: never.
+  // Returns the seconds until the catalog has the store's revision, or -1 if it
+  // does not get there.
   net::Task<double> SecondsUntilCaughtUp() {
     constexpr double kGiveUpSeconds = 12;
     const net::Time begun = loop_.Now();
@@ -138,7 +141,8 @@
     co_return -1;
   }
 
-  // Cuts it off, changes the records, and heals the cut.
+  // Makes the store unreachable, changes its records, makes it reachable again
+  // and expects the watcher to catch up.
   void ExpectInStepAfterThousandsOfChanges() {
     RunToEnd(loop_, [](CutOffWatcher* test) -> net::Task<void> {
       while (!test->watcher_->synced()) co_await test->loop_.Sleep(0.01);
@@ -162,15 +166,15 @@
   std::unique_ptr<app::StoreWatcher> watcher_;
 };
 
-// Guards against a controller that stays out of step for ever after it was cut
-// off while thousands of records changed.
+// Guards against a controller that never catches up with the store after it was
+// disconnected while thousands of records changed.
 TEST_F(CutOffWatcher, IsInStepAgainAfterThousandsOfChanges) {
   Start(/*memory_mb=*/56);
   ExpectInStepAfterThousandsOfChanges();
 }
 
-// Guards against an answer that is beyond the memory and asked for again for
-// ever: the records are listed in pages instead.
+// Guards against a controller that requests an answer again and again which
+// exceeds its memory: it must list the records in pages instead.
 TEST_F(CutOffWatcher, ListsTheRecordsWhereTheChangesExceedItsMemory) {
   Start(/*memory_mb=*/8);
   ExpectInStepAfterThousandsOfChanges();
--- a/tests/write_retry_test.cc
+++ b/tests/write_retry_test.cc
@@ -1,4 +1,5 @@
-// When a transaction is sent again, and what its copies' answers mean.
+// Tests when a transaction is sent again, and how the answers to its copies are
+// combined.
 
 #include "clients/write_retry.h"
 
@@ -13,7 +14,7 @@
 
 TEST(RoundTrip, TimeoutIsAFewRoundTripsAndGrowsWhenTheyVary) {
   RoundTrip steady(3);
-  EXPECT_EQ(steady.TimeoutSeconds(), 3);  // nothing is known
+  EXPECT_EQ(steady.TimeoutSeconds(), 3);  // no measurement yet
   for (int i = 0; i < 50; ++i) steady.OnAnswer(0.004);
   EXPECT_GT(steady.TimeoutSeconds(), 4 * 0.004);
   EXPECT_LT(steady.TimeoutSeconds(), 10 * 0.004);
@@ -34,8 +35,8 @@
   EXPECT_LE(trip.TimeoutSeconds(), usual);
 }
 
-// Every order of answers to up to three copies: only what is certain of all of
-// them is reported.
+// Tries every order of the answers to three copies: only an outcome that is
+// certain for all of them may be reported.
 TEST(WriteRetry, ReportsOnlyWhatHoldsWhicheverCopyArrives) {
   const std::vector<StoreStatus> all = {kOk, kConflict, kRefused, kNotExecuted,
                                         kUnknown};
