--- a/clients/reach_client.cc
+++ b/clients/reach_client.cc
@@ -8,9 +8,9 @@
 
 namespace oxbow::clients {
 
-net::Task<void> ReachClient::AskOne(std::shared_ptr<Round> round, size_t i,
-                                    std::string endpoint,
-                                    double timeout_seconds) {
+net::Task<void> ReachClient::QueryWorker(std::shared_ptr<Round> round, size_t i,
+                                         std::string endpoint,
+                                         double timeout_seconds) {
   net::Address address;
   if (net::ParseAddress(endpoint, &address)) {
     // Each request opens a new connection: an existing connection may still
@@ -42,7 +42,7 @@
   open_ += asked.size();
   round->left = asked.size();
   for (const size_t i : asked) {
-    net::Spawn(AskOne(round, i, std::move(endpoints[i]), timeout_seconds));
+    net::Spawn(QueryWorker(round, i, std::move(endpoints[i]), timeout_seconds));
   }
   // All requests have the same timeout; the wait for the round is slightly
   // longer, so that requests which end at their timeout are still counted.
--- a/clients/reach_client.h
+++ b/clients/reach_client.h
@@ -37,8 +37,8 @@
     Result found;
     size_t left = 0;
   };
-  net::Task<void> AskOne(std::shared_ptr<Round> round, size_t i,
-                         std::string endpoint, double timeout_seconds);
+  net::Task<void> QueryWorker(std::shared_ptr<Round> round, size_t i,
+                              std::string endpoint, double timeout_seconds);
 
   net::Loop& loop_;
   size_t most_at_once_;
--- a/health_expression/health_expression.cc
+++ b/health_expression/health_expression.cc
@@ -111,17 +111,17 @@
 
 void* HealthExpression::Allocate(void* self, void* block, size_t old_size,
                                  size_t new_size) {
-  auto* expression = static_cast<HealthExpression*>(self);
+  auto* lua_owner = static_cast<HealthExpression*>(self);
   const size_t old = block == nullptr ? 0 : old_size;
   if (new_size == 0) {
-    expression->used_ -= old;
+    lua_owner->used_ -= old;
     std::free(block);
     return nullptr;
   }
-  if (expression->used_ - old + new_size > expression->limits_.memory)
+  if (lua_owner->used_ - old + new_size > lua_owner->limits_.memory)
     return nullptr;
   void* moved = std::realloc(block, new_size);
-  if (moved != nullptr) expression->used_ += new_size - old;
+  if (moved != nullptr) lua_owner->used_ += new_size - old;
   return moved;
 }
 
