--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -27,8 +27,9 @@
 constexpr size_t kMostNames = 32;
 constexpr size_t kMostExcept = 64;
 constexpr size_t kMostText = 512;
-constexpr double kLongest = 31 * 86400;     // s
-constexpr double kLastMoment = 4102444800;  // 2100: room for arithmetic
+constexpr double kLongest = 31 * 86400;  // s
+constexpr double kLastMoment =
+    4102444800;  // s since 1970: 2100, leaves room for arithmetic
 
 std::string ReadNames(const rapidjson::Value& value, const char* key,
                       size_t most, std::vector<std::string>* out) {
@@ -59,7 +60,8 @@
   return wrong.empty() ? wrong : "work, " + wrong;
 }
 
-// Pairs of begin and length, s.
+// Reads `times`, a list of pairs of start (s since 1970) and length (s), which
+// must be sorted and must not overlap.
 std::string ReadTimes(const rapidjson::Value& value, MaintenanceWindow* out) {
   const auto* times = json::Find(value, "times");
   if (times == nullptr || !times->IsArray() ||
--- a/wire/field_reader.h
+++ b/wire/field_reader.h
@@ -1,5 +1,4 @@
-// Takes the fields of a JSON object one by one and names the first that is
-// wrong.
+// Reads typed fields from a JSON object and reports the first invalid one.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -14,7 +13,9 @@
 
 namespace oxbow::wire {
 
-// Takes fields out of a description and remembers the first that is wrong.
+// Reads typed fields from a JSON object. The first field that is missing, of
+// the wrong type or out of range is remembered in error(), which is empty as
+// long as every field was valid.
 class FieldReader {
  public:
   explicit FieldReader(const rapidjson::Value& object) : object_(object) {}
@@ -46,7 +47,7 @@
     Amount(key, 0, &value);
     *out = value;
   }
-  // Left as it is when absent.
+  // The ...IfGiven functions leave `out` unchanged if the field is absent.
   void AmountIfGiven(const char* key, double least, double* out) {
     if (json::Find(object_, key) != nullptr) Amount(key, least, out);
   }
--- a/wire/job_json.cc
+++ b/wire/job_json.cc
@@ -23,7 +23,8 @@
 
 namespace {
 
-// Whether these may be the jobs that the job of that id waits for.
+// Whether `ids` is a valid list of dependencies of the job `id`: valid job ids
+// without duplicates and without `id` itself.
 bool ValidWaitsOn(const std::vector<std::string>& ids, const std::string& id) {
   const std::set<std::string_view> different(ids.begin(), ids.end());
   return different.size() == ids.size() && !different.contains(id) &&
--- a/wire/job_json.h
+++ b/wire/job_json.h
@@ -1,4 +1,4 @@
-// Job descriptions as users write them, and the checks on them.
+// Reads, validates and writes the JSON job descriptions that users submit.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -13,14 +13,16 @@
 
 namespace oxbow::wire {
 
-// "job-" and at least six digits.
+// Whether the id is "job-" followed by at least six digits.
 bool ValidJobId(std::string_view id);
 
-// Reads a description; returns what is wrong with it, or nothing.
+// Parses a job description. Returns a description of the first error, or an
+// empty string.
 std::string ReadSpec(const rapidjson::Value& value, JobSpec* out);
 void WriteSpec(json::Writer& writer, const JobSpec& spec);
 
-// Why the job can never run, or nothing.
+// Returns the reason why the job can never run with these machine types and
+// team quotas, or an empty string.
 std::string WhyImpossible(const JobSpec& spec,
                           const std::map<std::string, MachineType>& types,
                           const std::vector<TeamQuota>& teams);
--- a/wire/json.h
+++ b/wire/json.h
@@ -1,4 +1,4 @@
-// Small conveniences over RapidJSON, so that a missing or mistyped field is
+// Helper functions for RapidJSON, so that a missing or mistyped field is
 // handled the same way everywhere.
 #pragma once
 
@@ -14,28 +14,29 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// The key of the next field of an object that has been begun.
+// Writes the key of the next field of the object that is being written.
 inline void Key(Writer& writer, std::string_view key) {
   writer.Key(key.data(), static_cast<rapidjson::SizeType>(key.size()));
 }
 
-// A string value, as it is; the writer escapes it.
+// Writes a string value. `text` is unescaped; the writer escapes it.
 inline void String(Writer& writer, std::string_view text) {
   writer.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
 
-// A field with a string value.
+// Writes a field with a string value.
 inline void Field(Writer& writer, std::string_view key, std::string_view text) {
   Key(writer, key);
   String(writer, text);
 }
 
-// What has been written so far.
+// Returns the JSON text written so far.
 inline std::string Text(const rapidjson::StringBuffer& buffer) {
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-// Null when absent, null in the JSON, or the parent is not an object.
+// Returns the value of a field, or a null pointer if the field is absent or
+// null in the JSON, or if `object` is not an object.
 inline const rapidjson::Value* Find(const rapidjson::Value& object,
                                     const char* key) {
   if (!object.IsObject()) return nullptr;
@@ -44,13 +45,13 @@
   return &it->value;
 }
 
-// The text of a string value; lives as long as the value.
+// Returns the text of a string value. The view is valid as long as the value.
 inline std::string_view View(const rapidjson::Value& value) {
   return {value.GetString(), value.GetStringLength()};
 }
 
-// The following read one field. One that is missing or of another type counts
-// as absent: empty, the fallback, or false.
+// The Get... functions read one field. If it is missing or of another type,
+// they return an empty string, the fallback, or false.
 inline std::string GetString(const rapidjson::Value& object, const char* key) {
   const rapidjson::Value* value = Find(object, key);
   return value != nullptr && value->IsString() ? std::string(View(*value))
@@ -74,7 +75,7 @@
   return value != nullptr && value->IsBool() && value->GetBool();
 }
 
-// False if the text is not JSON.
+// Parses JSON text. Returns false if the text is not valid JSON.
 inline bool Parse(std::string_view text, rapidjson::Document* out) {
   out->Parse(text.data(), text.size());
   return !out->HasParseError();
--- a/wire/moves_json.h
+++ b/wire/moves_json.h
@@ -1,4 +1,5 @@
-// JSON of a move's claim: the text of the record `move/ID`.
+// Reads and writes the claim of a move as JSON, the text of the record
+// `move/ID`.
 #pragma once
 
 #include <string>
@@ -8,9 +9,10 @@
 namespace oxbow::wire {
 
 std::string WriteMoveClaim(const MoveClaim& claim);
-// False if it is none.
+// Returns false if the text is not a valid claim.
 bool ReadMoveClaim(const std::string& text, MoveClaim* out);
-// For operators' changes: empty if well-formed, else what is wrong.
+// Validates a claim that an operator writes to the record `name`. Returns a
+// description of the error, or an empty string.
 std::string CheckMoveClaim(const std::string& name, const std::string& text);
 
 inline constexpr MoveCodec kMoveCodec{&WriteMoveClaim, &ReadMoveClaim};
--- a/wire/names.h
+++ b/wire/names.h
@@ -1,4 +1,5 @@
-// The words of the wire for the terms used inside. They stand nowhere else.
+// The names of enum values in JSON messages and records. They are defined only
+// here.
 #pragma once
 
 #include <array>
--- a/wire/operator_json.h
+++ b/wire/operator_json.h
@@ -1,5 +1,5 @@
-// JSON of the operators' records: as the key-value store holds them, and as
-// they are told to operators.
+// Reads and writes the operators' records as JSON: the form that the key-value
+// store holds and the form that the HTTP interface returns to operators.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -11,19 +11,21 @@
 
 namespace oxbow::wire {
 
-// The fields of the stored form, without the braces round them.
+// Writes the fields of the stored form into the object that is being written.
 void WriteOperator(json::Writer& writer, const OperatorRecord& record);
 bool ReadOperator(const rapidjson::Value& value, OperatorRecord* out);
 
-// What an operator is told; the text as JSON, not as a string of it.
+// Returns the response body for a record. The record's text is embedded as
+// JSON, not as a string that contains JSON.
 std::string OperatorBody(const std::string& name, const OperatorRecord& record);
 
-// What an operator asks for.
+// An operator's request to change a record.
 struct OperatorChange {
-  uint64_t version = 0;  // that it replaces; 0: there is none
+  uint64_t version = 0;  // the version it replaces; 0: no record yet
   OperatorRecord record;
 };
-// Empty if well-formed; else what is wrong.
+// Parses a change. Returns a description of the first error, or an empty
+// string.
 std::string ReadOperatorChange(const rapidjson::Value& value,
                                OperatorChange* out);
 
--- a/wire/records.cc
+++ b/wire/records.cc
@@ -110,7 +110,8 @@
   }
 };
 
-// Each returns nothing when the value is not of its kind.
+// The functions below that return an optional return nothing if the value is
+// not a valid record of their kind.
 
 TerminalState TerminalStateOf(const rapidjson::Value& value) {
   TerminalState state = TerminalState::kNone;
@@ -189,7 +190,8 @@
           static_cast<int>(json::GetUint(value, "count")), 0};
 }
 
-// False for an empty one; the record is left alone then.
+// Assigns the decoded value to the record. Returns false and leaves the record
+// unchanged if there is no value.
 template <typename Kind>
 bool Assign(std::optional<Kind> decoded, Record* out) {
   if (!decoded) return false;
--- a/wire/records.h
+++ b/wire/records.h
@@ -1,4 +1,4 @@
-// JSON of what the key-value store holds.
+// Reads and writes the records of the key-value store as JSON.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -10,9 +10,10 @@
 
 namespace oxbow::wire {
 
-// The value of a record, without its stamp.
+// Returns the JSON value of a record, without its stamp.
 std::string EncodeRecord(const Record& record);
-// False when the value is not of the kind that the key promises.
+// Parses the value stored under `key`. Returns false if the value is not of the
+// record kind that the key stands for.
 bool DecodeRecord(std::string_view key, const rapidjson::Value& value,
                   Record* out);
 
--- a/wire/rollout_json.cc
+++ b/wire/rollout_json.cc
@@ -10,7 +10,7 @@
 namespace oxbow::wire {
 namespace {
 
-constexpr size_t kMostText = 1024;  // of an expression or a path
+constexpr size_t kMostText = 1024;  // bytes of an expression or a path
 
 std::string ReadCheck(const rapidjson::Value& value, HealthCheck* out) {
   FieldReader read(value);
--- a/wire/rollout_json.h
+++ b/wire/rollout_json.h
@@ -1,4 +1,5 @@
-// Rollouts as users declare and read them.
+// Reads and writes rollouts as JSON: the declarations that users submit and the
+// responses that they receive.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -10,18 +11,21 @@
 
 namespace oxbow::wire {
 
-// "ro-" and up to 60 letters, digits, dots, dashes or underscores.
+// Whether the id is "ro-" followed by up to 60 letters, digits, dots, dashes or
+// underscores.
 bool ValidRolloutId(std::string_view id);
 
-// Reads a declaration; returns what is malformed, or nothing.
+// Parses a declaration. Returns a description of the first malformed field, or
+// an empty string.
 std::string ReadRolloutSpec(const rapidjson::Value& value, RolloutSpec* out);
-// Fields of an object that the caller has begun.
+// Writes the fields into the object that the caller has started.
 void WriteRolloutSpec(json::Writer& writer, const RolloutSpec& spec);
 
-// Why it can't be done for a job of so many replicas, in words, or nothing.
+// Returns the reason why the rollout is impossible for a job of `from_tasks`
+// replicas, or an empty string.
 std::string WhyNoRollout(const RolloutSpec& spec, uint32_t from_tasks);
 
-// The whole answer to a GET.
+// Returns the response body of a GET request for one rollout.
 std::string RolloutBody(const RolloutRecord& record,
                         const RolloutCounts* counts);
 
--- a/wire/tiers_json.cc
+++ b/wire/tiers_json.cc
@@ -19,7 +19,7 @@
     if (!word.IsString()) return std::string(key) + ": not a list of names";
     out->emplace_back(json::View(word));
   }
-  // An empty list would match everything, which nobody means by it.
+  // An empty list would match everything, which is never the intention.
   if (out->empty()) return std::string(key) + ": an empty list";
   return {};
 }
@@ -109,7 +109,7 @@
       return "entry " + std::to_string(read.size()) + ": " + why;
     }
     read.push_back(std::move(tier));
-    // Enough for the check below to refuse it.
+    // One tier above the limit is enough for FindTierError to reject the list.
     if (read.size() > bounds.max_tiers) break;
   }
   if (const std::optional<TierError> error = FindTierError(read, bounds)) {
--- a/wire/tiers_json.h
+++ b/wire/tiers_json.h
@@ -1,4 +1,5 @@
-// Priority tiers as operators write them: the text of the record `tiers`.
+// Reads and writes the operators' priority tiers as JSON, the text of the
+// record `tiers`.
 #pragma once
 
 #include <string>
@@ -9,17 +10,18 @@
 
 namespace oxbow::wire {
 
-// The name under which the record stands.
+// The name of the record that holds the tiers.
 inline constexpr std::string_view kTiersRecord = "tiers";
 
-// Reads a record's text and checks it whole. Fields that are not known are
-// ignored. Returns one line that names what is wrong, or nothing; then `out`
-// holds the tiers as listed.
+// Parses and validates the text of the record. Unknown fields are ignored.
+// Returns a one-line description of the first error, or an empty string; in the
+// latter case `out` holds the tiers in the order in which they are listed.
 std::string ReadTiers(std::string_view text, const TierBounds& bounds,
                       std::vector<Tier>* out);
 std::string WriteTiers(const std::vector<Tier>& tiers);
 
-// Takes a record's text in; a bad one leaves what was in force.
+// Puts the tiers of a record's text into force. If the text is invalid, the
+// previous tiers stay in force.
 void TakeTiers(std::string_view text, uint64_t version,
                const TierBounds& bounds, TiersInForce* in_force);
 
--- a/wire/worker_json.cc
+++ b/wire/worker_json.cc
@@ -29,7 +29,8 @@
   const auto* reason = json::Find(value, "exit_reason");
   if (reason != nullptr && reason->IsString() &&
       !TermOf(kReasons, json::View(*reason), &out->reason)) {
-    out->reason = ExitReason::kError;  // an unknown end is no success
+    out->reason =
+        ExitReason::kError;  // an unknown exit reason is not a success
   }
   out->saved = json::GetBool(value, "saved");
   return true;
@@ -77,8 +78,8 @@
     out->tasks.reserve(tasks->Size());
     for (const auto& item : tasks->GetArray()) {
       TaskStatus task;
-      // A report that can't be understood whole must not be taken for one
-      // that lacks a task.
+      // The whole heartbeat is rejected: if only the invalid task were skipped,
+      // the task would seem to be missing on the worker.
       if (!ReadTask(item, &task)) return false;
       out->tasks.push_back(std::move(task));
     }
--- a/wire/worker_json.h
+++ b/wire/worker_json.h
@@ -1,4 +1,5 @@
-// The workers' messages and the leader's commands, as JSON.
+// Parses the workers' heartbeats and writes the leader's replies and commands,
+// as JSON.
 #pragma once
 
 #include <string>
@@ -11,12 +12,13 @@
 
 namespace oxbow::wire {
 
-// Bytes of a heartbeat that are read at the most.
+// The maximum size of a heartbeat, in bytes.
 inline constexpr size_t kReportLimit = 128 * 1024;
-// False when it is not a report.
+// Parses a heartbeat. Returns false if the body is not a valid one.
 bool ParseReport(std::string_view body, Heartbeat* out);
 std::string EncodeReply(const HeartbeatResponse& reply);
-// The field of an object that the caller has begun.
+// Writes the field with the commands into the object that the caller has
+// started.
 void WriteOrders(json::Writer& writer,
                  const std::vector<WorkerCommand>& commands);
 
