--- a/api/answers.h
+++ b/api/answers.h
@@ -7,12 +7,13 @@
 
 namespace oxbow::api {
 
-// {"error": text}
+// A response with the body {"error": text}.
 net::HttpResponse Error(int status, std::string_view text);
-// With the time after which the user may ask again (Retry-After). Sent at once:
-// a request is never delayed to limit the load.
+// A response with the time after which the user may repeat the request
+// (Retry-After). It is sent immediately: a request is never delayed to limit
+// the load.
 net::HttpResponse TryLater(std::string_view why, int status = 503);
-// 405 with the methods that the route has.
+// A 405 response that lists the methods that the route supports.
 net::HttpResponse WrongMethod(std::string_view allowed);
 
 }  // namespace oxbow::api
--- a/api/api.cc
+++ b/api/api.cc
@@ -228,7 +228,7 @@
 }
 
 net::Task<net::HttpResponse> Api::GetStatus(std::string id) {
-  // An id of another form was never accepted and never can be.
+  // A job with a malformed id can never have been accepted.
   if (!wire::ValidJobId(id)) co_return Error(404, "no such job");
   const JobStatus status = co_await service_.GetStatus(id);
   switch (status.presence) {
--- a/api/record_routes.cc
+++ b/api/record_routes.cc
@@ -36,7 +36,7 @@
   return TryLater(answer.why.empty() ? "state unknown" : answer.why);
 }
 
-// One to a line, since clients limit the length of a line.
+// One entry per line, since clients limit the length of a line.
 net::HttpResponse ListOf(const std::vector<NamedRecord>& records) {
   net::HttpResponse response;
   response.body = "{\"records\":[";
--- a/api/record_routes.h
+++ b/api/record_routes.h
@@ -18,15 +18,15 @@
   enum class Result {
     kOk,
     kWritten,
-    kConflict,    // 409: the version asked for is not the present one
+    kConflict,    // 409: the version to replace is not the current one
     kImpossible,  // 422: the text is invalid; `why` names the value
-    kNotFound,    // after a fresh read
+    kNotFound,    // confirmed by a new read of the store
     kTooMany,     // 429
     kTryLater,    // 503
   };
   Result result = Result::kTryLater;
   std::string why;
-  OperatorRecord record;  // the present one; on a conflict too
+  OperatorRecord record;  // the current one, also after a conflict
 };
 
 // A record with the name it is stored under.
@@ -35,19 +35,19 @@
   OperatorRecord record;
 };
 
-// What answers the requests. The service must outlive the tasks.
+// Provides the contents of the answers. The service must outlive the tasks.
 class RecordService {
  public:
   virtual ~RecordService() = default;
-  // By a fresh read.
+  // Reads the record from the store, not from memory.
   virtual net::Task<RecordAnswer> Get(std::string name) = 0;
-  // Replaces the version that the change names.
+  // Replaces the version given in the change.
   virtual net::Task<RecordAnswer> Change(std::string name,
                                          wire::OperatorChange change) = 0;
-  // Sorted by name; nothing while the store has not been read.
+  // Sorted by name; no value until the store has been read.
   virtual std::optional<std::vector<NamedRecord>> List(
       const std::string& prefix) = 0;
-  // Earlier versions, the latest first; nothing if they can't be read now.
+  // Earlier versions, latest first; no value if they can't be read now.
   virtual net::Task<std::optional<std::vector<NamedRecord>>> ListVersions(
       std::string name) = 0;
 };
--- a/api/rollout_routes.cc
+++ b/api/rollout_routes.cc
@@ -57,7 +57,7 @@
 net::HttpResponse RolloutRoutes::List() {
   const auto states = service_.List();
   if (!states) return TryLater("state unknown");
-  // One to a line, since clients limit the length of a line.
+  // One entry per line, since clients limit the length of a line.
   net::HttpResponse response;
   response.body = "{\"rollouts\":[";
   for (size_t i = 0; i < states->size(); ++i) {
--- a/api/rollout_routes.h
+++ b/api/rollout_routes.h
@@ -13,10 +13,10 @@
 
 namespace oxbow::api {
 
-// A rollout as it is shown to users.
+// The state of a rollout that is returned to users.
 struct RolloutState {
   RolloutRecord record;
-  std::optional<RolloutCounts> counts;  // where the leader answers itself
+  std::optional<RolloutCounts> counts;  // only if the leader answers itself
 };
 
 // The result of a request about one rollout; rendered by RolloutRoutes.
@@ -26,7 +26,7 @@
     kDeclared,
     kConflict,    // 409: its id or one of its jobs is in use
     kImpossible,  // 422
-    kNotFound,    // after a fresh read
+    kNotFound,    // confirmed by a new read of the store
     kTooMany,     // 429
     kTryLater,    // 503
   };
@@ -35,18 +35,18 @@
   RolloutState state;
 };
 
-// What answers the requests. The service must outlive the tasks.
+// Provides the contents of the answers. The service must outlive the tasks.
 class RolloutService {
  public:
   virtual ~RolloutService() = default;
-  // False when the operators have not turned rollouts on.
+  // Whether the operators have enabled rollouts in the settings.
   virtual bool Enabled() const = 0;
   virtual net::Task<RolloutAnswer> Declare(
       std::shared_ptr<const RolloutSpec> spec) = 0;
   virtual net::Task<RolloutAnswer> Get(std::string id) = 0;
   virtual net::Task<RolloutAnswer> Request(std::string id,
                                            RolloutRequest request) = 0;
-  // Sorted by id; nothing while the store has not been read.
+  // Sorted by id; no value until the store has been read.
   virtual std::optional<std::vector<RolloutState>> List() = 0;
 };
 
--- a/cli/calendar_command.cc
+++ b/cli/calendar_command.cc
@@ -22,9 +22,9 @@
 namespace oxbow::cli {
 namespace {
 
-constexpr double kHorizon = 400 * 86400.0;  // s
+constexpr double kHorizonSeconds = 400 * 86400.0;
 // The key-value store's value also holds the version, author and note.
-constexpr size_t kMostText = 5000;
+constexpr size_t kMaxTextBytes = 5000;
 
 std::string Utc(double wall) {
   if (wall <= 0) return "-";
@@ -36,13 +36,15 @@
   return std::string(wire::kCalendarPrefix) + id;
 }
 
-// The module is a file beside the program.
+// Computes the times of a booking with the shared object oxbow_recurrence.so,
+// which is in the directory of the program.
 std::string WorkOut(const Horizon& horizon, MaintenanceWindow* booking) {
   std::error_code error;
   const auto program = std::filesystem::read_symlink("/proc/self/exe", error);
   const std::string path =
       (program.parent_path() / "oxbow_recurrence.so").string();
-  // Never closed: what it has read of the time zones is used until the end.
+  // Never closed, since the time-zone data that it loads is used until the
+  // process ends.
   void* module = dlopen(path.c_str(), RTLD_NOW | RTLD_LOCAL);
   if (module == nullptr) return fmt::format("cannot load {}", path);
   const auto call =
@@ -53,15 +55,17 @@
   return wrong;
 }
 
-// As many times as the record holds.
+// Computes as many times as fit into the record. `held`: the times that the
+// record already contains.
 std::string WorkOutWhatFits(double wall, double notice_seconds,
                             const std::vector<UtcInterval>& held,
                             MaintenanceWindow* booking) {
   for (size_t most = kMaxWindowTimes; most > 0; most /= 2) {
-    std::string wrong = WorkOut({wall, kHorizon, most}, booking);
+    std::string wrong = WorkOut({wall, kHorizonSeconds, most}, booking);
     if (!wrong.empty()) return wrong;
     if (!booking->rule.empty()) {
-      // What a rule has too soon is left out, unless it was known before.
+      // Times of a rule that start within the notice period are left out,
+      // unless the record already contains them.
       std::erase_if(booking->times, [&](const UtcInterval& t) {
         return t.from < wall + notice_seconds &&
                std::none_of(
@@ -69,7 +73,7 @@
                    [&](const UtcInterval& o) { return o.from == t.from; });
       });
     }
-    if (wire::WriteBooking(*booking).size() <= kMostText) return {};
+    if (wire::WriteBooking(*booking).size() <= kMaxTextBytes) return {};
   }
   return "the booking is too large for a record";
 }
@@ -168,7 +172,8 @@
   return kRecordOk;
 }
 
-// The version to replace and the times known before.
+// Reads the current version of a booking and the times in its record. Both stay
+// unchanged if there is no record. Returns an exit code.
 int Present(RecordClient& client, const std::string& id, uint64_t* version,
             std::vector<UtcInterval>* held) {
   const RecordClient::Answer answer = client.Get(NameOf(id));
@@ -194,7 +199,8 @@
   std::vector<UtcInterval> held;
   const int present = Present(client, command.id, &version, &held);
   if (present != kRecordOk) return present;
-  // A tombstone is replaced by its version too: versions are never used twice.
+  // A withdrawn booking is also replaced by naming its version, since version
+  // numbers are never reused.
   if (command.version > 0) version = static_cast<uint64_t>(command.version);
   if (command.version == 0 && !held.empty()) version = 0;
   wrong =
@@ -228,7 +234,7 @@
   return RecordClient::Explain(answer);
 }
 
-// Without writing anything.
+// Checks a declaration without writing a record.
 int Check(RecordClient& client, const CalendarCommand& command) {
   MaintenanceWindow booking;
   std::string wrong = Read(command, &booking);
@@ -283,7 +289,7 @@
   return kRecordOk;
 }
 
-// Works the times of every rule out anew, as far ahead as a record holds.
+// Recomputes the times of every rule, as far ahead as fits into its record.
 int Extend(RecordClient& client, const CalendarCommand& command) {
   std::vector<MaintenanceWindow> bookings;
   std::vector<NamedRecord> records;
--- a/cli/calendar_command.h
+++ b/cli/calendar_command.h
@@ -11,16 +11,16 @@
   std::string verb;     // book, list, show, cancel, check, next, extend
   std::string address;  // of any controller
   std::string id;
-  std::string file;  // a declaration
+  std::string file;  // path of a declaration
   std::string author;
   std::string note;
-  std::string config;  // settings, for a check of names and limits
-  // A booking is changed only if it still has this version; 0: a new one, and
-  // negative: whatever is there now.
+  std::string config;  // path of the settings for `check`
+  // The booking is changed only if this is its current version. 0: create a new
+  // booking; negative: replace the current version, whichever it is.
   int64_t version = 0;
   double notice_seconds =
-      90;  // what begins sooner is left out of a rule's times
-  // Of the work that `next` is asked about.
+      90;  // times of a rule that start sooner than this are left out
+  // The work for which `next` finds the next start.
   std::string job_class;
   std::string team;
   double cores = 0;  // of all tasks
--- a/cli/command_line.h
+++ b/cli/command_line.h
@@ -1,6 +1,6 @@
-// The subcommands that ask a deployment (rollout, tiers, calendar), as the
-// command line is parsed: names, arguments, help texts. Each function adds one
-// subcommand that fills `command`, which must outlive the parser.
+// Defines the subcommands that talk to a deployment (rollout, tiers, calendar)
+// for the command-line parser: names, arguments, help texts. Each function adds
+// one subcommand that fills `command`, which must outlive the parser.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -13,7 +13,7 @@
 namespace oxbow::cli {
 
 CLI::App* AddRollout(CLI::App& cli, RolloutCommand* command);
-// `config`: receives the path of the settings that a file is checked against.
+// `config` receives the path of the settings that a file is checked against.
 CLI::App* AddTiers(CLI::App& cli, TiersCommand* command, std::string* config);
 CLI::App* AddCalendar(CLI::App& cli, CalendarCommand* command);
 
--- a/cli/controller_client.h
+++ b/cli/controller_client.h
@@ -1,5 +1,5 @@
-// What every command of the command line is built on: an event loop of its own
-// and one controller to ask. Blocks: for commands, not for controllers.
+// Runs a command-line command with its own event loop and a client for one
+// controller. Blocks the thread, so controllers must not use it.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,19 @@
 
 namespace oxbow::cli {
 
-// Asks one controller. Lives as long as the command that RunWithController
-// runs.
+// Sends requests to one controller. It exists only while RunWithController runs
+// the command.
 class ControllerClient {
  public:
-  // `max_answer_bytes`: of the body of one answer; larger ones count as none.
+  // `max_answer_bytes`: the maximum size of a response body; a larger response
+  // counts as no answer.
   ControllerClient(net::Loop& loop, const net::Address& address,
                    size_t max_answer_bytes);
 
-  // Repeats a request that got no answer, 429 or 503, a second after each
-  // attempt or as long as Retry-After says, thirty times at most, as a user of
-  // the protocol does. Returns the last result, which may be one of these.
+  // Sends a request and repeats it while it gets no answer, 429 or 503, as the
+  // protocol expects of users: one second after each attempt or after the time
+  // in Retry-After, at most thirty times. Returns the last result, which may
+  // still be no answer, 429 or 503.
   net::Task<net::ClientResult> Ask(std::string method, std::string path,
                                    std::string body);
   net::Task<void> Sleep(net::Time seconds);
@@ -33,8 +35,9 @@
   net::HttpClient http_;
 };
 
-// Runs the command to its end. False, without running it, if `address` is no
-// IPv4 address with a port. The command may refer to what its caller owns.
+// Runs the command until it completes. Returns false without running it if
+// `address` is not an IPv4 address with a port. The command may hold references
+// to objects of the caller.
 bool RunWithController(
     const std::string& address, size_t max_answer_bytes,
     const std::function<net::Task<void>(ControllerClient& client)>& command);
--- a/cli/record_client.h
+++ b/cli/record_client.h
@@ -1,5 +1,5 @@
 // Reads and changes the operators' records of a deployment through one of its
-// controllers. Blocks: for commands, not for controllers.
+// controllers. Blocks the thread, so controllers must not use it.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -23,37 +23,39 @@
   OperatorRecord record;
 };
 
-// Asks about records; each call is one request and blocks.
+// Sends requests about records. Each call blocks until its request is answered
+// or given up.
 class RecordClient {
  public:
   enum class Result { kOk, kNotFound, kConflict, kRefused, kNoAnswer };
   struct Answer {
     Result result = Result::kNoAnswer;
-    std::string why;        // refused: the reason that the controller gives
-    OperatorRecord record;  // the present one; on a conflict too
-    std::string body;       // of the response, as it was received
+    std::string why;        // the controller's reason for a refusal
+    OperatorRecord record;  // the current one, also after a conflict
+    std::string body;       // the response body as received
   };
 
-  // `address`: of any controller, IPv4 and a port.
+  // `address`: IPv4 address and port of any controller.
   explicit RecordClient(std::string address) : address_(std::move(address)) {}
 
-  // Each request is repeated while it is not accepted (ControllerClient::Ask).
+  // Requests are repeated as described at ControllerClient::Ask.
   Answer Get(const std::string& name);
-  // Replaces the version (0: there is none). `text`: JSON.
+  // Replaces this version of the record (0: the record does not exist yet).
+  // `text` is JSON.
   Answer Put(const std::string& name, uint64_t version, const std::string& text,
              const std::string& author, const std::string& note);
   Answer Withdraw(const std::string& name, uint64_t version,
                   const std::string& author, const std::string& note);
-  // False when there is no answer.
+  // Returns false if there is no answer.
   bool List(const std::string& prefix, std::vector<NamedRecord>* out);
   bool ListVersions(const std::string& name, std::vector<NamedRecord>* out);
 
-  // The exit code for an answer; writes one line to standard error for a
-  // failure.
+  // Returns the exit code for an answer; for a failure, also writes one line to
+  // standard error.
   static int Explain(const Answer& answer);
 
  private:
-  // The status of the answer; 0: none.
+  // Returns the HTTP status of the answer, or 0 if there is none.
   int Ask(const std::string& method, const std::string& path,
           const std::string& body, std::string* answer);
   Answer Change(const std::string& name, const std::string& body);
--- a/cli/recurrence.cc
+++ b/cli/recurrence.cc
@@ -17,14 +17,14 @@
 
 using Local = date::local_seconds;
 
-// Steps of the iterator, those before the horizon included.
+// Maximum steps of the iterator, including those before the horizon.
 constexpr int kMaxSteps = 20'000;
 
 std::optional<Local> ParseLocal(const std::string& text) {
   std::istringstream in(text);
   Local out;
   in >> date::parse("%Y-%m-%dT%H:%M:%S", out);
-  // A text that goes on was meant otherwise: with an offset, perhaps.
+  // Trailing text, such as a UTC offset, would change the meaning; reject it.
   if (in.fail() || in.peek() != std::istringstream::traits_type::eof()) {
     return std::nullopt;
   }
@@ -54,7 +54,7 @@
 }
 
 double ToUtc(const date::time_zone& zone, Local at, date::choose choice) {
-  // An hour that is missing is the moment at which it is skipped.
+  // A local time that a clock change skips maps to the moment of the change.
   return static_cast<double>(
       zone.to_sys(at, choice).time_since_epoch().count());
 }
@@ -65,8 +65,8 @@
 
 using Iterator = std::unique_ptr<icalrecur_iterator, FreeIterator>;
 
-// Whether its days ever come: hour by hour the library looks for them twenty
-// times as long.
+// Whether the rule ever matches a day. An hourly rule is checked as a daily
+// one, since the library takes twenty times as long to search hour by hour.
 bool MayMatch(icalrecurrencetype rule, Local first) {
   if (rule.freq == ICAL_HOURLY_RECURRENCE) {
     rule.freq = ICAL_DAILY_RECURRENCE;
@@ -75,7 +75,8 @@
     rule.by_hour[0] = rule.by_minute[0] = rule.by_second[0] =
         rule.by_set_pos[0] = ICAL_RECURRENCE_ARRAY_MAX;
   }
-  // The library takes some such rules, and no others, for malformed.
+  // The library fails to create an iterator only for some rules that never
+  // match.
   const Iterator days(icalrecur_iterator_new(rule, ToIcal(first)));
   return days && !icaltime_is_null_time(icalrecur_iterator_next(days.get()));
 }
@@ -86,24 +87,24 @@
   Expansion(const Horizon& horizon, MaintenanceWindow* booking)
       : horizon_(horizon), booking_(*booking) {}
 
-  // What is wrong with the window, in one line; empty if nothing is.
+  // Returns a one-line error, or an empty string.
   std::string Run();
 
  private:
-  // The interval that begins at that local time. Where a change of the clocks
-  // makes it ambiguous, a window is the shorter interval, a peak the longer.
+  // The interval that begins at that local time. If a clock change makes it
+  // ambiguous, a window gets the shorter interval and a peak the longer one.
   UtcInterval Of(Local from) const;
   void Add(Local from);
   std::string Recur(Local first);
   std::string CheckRule(const icalrecurrencetype& rule, Local first) const;
-  // Adds the times that the iterator gives, as far as the horizon.
+  // Adds the times from the iterator up to the horizon.
   std::string AddAll(icalrecur_iterator* next, Local first);
 
   const Horizon& horizon_;
   MaintenanceWindow& booking_;
   const date::time_zone* zone_ = nullptr;
   std::set<Local> except_;
-  bool past_ = false;  // some time was left out since it is over
+  bool past_ = false;  // a time was left out because it is already over
 };
 
 std::string Expansion::Run() {
@@ -146,7 +147,8 @@
 
 void Expansion::Add(Local from) {
   const UtcInterval t = Of(from);
-  if (!(t.from < t.to)) return;  // all of it in a missing hour
+  if (!(t.from < t.to))
+    return;  // entirely within an hour skipped by a clock change
   if (t.to <= horizon_.from) {
     past_ = true;
     return;
@@ -164,8 +166,8 @@
   if (rule.freq == ICAL_NO_RECURRENCE) {
     return "rule: " + booking_.rule + " is no RRULE";
   }
-  // A more frequent rule would give millions of times, and the library looks
-  // for a moment that never comes second by second.
+  // A more frequent rule would give millions of times, and the library would
+  // search second by second for a time that never comes.
   if (rule.freq == ICAL_SECONDLY_RECURRENCE ||
       rule.freq == ICAL_MINUTELY_RECURRENCE) {
     return "rule: " + booking_.rule + " repeats more often than HOURLY";
@@ -184,7 +186,7 @@
   const Iterator next(icalrecur_iterator_new(rule, ToIcal(first)));
   if (!next) return "rule: " + booking_.rule + " can't be followed";
   // If the rule began long ago, the steps up to now are skipped, unless the
-  // rule limits their number: then they are counted.
+  // rule has a COUNT, for which every step must be counted.
   const Local now{std::chrono::seconds(static_cast<int64_t>(horizon_.from))};
   const auto back =
       std::chrono::seconds(static_cast<int64_t>(booking_.length_seconds)) +
@@ -227,7 +229,7 @@
   return Expansion(horizon, booking).Run();
 }
 
-// A symbol of C, looked up by this name when the module is loaded.
+// Exported with C linkage: calendar_command.cc looks it up by this name.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" __attribute__((visibility("default"))) void oxbow_work_out_times(
     const Horizon* horizon, MaintenanceWindow* booking, std::string* wrong) {
--- a/cli/recurrence.h
+++ b/cli/recurrence.h
@@ -1,6 +1,6 @@
 // Computes the times of a maintenance window from its recurrence rule and its
-// time zone: the one place that uses the libraries for them. Only the command
-// line needs it, so it is a module of its own that controllers never load.
+// time zone. Only this module uses the recurrence and time-zone libraries. It
+// is a shared object that only the command line loads; controllers never do.
 #pragma once
 
 #include <string>
@@ -9,18 +9,20 @@
 
 namespace oxbow::cli {
 
-// Up to when times are worked out.
+// The period for which times are computed.
 struct Horizon {
-  double from = 0;    // what ends before it is left out, s since 1970
-  double length = 0;  // s; a rule that has no time in it gets its next one
-  size_t most = 0;    // times
+  double from = 0;  // s since 1970; times that end before it are left out
+  double length =
+      0;  // s; if a rule has no time in the period, its next one is used
+  size_t most = 0;  // maximum number of times
 };
 
-// Fills `times` and `known_until`; returns what is wrong with the rule, in one
-// line that names the value, or nothing.
+// Sets `times` and `known_until` of the booking. Returns a one-line error that
+// names the invalid value, or an empty string.
 std::string WorkOutTimes(const Horizon& horizon, MaintenanceWindow* booking);
 
-// The name and the form under which the module offers it.
+// The symbol name and the signature under which the shared object exports
+// WorkOutTimes.
 inline constexpr char kWorkOutTimes[] = "oxbow_work_out_times";
 using WorkOutTimesCall = void (*)(const Horizon*, MaintenanceWindow*,
                                   std::string*);
--- a/cli/rollout_command.cc
+++ b/cli/rollout_command.cc
@@ -58,7 +58,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// One run of the command.
+// Executes one invocation of the command.
 class RolloutRun {
  public:
   RolloutRun(const RolloutCommand& command, ControllerClient& client)
--- a/cli/rollout_command.h
+++ b/cli/rollout_command.h
@@ -1,4 +1,4 @@
-// `oxbowbank rollout ...`: declares, shows and steers rollouts.
+// `oxbowbank rollout ...`: declares, shows and controls rollouts.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 struct RolloutCommand {
   std::string verb;     // start, status, watch, pause, resume, abort
   std::string address;  // of any controller
-  // A file for start, else the id; may be empty for status.
+  // The declaration's path for start, else the rollout's id; may be empty for
+  // status.
   std::string subject;
   bool json = false;
 };
--- a/cli/tiers_command.cc
+++ b/cli/tiers_command.cc
@@ -17,7 +17,8 @@
 
 const std::string kName(wire::kTiersRecord);
 
-// Reads and checks the file; false after a line on standard error.
+// Reads and checks the file. On an error, writes one line to standard error and
+// returns false.
 bool ReadFile(const TiersCommand& command, const Settings& settings,
               std::string* text, std::vector<Tier>* tiers) {
   std::ifstream file(command.file);
--- a/tests/fuzz/libfuzzer_main.cc
+++ b/tests/fuzz/libfuzzer_main.cc
@@ -1,4 +1,5 @@
-// For libFuzzer: OXBOW_FUZZ_TARGET names the reader, as in Targets().
+// Entry point for libFuzzer. The environment variable OXBOW_FUZZ_TARGET selects
+// the target by its name in Targets().
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
--- a/tests/fuzz/targets.cc
+++ b/tests/fuzz/targets.cc
@@ -21,8 +21,8 @@
   std::abort();
 }
 
-// However a stream is cut, the same messages come out of it; what comes out
-// goes in again and stays the same.
+// A byte stream must give the same messages however it is divided into pieces,
+// and encoding and decoding these messages again must not change them.
 void PeerFrames(std::string_view bytes) {
   using clients::FrameReader;
   const auto read = [&](size_t piece) {
@@ -76,7 +76,8 @@
   }
 }
 
-// A description that is accepted is written down and read again as the same.
+// A job description that is accepted must not change when it is written to a
+// record and read back.
 void Jobs(std::string_view bytes) {
   rapidjson::Document doc;
   if (!json::Parse(bytes, &doc) || !doc.IsObject()) return;
@@ -109,8 +110,8 @@
   }
 }
 
-// The first line is an answer about as many machines as it has characters;
-// the rest is what this controller reaches itself.
+// The first line of the input is another controller's reachability text, with
+// one character per machine; the rest is this controller's own text.
 void ReachTexts(std::string_view bytes) {
   const size_t line = bytes.find('\n');
   const std::string other(bytes.substr(0, line));
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -1,6 +1,6 @@
-// What strangers' bytes reach: one function for each reader of them. Run by
-// libFuzzer (OXBOW_FUZZ, clang) for as long as one likes, and in the tests over
-// mutations of the seeds, from a fixed generator.
+// Fuzz targets: one function for each parser of untrusted input. libFuzzer runs
+// them without a time limit (OXBOW_FUZZ, clang); the tests run them on
+// mutations of the seeds, from a random generator with a fixed seed.
 #pragma once
 
 #include <string>
--- a/tests/fuzz_test.cc
+++ b/tests/fuzz_test.cc
@@ -1,5 +1,6 @@
-// The fuzz targets over mutations of their seeds, the same each time. libFuzzer
-// goes deeper (docs/operations/fuzzing.md); what it finds becomes a seed.
+// Runs the fuzz targets on mutations of their seeds, the same in each run.
+// libFuzzer searches further (docs/operations/fuzzing.md); inputs that it finds
+// are added as seeds.
 
 #include <gtest/gtest.h>
 
@@ -26,7 +27,7 @@
         case 1:
           out.erase(at, 1 + Below(8));
           break;
-        case 2:  // a piece of itself again
+        case 2:  // insert a copy of a part of the input
           out.insert(at, out.substr(Below(out.size()), 1 + Below(16)));
           break;
         case 3:
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -1,10 +1,10 @@
-// Records and messages as earlier versions stored and sent them, byte by byte.
-// What is in tests/data was written by such a version; this one must read it
-// and write the same again. The keys stand here in full on purpose: they are
-// part of what is stored.
+// Guards the compatibility of records and messages with earlier versions, byte
+// by byte. The files in tests/data were written by earlier versions; this
+// version must read them and write the same bytes again. The keys are spelled
+// out here on purpose, since they are part of the stored data.
 //
-// OXBOW_WRITE_TEST_DATA=1 writes what is missing, for a new kind of record or
-// of message. A file that is there is never changed by it.
+// OXBOW_WRITE_TEST_DATA=1 writes missing files, for a new kind of record or
+// message. It never changes an existing file.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -32,7 +32,8 @@
   return fs::path(OXBOW_TEST_DATA) / name;
 }
 
-// The stored bytes, after writing them if they are missing and asked for.
+// Returns the stored bytes. Writes `written` first if the file is missing and
+// OXBOW_WRITE_TEST_DATA is set.
 std::string StoredBytes(const std::string& name, const std::string& written) {
   const fs::path path = DataPath(name);
   if (std::getenv("OXBOW_WRITE_TEST_DATA") != nullptr && !fs::exists(path)) {
@@ -213,7 +214,8 @@
   };
 }
 
-// What is wrong with the record's stored form; nothing if it is as it was.
+// Expects that the record is encoded to its stored bytes and that these are
+// decoded to the same record.
 void ExpectSameBytes(const StoredRecord& stored) {
   SCOPED_TRACE(stored.file);
   const std::string bytes = StoredBytes("records/" + stored.file + ".json",
@@ -233,7 +235,7 @@
     for (const StoredRecord& record : records) ExpectSameBytes(record);
     count += records.size();
   }
-  // A file that nobody reads would guard nothing.
+  // A data file that no test reads would not guard anything.
   const fs::directory_iterator files(DataPath("records"));
   EXPECT_EQ(static_cast<size_t>(std::distance(begin(files), end(files))),
             count);
@@ -269,7 +271,7 @@
   return bytes;
 }
 
-// Numbers, not names: they are what is sent.
+// Uses numbers instead of enum names, since the numbers are what is sent.
 clients::PeerMessage MessageOfKind(int kind) {
   constexpr int kAnswers = 4;
   constexpr int kRoles = 4;
--- a/wire/calendar_json.cc
+++ b/wire/calendar_json.cc
@@ -24,11 +24,11 @@
     OverrunName{Overrun::kSaveAndStop, "save_and_stop"},
     OverrunName{Overrun::kHoldBack, "hold_back"}};
 
-constexpr size_t kMostNames = 32;
-constexpr size_t kMostExcept = 64;
-constexpr size_t kMostText = 512;
-constexpr double kLongest = 31 * 86400;  // s
-constexpr double kLastMoment =
+constexpr size_t kMaxNames = 32;
+constexpr size_t kMaxExceptions = 64;
+constexpr size_t kMaxRuleBytes = 512;
+constexpr double kMaxLengthSeconds = 31 * 86400;
+constexpr double kMaxUnixSeconds =
     4102444800;  // s since 1970: 2100, leaves room for arithmetic
 
 std::string ReadNames(const rapidjson::Value& value, const char* key,
@@ -50,9 +50,9 @@
 std::string ReadWork(const rapidjson::Value& value, WorkSelector* out) {
   const auto* work = json::Find(value, "work");
   if (work == nullptr || !work->IsObject()) return "field work";
-  std::string wrong = ReadNames(*work, "classes", kMostNames, &out->classes);
-  if (wrong.empty()) wrong = ReadNames(*work, "teams", kMostNames, &out->teams);
-  if (wrong.empty()) wrong = ReadNames(*work, "tiers", kMostNames, &out->tiers);
+  std::string wrong = ReadNames(*work, "classes", kMaxNames, &out->classes);
+  if (wrong.empty()) wrong = ReadNames(*work, "teams", kMaxNames, &out->teams);
+  if (wrong.empty()) wrong = ReadNames(*work, "tiers", kMaxNames, &out->tiers);
   FieldReader read(*work);
   read.AmountIfGiven("cores_above", 0, &out->cores_above);
   read.AmountIfGiven("accelerators_above", 0, &out->accelerators_above);
@@ -75,8 +75,8 @@
     }
     const double from = pair[0].GetDouble();
     const double length = pair[1].GetDouble();
-    if (!(from >= 0 && from < kLastMoment && length > 0 &&
-          length < kLastMoment)) {
+    if (!(from >= 0 && from < kMaxUnixSeconds && length > 0 &&
+          length < kMaxUnixSeconds)) {
       return "field times";
     }
     if (!out->times.empty() && from < out->times.back().to) {
@@ -101,8 +101,8 @@
 }  // namespace
 
 bool ValidBookingId(std::string_view id) {
-  constexpr size_t kMost = 60;
-  return !id.empty() && id.size() <= kMost &&
+  constexpr size_t kMaxIdBytes = 60;
+  return !id.empty() && id.size() <= kMaxIdBytes &&
          std::all_of(id.begin(), id.end(), [](unsigned char c) {
            return std::islower(c) || std::isdigit(c) || c == '.' || c == '-' ||
                   c == '_';
@@ -129,11 +129,11 @@
   read.StringIfGiven("rule", &out->rule);
   read.Amount("length_s", 1, &out->length_seconds);
   if (!read.error().empty()) return read.error();
-  if (out->length_seconds > kLongest) return "field length_s";
+  if (out->length_seconds > kMaxLengthSeconds) return "field length_s";
   if (out->zone.size() > 80) return "field zone";
   if (out->starts.size() > 30) return "field starts";
-  if (out->rule.size() > kMostText) return "field rule";
-  std::string wrong = ReadNames(doc, "except", kMostExcept, &out->except);
+  if (out->rule.size() > kMaxRuleBytes) return "field rule";
+  std::string wrong = ReadNames(doc, "except", kMaxExceptions, &out->except);
   if (wrong.empty()) wrong = ReadWork(doc, &out->work);
   if (wrong.empty() && with_times) wrong = ReadTimes(doc, out);
   return wrong;
--- a/wire/field_reader.h
+++ b/wire/field_reader.h
@@ -39,7 +39,7 @@
     const auto* v = json::Find(object_, key);
     if (v == nullptr || !v->IsNumber()) return Fail(key);
     *out = v->GetDouble();
-    if (!std::isfinite(*out) || *out < least || *out > kMostAmount) Fail(key);
+    if (!std::isfinite(*out) || *out < least || *out > kMaxAmount) Fail(key);
   }
   void OptionalAmount(const char* key, std::optional<double>* out) {
     if (json::Find(object_, key) == nullptr) return;
@@ -94,7 +94,7 @@
   }
 
  private:
-  static constexpr double kMostAmount = 1e12;
+  static constexpr double kMaxAmount = 1e12;
 
   void Fail(const char* key) {
     if (error_.empty()) error_ = std::string("field ") + key;
