--- a/cli/calendar_command.cc
+++ b/cli/calendar_command.cc
@@ -24,7 +24,7 @@
 
 constexpr double kHorizonSeconds = 400 * 86400.0;
 // The key-value store's value also holds the version, author and note.
-constexpr size_t kMaxTextBytes = 5000;
+constexpr size_t kMaxBookingBytes = 5000;
 
 std::string Utc(double wall) {
   if (wall <= 0) return "-";
@@ -73,7 +73,7 @@
                    [&](const UtcInterval& o) { return o.from == t.from; });
       });
     }
-    if (wire::WriteBooking(*booking).size() <= kMaxTextBytes) return {};
+    if (wire::WriteBooking(*booking).size() <= kMaxBookingBytes) return {};
   }
   return "the booking is too large for a record";
 }
--- a/wire/job_json.cc
+++ b/wire/job_json.cc
@@ -12,11 +12,11 @@
 
 bool ValidJobId(std::string_view id) {
   constexpr std::string_view kPrefix = "job-";
-  constexpr size_t kMinIdBytes = 6;
-  constexpr size_t kMaxIdBytes = 18;
+  constexpr size_t kMinDigits = 6;
+  constexpr size_t kMaxDigits = 18;
   if (!id.starts_with(kPrefix)) return false;
   id.remove_prefix(kPrefix.size());
-  return id.size() >= kMinIdBytes && id.size() <= kMaxIdBytes &&
+  return id.size() >= kMinDigits && id.size() <= kMaxDigits &&
          std::all_of(id.begin(), id.end(),
                      [](char c) { return c >= '0' && c <= '9'; });
 }
--- a/wire/job_json.h
+++ b/wire/job_json.h
@@ -13,7 +13,7 @@
 
 namespace oxbow::wire {
 
-// Whether the id is "job-" followed by at least six digits.
+// Whether the id is "job-" followed by 6 to 18 digits.
 bool ValidJobId(std::string_view id);
 
 // Parses a job description. Returns a description of the first error, or an
--- a/wire/rollout_json.cc
+++ b/wire/rollout_json.cc
@@ -10,7 +10,8 @@
 namespace oxbow::wire {
 namespace {
 
-constexpr size_t kMaxTextBytes = 1024;  // bytes of an expression or a path
+constexpr size_t kMaxCheckFieldBytes =
+    1024;  // bytes of an expression or a path
 
 std::string ReadCheck(const rapidjson::Value& value, HealthCheck* out) {
   FieldReader read(value);
@@ -29,10 +30,12 @@
   const bool plain =
       std::all_of(out->path.begin(), out->path.end(),
                   [](unsigned char c) { return c > ' ' && c < 0x7f; });
-  if (out->path.front() != '/' || out->path.size() > kMaxTextBytes || !plain) {
+  if (out->path.front() != '/' || out->path.size() > kMaxCheckFieldBytes ||
+      !plain) {
     return "check, field path";
   }
-  if (out->expression.size() > kMaxTextBytes) return "check, field verdict";
+  if (out->expression.size() > kMaxCheckFieldBytes)
+    return "check, field verdict";
   return {};
 }
 
@@ -40,10 +43,10 @@
 
 bool ValidRolloutId(std::string_view id) {
   constexpr std::string_view kPrefix = "ro-";
-  constexpr size_t kMaxIdBytes = 60;
+  constexpr size_t kMaxSuffixBytes = 60;
   if (!id.starts_with(kPrefix)) return false;
   id.remove_prefix(kPrefix.size());
-  return !id.empty() && id.size() <= kMaxIdBytes &&
+  return !id.empty() && id.size() <= kMaxSuffixBytes &&
          std::all_of(id.begin(), id.end(), [](unsigned char c) {
            return std::isalnum(c) || c == '.' || c == '-' || c == '_';
          });
