--- a/wire/field_reader.h
+++ b/wire/field_reader.h
@@ -1,5 +1,4 @@
-// Takes the fields of a JSON object one by one and names the first that is
-// wrong.
+// Reads typed fields from a JSON object and reports the first invalid one.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -14,7 +13,9 @@
 
 namespace oxbow::wire {
 
-// Takes fields out of a description and remembers the first that is wrong.
+// Reads typed fields from a JSON object. The first field that is missing, of
+// the wrong type or out of range is remembered in error(), which is empty as
+// long as every field was valid.
 class FieldReader {
  public:
   explicit FieldReader(const rapidjson::Value& object) : object_(object) {}
@@ -38,7 +39,7 @@
     const auto* v = json::Find(object_, key);
     if (v == nullptr || !v->IsNumber()) return Fail(key);
     *out = v->GetDouble();
-    if (!std::isfinite(*out) || *out < least || *out > kMostAmount) Fail(key);
+    if (!std::isfinite(*out) || *out < least || *out > kMaxAmount) Fail(key);
   }
   void OptionalAmount(const char* key, std::optional<double>* out) {
     if (json::Find(object_, key) == nullptr) return;
@@ -46,7 +47,7 @@
     Amount(key, 0, &value);
     *out = value;
   }
-  // Left as it is when absent.
+  // The ...IfGiven functions leave `out` unchanged if the field is absent.
   void AmountIfGiven(const char* key, double least, double* out) {
     if (json::Find(object_, key) != nullptr) Amount(key, least, out);
   }
@@ -93,7 +94,7 @@
   }
 
  private:
-  static constexpr double kMostAmount = 1e12;
+  static constexpr double kMaxAmount = 1e12;
 
   void Fail(const char* key) {
     if (error_.empty()) error_ = std::string("field ") + key;
--- a/wire/job_json.cc
+++ b/wire/job_json.cc
@@ -12,18 +12,19 @@
 
 bool ValidJobId(std::string_view id) {
   constexpr std::string_view kPrefix = "job-";
-  constexpr size_t kLeastDigits = 6;
-  constexpr size_t kMostDigits = 18;
+  constexpr size_t kMinDigits = 6;
+  constexpr size_t kMaxDigits = 18;
   if (!id.starts_with(kPrefix)) return false;
   id.remove_prefix(kPrefix.size());
-  return id.size() >= kLeastDigits && id.size() <= kMostDigits &&
+  return id.size() >= kMinDigits && id.size() <= kMaxDigits &&
          std::all_of(id.begin(), id.end(),
                      [](char c) { return c >= '0' && c <= '9'; });
 }
 
 namespace {
 
-// Whether these may be the jobs that the job of that id waits for.
+// Whether `ids` is a valid list of dependencies of the job `id`: valid job ids
+// without duplicates and without `id` itself.
 bool ValidWaitsOn(const std::vector<std::string>& ids, const std::string& id) {
   const std::set<std::string_view> different(ids.begin(), ids.end());
   return different.size() == ids.size() && !different.contains(id) &&
