--- a/tests/combined_faults_test.cc
+++ b/tests/combined_faults_test.cc
@@ -1,8 +1,10 @@
-// Pairs of faults drawn at random: transactions, reports, machines, users and
-// leaders, on a cluster with more work than room and a team at its limit. The
-// simulation keeps an account of its own of what users were told, in true
-// order, of the teams' limits, and of the tasks on the machines. Then a calm,
-// in which everything must come right. A seed makes a run; it repeats exactly.
+// Randomized simulations that combine two kinds of faults in transactions,
+// worker reports, machines, user requests or leaders. The cluster has more work
+// than capacity, and one team is at its limit. The simulation records, apart
+// from the controllers, what users were told and in which order, what the teams
+// use of their limits, and which tasks are on the machines. A period without
+// faults follows, in which every job must run or end as it should. The seed
+// determines the whole run, so that a failed run can be repeated exactly.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -16,11 +18,12 @@
 namespace oxbow::test {
 namespace {
 
-constexpr double kStep = 0.05;    // s
-constexpr double kTroubled = 60;  // s
-constexpr double kCalm = 100;     // s
-// The longest that a job may wait in the calm while there is room, s.
-constexpr double kLongestWait = 90;
+constexpr double kStep = 0.05;        // s
+constexpr double kFaultSeconds = 60;  // s
+constexpr double kCalmSeconds = 100;  // s
+// The longest time that a job may wait for free capacity that suffices for it,
+// in the period without faults, in seconds.
+constexpr double kMaxWaitSeconds = 90;
 
 enum class Fault : uint8_t {
   kAnswersOfWritesLost,
@@ -38,26 +41,28 @@
   kLast = kZoneCut,
 };
 
-constexpr std::array kNames = {"answers of writes lost",
-                               "late writes",
-                               "reports for the next",
-                               "mute machines",
-                               "deaf machines",
-                               "hangs",
-                               "bursts of cancellations",
-                               "cancelled at the end",
-                               "odd requests",
-                               "leaders end",
-                               "state out",
-                               "zone cut"};
+constexpr std::array kFaultNames = {"answers of writes lost",
+                                    "late writes",
+                                    "reports for the next",
+                                    "mute machines",
+                                    "deaf machines",
+                                    "hangs",
+                                    "bursts of cancellations",
+                                    "cancelled at the end",
+                                    "odd requests",
+                                    "leaders end",
+                                    "state out",
+                                    "zone cut"};
 
 class CombinedFaults {
  public:
   explicit CombinedFaults(uint64_t seed) : random_(seed) {
     constexpr int kAll = static_cast<int>(Fault::kLast) + 1;
     first_ = static_cast<Fault>(seed % kAll);
-    second_ = static_cast<Fault>(Whole(0, kAll - 1));
-    // A deletion that is confirmed ends a doubt sooner than a lease does.
+    second_ = static_cast<Fault>(IntBetween(0, kAll - 1));
+    // The confirmed deletion of a silent machine proves its tasks gone before
+    // its lease expires. A high give_up_ratio prevents such deletions, so half
+    // of the runs depend on the expiry of leases alone.
     if (Happens(0.5)) sim_.tuning.give_up_ratio = 50;
     sim_.settings.teams.push_back({"t", 0, 10, 0, 0});
     sim_.settings.teams.push_back({"u", 0, 0, 0, 0});
@@ -89,24 +94,25 @@
     sim_.Lead("a");
   }
 
-  // The first broken rule; empty for none.
+  // Runs the simulation. Returns a description of the first broken rule, or an
+  // empty string if there is none.
   std::string Play() {
-    for (double t = 0; t < kTroubled; t += kStep) {
-      Disturb();
-      AskAgain();
+    for (double t = 0; t < kFaultSeconds; t += kStep) {
+      InjectFaults();
+      RepeatCancellations();
       sim_.Run(kStep);
-      std::string wrong = Wrong();
+      std::string wrong = BrokenRule();
       if (!wrong.empty()) return wrong;
     }
     EndAllFaults();
-    for (double t = 0; t < kCalm; t += kStep) {
+    for (double t = 0; t < kCalmSeconds; t += kStep) {
       if (sim_.leader() == nullptr) sim_.Lead("a");
-      AskAgain();
+      RepeatCancellations();
       sim_.Run(kStep);
-      std::string wrong = Wrong();
+      std::string wrong = BrokenRule();
       if (!wrong.empty()) return wrong;
-      for (int n = 1; t > kLongestWait && n <= submitted_; ++n) {
-        if (sim_.WaitedWithRoom(Name(n)) > kLongestWait) {
+      for (int n = 1; t > kMaxWaitSeconds && n <= submitted_; ++n) {
+        if (sim_.WaitedWithRoom(Name(n)) > kMaxWaitSeconds) {
           return At("waits although there is room: " + Name(n));
         }
       }
@@ -125,60 +131,66 @@
   double Between(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
-  int Whole(int least, int most) {
+  int IntBetween(int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(random_);
   }
   bool Happens(double share) {
     return std::bernoulli_distribution(share)(random_);
   }
-  // Whether something that comes every so many seconds comes in this step.
-  bool Every(double seconds) { return Happens(kStep / seconds); }
+  // Returns whether an event that occurs once in `seconds` on average occurs in
+  // this step.
+  bool OccursEvery(double seconds) { return Happens(kStep / seconds); }
   bool Has(Fault fault) const { return first_ == fault || second_ == fault; }
 
   std::string At(const std::string& what) const {
-    return fmt::format(
-        "{} and {}, at {:.2f} s: {}", kNames.at(static_cast<size_t>(first_)),
-        kNames.at(static_cast<size_t>(second_)), sim_.now(), what);
+    return fmt::format("{} and {}, at {:.2f} s: {}",
+                       kFaultNames.at(static_cast<size_t>(first_)),
+                       kFaultNames.at(static_cast<size_t>(second_)), sim_.now(),
+                       what);
   }
-  std::string Wrong() const {
+  std::string BrokenRule() const {
     if (!sim_.broken().empty()) return At(sim_.broken().front());
     const auto gone = sim_.WronglyGone();
     return gone.empty() ? std::string() : At(gone.front());
   }
 
-  void Disturb() {
+  void InjectFaults() {
     const Time now = sim_.now();
-    if (Every(1.5)) Submit();
-    if (submitted_ > 0 && Every(6)) Cancel(Name(Whole(1, submitted_)));
-    // Every fault is worse with a change of leader now and then.
+    if (OccursEvery(1.5)) Submit();
+    if (submitted_ > 0 && OccursEvery(6))
+      Cancel(Name(IntBetween(1, submitted_)));
+    // A change of leader makes every other fault harder to handle, so the
+    // leader crashes now and then in every run.
     const double leads_for = Has(Fault::kLeadersEnd) ? 8 : 30;
     if (sim_.leader() == nullptr) {
       if (now >= next_leader_ && !sim_.state_down) sim_.Lead(Leader());
-    } else if (Every(leads_for)) {
+    } else if (OccursEvery(leads_for)) {
       sim_.Crash();
       next_leader_ = now + (Happens(0.7) ? 0 : Between(0, 12));
     }
-    if (Has(Fault::kStateOut) && Every(15)) state_until_ = now + Between(1, 15);
+    if (Has(Fault::kStateOut) && OccursEvery(15))
+      state_until_ = now + Between(1, 15);
     sim_.state_down = now < state_until_;
-    if (Has(Fault::kCancelBursts) && Every(10)) {
+    if (Has(Fault::kCancelBursts) && OccursEvery(10)) {
       if (sim_.leader() != nullptr) {
-        sim_.CancelBurst(Whole(1, 8), Happens(0.6) ? Between(1, 14) : 0);
+        sim_.CancelBurst(IntBetween(1, 8), Happens(0.6) ? Between(1, 14) : 0);
       }
     }
-    if (Has(Fault::kZoneCut) && Every(25)) {
+    if (Has(Fault::kZoneCut) && OccursEvery(25)) {
       cut_until_ = now + Between(3, 35);
-      if (sim_.leading() == "b") sim_.Crash();  // it can't lead from there
+      if (sim_.leading() == "b")
+        sim_.Crash();  // a controller that is cut off can't lead
     }
     sim_.controller("b").refused = now < cut_until_;
     for (auto& [host, w] : sim_.workers()) {
-      Spell& spell = spells_[host];
-      if (Has(Fault::kMuteMachines) && Every(40)) {
+      MachineFaults& spell = spells_[host];
+      if (Has(Fault::kMuteMachines) && OccursEvery(40)) {
         spell.mute_until = now + Between(1, 25);
       }
-      if (Has(Fault::kDeafMachines) && Every(40)) {
+      if (Has(Fault::kDeafMachines) && OccursEvery(40)) {
         spell.deaf_until = now + Between(1, 25);
       }
-      if (Has(Fault::kHangs) && Every(40)) {
+      if (Has(Fault::kHangs) && OccursEvery(40)) {
         w.hangs_until = now + Between(0.5, 14);
       }
       const bool cut = now < cut_until_ && w.zone == "b";
@@ -200,9 +212,9 @@
   }
 
   std::string Leader() {
-    // Behind a cut nobody leads the rest.
+    // While zone b is cut off, the controller in it can't become the leader.
     const char* const names[] = {"a", "c", "b"};
-    return names[Whole(0, sim_.now() < cut_until_ ? 1 : 2)];
+    return names[IntBetween(0, sim_.now() < cut_until_ ? 1 : 2)];
   }
 
   static std::string Name(int number) {
@@ -219,8 +231,8 @@
     return sim_.CountRecords(keys::Of(keys::kTerminal, id)) > 0;
   }
 
-  // Users repeat a cancellation until they are told that it is true.
-  void AskAgain() {
+  // Repeats the cancellations of the users until each job is recorded as ended.
+  void RepeatCancellations() {
     constexpr double kAfter = 2;
     if (sim_.leader() == nullptr || sim_.now() < asked_ + kAfter) return;
     asked_ = sim_.now();
@@ -240,16 +252,16 @@
     spec.team = Happens(0.6) ? "t" : "u";
     spec.priority = spec.kind == JobKind::kService ? Priority::kProduction
                                                    : Priority::kNormal;
-    spec.tasks = static_cast<uint32_t>(Whole(1, 4));
+    spec.tasks = static_cast<uint32_t>(IntBetween(1, 4));
     spec.need = {Happens(0.5) ? 1.0 : 2.0, 0, 1};
-    spec.image = fmt::format("img-{}", Whole(0, 2));
+    spec.image = fmt::format("img-{}", IntBetween(0, 2));
     spec.image_gb = 0.4;
     spec.one_zone = spec.kind != JobKind::kService && Happens(0.5);
     spec.estimate_seconds = Between(2, 12);
     sim_.Submit(spec);
   }
 
-  struct Spell {
+  struct MachineFaults {
     Time mute_until = 0;
     Time deaf_until = 0;
   };
@@ -257,7 +269,7 @@
   Fault first_;
   Fault second_;
   Sim sim_;
-  std::map<std::string, Spell> spells_;
+  std::map<std::string, MachineFaults> spells_;
   std::set<std::string> cancelled_;
   Time asked_ = 0;
   Time next_leader_ = 0;
@@ -271,9 +283,9 @@
   return text == nullptr ? fallback : std::atoi(text);
 }
 
-// Seeds beyond those that CI plays in a row, each of which has failed: jobs
-// waited for over 90 s with room while a core of their team's quota was kept
-// for a gang that did not need it (docs/incidents, 2026-12-03).
+// Seeds that once failed and are outside the range that CI runs: jobs waited
+// for over 90 s although there was capacity, because a core of their team's
+// quota was kept for a gang that did not need it (docs/incidents, 2026-12-03).
 class CombinedFaultsSeed : public testing::TestWithParam<uint64_t> {};
 
 TEST_P(CombinedFaultsSeed, ComesRightAgain) {
@@ -287,7 +299,7 @@
                            return std::to_string(info.param);
                          });
 
-// OXBOW_SEEDS: so many, from OXBOW_SEED on.
+// OXBOW_SEEDS is the number of seeds to run, and OXBOW_SEED is the first.
 TEST(CombinedFaults, EveryPairComesRightAgain) {
   const int seeds = FromEnvironment("OXBOW_SEEDS", 16);
   const int first = FromEnvironment("OXBOW_SEED", 0);
@@ -300,7 +312,7 @@
         << "seed " << first + i << ", after " << i << " others";
     starts += run.starts();
   }
-  // A run in which nothing starts would show nothing.
+  // A run in which hardly any task starts would test nothing.
   EXPECT_GT(starts, 20 * seeds);
 }
 
--- a/tests/random_simulation_test.cc
+++ b/tests/random_simulation_test.cc
@@ -1,9 +1,10 @@
-// Randomized simulations round the core: messages between a leader, its
-// successors and the workers late, held, lost and out of order, connections
-// refused, processes stalled, workers hanging, reports cut while commands get
-// through. After every step, what the leader takes for gone is compared with
-// what is there, and the rules of the protocol are checked. A seed makes a run;
-// it repeats exactly.
+// Randomized simulations of the scheduler core. Messages between a leader, its
+// successors and the workers are delayed, held back, lost and reordered,
+// connections are refused, controllers stall, workers hang, and reports are cut
+// while commands still arrive. After every step the tasks that the leader takes
+// for gone are compared with the tasks that exist, and the rules of the
+// protocol are checked. The seed determines the whole run, so that a failed run
+// can be repeated exactly.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -16,25 +17,27 @@
 namespace oxbow::test {
 namespace {
 
-constexpr double kStep = 0.05;  // s
-constexpr double kLength = 90;  // s
-// How long a deaf leader may stay when another could lead, s: doubt, three
-// rounds with their pauses.
-constexpr double kUnfitFor = 9;
-// Copies of heartbeats come so late, s; and a dead machine's tasks are counted
-// no longer than so after the last news of it: 4 s, a lease, and a stalled
-// leader.
-constexpr double kLatestCopy = 80;
-constexpr double kHeldFor = 25;
+constexpr double kStep = 0.05;      // s
+constexpr double kRunSeconds = 90;  // s
+// The longest time in seconds that a leader which no worker reaches may stay
+// the leader while another controller could lead: the time until it doubts its
+// connections, and three rounds of questions with the pauses between them.
+constexpr double kMaxUnfitSeconds = 9;
+// The longest delay of a duplicated heartbeat, in seconds.
+constexpr double kLatestCopySeconds = 80;
+// The longest time in seconds that the tasks of a dead machine count as running
+// after the last report of it: 4 s, a lease, and the stall of a leader.
+constexpr double kMaxHeldSeconds = 25;
 
-// What comes on top of the rest.
-// kOutages: the key-value store is out for up to twice the time that a
-// cancellation has, mostly after a leader's end; the others keep the workers.
+// The kind of faults that a simulation has in addition to the faults of all
+// simulations. kOutages: the key-value store is unavailable for up to twice the
+// time limit of a cancellation, often with the end of the leader; the other
+// controllers keep the workers' sessions alive.
 enum class Kind { kPlain, kDeaf, kCopies, kLateWrites, kOutages };
 
-class RandomDay {
+class RandomRun {
  public:
-  explicit RandomDay(uint64_t seed, Kind kind = Kind::kPlain)
+  explicit RandomRun(uint64_t seed, Kind kind = Kind::kPlain)
       : kind_(kind), random_(seed) {
     sim_.faults.emplace();
     RandomFaults& faults = *sim_.faults;
@@ -43,8 +46,9 @@
     faults.held = Share(0.10);
     faults.refused = Share(0.10);
     faults.longest_seconds = Between(2, 30);
-    // A deletion that is confirmed ends a doubt sooner than a lease does, so in
-    // half of the runs nothing but leases ends any.
+    // The confirmed deletion of a silent machine proves its tasks gone before
+    // its lease expires. A high give_up_ratio prevents such deletions, so half
+    // of the runs depend on the expiry of leases alone.
     if (Happens(0.5)) sim_.tuning.give_up_ratio = 50;
     sim_.settings.teams.push_back({"t", 0, 10, 0, 0});
     sim_.settings.teams.push_back({"u", 0, 0, 0, 0});
@@ -61,13 +65,15 @@
     for (int i = 1; i <= 4; ++i) {
       sim_.AddWorker(fmt::format("n-{}", i), "small", i % 2 ? "a" : "b", false);
     }
-    // In half of the runs there are others to ask, and to hand over to.
+    // In half of the runs there are other controllers, which the leader can ask
+    // and hand the leadership over to.
     if (Happens(0.5)) names_ = {"a", "b", "c"};
     if (kind_ == Kind::kCopies) {
       faults.copied = Between(0.05, 0.4);
-      faults.latest_copy_seconds = kLatestCopy;
+      faults.latest_copy_seconds = kLatestCopySeconds;
       faults.lost = faults.held = 0;
-      // Nobody inside a zone keeps anything, so that the bound is the leader's.
+      // No controller inside a zone keeps its workers alive, so that the leader
+      // alone determines how long tasks count as running.
       names_.clear();
     }
     if (kind_ == Kind::kLateWrites) {
@@ -78,20 +84,22 @@
     }
     for (const std::string& name : names_) {
       sim_.AddController(name);
-      // Those inside a zone may keep its workers when they are cut off.
+      // A controller inside a zone may keep the zone's workers alive when the
+      // zone is cut off.
       if (Happens(0.7)) sim_.controller(name).zone = Happens(0.5) ? "a" : "b";
     }
     sim_.delegated = kind_ == Kind::kOutages;
     sim_.Lead();
   }
 
-  // The first wrong belief or broken rule; empty for none.
+  // Runs the simulation. Returns a description of the first wrong assumption of
+  // the leader or broken rule, or an empty string if there is none.
   std::string Play() {
-    const double length = kind_ == Kind::kCopies    ? 1.5 * kLength
-                          : kind_ == Kind::kOutages ? 2 * kLength
-                                                    : kLength;
+    const double length = kind_ == Kind::kCopies    ? 1.5 * kRunSeconds
+                          : kind_ == Kind::kOutages ? 2 * kRunSeconds
+                                                    : kRunSeconds;
     for (double t = 0; t < length; t += kStep) {
-      Trouble();
+      InjectFaults();
       sim_.Run(kStep);
       if (!sim_.broken().empty()) return At(sim_.broken().front());
       const auto wrong = sim_.WronglyGone();
@@ -100,13 +108,13 @@
         return At("new work where no answer has arrived for long");
       }
       if (kind_ == Kind::kCopies) {
-        const auto held = sim_.HeldByTheDead(kHeldFor);
+        const auto held = sim_.HeldByTheDead(kMaxHeldSeconds);
         if (!held.empty()) return At(held.front());
       }
       if (!names_.empty() && sim_.lost_alive() > 0) {
         return At("a machine was deleted that others reached");
       }
-      if (!names_.empty() && sim_.unfit_for() > kUnfitFor) {
+      if (!names_.empty() && sim_.unfit_for() > kMaxUnfitSeconds) {
         return At("a deaf leader leads on");
       }
     }
@@ -118,23 +126,24 @@
   int late_writes_tried() const { return sim_.late_writes_tried(); }
 
  private:
-  struct Weather;
+  struct WorkerFaults;
   double Between(double least, double most) {
     return std::uniform_real_distribution<double>(least, most)(random_);
   }
-  // None in a third of the runs.
+  // Returns a random share up to `most`, or 0 in a third of the calls.
   double Share(double most) { return Happens(0.33) ? 0.0 : Between(0.0, most); }
   bool Happens(double share) {
     return std::bernoulli_distribution(share)(random_);
   }
-  // Whether something that comes every so many seconds comes in this step.
-  bool Every(double seconds) { return Happens(kStep / seconds); }
+  // Returns whether an event that occurs once in `seconds` on average occurs in
+  // this step.
+  bool OccursEvery(double seconds) { return Happens(kStep / seconds); }
 
   std::string At(const std::string& what) const {
     return fmt::format("at {:.2f} s: {}", sim_.now(), what);
   }
 
-  void Trouble() {
+  void InjectFaults() {
     const Time now = sim_.now();
     if (sim_.leader() == nullptr) {
       const bool free = kind_ != Kind::kOutages || !sim_.state_down;
@@ -145,59 +154,61 @@
           sim_.Lead(names_[static_cast<size_t>(Between(0, 2.99))]);
         }
       }
-    } else if (Every(kind_ == Kind::kCopies ? 70 : 25)) {
+    } else if (OccursEvery(kind_ == Kind::kCopies ? 70 : 25)) {
       sim_.Crash();
     }
-    // Also after the leader has given up by itself.
+    // The pause also applies after a leader that has stepped down by itself.
     if (sim_.leader() != nullptr) next_leader_ = now + Between(0, 6);
-    if (sim_.leader() != nullptr && Every(20)) sim_.Stall(Between(0.2, 8));
-    if (Every(4)) Submit();
-    if (submitted_ > 0 && Every(15)) {
+    if (sim_.leader() != nullptr && OccursEvery(20))
+      sim_.Stall(Between(0.2, 8));
+    if (OccursEvery(4)) Submit();
+    if (submitted_ > 0 && OccursEvery(15)) {
       sim_.CancelJob(Name(1 + static_cast<int>(Between(0, submitted_))));
     }
-    if (Every(20)) {
+    if (OccursEvery(20)) {
       sim_.next_write = Happens(0.5) ? Fate::kLate : Fate::kLostAnswer;
     }
-    if (Every(30)) state_until_ = now + Between(1, 12);
+    if (OccursEvery(30)) state_until_ = now + Between(1, 12);
     if (kind_ == Kind::kOutages) LongOutage();
     sim_.state_down = now < state_until_;
     for (const std::string& name : names_) {
       SimController& controller = sim_.controller(name);
       Links& links = links_[name];
-      if (Every(25)) links.no_reports_until = now + Between(1, 25);
-      if (Every(25)) links.no_orders_until = now + Between(1, 25);
-      if (Every(25)) {
+      if (OccursEvery(25)) links.no_reports_until = now + Between(1, 25);
+      if (OccursEvery(25)) links.no_orders_until = now + Between(1, 25);
+      if (OccursEvery(25)) {
         links.no_reports_until = links.no_orders_until = now + Between(1, 40);
       }
-      if (Every(30)) links.no_peers_until = now + Between(1, 20);
+      if (OccursEvery(30)) links.no_peers_until = now + Between(1, 20);
       controller.in_cut = now < links.no_reports_until;
       controller.out_cut = now < links.no_orders_until;
       controller.refused = now < links.no_peers_until;
     }
     for (auto& [host, w] : sim_.workers()) {
-      Weather& weather = weather_[host];
-      if (Every(20)) weather.no_reports_until = now + Between(2, 25);
-      if (Every(20)) weather.no_orders_until = now + Between(1, 20);
-      if (Every(30)) weather.hung_until = now + Between(0.5, 16);
+      WorkerFaults& worker_faults = worker_faults_[host];
+      if (OccursEvery(20))
+        worker_faults.no_reports_until = now + Between(2, 25);
+      if (OccursEvery(20)) worker_faults.no_orders_until = now + Between(1, 20);
+      if (OccursEvery(30)) worker_faults.hung_until = now + Between(0.5, 16);
       w.heartbeats_cut =
-          kind_ != Kind::kCopies && now < weather.no_reports_until;
-      w.commands_cut = now < weather.no_orders_until;
-      w.hung = now < weather.hung_until;
-      if (kind_ == Kind::kDeaf) Deafen(w, weather);
-      if (kind_ == Kind::kCopies && !w.dead && Every(80)) {
+          kind_ != Kind::kCopies && now < worker_faults.no_reports_until;
+      w.commands_cut = now < worker_faults.no_orders_until;
+      w.hung = now < worker_faults.hung_until;
+      if (kind_ == Kind::kDeaf) CutResponses(w, worker_faults);
+      if (kind_ == Kind::kCopies && !w.dead && OccursEvery(80)) {
         w.dead = true;
         w.died_at = now;
       }
-      if (Every(150)) w.faulty = !w.faulty;
+      if (OccursEvery(150)) w.faulty = !w.faulty;
     }
   }
 
-  // Jobs are cancelled, the key-value store goes, and often the leader after
-  // it.
+  // Cancels jobs, makes the key-value store unavailable, and often crashes the
+  // leader after that.
   void LongOutage() {
     const Time now = sim_.now();
     const double cancel_seconds = sim_.settings.workers.cancel_seconds;
-    if (now >= state_until_ && Every(40)) {
+    if (now >= state_until_ && OccursEvery(40)) {
       for (int n = std::max(1, submitted_ - 5); n <= submitted_; ++n) {
         if (Happens(0.5)) sim_.CancelJob(Name(n));
       }
@@ -212,22 +223,23 @@
       sim_.Crash();
       end_after_ = 1e18;
     }
-    // By promises as long as it lives; whoever comes after the outage leads by
-    // its lease.
+    // During an outage the present leader leads by the promises of its peers.
+    // Its successor after the outage leads by its lease in the store.
     sim_.by_promises = sim_.leader() != nullptr && sim_.state_down;
   }
 
-  // No answer arrives there, and mostly no order either; one machine's trouble
-  // or a whole zone's.
-  void Deafen(SimWorker& worker, Weather& weather) {
+  // Cuts the responses to a worker, and mostly the commands to it as well, for
+  // one machine or for a whole zone.
+  void CutResponses(SimWorker& worker, WorkerFaults& worker_faults) {
     const Time now = sim_.now();
     Time& zone = deaf_zones_[worker.zone];
-    if (Every(120)) zone = now + Between(1, 40);
-    if (Every(25)) {
-      weather.no_answers_until = now + Between(1, 40);
-      if (Happens(0.6)) weather.no_orders_until = weather.no_answers_until;
+    if (OccursEvery(120)) zone = now + Between(1, 40);
+    if (OccursEvery(25)) {
+      worker_faults.no_answers_until = now + Between(1, 40);
+      if (Happens(0.6))
+        worker_faults.no_orders_until = worker_faults.no_answers_until;
     }
-    worker.answers_cut = now < weather.no_answers_until || now < zone;
+    worker.answers_cut = now < worker_faults.no_answers_until || now < zone;
     worker.commands_cut = worker.commands_cut || now < zone;
   }
 
@@ -258,13 +270,13 @@
     sim_.Submit(spec);
   }
 
-  struct Weather {
+  struct WorkerFaults {
     Time no_reports_until = 0;
     Time no_orders_until = 0;
     Time hung_until = 0;
     Time no_answers_until = 0;
   };
-  // What gets through to and from a controller.
+  // The times until which messages to and from a controller are cut.
   struct Links {
     Time no_reports_until = 0;
     Time no_orders_until = 0;
@@ -273,14 +285,14 @@
   const Kind kind_;
   std::mt19937_64 random_;
   Sim sim_;
-  std::vector<std::string> names_;  // of the controllers, if several
+  std::vector<std::string> names_;  // controllers; empty if one only
   std::map<std::string, Links> links_;
-  std::map<std::string, Weather> weather_;
-  std::map<std::string, Time> deaf_zones_;  // until when
+  std::map<std::string, WorkerFaults> worker_faults_;
+  std::map<std::string, Time> deaf_zones_;  // cut until then, by zone
   Time next_leader_ = 0;
   Time state_until_ = 0;
-  Time state_after_ = 1e18;  // the long outage begins
-  Time end_after_ = 1e18;    // the leader ends
+  Time state_after_ = 1e18;  // start of the long outage
+  Time end_after_ = 1e18;    // crash of the leader
   int submitted_ = 0;
 };
 
@@ -305,27 +317,27 @@
   return "random";
 }
 
-// In parts, so that they run side by side.
+// The seeds are divided among kParts tests, which run in parallel.
 class RandomSimulations : public testing::TestWithParam<int> {};
 
 constexpr int kParts = 8;
 
 TEST_P(RandomSimulations, NothingIsTakenForGoneThatIsThere) {
   const int seeds = SeedsFromEnvironment(250);
-  const char* only = std::getenv("OXBOW_SEED");  // to look at one
+  const char* only = std::getenv("OXBOW_SEED");  // run this seed only
   int starts = 0;
   int leadership_transfers = 0;
   for (int i = 0; i < seeds; ++i) {
     const auto seed = static_cast<uint64_t>(GetParam() + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
     const TrailedRun trailed(TrailName(Kind::kPlain), seed);
-    RandomDay day(seed);
+    RandomRun day(seed);
     const std::string wrong = day.Play();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others";
     starts += day.starts();
     leadership_transfers += day.leadership_transfers();
   }
-  // A simulation in which nothing runs would show nothing.
+  // A simulation in which no task starts would test nothing.
   EXPECT_GT(starts, seeds);
   EXPECT_GT(leadership_transfers, seeds / 8);
 }
@@ -343,7 +355,7 @@
     const auto seed = static_cast<uint64_t>(part + kParts * i);
     if (only != nullptr && std::to_string(seed) != only) continue;
     const TrailedRun trailed(TrailName(kind), seed);
-    RandomDay day(seed, kind);
+    RandomRun day(seed, kind);
     const std::string wrong = day.Play();
     ASSERT_EQ(wrong, "") << "seed " << seed << ", after " << i << " others";
     starts += day.starts();
