--- a/tests/combined_faults_test.cc
+++ b/tests/combined_faults_test.cc
@@ -23,7 +23,7 @@
 constexpr double kCalmSeconds = 100;  // s
 // The longest time that a job may wait for free capacity that suffices for it,
 // in the period without faults, in seconds.
-constexpr double kMaxWaitSeconds = 90;
+constexpr double kMaxCapacityWaitSeconds = 90;
 
 enum class Fault : uint8_t {
   kAnswersOfWritesLost,
@@ -111,8 +111,8 @@
       sim_.Run(kStep);
       std::string wrong = BrokenRule();
       if (!wrong.empty()) return wrong;
-      for (int n = 1; t > kMaxWaitSeconds && n <= submitted_; ++n) {
-        if (sim_.WaitedWithRoom(Name(n)) > kMaxWaitSeconds) {
+      for (int n = 1; t > kMaxCapacityWaitSeconds && n <= submitted_; ++n) {
+        if (sim_.WaitedWithRoom(Name(n)) > kMaxCapacityWaitSeconds) {
           return At("waits although there is room: " + Name(n));
         }
       }
--- a/tests/isolated_controller_test.cc
+++ b/tests/isolated_controller_test.cc
@@ -15,10 +15,11 @@
 
 using net::Task;
 
-// The leader ends in an outage, is back at once, and hears from the others that
-// all is well; then the service comes back with an older copy, in which the key
-// is its own. It may lead by it before anybody has noticed, but what it has
-// been told to have ended neither runs nor is told as alive.
+// The leader is killed during an outage of the key-value store and restarts at
+// once. Its peers tell it that no data is missing. Then the store returns with
+// an older copy, in which the leadership key still names this controller. It
+// may lead by that key before anyone has noticed the loss, but a job whose end
+// it has been told of must neither run again nor be reported as alive.
 TEST(Newcomer, WhatHasEndedIsNotRevivedFromAnOlderCopy) {
   Cluster cluster(1, "recovery.conf");
   bool ended = false;
@@ -64,8 +65,9 @@
   EXPECT_TRUE(ended);
 }
 
-// A newcomer asks all the time whether anything is missed while the others
-// write back what they remember. What is not there yet is no second loss.
+// A restarted controller keeps asking whether data is missing while its peers
+// write back the records that they remember. A record that is not written back
+// yet must not be taken for a second loss, which would open another epoch.
 TEST(Newcomer, DoesNotHaveEpochAfterEpochOpened) {
   Cluster cluster(1, "recovery.conf");
   bool ended = false;
@@ -105,10 +107,10 @@
   EXPECT_TRUE(ended);
 }
 
-// One controller hears its workers and its users, but neither the key-value
-// store nor its peers, whose connections stay open and say nothing. Users are
-// told at once, by it or by its silence about what it can't know, and nobody is
-// forgotten, during it or after.
+// One controller reaches its workers and users, but neither the key-value store
+// nor its peers, whose connections stay open without any data. Users must get
+// an answer at once, which may say that the controller can't know, and no job
+// may be forgotten during the isolation or after it.
 TEST(Isolated, UsersAreToldAtOnce) {
   Cluster cluster(1, "service.conf");
   bool ended = false;
@@ -130,7 +132,7 @@
     while (c->Well(IdOf(0)) + c->Well(IdOf(1)) < 2 * kReplicas) {
       co_await c->loop.Sleep(0.05);
     }
-    // As the leader, and as one that follows.
+    // First the leader is isolated, then a follower.
     for (const bool leads : {true, false}) {
       int alone = c->Leader();
       for (int i = 0; i < 500 && alone < 0; ++i) {
@@ -154,7 +156,7 @@
               co_await c->AskOne(alone, "GET", "/v2/runs/" + IdOf(job), "");
           EXPECT_EQ(answer.outcome, net::Outcome::kAnswered);
           EXPECT_NE(answer.status, 404) << IdOf(job);
-          // What has ended can't be old.
+          // The end of a job is final, so the controller may always report it.
           if (job == 2) {
             EXPECT_EQ(answer.status, 200) << answer.body;
           }
@@ -178,14 +180,15 @@
           "%.2f s, %d of %d questions answered, %d in more than 0.5 s\n",
           leads ? "leader" : "follower", slowest_poll, slowest_change, answered,
           asked_in_all, slow);
-      // One in ten questions at the most waits for what does not come.
+      // Fewer than one request in ten may wait for an answer of the store or of
+      // a peer that does not come.
       EXPECT_LT(slow, 0.1 * asked_in_all);
       EXPECT_LT(slowest_poll, 1.3);
       EXPECT_LT(slowest_change, 3);
       c->Isolate(alone, false);
       watch->Trouble();
       co_await c->loop.Sleep(2 * kLease);
-      // As users do whose connection stays where it is.
+      // Users keep their connection to the controller that was isolated.
       for (const int job : {0, 1, 2}) {
         const auto answer =
             co_await c->AskOne(alone, "GET", "/v2/runs/" + IdOf(job), "");
@@ -204,9 +207,10 @@
   EXPECT_TRUE(ended);
 }
 
-// All who remember a job are gone but one, which is cut off while the others
-// rebuild without it. It runs on as a task without a record, which nobody can
-// cancel, until that one is back and hands in what it remembers.
+// Only one controller remembers a job, and that controller is cut off while the
+// others rebuild the records without it. The tasks of the job run on without a
+// record, and nobody can cancel them, until the controller is back and hands in
+// what it remembers.
 TEST(Isolated, WhatOneAloneRemembersIsHandedIn) {
   Cluster cluster(1, "service.conf");
   bool ended = false;
@@ -227,7 +231,8 @@
     for (int i = 0; i < kControllers; ++i) {
       if (i != alone) c->Launch(i);
     }
-    // They find its tasks, open an epoch and rebuild.
+    // The other controllers find the job's tasks, open an epoch and rebuild the
+    // records.
     const auto epoch = [c] {
       rapidjson::Document doc;
       doc.Parse(c->state().Value("ob/live/epoch").c_str());
@@ -259,8 +264,8 @@
     }
     EXPECT_EQ(c->Present(IdOf(1)), 0);
     EXPECT_EQ(c->Well(IdOf(0)), kReplicas);
-    // The rebuild may lack something, and yet an id that nobody knows is denied
-    // again once all have been asked: not at once, and not never.
+    // After a rebuild that may lack records, an unknown job id must be denied
+    // again, but only once all controllers have been asked.
     int status = 0;
     while (status != 404 && c->loop.Now() < from + 7.5 * kLease) {
       const auto answer = co_await c->AskOne((alone + 1) % kControllers, "GET",
--- a/tests/state_loss_fixture.h
+++ b/tests/state_loss_fixture.h
@@ -1,5 +1,6 @@
-// What the tests of data loss in the key-value store share: the jobs, the kinds
-// of loss, and a watcher of users and machines.
+// Shared parts of the tests of data loss in the key-value store: the jobs, the
+// description of a loss, and a watcher that checks what users are told and
+// which tasks run.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,13 +19,14 @@
 inline constexpr int kReplicas = 3;
 inline constexpr int kAll = kServices * kReplicas;
 
+// One kind of data loss, and what the test may expect after it.
 struct Loss {
   const char* name;
   std::function<void(FakeKeyValueStore&, const FakeKeyValueStore::Copy&)> what;
-  bool all_end = false;       // all controllers end at the same moment
-  bool jobs_known = true;     // somebody remembers every job that runs
-  bool remembers_end = true;  // and the one that was cancelled
-  bool one_stays = false;     // all controllers but one end
+  bool all_end = false;       // all controllers are killed at once
+  bool jobs_known = true;     // some controller has every job
+  bool remembers_end = true;  // and the cancelled job's end
+  bool one_stays = false;     // one controller isn't killed
 };
 
 inline void PrintTo(const Loss& loss, std::ostream* out) { *out << loss.name; }
@@ -41,11 +43,12 @@
       id, kReplicas);
 }
 
-// What users and machines see while the test goes on.
+// Checks during a test what users are told, and counts the running tasks.
 class Watcher {
  public:
   Watcher(Cluster& cluster, const Loss& loss) : c_(cluster), loss_(loss) {}
 
+  // Records the least number of tasks that ran at any moment, until `over`.
   net::Task<void> Count() {
     while (!over) {
       int up = 0;
@@ -55,7 +58,8 @@
       co_await c_.loop.Sleep(0.02);
     }
   }
-  // Polls at one controller, as impatient users do.
+  // Polls one controller for the status of each job until `over`, and fails if
+  // the controller denies a job that it should know or reports a wrong status.
   net::Task<void> Poll(int controller) {
     std::set<std::string> seen_running;
     while (!over) {
--- a/tests/state_loss_simulation_test.cc
+++ b/tests/state_loss_simulation_test.cc
@@ -1,5 +1,5 @@
-// A randomized simulation: the key-value store loses data again and again under
-// three real controllers, together with other faults.
+// A randomized simulation in which the key-value store loses data again and
+// again while three real controllers run, together with other faults.
 
 #include <gtest/gtest.h>
 
@@ -21,11 +21,12 @@
 
 using net::Task;
 
-constexpr int kShort = 4;  // losses of a simulation's short form
+constexpr int kShort = 4;  // data losses in the short form of the simulation
 
-// Losses of every kind in a row, together with what else fails: a controller
-// killed before, at or in the middle of the rebuild, an outage, a second loss,
-// a zone cut. Two of the three controllers live through each.
+// A series of data losses of every kind, each with another fault: a controller
+// killed before, at or during the rebuild of the records, an outage of the
+// store, a second loss, or a zone that is cut off. At least two of the three
+// controllers survive each loss.
 class RandomSimulation {
  public:
   RandomSimulation(Cluster& cluster, int losses)
@@ -52,7 +53,7 @@
       accepted_.insert(id);
       co_await UntilWell(id, 15);
       if (n > 0) co_await Cancel(IdOf(1000 + n - 1));
-      // Until the watches have brought it everywhere.
+      // Waits until the watches have brought the records to every controller.
       co_await c_.loop.Sleep(Between(0.05, 0.5));
       const auto now = c_.state().Save();
       co_await LoseSomething(*copy);
@@ -121,12 +122,12 @@
 
   Task<void> LoseSomething(const FakeKeyValueStore::Copy& copy) {
     co_await Lose(copy);
-    known_.Trouble();  // the last of it
+    known_.Trouble();  // the trouble ends now
   }
   Task<void> Lose(const FakeKeyValueStore::Copy& copy) {
     int killed = -1;
     const int what = losses_ <= kShort ? 3 + Of(3) : Of(6);
-    if (what == 1 || what == 2) {  // the leader, or any
+    if (what == 1 || what == 2) {  // kill the leader, or any one
       killed = what == 1 ? std::max(0, c_.Leader()) : Of(kControllers);
       const double at = Between(-0.1, 0.2);
       if (at < 0) {
@@ -221,7 +222,8 @@
   double slowest_ = 0;  // s
 };
 
-// A short form, without kills; OXBOW_LOSSES asks for more, and for all.
+// Runs the short form, in which no controller is killed. OXBOW_LOSSES sets the
+// number of losses; a number above kShort also adds the kills.
 TEST(StateLossSimulation, NothingIsForgottenAndNothingComesBack) {
   const char* text = std::getenv("OXBOW_LOSSES");
   const char* seed = std::getenv("OXBOW_SEED");
--- a/tests/state_loss_test.cc
+++ b/tests/state_loss_test.cc
@@ -1,5 +1,6 @@
-// The key-value store loses data under three real controllers: what runs goes
-// on running, what was told stays true, and new jobs run again.
+// The key-value store loses data while three real controllers run. The tests
+// guard that running tasks go on, that what users were told stays true, and
+// that new jobs are accepted and run again.
 
 #include <gtest/gtest.h>
 
@@ -27,7 +28,8 @@
     const auto copy = c_.state().Save();
     co_await Submit(IdOf(kServices));
     co_await UntilPresent(kReplicas);
-    // Recorded when it is answered, and so after the copy was made.
+    // The cancellation is recorded before it is answered, so the store has it
+    // only after the copy was made.
     const auto cancelled =
         co_await c_.Ask("POST", "/v2/runs/" + IdOf(kServices) + "/cancel", "");
     EXPECT_EQ(cancelled.status, 200);
@@ -37,7 +39,7 @@
     net::Spawn(watcher.Count());
     for (int i = 0; i < kControllers; ++i) net::Spawn(watcher.Poll(i));
     const int sessions = c_.SessionsLost();
-    // The one that remembers is no leader, and not the first that is asked.
+    // The controller that survives is not the leader.
     const int stays = loss_.one_stays ? (c_.Leader() + 1) % kControllers : -1;
     if (loss_.all_end || loss_.one_stays) {
       for (int i = 0; i < kControllers; ++i) {
@@ -60,7 +62,8 @@
     }
     const double ran = c_.loop.Now() - lost;
     EXPECT_EQ(c_.Well(fresh), kReplicas) << "a new job never ran";
-    // Longer than a lease: whatever was left to run out has run out.
+    // Waits for longer than a lease, so that every worker session that nobody
+    // renewed has expired.
     co_await c_.loop.Sleep(1.5 * kLease);
     watcher.over = true;
     int running = 0;
@@ -164,10 +167,10 @@
 
 INSTANTIATE_TEST_SUITE_P(Losses, StateLoss, kLosses);
 
-// One that lives on and remembers. What runs is told and kept known, but the
-// one that is left has to find, within the workers' lease, that nobody else
-// leads: by one try in three the replicas run out first. Played by hand
-// (--gtest_also_run_disabled_tests) until that is mended.
+// One controller survives and remembers the jobs. It reports and keeps them,
+// but it has to find out within the workers' lease that nobody else leads. In
+// one try of three the replicas end first, so these cases are run by hand
+// (--gtest_also_run_disabled_tests) until that fault is mended.
 INSTANTIATE_TEST_SUITE_P(
     DISABLED_AllButOne, StateLoss,
     testing::Values(
