--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -1,5 +1,6 @@
-// Real controllers on loopback, three unless told otherwise, as processes that
-// are killed and started again, against stand-ins for everything else.
+// A cluster on loopback for tests: real controllers as processes, three by
+// default, which a test can kill and start again, and stand-ins for the
+// workers, the key-value store and the cloud.
 #pragma once
 
 #include <fcntl.h>
@@ -27,11 +28,11 @@
 namespace oxbow::test {
 
 inline constexpr int kControllers = 3;
-inline constexpr double kLease = 6;     // s
-inline constexpr double kReport = 0.3;  // s
+inline constexpr double kLease = 6;     // of a worker, s
+inline constexpr double kReport = 0.3;  // between a worker's reports, s
 
-// What a controller is run from: a program and the directory with the
-// operators' tuning files that belong to it.
+// The program that a controller runs, and the directory with the operators'
+// tuning files that belong to this version of it.
 struct Program {
   std::string path = OXBOW_PROGRAM;
   std::string deploy = OXBOW_DEPLOY;
@@ -39,8 +40,8 @@
 
 class Cluster {
  public:
-  // `tuning`: the operators' file, of those under deploy/. `program`: of every
-  // controller until SetProgram says otherwise.
+  // `tuning` is the name of a tuning file in the program's deploy directory.
+  // `program` is what every controller runs until SetProgram changes it.
   Cluster(uint64_t seed, std::string tuning, int controllers = kControllers,
           const Program& program = {})
       : random(seed),
@@ -65,7 +66,7 @@
       }
       std::erase_if(workers, [&](const auto& w) {
         if (w->host() != host) return false;
-        buried_.push_back(w);
+        deleted_workers_.push_back(w);
         return true;
       });
     };
@@ -77,10 +78,10 @@
       const auto way = [this](const net::Address& to) {
         return std::make_unique<Link>(loop, to);
       };
-      ways_.emplace_back();
-      ways_[i].push_back(way(Local(state_.port())));
+      links_.emplace_back();
+      links_[i].push_back(way(Local(state_.port())));
       for (int to = 0; to < controllers_; ++to) {
-        if (to != i) ways_[i].push_back(way(back_[to]));
+        if (to != i) links_[i].push_back(way(back_[to]));
       }
     }
     for (int i = 0; i < controllers_; ++i) {
@@ -127,7 +128,7 @@
     waitpid(pids_[i], nullptr, 0);
     pids_[i] = -1;
   }
-  // What a controller runs from its next launch on.
+  // Sets the program that a controller runs from its next launch on.
   void SetProgram(int i, const Program& program) { programs_[i] = program; }
   void Launch(int i) {
     const std::string config = ConfigOf(i);
@@ -137,7 +138,7 @@
     const pid_t pid = fork();
     ASSERT_GE(pid, 0);
     if (pid == 0) {
-      // Whatever becomes of the test, no controller stays behind.
+      // The controller ends with the test process, even if the test crashes.
       prctl(PR_SET_PDEATHSIG, SIGKILL);
       const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
       dup2(fd, STDERR_FILENO);
@@ -147,7 +148,7 @@
     }
     pids_[i] = pid;
   }
-  // Whether a controller has ended that nobody has killed.
+  // Returns whether a controller has ended without Kill.
   bool AnyDied() {
     for (pid_t& pid : pids_) {
       if (pid > 0 && waitpid(pid, nullptr, WNOHANG) == pid) {
@@ -158,20 +159,22 @@
     return false;
   }
 
-  // Cuts a controller off from the key-value store and from the others, both
-  // ways, or joins it to them again. Users and workers reach it.
+  // Cuts a controller off from the key-value store and from the other
+  // controllers in both directions, or connects it again. Users and workers
+  // reach it all the time.
   void Isolate(int i, bool cut) {
     for (int from = 0; from < controllers_; ++from) {
       for (int way = 0; way < controllers_; ++way) {
-        // Its way to the key-value store comes first.
+        // The first link of a controller leads to the key-value store.
         const int to = way == 0 ? -1 : way <= from ? way - 1 : way;
-        if (from == i || to == i) ways_[from][way]->Cut(cut);
+        if (from == i || to == i) links_[from][way]->Cut(cut);
       }
     }
   }
   const std::vector<net::Address>& listen() const { return listen_; }
 
-  // As users do: another controller, a little later, until it is answered.
+  // Sends a request as users do: to another controller every 0.1 s, until one
+  // gives an answer other than 429, 503 or 504. Gives up after 300 tries.
   net::Task<net::ClientResult> Ask(std::string method, std::string path,
                                    std::string body) {
     net::ClientResult answer;
@@ -187,7 +190,7 @@
     co_return answer;
   }
 
-  // One question to one controller, which may not answer.
+  // Sends one request to one controller, which may not answer.
   net::Task<net::ClientResult> AskOne(int i, std::string method,
                                       std::string path, std::string body) {
     co_return co_await clients_[i]->Request(method, path, body, 3);
@@ -198,25 +201,28 @@
     for (const auto& w : workers) n += w->sessions_lost();
     return n;
   }
-  // Machines with living tasks.
+  // The number of machines that were deleted while tasks ran on them.
   int deleted_alive() const { return deleted_alive_; }
 
+  // The number of healthy tasks of the job.
   int Well(const std::string& job) const {
     int n = 0;
     for (const auto& w : workers) n += w->Well(job);
     return n;
   }
+  // The number of unhealthy tasks of the job.
   int Sick(const std::string& job) const {
     int n = 0;
     for (const auto& w : workers) n += w->Sick(job);
     return n;
   }
+  // The number of tasks of the job on all machines.
   int Present(const std::string& job) const {
     int n = 0;
     for (const auto& w : workers) n += w->Present(job);
     return n;
   }
-  // Tasks of the job that have completed, wherever.
+  // The number of tasks of the job that have completed on any worker.
   size_t Completed(const std::string& job) const {
     std::set<uint32_t> tasks;
     for (const auto& w : workers) tasks.merge(w->Completed(job));
@@ -224,7 +230,8 @@
   }
 
   net::Loop loop;
-  // Free on one address, so hardly taken on another of this machine.
+  // A port that is free on one loopback address is very likely free on the
+  // addresses of the workers too.
   const uint16_t health_port = FreePort();
   std::mt19937_64 random;
   std::map<std::string, Cue> cues;
@@ -243,7 +250,7 @@
       if (!known.empty()) known += ",";
       known +=
           fmt::format(R"({{"host_name":"{}","site":"a","address":"{}"}})",
-                      Name(other), Local(ways_[i][way++]->port()).ToString());
+                      Name(other), Local(links_[i][way++]->port()).ToString());
     }
     std::ofstream(ConfigOf(i)) << fmt::format(
         R"({{"host_name":"{}","site":"a","public_addr":"{}","back":"{}",
@@ -258,7 +265,7 @@
         "quota":{{"cpu":0.5,"mem_mb":256.0,"max_sockets":700}},
         "clock_error_ms":25.0}}}})",
         Name(i), listen_[i].ToString(), back_[i].ToString(), known,
-        Local(cloud_.port()).ToString(), Local(ways_[i][0]->port()).ToString(),
+        Local(cloud_.port()).ToString(), Local(links_[i][0]->port()).ToString(),
         controllers_, kReport, kLease);
   }
 
@@ -269,11 +276,12 @@
   FakeCloud cloud_;
   std::vector<net::Address> listen_;
   std::vector<net::Address> back_;
-  // Of each controller: to the key-value store, then to the others in order.
-  std::vector<std::vector<std::unique_ptr<Link>>> ways_;
+  // The links of each controller: to the key-value store first, then to the
+  // other controllers in order.
+  std::vector<std::vector<std::unique_ptr<Link>>> links_;
   std::vector<pid_t> pids_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
-  std::vector<std::shared_ptr<FakeWorker>> buried_;
+  std::vector<std::shared_ptr<FakeWorker>> deleted_workers_;
   size_t next_ = 0;
   int deleted_alive_ = 0;
   int added_ = 0;
--- a/tests/known_watch.h
+++ b/tests/known_watch.h
@@ -1,7 +1,7 @@
-// Asks about every job as users do, all through a test with real controllers,
-// and fails on what users may never see: a job of which nobody says anything
-// for too long, an older answer than one that was given, an accepted job that
-// neither runs nor is known.
+// Polls the status of every job as users do, throughout a test with real
+// controllers. The test fails when a job gets no answer for too long, when an
+// answer is older than one given before, or when an accepted job neither runs
+// nor is known to the controllers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,9 +23,9 @@
 
 class KnownWatch {
  public:
-  // After this long without an answer, s, a job counts as forgotten: 75 s at
-  // the deployments' lease of 10 s, in the same proportion at a shorter one.
-  // OXBOW_FORGOTTEN_S says another, 75 in the long form.
+  // Returns the time in seconds without an answer after which a job counts as
+  // forgotten: 75 s at the deployments' lease of 10 s, and in proportion at a
+  // shorter lease. OXBOW_FORGOTTEN_S overrides it; the long form sets 75.
   static double ForgottenAfter(double lease_seconds) {
     const char* text = std::getenv("OXBOW_FORGOTTEN_S");
     constexpr double kLeases = 7.5;
@@ -33,7 +33,7 @@
                            : std::strtod(text, nullptr);
   }
 
-  // `present`: how many tasks of a job there are on machines.
+  // `present` returns how many tasks of a job are on the machines.
   KnownWatch(net::Loop& loop, std::vector<net::Address> controllers,
              double lease_seconds, uint64_t seed,
              std::function<int(const std::string&)> present)
@@ -59,13 +59,14 @@
   }
   void Trouble() { account.Trouble(loop_.Now()); }
 
-  // To be spawned once, and awaited at the end by Finish.
+  // Checks the account until Finish ends it. To be spawned once.
   net::Task<void> Run() {
     double last = loop_.Now();
     while (!over_) {
       co_await loop_.Sleep(0.1 * poll_seconds_);
       const double now = loop_.Now();
-      // One that did not run asked nobody: the whole machine stood still.
+      // If this coroutine was not scheduled for so long, the test machine was
+      // overloaded, and the silence is not the controllers' fault.
       if (now > last + poll_seconds_) account.Trouble(now);
       last = now;
       longest_ = std::max(longest_, account.LongestSilence(now));
@@ -77,8 +78,9 @@
       }
     }
   }
-  // The troubles are over. Waits for as long as a job may be silent, or until
-  // each has been told of once more, and settles the account.
+  // To be called when the faults are over. Waits until every job has got one
+  // more answer, or for as long as a job may go without one, and then fails for
+  // each accepted job that neither runs nor is known.
   net::Task<void> Finish() {
     const double from = loop_.Now();
     while (!account.Unheard(from).empty() &&
@@ -101,8 +103,9 @@
   void AskAbout(const std::string& id) {
     if (asked_.insert(id).second) net::Spawn(Ask(id));
   }
-  // One user: stays with a controller as long as its connection does, since a
-  // balancer of connections leaves it there, whatever it is answered.
+  // Polls as one user. It keeps its controller while the connection lasts,
+  // whatever the answers are, as it would behind a load balancer that balances
+  // connections.
   net::Task<void> Ask(std::string id) {
     std::uniform_real_distribution<double> pause(0.5 * poll_seconds_,
                                                  1.5 * poll_seconds_);
--- a/tests/link.h
+++ b/tests/link.h
@@ -1,6 +1,6 @@
-// A way between two processes of a test that can be cut: what is sent meanwhile
-// is held back and delivered afterwards, in order, as the protocol says of
-// networks. A connection that is opened in a cut is never answered.
+// A TCP proxy between two processes of a test. While the link is cut, it holds
+// back all data; afterwards it delivers them in order. A connection that is
+// opened during a cut gets no answer until the cut ends.
 #pragma once
 
 #include <sys/socket.h>
@@ -37,10 +37,10 @@
     while (cut_) co_await loop_.Sleep(0.02);
     SocketPtr far = co_await net::Socket::Connect(loop_, to_, loop_.Now() + 1);
     if (far == nullptr) co_return;
-    net::Spawn(DispatchCommands(near, far));
-    net::Spawn(DispatchCommands(far, near));
+    net::Spawn(Forward(near, far));
+    net::Spawn(Forward(far, near));
   }
-  net::Task<void> DispatchCommands(SocketPtr from, SocketPtr to) {
+  net::Task<void> Forward(SocketPtr from, SocketPtr to) {
     std::array<char, 16'384> buffer;
     for (;;) {
       const ssize_t n =
@@ -52,7 +52,7 @@
       const bool written = co_await to->Write(bytes, loop_.Now() + 10);
       if (!written) break;
     }
-    // The other direction ends with it.
+    // The end of one direction closes the other direction too.
     shutdown(from->fd(), SHUT_RDWR);
     shutdown(to->fd(), SHUT_RDWR);
   }
--- a/tests/random_simulation_test.cc
+++ b/tests/random_simulation_test.cc
@@ -19,20 +19,21 @@
 
 constexpr double kStep = 0.05;      // s
 constexpr double kRunSeconds = 90;  // s
-// The longest time in seconds that a leader which no worker reaches may stay
+// The longest time in seconds that a leader that reaches no worker may stay
 // the leader while another controller could lead: the time until it doubts its
 // connections, and three rounds of questions with the pauses between them.
 constexpr double kMaxUnfitSeconds = 9;
 // The longest delay of a duplicated heartbeat, in seconds.
 constexpr double kLatestCopySeconds = 80;
 // The longest time in seconds that the tasks of a dead machine count as running
-// after the last report of it: 4 s, a lease, and the stall of a leader.
+// after its death, the start of the leader's term and the last new report of
+// it: 4 s, a lease, and the stall of a leader.
 constexpr double kMaxHeldSeconds = 25;
 
 // The kind of faults that a simulation has in addition to the faults of all
 // simulations. kOutages: the key-value store is unavailable for up to twice the
 // time limit of a cancellation, often with the end of the leader; the other
-// controllers keep the workers' sessions alive.
+// controllers answer the workers meanwhile, without commands.
 enum class Kind { kPlain, kDeaf, kCopies, kLateWrites, kOutages };
 
 class RandomRun {
--- a/tests/state_loss_simulation_test.cc
+++ b/tests/state_loss_simulation_test.cc
@@ -23,10 +23,10 @@
 
 constexpr int kShort = 4;  // data losses in the short form of the simulation
 
-// A series of data losses of every kind, each with another fault: a controller
-// killed before, at or during the rebuild of the records, an outage of the
-// store, a second loss, or a zone that is cut off. At least two of the three
-// controllers survive each loss.
+// A series of data losses of every kind, most of them with another fault: a
+// controller killed before, at or during the rebuild of the records, an outage
+// of the store, or a second loss. At least two of the three controllers survive
+// each loss.
 class RandomSimulation {
  public:
   RandomSimulation(Cluster& cluster, int losses)
--- a/tests/state_loss_test.cc
+++ b/tests/state_loss_test.cc
@@ -39,7 +39,8 @@
     net::Spawn(watcher.Count());
     for (int i = 0; i < kControllers; ++i) net::Spawn(watcher.Poll(i));
     const int sessions = c_.SessionsLost();
-    // The controller that survives is not the leader.
+    // The controller that survives is not the leader, and not the first one
+    // that is asked.
     const int stays = loss_.one_stays ? (c_.Leader() + 1) % kControllers : -1;
     if (loss_.all_end || loss_.one_stays) {
       for (int i = 0; i < kControllers; ++i) {
