--- a/tests/cluster_test.cc
+++ b/tests/cluster_test.cc
@@ -1,6 +1,6 @@
-// Rollouts on loopback: real controllers as processes, killed and started
-// again, against stand-ins for everything else. The workers count healthy
-// instances themselves.
+// Tests of rollouts on loopback. Real controllers run as processes that are
+// killed and started again, with stand-ins for everything else. The stand-ins
+// of the workers count the healthy instances, apart from the controllers.
 
 #include "tests/cluster.h"
 
@@ -15,8 +15,8 @@
 #include "wire/json.h"
 
 // Servers run until their process ends, so a test that stops its loop leaves
-// their suspended coroutines behind.
-// The sanitizer names it.
+// their suspended coroutines behind, which the leak sanitizer must not report.
+// The sanitizer prescribes the name of this function.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" const char* __lsan_default_suppressions() {
   return "leak:oxbow::net::\nleak:oxbow::test::\nleak:oxbow::clients::\n";
@@ -139,7 +139,7 @@
       co_await c_.loop.Sleep(0.05);
     }
     EXPECT_EQ(c_.Well(from), kTasks) << from << " never came up";
-    // Which of the two goes in the end the rollout says.
+    // The outcome of the rollout decides which of the two jobs is cancelled.
     known_.CancelAsked(from);
     known_.CancelAsked(to);
     const int floor = kTasks - n % 2;
@@ -168,7 +168,7 @@
       last = answer.body;
       step = json::GetString(doc, "step");
       if (step == "done" || step == "rolled_back" || step == "failed") break;
-      // One that paused by itself: somebody looks, and lets it go on.
+      // An operator resumes a rollout that paused by itself.
       if (step == "paused") {
         co_await c_.Ask("POST", "/v2/rollouts/" + id + "/resume", "");
       }
@@ -198,8 +198,8 @@
   Task<void> WatchFloors() {
     while (!over_) {
       for (auto& [id, w] : watched_) {
-        // Held until the recorded end, no longer: a machine may be drained
-        // then.
+        // The floor holds until the end of the rollout is recorded. After that
+        // a machine may be drained.
         if (!c_.state().Value("ob/ended/o/" + id).empty()) continue;
         const double now = c_.loop.Now();
         if (w.first_sick == 0 && c_.Sick(w.to) > 0) w.first_sick = now;
@@ -229,7 +229,8 @@
         c_.Launch(leader);
         co_await c_.loop.Sleep(1);
       } else if (what < 0.55) {
-        // Shorter than a lease: what is behind it lives on, unseen.
+        // The cut is shorter than a lease, so the tasks of the zone run on
+        // although the controllers can't reach them.
         ++cuts_;
         const std::string zone = cuts_ % 2 ? "a" : "b";
         for (const auto& w : c_.workers) w->Cut(w->zone() == zone);
@@ -267,7 +268,7 @@
   std::vector<double> took_;  // s
 };
 
-// A short form; OXBOW_ROLLOUTS asks for more.
+// Runs 12 rollouts, or as many as OXBOW_ROLLOUTS says.
 TEST(Cluster, FloorsHoldThroughKillsOutagesAndDrains) {
   const char* text = std::getenv("OXBOW_ROLLOUTS");
   const char* seed = std::getenv("OXBOW_SEED");
@@ -284,17 +285,17 @@
   trial.Print();
 }
 
-// Reports reach every controller but the leader, which goes on hearing answers
-// to its own questions. It finds out, compares, and another one leads before
-// any lease has run out.
+// The workers' reports reach every controller but the leader, which still gets
+// responses to its own requests. The leader must notice this, compare itself
+// with its peers, and hand over before any worker's lease has expired.
 TEST(Cluster, ALeaderWithoutReportsHandsOver) {
   Cluster cluster(1, "rollouts.conf");
   Loop& loop = cluster.loop;
   bool ended = false;
   net::Spawn([](Cluster* c, bool* done) -> Task<void> {
-    // A new leader gives the workers their time to find it.
-    constexpr double kFindIt = 8;
-    co_await c->loop.Sleep(kFindIt);
+    // A new leader waits for the workers to find it before it judges them.
+    constexpr double kFindLeaderSeconds = 8;
+    co_await c->loop.Sleep(kFindLeaderSeconds);
     const int deaf = c->Leader();
     EXPECT_GE(deaf, 0);
     std::vector<int> sessions;
--- a/tests/known_account.h
+++ b/tests/known_account.h
@@ -1,6 +1,5 @@
-// What users have been told about their jobs, and what they may be told from
-// then on. An account of the tests' own: it knows nothing of how a controller
-// comes to its answers.
+// A record of what users have been told about their jobs, which determines what
+// they may be told from then on. It is independent of the controllers' code.
 #pragma once
 
 #include <fmt/format.h>
@@ -18,7 +17,8 @@
 
 class KnownAccount {
  public:
-  // `forgotten_s`: how long nothing may be said about a job.
+  // `forgotten_seconds` is the longest time in seconds that a job may go
+  // without an answer.
   explicit KnownAccount(double forgotten_seconds)
       : forgotten_seconds_(forgotten_seconds) {}
 
@@ -28,22 +28,23 @@
     entry.accepted = true;
     entry.accepted_at = entry.heard = now;
   }
-  // Its user asks for it to be cancelled, answered or not.
+  // Records that a user has sent a cancellation, whether answered or not.
   void CancelAsked(const std::string& id) { jobs_[id].cancel_asked = true; }
-  // It was told as done or aborted.
+  // Records that a user was told that the job is done or aborted.
   void Ended(const std::string& id, const std::string& word, double now) {
     Entry& entry = jobs_[id];
     if (!entry.end.empty()) return;
     entry.end = word;
     entry.ended_at = now;
   }
-  // Nobody submits it.
+  // Records an id that no user ever submits.
   void NeverSubmitted(const std::string& id) { jobs_[id]; }
-  // Something goes wrong at this moment: silence counts from here.
+  // Records a fault at `now`. The time without an answer counts from then on.
   void Trouble(double now) { trouble_ = std::max(trouble_, now); }
 
-  // The answer to a question asked at `asked`. Returns what is wrong about it,
-  // or nothing. What was told to somebody else meanwhile binds the next one.
+  // Checks the answer to a request that was sent at `asked`. Returns what is
+  // wrong about it, or an empty string. Only what users were told before
+  // `asked` counts against it.
   std::string Heard(const std::string& id, int status, const std::string& body,
                     double asked, double now) {
     Entry& entry = jobs_[id];
@@ -51,7 +52,7 @@
     if (status == 404) {
       return accepted ? id + " was accepted and is denied" : std::string();
     }
-    if (status != 200) return {};  // to be asked again
+    if (status != 200) return {};  // the user repeats the request
     if (!entry.accepted) return id + " was never submitted, now " + body;
     entry.heard = now;
     rapidjson::Document doc;
@@ -67,7 +68,7 @@
     return {};
   }
 
-  // Jobs about which nothing was said for too long.
+  // Returns the jobs that have gone without an answer for too long.
   std::vector<std::string> Forgotten(double now) const {
     std::vector<std::string> out;
     for (const auto& [id, entry] : jobs_) {
@@ -77,7 +78,8 @@
     }
     return out;
   }
-  // The longest that nothing was said about any job, without trouble.
+  // Returns the longest present time without an answer about any job, in
+  // seconds since the last fault.
   double LongestSilence(double now) const {
     double longest = 0;
     for (const auto& [id, entry] : jobs_) {
@@ -85,13 +87,14 @@
     }
     return longest;
   }
-  // Accepted, and neither cancelled nor over: has to run or to be known.
+  // Returns whether the job was accepted and has neither been cancelled nor
+  // ended, so that it must run or be known.
   bool Lives(const std::string& id) const {
     const auto it = jobs_.find(id);
     return it != jobs_.end() && it->second.accepted &&
            !it->second.cancel_asked && it->second.end.empty();
   }
-  // Accepted jobs of which nothing was said since.
+  // Returns the accepted jobs that have had no answer since then.
   std::vector<std::string> Unheard(double since) const {
     std::vector<std::string> ids;
     for (const auto& [id, entry] : jobs_) {
@@ -105,9 +108,9 @@
     bool accepted = false;
     double accepted_at = 0;
     bool cancel_asked = false;
-    std::string end;  // as it was told
+    std::string end;  // the status that a user was told
     double ended_at = 0;
-    double heard = 0;  // the last answer
+    double heard = 0;  // time of the last answer, s
   };
   double Silence(const Entry& entry, double now) const {
     return now - std::max(entry.heard, trouble_);
