--- a/tests/controller_node_fixture.h
+++ b/tests/controller_node_fixture.h
@@ -1,5 +1,5 @@
-// A whole controller over loopback, against stand-ins for the key-value store
-// and the cloud.
+// A test fixture that runs a whole controller on loopback, with stand-ins for
+// the key-value store and the cloud.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 namespace oxbow::test {
 
-// Runs one coroutine to its end, with a limit so that no test hangs.
+// Runs one coroutine to its end. Fails after 20 s, so that no test hangs.
 inline void RunToEnd(net::Loop& loop, net::Task<void> body) {
   bool ended = false;
   net::Spawn(
@@ -38,7 +38,8 @@
          "bookmark_s":0.0,"stow_s":0.0})";
 }
 
-// One that waits for the jobs of that list, as JSON.
+// Returns the JSON of a job that waits for the jobs in `dependencies`, a JSON
+// array of job ids.
 inline std::string WaitingJson(const std::string& id,
                                const std::string& dependencies) {
   std::string json = JobJson(id);
@@ -86,7 +87,7 @@
     last_retry_ = r.retry_after_seconds;
     co_return r.outcome == net::Outcome::kAnswered ? r.status : 0;
   }
-  // Repeats what is answered with 503, as users do.
+  // Sends a request and repeats it while the status is 503, as users do.
   net::Task<int> AskWithRetries(std::string method, std::string path,
                                 std::string body = "") {
     int status = 0;
--- a/tests/fleet_limits_test.cc
+++ b/tests/fleet_limits_test.cc
@@ -1,5 +1,5 @@
-// Limits that a large fleet reaches: connections of a server, and the size of
-// an answer to a watch.
+// Tests of the limits that a large fleet reaches: the number of connections of
+// a server, and the size of a response to a watch.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
--- a/tests/upgrade_test.cc
+++ b/tests/upgrade_test.cc
@@ -1,7 +1,8 @@
-// An upgrade on loopback: five real controllers of the version in production,
-// built from the repository's history, are killed one and two at a time and
-// come back with the present version, while jobs run, are cancelled and end. A
-// leader is killed on the way, and one controller goes back to the old version.
+// Test of an upgrade on loopback. Five real controllers run the version in
+// production, which is built from the repository's history. They are killed one
+// or two at a time and restart with the present version, while jobs run, are
+// cancelled and end. During the upgrade a leader is killed, and one controller
+// goes back to the version in production.
 
 #include <fmt/format.h>
 #include <gtest/gtest.h>
@@ -18,8 +19,8 @@
 #include "tests/known_watch.h"
 
 // Servers run until their process ends, so a test that stops its loop leaves
-// their suspended coroutines behind.
-// The sanitizer names it.
+// their suspended coroutines behind, which the leak sanitizer must not report.
+// The sanitizer prescribes the name of this function.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" const char* __lsan_default_suppressions() {
   return "leak:oxbow::net::\nleak:oxbow::test::\nleak:oxbow::clients::\n";
@@ -31,7 +32,8 @@
 using net::Task;
 
 constexpr int kUpgraded = 5;  // controllers
-// After an end: before the leader's lease has run out, and after it.
+// The times after which a killed controller restarts: before the leader's lease
+// has expired, and after it.
 constexpr double kSoonBackSeconds = 0.3;
 constexpr double kLateBackSeconds = 0.5 * kLease;
 constexpr double kBetweenStepsSeconds = 3;
@@ -44,22 +46,23 @@
           OXBOW_PRODUCTION "/source/deploy"};
 }
 
-// It is built only where that is asked for, see build_production.sh.
+// Returns whether the version in production can be run. It is built only on
+// request, see build_production.sh.
 bool ProductionIsBuilt() {
   const char* asked = std::getenv("OXBOW_UPGRADE_TEST");
   return asked != nullptr && std::string(asked) == "1" &&
          access(ProgramOf(Version::kProduction).path.c_str(), X_OK) == 0;
 }
 
-// A job of the test's users, with what its tasks may be seen to do.
+// A job of the test's users, with what the checks of its tasks need to know.
 struct UserJob {
   std::string id;
   bool service = false;
   int tasks = 0;
   bool accepted = false;
   bool cancel_asked = false;
-  double cancelled_at = -1;  // s; told as cancelled
-  bool whole = false;        // a service that was at full strength once
+  double cancelled_at = -1;  // s; its user was told so
+  bool whole = false;        // a service of which all tasks have run
 };
 
 class Upgrade {
@@ -106,7 +109,8 @@
  private:
   // --- the upgrade
   Task<void> RollOut() {
-    // One that doesn't lead, then two at once with the leader among them.
+    // First a controller that doesn't lead, then two at once, one of which is
+    // the leader.
     const int first = NotLeading(Version::kProduction);
     co_await Replace(std::vector<int>(1, first), Version::kPresent,
                      kSoonBackSeconds);
@@ -114,15 +118,16 @@
     const int leader = co_await AnyLeader();
     co_await Replace(Distinct(leader, second), Version::kPresent,
                      kLateBackSeconds);
-    // The leader dies before its turn, or after: it comes back as it was.
+    // The leader is killed and restarts with the version that it had, which may
+    // be either.
     const int dies = co_await AnyLeader();
     co_await Replace(std::vector<int>(1, dies), versions_[dies],
                      kSoonBackSeconds);
-    // One goes back to the version in production.
+    // One upgraded controller goes back to the version in production.
     const int back = NotLeading(Version::kPresent);
     co_await Replace(std::vector<int>(1, back), Version::kProduction,
                      kSoonBackSeconds);
-    // The rest, two at a time.
+    // The remaining controllers are upgraded two at a time.
     for (;;) {
       std::vector<int> turn;
       for (int i = 0; i < kUpgraded && turn.size() < 2; ++i) {
@@ -178,7 +183,8 @@
       job.tasks = job.service ? 2 : 3;
       const double runs_seconds = Between(0.5, 4);
       if (!job.service) c_.cues[job.id].done_after = runs_seconds;
-      // Services would fill the machines if all stayed.
+      // Half of the services are cancelled, since they would otherwise fill the
+      // machines.
       const bool cancels = number % 4 == 1 || (job.service && number % 6 == 0);
       jobs_.push_back(job);
       net::Spawn(Watch(number, cancels ? Between(0.1, 5) : -1));
@@ -217,9 +223,9 @@
         job.service ? 0.0 : 2.0);
   }
 
-  // --- what is seen on the machines
+  // --- checks of the tasks on the machines
   Task<void> Watch() {
-    std::string leader;  // its record: another one in each life
+    std::string leader;  // its record, which differs after each restart
     while (!over_) {
       EXPECT_FALSE(c_.AnyDied()) << "a controller ended by itself";
       const int leads = c_.Leader();
@@ -236,7 +242,8 @@
     const int present = c_.Present(job->id);
     EXPECT_LE(present, job->tasks) << job->id << " runs twice";
     if (job->cancelled_at >= 0) {
-      // The stand-ins' settings give forty seconds; a lease is plenty here.
+      // The cluster's settings allow 40 s for a cancellation. A worker's lease
+      // is enough in this test.
       EXPECT_TRUE(present == 0 || c_.loop.Now() < job->cancelled_at + kLease)
           << job->id << " runs on after its cancellation";
       return;
@@ -247,8 +254,8 @@
         << job->id << " has lost a living task";
   }
 
-  // --- the account at the end
-  // Until what was accepted is there or over, for no longer than it may take.
+  // --- checks at the end
+  // Waits until every accepted job runs or has ended, for three leases at most.
   Task<void> Settle() {
     const double until = c_.loop.Now() + 3 * kLease;
     while (!Unsettled().empty() && c_.loop.Now() < until) {
@@ -289,9 +296,9 @@
 
   Cluster& c_;
   KnownWatch known_;
-  std::vector<Version> versions_;  // of the controllers
+  std::vector<Version> versions_;  // by controller
   std::vector<UserJob> jobs_;
-  std::array<int, 2> led_{};  // leaderships seen, by version
+  std::array<int, 2> led_{};  // terms of leadership, by version
   int leaders_killed_ = 0;
   int cancelled_ = 0;
   bool submitting_ = true;
@@ -308,8 +315,8 @@
                   "service.conf", kUpgraded, ProgramOf(Version::kProduction));
   Upgrade upgrade(cluster);
   net::Spawn(upgrade.Run());
-  constexpr double kLongestSeconds = 120;
-  cluster.loop.At(cluster.loop.Now() + kLongestSeconds,
+  constexpr double kTestTimeoutSeconds = 120;
+  cluster.loop.At(cluster.loop.Now() + kTestTimeoutSeconds,
                   [&cluster] { cluster.loop.Stop(); });
   cluster.loop.Run();
   EXPECT_TRUE(upgrade.finished()) << "timed out";
