--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -78,10 +78,10 @@
       const auto way = [this](const net::Address& to) {
         return std::make_unique<Link>(loop, to);
       };
-      links_.emplace_back();
-      links_[i].push_back(way(Local(state_.port())));
+      outgoing_links_.emplace_back();
+      outgoing_links_[i].push_back(way(Local(state_.port())));
       for (int to = 0; to < controllers_; ++to) {
-        if (to != i) links_[i].push_back(way(back_[to]));
+        if (to != i) outgoing_links_[i].push_back(way(back_[to]));
       }
     }
     for (int i = 0; i < controllers_; ++i) {
@@ -167,7 +167,7 @@
       for (int way = 0; way < controllers_; ++way) {
         // The first link of a controller leads to the key-value store.
         const int to = way == 0 ? -1 : way <= from ? way - 1 : way;
-        if (from == i || to == i) links_[from][way]->Cut(cut);
+        if (from == i || to == i) outgoing_links_[from][way]->Cut(cut);
       }
     }
   }
@@ -248,9 +248,9 @@
     for (int other = 0, way = 1; other < controllers_; ++other) {
       if (other == i) continue;
       if (!known.empty()) known += ",";
-      known +=
-          fmt::format(R"({{"host_name":"{}","site":"a","address":"{}"}})",
-                      Name(other), Local(links_[i][way++]->port()).ToString());
+      known += fmt::format(R"({{"host_name":"{}","site":"a","address":"{}"}})",
+                           Name(other),
+                           Local(outgoing_links_[i][way++]->port()).ToString());
     }
     std::ofstream(ConfigOf(i)) << fmt::format(
         R"({{"host_name":"{}","site":"a","public_addr":"{}","back":"{}",
@@ -265,8 +265,9 @@
         "quota":{{"cpu":0.5,"mem_mb":256.0,"max_sockets":700}},
         "clock_error_ms":25.0}}}})",
         Name(i), listen_[i].ToString(), back_[i].ToString(), known,
-        Local(cloud_.port()).ToString(), Local(links_[i][0]->port()).ToString(),
-        controllers_, kReport, kLease);
+        Local(cloud_.port()).ToString(),
+        Local(outgoing_links_[i][0]->port()).ToString(), controllers_, kReport,
+        kLease);
   }
 
   const int controllers_;
@@ -278,7 +279,7 @@
   std::vector<net::Address> back_;
   // The links of each controller: to the key-value store first, then to the
   // other controllers in order.
-  std::vector<std::vector<std::unique_ptr<Link>>> links_;
+  std::vector<std::vector<std::unique_ptr<Link>>> outgoing_links_;
   std::vector<pid_t> pids_;
   std::vector<std::unique_ptr<net::HttpClient>> clients_;
   std::vector<std::shared_ptr<FakeWorker>> deleted_workers_;
--- a/tests/controller_node_test.cc
+++ b/tests/controller_node_test.cc
@@ -1,4 +1,4 @@
-// What users get from a whole controller over loopback.
+// Tests of the responses that users get from a whole controller on loopback.
 
 #include <gtest/gtest.h>
 #include <rapidjson/document.h>
@@ -36,7 +36,7 @@
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000001", ""), 404);
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000001")), 201);
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000001")), 200);
-    // Known already: nothing about it is checked again.
+    // The job is known already, so the new content is not checked.
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000001", "x")),
               200);
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000001", ""), 200);
@@ -51,7 +51,8 @@
   }(this));
 }
 
-// It takes less from one moment to the next, and says nothing before.
+// The key-value store lowers the size of the values that it accepts, without
+// notice.
 TEST_F(WholeNode, WhatTheStateServiceFindsTooLargeIsNotTriedForEver) {
   RunToEnd(loop_, [](WholeNode* t) -> Task<void> {
     co_await t->UntilReady();
@@ -64,7 +65,8 @@
     t->state_.most_value = 1000;
     large.replace(large.find("job-000002"), 10, "job-000003");
     EXPECT_EQ(co_await t->Status("POST", jobs, large), 400);
-    // What stands and is larger ends all the same, and holds up nothing.
+    // A job that is recorded already and is larger than the new limit can still
+    // be cancelled, and doesn't hold up other jobs.
     EXPECT_EQ(co_await t->AskWithRetries("POST", jobs + "/job-000002/cancel"),
               200);
     EXPECT_EQ(co_await t->AskWithRetries("POST", jobs + "/job-000001/cancel"),
@@ -74,8 +76,9 @@
   }(this));
 }
 
-// Whatever field is missing, and wherever a job fits nothing: refused, and not
-// known afterwards. Repeats and cancellations of what has ended change nothing.
+// A job that lacks a field or that fits no machine is refused and is unknown
+// afterwards. Repeated submissions, and cancellations of a job that has ended,
+// change nothing.
 TEST_F(WholeNode, OddRequestsAreRefusedAndChangeNothing) {
   RunToEnd(loop_, [](WholeNode* t) -> Task<void> {
     co_await t->UntilReady();
@@ -122,13 +125,14 @@
     co_await t->AskWithRetries("POST", jobs + "/job-000001/cancel");
     t->state_.down = true;
     const double asked = t->loop_.Now();
-    // Not recorded, not accepted; said at once, with the time to come back.
+    // A job that can't be recorded is not accepted. The user is told so at
+    // once, with the time after which to retry.
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000002")), 503);
     EXPECT_GT(t->last_retry_, 0);
     EXPECT_LT(t->loop_.Now() - asked, 1);
-    // Not found is only said after a fresh read.
+    // A job is reported as not found only after a fresh read of the store.
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000003", ""), 503);
-    // A terminal state needs nobody.
+    // The terminal state of a job is reported without the store.
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000001", ""), 200);
     t->state_.down = false;
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000002")), 201);
@@ -155,7 +159,7 @@
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000002")), 200);
     EXPECT_EQ(t->state_.Value("ob/live/j/job-000002"), "");
     EXPECT_NE(t->state_.Value("ob/live/w/job-000002"), "");
-    // One that waits may be named as well.
+    // A job may also wait for a job that is itself waiting.
     const std::string last = WaitingJson("job-000003", R"(["job-000002"])");
     EXPECT_EQ(co_await t->Status("POST", jobs, last), 201);
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000003", ""), 200);
@@ -164,7 +168,7 @@
     const std::string later = WaitingJson("job-000004", R"(["job-000009"])");
     EXPECT_EQ(co_await t->Status("POST", jobs, later), 503);
     t->state_.down = false;
-    // More names than a record holds.
+    // The list has more job ids than fit in a record.
     std::string names = R"(["job-000001")";
     for (int i = 0; i < 700; ++i) {
       names += R"(,"job-100)" + std::to_string(1000 + i) + "\"";
@@ -172,7 +176,8 @@
     EXPECT_EQ(co_await t->Status("POST", jobs,
                                  WaitingJson("job-000005", names + "]")),
               400);
-    // A cancellation reaches all that wait, and whoever names it later.
+    // A cancellation also cancels all jobs that wait for the cancelled job, and
+    // each job that names it later.
     EXPECT_EQ(co_await t->AskWithRetries("POST", jobs + "/job-000002/cancel"),
               200);
     EXPECT_NE(t->last_body_.find("aborted"), std::string::npos);
@@ -191,7 +196,7 @@
   }(this));
 }
 
-// Beside a controller that has not recorded its version.
+// A controller whose only peer has not recorded its version.
 class NodeBesideAnOldOne : public WholeNode {
  public:
   NodeBesideAnOldOne()
@@ -214,7 +219,7 @@
     EXPECT_GT(t->last_retry_, 0);
     EXPECT_EQ(t->state_.Value("ob/live/w/job-000002"), "");
     EXPECT_EQ(t->state_.Value("ob/live/j/job-000002"), "");
-    // It comes back with the new version.
+    // The peer restarts with the new version.
     t->state_.Put("ob/live/v/old", R"({"version":2})");
     EXPECT_EQ(co_await t->AskWithRetries("POST", jobs, chain), 201);
     EXPECT_NE(t->state_.Value("ob/live/w/job-000002"), "");
@@ -222,7 +227,8 @@
   }(this));
 }
 
-// Two controllers; the second never reaches the key-value store.
+// Two controllers, of which the second never reaches the key-value store.
+// Requests go to the second one.
 class CutOffNode : public WholeNode {
  public:
   CutOffNode() {
@@ -262,13 +268,14 @@
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000001")), 201);
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000001", ""), 200);
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000001")), 200);
-    // Denied only because the other one has read it afresh.
+    // The id is denied only because the other controller has read the store
+    // afresh.
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000002", ""), 404);
     EXPECT_EQ(co_await t->AskWithRetries("POST", jobs + "/job-000001/cancel"),
               200);
     EXPECT_EQ(co_await t->Status("GET", jobs + "/job-000001", ""), 200);
     EXPECT_NE(t->last_body_.find("aborted"), std::string::npos);
-    // An outage that both share is said at once.
+    // When neither controller reaches the store, the user is told so at once.
     t->state_.down = true;
     const double asked = t->loop_.Now();
     EXPECT_EQ(co_await t->Status("POST", jobs, JobJson("job-000003")), 503);
