--- a/tests/leadership_simulation_test.cc
+++ b/tests/leadership_simulation_test.cc
@@ -1,10 +1,11 @@
-// Randomized simulations round the right to lead and to keep: controllers that
-// end and are back within a fraction of a second or after ten, that stall, that
-// reach the key-value store or don't, outages, messages between them late, lost
-// and held; workers that report to any of them. A seed makes a run.
+// Randomized simulations of the right to lead and of the right to keep workers
+// alive. Controllers restart within a fraction of a second or after ten, stall,
+// or lose the key-value store. The store has outages, and messages between
+// controllers are late, lost or held back. Workers report to any controller.
+// The seed determines the whole run.
 //
-// What must hold: never two leaders at once, and no leader takes an incarnation
-// for over that somebody keeps alive.
+// There must never be two leaders at once, and no leader may take a worker's
+// incarnation for ended while some controller keeps it alive.
 
 #include "tests/leadership_simulation.h"
 
